--- a/tests/compatibility/canonical.py
+++ b/tests/compatibility/canonical.py
@@ -1,7 +1,7 @@
 """A form of values that does not depend on the names of classes and fields, and digests of it.
 
-The recorded digests must stay valid while classes and fields are renamed.  So a record is written as the list of
-its values in the order of definition, behind a label that the caller gives for its class; an enumeration is
+The recorded digests must stay valid while classes and fields are renamed.  So a record is written as the list
+of its values in the order of definition, behind a label that the caller gives for its class; an enum is
 written as its value.
 """
 
@@ -14,6 +14,7 @@
 import math
 from collections.abc import Iterable, Mapping
 from pathlib import Path
+from types import MappingProxyType
 from typing import Any
 
 import msgspec
@@ -21,9 +22,10 @@
 FIXTURES = Path(__file__).parent / "fixtures"
 
 Labels = Mapping[type, str]
+NO_LABELS: Labels = MappingProxyType({})
 
 
-def canonical(value: Any, labels: Labels = {}) -> Any:
+def canonical(value: Any, labels: Labels = NO_LABELS) -> Any:
     """Return the value as lists, strings and numbers that JSON can hold.
 
     `labels` maps a class to the label under which its values were recorded; a class without a label has none.
@@ -55,7 +57,7 @@
     return [label, *(canonical(field, labels) for field in fields)]
 
 
-def text_of(value: Any, labels: Labels = {}) -> str:
+def text_of(value: Any, labels: Labels = NO_LABELS) -> str:
     """Return one line of JSON for the value's canonical form."""
     return json.dumps(canonical(value, labels), separators=(",", ":"))
 
@@ -63,7 +65,7 @@
 class Digest:
     """A running SHA-256 over the canonical forms of a series of values."""
 
-    def __init__(self, labels: Labels = {}) -> None:
+    def __init__(self, labels: Labels = NO_LABELS) -> None:
         """Begin an empty series."""
         self._labels = labels
         self._hash = hashlib.sha256()
