--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -106,6 +106,34 @@
         assert says(result, f"\nnot passed over in this run: {line(test)}\n")
 
 
+@both
+def test_a_test_listed_as_failing_sometimes_is_passed_over_whatever_comes_and_printed(play, how):
+    tests = ["test_red", "test_green"]
+    result = play(
+        [line(test, issue="issue 32, sometimes") for test in tests],
+        *map(name, [*tests, "test_cases[a]"]),
+        how=how,
+    )
+    assert result.ret == pytest.ExitCode.OK
+    result.assert_outcomes(passed=2, xfailed=1)
+    assert says(result, f"\npassed over: {line('test_red', issue='issue 32, sometimes')}\n")
+    assert says(result, f"\npassed in this run: {line('test_green', issue='issue 32, sometimes')}\n")
+
+
+@both
+def test_lines_of_tests_that_fail_sometimes_count_towards_the_limit(play, how):
+    tests = ["test_red", "test_setup", "test_teardown", "test_cases[b | c]"]
+    result = play([line(test, issue="issue 32, sometimes") for test in tests], name("test_red"), how=how)
+    assert result.ret == pytest.ExitCode.USAGE_ERROR
+    assert says(result, "4 tests are listed, 3 at most may be")
+
+
+def test_a_test_that_fails_sometimes_has_to_be_collected(play):
+    result = play([line("test_gone", issue="issue 32, sometimes")], name("test_green"))
+    assert result.ret == pytest.ExitCode.USAGE_ERROR
+    assert says(result, f"there is no test {name('test_gone')}")
+
+
 @both
 def test_other_failures_stay_red(play, how):
     lines = [line("test_red"), line("test_cases[a]")]
@@ -178,6 +206,9 @@
         b"tests/test_it.py::test_red |  | issue 32",
         b"tests/test_it.py::test_red | the cause | 32",
         b"tests/test_it.py::test_red | the cause | issue",
+        b"tests/test_it.py::test_red | the cause | sometimes",
+        b"tests/test_it.py::test_red | the cause | issue 32, often",
+        b"tests/test_it.py::test_red | the cause | issue 32 sometimes",
         b"tests/test_it.py | the cause | issue 32",
         b" | the cause | issue 32",
         b"tests/test_it.py::test_red | not in UTF-8: \xe9 | issue 32",
