--- /dev/null
+++ b/tests/compatibility/link_cases.py
@@ -0,0 +1,275 @@
+"""Examples of the link's messages and driven conversations of two link ends."""
+
+from __future__ import annotations
+
+import random
+from collections.abc import Iterator
+
+import msgspec
+
+from cressrock.link import messages as m
+from cressrock.link.protocol import Bounds, Closed, Link, Opened, OutOfCredit, Role, State
+from tests.compatibility.canonical import Digest
+
+SEEDS = range(60)
+STEPS = 300
+UNREADABLE = "a message that cannot be read"
+
+
+def wire_values() -> list[m.Message]:
+    """Return several values of every message type, some with their optional fields left out."""
+    return [
+        m.Hello([2], "edge-1", "0a1b2c"),
+        m.Hello([3, 2, 1], "e", "l", ["lends limits", "versions of rules"], 256),
+        m.Welcome(2, "planner-1", 0),
+        m.Welcome(65535, "p", 2**53, ["lends limits"], 1),
+        m.Parting(""),
+        m.Parting("no common version: we speak [2], the peer [1]"),
+        m.Parting("é" * 512),
+        m.Ping(0),
+        m.Ping(2**53),
+        m.Pong(1),
+        m.Credit(1),
+        m.Credit(10**6),
+        m.Request(1, 0.0, "r-1", "v", "", 0.0, 0.0, 0, 0, -1, 0),
+        m.Request(
+            2**40, 1234.5, "r-2", "volume", "/volume/a/b", 16.25, 5234.5, 3, 7, 65535, 4800,
+            12.5, 2, True, 8.0, 9, "trial-7",
+        ),
+        m.Request(7, 1e15, "r" * 128, "v", "k" * 512, 1e9, 1e15, 1, 1, 0, 1, -1.0, 0, True),
+        m.Ended(3, 17.25, "r-1", 0, "ok", True, 4.5),
+        m.Ended(4, 18.0, "r-2", 2, "no connection", False, 0.0, 12, 3.5),
+        m.Left(5, 19.0, "r-1"),
+        m.Barred(6, 20.0, "n0:7000"),
+        m.Counted(7, 21.0, [], []),
+        m.Counted(8, 22.0, [0, 17, 10**9], [1, 70000]),
+        m.Lend(9, 23.0, "v", 1, 4.5, 12),
+        m.Tick(10, 24.0),
+        m.Grant(1, 7, "r-1", 0, "n0:7000", 400.0),
+        m.Grant(2**53, 2**53, "r-2", 3, "n1", 1e15, 250.5),
+        m.Answer(7, "r-1", True),
+        m.Answer(7, "r-1", False, 1500.0),
+        m.CallOff(7, "r-1", 1),
+        m.Stamp(12),
+        m.Rules([]),
+        m.Rules(["trial-7"]),
+    ]  # fmt: skip
+
+
+def ends_of(
+    *, edge_versions: tuple[int, ...] = (2,), planner_versions: tuple[int, ...] = (2,)
+) -> tuple[Link, Link]:
+    """Return an edge's and a planner's end with different capabilities."""
+    edge = Link(Role.EDGE, "e", 0.0, life="l1", capabilities=("a", "b"), versions=edge_versions)
+    planner = Link(Role.PLANNER, "p", 0.0, epoch=7, capabilities=("b", "c"), versions=planner_versions)
+    return edge, planner
+
+
+def _open_ends() -> tuple[Link, Link]:
+    edge, planner = ends_of()
+    planner.receive_data(edge.take_bytes(), 0.0)
+    edge.receive_data(planner.take_bytes(), 0.0)
+    return edge, planner
+
+
+def _answer(link: Link, data: bytes, now_ms: float = 0.0) -> list[object]:
+    link.take_bytes()
+    results = link.receive_data(data, now_ms)
+    return [described(results), link.take_bytes().hex(), link.state.value]
+
+
+def described(results: list[object]) -> list[object]:
+    """Return what a link reported, messages as their wire form."""
+    lines: list[object] = []
+    for result in results:
+        match result:
+            case Opened():
+                lines.append(
+                    [
+                        "opened",
+                        result.version,
+                        result.peer,
+                        result.life,
+                        result.epoch,
+                        list(result.capabilities),
+                    ]
+                )
+            case Closed():
+                lines.append(["closed", _plain(result.reason), result.ours])
+            case _:
+                lines.append(["message", m.encode(result).hex()])
+    return lines
+
+
+def _plain(reason: str) -> str:
+    # What follows is the decoder library's own text.
+    return UNREADABLE if reason.startswith(UNREADABLE) else reason
+
+
+def refusals() -> dict[str, object]:
+    """Return how the link ends for each way of breaking the protocol: results, bytes out and state."""
+    hello = m.encode(m.Hello([2], "e", "l"))
+    left = m.encode(m.Left(0, 0.0, "r"))
+    answers: dict[str, object] = {}
+
+    def planner(name: str, data: bytes) -> None:
+        answers[name] = _answer(ends_of()[1], data)
+
+    planner("frame too long", b"\xff\xff\xff\xff")
+    planner("event before the handshake", left)
+    planner("credit before the handshake", m.encode(m.Credit(1)))
+    planner("welcome to a planner", m.encode(m.Welcome(2, "x", 1)))
+    planner("second hello", hello + hello)
+    planner("no common version", m.encode(m.Hello([1, 3], "e", "l")))
+    planner("goodbye first", m.encode(m.Parting("stopping")))
+    planner("ping first", m.encode(m.Ping(9)))
+    planner("pong unasked", m.encode(m.Pong(9)))
+    planner("order up", hello + m.encode(m.CallOff(7, "r", 0)))
+    planner("endless credit", hello + m.encode(m.Credit(10**6)) * 11)
+    planner("more than credit", hello + b"".join(m.encode(m.Left(n, 0.0, "r")) for n in range(257)))
+    planner("event after the end", m.encode(m.Parting("stopping")) + left)
+    answers["hello to an edge"] = _answer(ends_of()[0], hello)
+    answers["version never offered"] = _answer(ends_of()[0], m.encode(m.Welcome(1, "p", 1)))
+    answers["second welcome"] = _answer(_open_ends()[0], m.encode(m.Welcome(2, "p", 1)))
+    answers["event down"] = _answer(_open_ends()[0], left)
+    answers["long reason"] = [
+        described(_open_ends()[0].close("x" * 600)),
+        described(_open_ends()[1].close("y")),
+    ]
+    slow = ends_of()[1]
+    answers["no greeting"] = [slow.next_due(), described(slow.tick(2000.0)), slow.take_bytes().hex()]
+    silent = _open_ends()[0]
+    answers["silent"] = [
+        described(silent.tick(silent.next_due())),
+        silent.take_bytes().hex(),
+        described(silent.tick(2000.0)),
+        silent.take_bytes().hex(),
+        silent.next_due() == float("inf"),
+    ]
+    ended = _open_ends()[0]
+    answers["end of stream"] = [
+        described(ended.receive_end()),
+        described(ended.receive_end()),
+        ended.take_bytes().hex(),
+    ]
+    return answers
+
+
+def handshakes() -> list[object]:
+    """Return every byte and result of whole handshakes between ends of several versions."""
+    rows: list[object] = []
+    for edge_versions, planner_versions in (
+        ((2,), (2,)),
+        ((3, 2, 1), (2, 1)),
+        ((3,), (2,)),
+        ((1, 2), (2, 3, 1)),
+    ):
+        edge, planner = ends_of(edge_versions=edge_versions, planner_versions=planner_versions)
+        up = edge.take_bytes()
+        to_planner = planner.receive_data(up, 1.0)
+        down = planner.take_bytes()
+        to_edge = edge.receive_data(down, 2.0)
+        rows.append(
+            [up.hex(), described(to_planner), down.hex(), described(to_edge), edge.take_bytes().hex()]
+        )
+    return rows
+
+
+def _drawn_event(draw: random.Random, number: int) -> m.Event:
+    return draw.choice(
+        (
+            m.Left(number, float(number), f"r{number}"),
+            m.Tick(number, 1.5 * number),
+            m.Ended(number, float(number), f"r{number}", 0, "reset", False, 2.0),
+            m.Request(number, float(number), f"r{number}", "v", "k", 1.0, 99.0, 0, 0, -1, 1),
+        )
+    )
+
+
+def _drawn_order(draw: random.Random, number: int) -> m.Order:
+    return draw.choice(
+        (
+            m.Stamp(number),
+            m.Grant(number, 7, f"r{number}", 0, "n", 50.0),
+            m.Answer(7, f"r{number}", True, 5.0),
+        )
+    )
+
+
+def _masked(data: bytes) -> str:
+    """Return sent bytes as hex, without the decoder library's own text in a farewell."""
+    parts: list[str] = []
+    while data:
+        size = int.from_bytes(data[:4], "big")
+        message = m.decode(data[4 : 4 + size])
+        if isinstance(message, m.Parting):
+            message = msgspec.structs.replace(message, reason=_plain(message.reason))
+            parts.append(m.encode(message).hex())
+        else:
+            parts.append(data[: 4 + size].hex())
+        data = data[4 + size :]
+    return "".join(parts)
+
+
+def conversation(seed: int) -> str:
+    """Drive two ends by a seed over a stream that splits, delays and at times corrupts; return the digest."""
+    draw = random.Random(f"link/{seed}")
+    digest = Digest()
+    bounds = Bounds(credit=draw.choice((4, 16, 256)), ping_ms=draw.choice((50.0, 500.0)), silent_ms=2000.0)
+    ends = {
+        "e": Link(Role.EDGE, "e", 0.0, life=f"l{seed}", capabilities=("a", "b"), bounds=bounds),
+        "p": Link(Role.PLANNER, "p", 0.0, epoch=seed, capabilities=("b",), bounds=bounds),
+    }
+    pipes = {"e": b"", "p": b""}  # bytes on the way to that end
+    untaken = {"e": 0, "p": 0}
+    now = 0.0
+    corrupts = seed % 3 == 0
+    for number in range(STEPS):
+        now += draw.choice((0.0, 1.0, 20.0, 200.0)) if draw.random() < 0.98 else 1500.0
+        name = draw.choice(("e", "p"))
+        other = "p" if name == "e" else "e"
+        link = ends[name]
+        kind = draw.random()
+        if kind < 0.35:
+            message = _drawn_event(draw, number) if name == "e" else _drawn_order(draw, number)
+            try:
+                link.send(message)
+                digest.add([name, "sent"])
+            except OutOfCredit:
+                digest.add([name, "out of credit"])
+            except ValueError:
+                digest.add([name, "not open"])
+        elif kind < 0.7:
+            size = draw.choice((1, 7, 64, 4096))
+            data, pipes[name] = pipes[name][:size], pipes[name][size:]
+            if corrupts and data and draw.random() < 0.02:
+                place = draw.randrange(len(data))
+                data = data[:place] + bytes([draw.randrange(256)]) + data[place + 1 :]
+            results = link.receive_data(data, now)
+            untaken[name] += sum(not isinstance(r, Opened | Closed) for r in results)
+            digest.add([name, "received", described(results)])
+        elif kind < 0.8:
+            count, untaken[name] = untaken[name], 0
+            link.taken(count)
+        elif kind < 0.995:
+            digest.add([name, "tick", described(link.tick(now))])
+        else:
+            digest.add(
+                [
+                    name,
+                    "close",
+                    described(link.close("enough") if draw.random() < 0.5 else link.receive_end()),
+                ]
+            )
+        written = link.take_bytes()
+        pipes[other] += written
+        due = link.next_due()
+        digest.add([name, now, _masked(written), due, link.credit, link.state.value])
+        if all(end.state is State.CLOSED for end in ends.values()):
+            break
+    return digest.hex()
+
+
+def conversations() -> Iterator[str]:
+    """Return one digest per seed."""
+    return map(conversation, SEEDS)
--- /dev/null
+++ b/tests/compatibility/test_link.py
@@ -0,0 +1,46 @@
+"""The link speaks as version 31fc3d8 did: same bytes, same refusals, same conversations."""
+
+import pytest
+
+from cressrock.link import messages as m
+from tests.compatibility import link_cases
+from tests.compatibility.canonical import load
+
+WIRE = load("link_wire")
+VALUES = link_cases.wire_values()
+CASES = list(zip(VALUES, WIRE, strict=True))
+SEEDS = list(zip(link_cases.SEEDS, load("link_conversations"), strict=True))
+
+
+def test_every_message_type_is_recorded():
+    assert len(WIRE) == len(VALUES)
+    assert {type(value) for value in VALUES} == set(m.Any.__args__)
+
+
+@pytest.mark.parametrize(("value", "recorded"), CASES)
+def test_message_is_encoded_as_recorded(value, recorded):
+    assert m.encode(value).hex() == recorded
+
+
+@pytest.mark.parametrize(("value", "recorded"), CASES)
+def test_recorded_bytes_are_read_as_the_same_message(value, recorded):
+    frame = bytes.fromhex(recorded)
+    assert int.from_bytes(frame[:4], "big") == len(frame) - 4
+    assert m.decode(frame[4:]) == value
+
+
+def test_handshakes_are_as_recorded():
+    assert link_cases.handshakes() == load("link_handshakes")
+
+
+def test_breaches_of_the_protocol_end_the_link_as_recorded():
+    recorded = load("link_refusals")
+    refusals = link_cases.refusals()
+    assert refusals.keys() == recorded.keys()
+    for name, answer in refusals.items():
+        assert answer == recorded[name], name
+
+
+@pytest.mark.parametrize(("seed", "recorded"), SEEDS)
+def test_driven_conversation_is_as_recorded(seed, recorded):
+    assert link_cases.conversation(seed) == recorded
--- /dev/null
+++ b/tests/compatibility/test_pair.py
@@ -0,0 +1,63 @@
+"""Edge and planner decide as version 31fc3d8 did, and read the epoch and life files that it wrote."""
+
+import shutil
+
+import pytest
+
+from cressrock.planner.epochs import Store
+from tests.compatibility import denial_cases, pair_cases, pair_link_cases
+from tests.compatibility.canonical import FIXTURES, load
+
+CASES = [
+    (stream, seed, recorded)
+    for stream in pair_cases.STREAMS
+    for seed, recorded in zip(pair_cases.SEEDS, load(f"pair_{stream}"), strict=True)
+]
+
+
+@pytest.mark.parametrize(("stream", "seed", "recorded"), CASES)
+def test_stream_is_decided_as_recorded(stream, seed, recorded):
+    assert pair_cases.STREAMS[stream](seed) == recorded
+
+
+def test_epochs_of_new_lives_are_as_recorded():
+    assert pair_cases.epochs() == load("pair_epochs")
+
+
+@pytest.mark.parametrize("name", ["pair_epoch_file.bin", "pair_life_file.bin"])
+def test_recorded_epoch_file_is_read_and_written_on(name, tmp_path):
+    recorded = int(load("pair_epoch_values")[name])
+    path = tmp_path / "epoch"
+    shutil.copyfile(FIXTURES / name, path)
+    store = Store(str(path))
+    assert store.read() == recorded
+    store.write(recorded)
+    assert path.read_bytes() == (FIXTURES / name).read_bytes()
+    store.write(recorded + 1)
+    assert path.read_bytes() == f"cressrock-epoch-1 {recorded + 1}\n".encode()
+    assert Store(str(path)).read() == recorded + 1
+    assert [file.name for file in tmp_path.iterdir()] == ["epoch"]
+
+
+@pytest.mark.parametrize("name", ["pair_epoch_file.bin", "pair_life_file.bin"])
+def test_torn_or_foreign_epoch_file_counts_as_none(name, tmp_path):
+    whole = (FIXTURES / name).read_bytes()
+    path = tmp_path / "epoch"
+    for content in (*(whole[:size] for size in range(len(whole))), b"cressrock-epoch-2 7\n", b"\xff 1\n"):
+        path.write_bytes(content)
+        assert Store(str(path)).read() is None
+    assert Store(None).read() is None
+    assert Store(str(tmp_path / "missing")).read() is None
+
+
+@pytest.mark.parametrize("name", pair_link_cases.SCENES)
+def test_connections_of_edge_and_planner_carry_the_recorded_bytes(name):
+    assert pair_link_cases.scene(name) == load("pair_link")[name]
+
+
+def test_denials_become_the_recorded_answers():
+    assert denial_cases.denials() == load("denials")
+
+
+def test_gateway_answers_what_it_cannot_serve_as_recorded():
+    assert denial_cases.answers_of_a_gateway() == load("gateway_answers")
