--- /dev/null
+++ b/tests/compatibility/dispatch_cases.py
@@ -0,0 +1,604 @@
+"""Seeded streams through the dispatch package: what it decides, what it writes to a node, what it keeps.
+
+The recorder and the test both use these functions, so that they cannot differ.  Texts for logs stay out.
+"""
+
+from __future__ import annotations
+
+import json
+import random
+from collections.abc import Callable
+from pathlib import Path
+from typing import Any
+
+import anyio
+
+from cressrock.dispatch.answers import load_of, outcome_of
+from cressrock.dispatch.driver import Driver
+from cressrock.dispatch.keys import KeyMemory
+from cressrock.dispatch.ledger import Attempt, Ledger, Tripped, Verdict
+from cressrock.dispatch.lending import Lending, life_ms
+from cressrock.dispatch.nodeclient import NodeClient, PoolBounds
+from cressrock.dispatch.nodelist import ListError, ListState
+from cressrock.dispatch.operation import Operation, Reply
+from cressrock.dispatch.reasons import Fence, Reason
+from cressrock.dispatch.spool import Store, whole
+from cressrock.dispatch.tasks import TaskDriver
+from cressrock.dispatch.transport import Denied, Ending
+from cressrock.dispatch.watch import Watch
+from cressrock.interface import (
+    Arrival,
+    Cancel,
+    ClientLeft,
+    Effect,
+    Ended,
+    Fail,
+    Group,
+    ListKind,
+    Log,
+    Node,
+    NodeList,
+    NodeState,
+    Outcome,
+    Plan,
+    Refuse,
+    RequestClass,
+    Send,
+    SetTimer,
+    Subscribe,
+    Wake,
+)
+from tests.compatibility.canonical import FIXTURES, Digest
+
+LABELS = {
+    Arrival: "arrival", Ended: "ended", ClientLeft: "client left", Wake: "wake", NodeList: "node list",
+    Node: "node", Denied: "denied",
+}  # fmt: skip
+CLASSES = (
+    RequestClass(aim_ms=300, deadline_ms=1500, effect=Effect.REPEATABLE),
+    RequestClass(300, 3000, effect=Effect.KEYED, group=Group.SHARD, repeat_window_ms=1500),
+    RequestClass(300, 3000, effect=Effect.KEYED, group=Group.ZONE, repeat_window_ms=900),
+    RequestClass(300, 3000, effect=Effect.KEYED, group=Group.ALL, repeat_window_ms=2500),
+    RequestClass(500, 4000),
+)
+NODES = tuple(Node(f"n{i}:70{i}", i % 3, i % 2) for i in range(6))
+SEEDS = range(40)
+
+
+def node_report(draw: random.Random) -> tuple[Node, ...]:
+    """Return a report of some nodes in drawn states."""
+    states = (NodeState.READY, NodeState.READY, NodeState.READY, NodeState.DRAINING, NodeState.GONE)
+    return tuple(
+        Node(n.name, n.shard, n.zone, n.up_since_ms, draw.choice(states))
+        for n in NODES
+        if draw.random() < 0.8
+    )
+
+
+def sent_form(result: Attempt | Tripped) -> list[Any]:
+    """Return what an order to send became."""
+    if isinstance(result, Tripped):
+        return ["tripped", result.fence, result.operation, result.number]
+    return ["attempt", result.number, result.node.name, result.sent_at]
+
+
+def ledger_stream(seed: int) -> str:
+    """Drive a ledger by drawn calls; return the digest of all that it gave back."""
+    draw, digest = random.Random(seed), Digest()
+    ledger = Ledger(
+        drain_grace_ms=250.0,
+        answer_slack_ms=8.0,
+        max_open=draw.choice((5, 100)),
+        max_nodes=draw.choice((4, 100)),
+    )
+    ledger.news(NODES, 0.0, complete=True)
+    now, count, names, number = 0.0, 0, ["never"], 0
+    for _ in range(900):
+        now += draw.choice((0.0, 1.0, 10.0, 200.0)) * draw.random()
+        name, node = draw.choice(names[-8:]), draw.choice(NODES).name
+        kind = draw.choice(
+            ["take"] * 3 + ["send"] * 6 + ["ended"] * 6
+            + ["commit", "refuse", "fail", "left", "overdue", "news", "may leave", "leave by", "again"]
+        )  # fmt: skip
+        entry = ledger.entries.get(name)
+        number = (
+            draw.randrange(4) if entry is None else max(0, len(entry.attempts) - draw.choice((1, 1, 1, 2, 0)))
+        )
+        result: Any = None
+        if kind == "take":
+            count += 1
+            names.append(f"r{count}")
+            taken = ledger.take(names[-1], "x", draw.choice(CLASSES), now + draw.choice((300, 2000)), now)
+            result = None if taken is None else [taken.name, taken.taken_at, taken.deadline]
+        elif kind == "again" and entry is not None:
+            try:
+                ledger.take(name, "x", CLASSES[0], now, now)
+            except ValueError:
+                result = "held"
+        elif kind == "send":
+            result = sent_form(ledger.send(name, draw.choice((node, node, node, "nowhere:1")), now))
+        elif kind == "ended":
+            try:
+                settled = ledger.ended(name, number, draw.choice(list(Outcome)))
+                result = [settled.over, settled.now]
+            except ValueError:
+                result = "not out"
+        elif kind == "commit" and entry is not None and entry.out() is not None:
+            result = ledger.commit(name)
+        elif kind == "refuse" and draw.random() < 0.5:
+            result = ledger.refuse(name, draw.choice((Reason.SCHEDULER, Reason.STOPPING)))
+        elif kind == "fail" and draw.random() < 0.5:
+            result = ledger.fail(name, draw.choice((Reason.DEADLINE, Reason.ATTEMPTS)))
+        elif kind == "left" and draw.random() < 0.5:
+            result = ledger.left(name)
+        elif kind == "overdue":
+            result = [[late, ledger.fail(late, Reason.OVERDUE)] for late in ledger.overdue(now)]
+        elif kind == "news":
+            ledger.news(node_report(draw), now, complete=draw.random() < 0.5)
+            extra = [Node(f"x{count}:1", 9)] if draw.random() < 0.3 else []
+            ledger.news(extra, now, complete=False)
+            result = [[n.name, n.state] for n in ledger.nodes.values()]
+        elif kind == "may leave":
+            result = ledger.may_leave(name, number, now)
+        elif kind == "leave by":
+            result = [ledger.leave_by(name, number), ledger.barred(node, now)]
+        digest.add([kind, result, ledger.next_due(), len(ledger.entries)])
+        if entry is not None:
+            digest.add(
+                [entry.verdict, entry.reason, [a.outcome for a in entry.attempts], ledger.may_refuse(entry)]
+            )
+    digest.add([[fence, ledger.trips[fence]] for fence in Fence])
+    digest.add([[verdict, ledger.answers[verdict]] for verdict in Verdict])
+    return digest.hex()
+
+
+def lending_stream(seed: int) -> str:
+    """Drive an edge's parts of limits by drawn calls; return the digest of what it lent."""
+    draw, digest = random.Random(seed), Digest()
+    plans = (
+        Plan(limit_rate=24.0, limit_burst=48.0, limit_slack=8.0),
+        Plan(limit_rate=500.0, limit_burst=20.0),
+        Plan(),
+    )
+    edges = {"v0": 1, "v1": 3, "v2": 0}
+    lending = Lending(plans, lambda volume: edges[volume], draw.choice((400.0, 1000.0)), 10.0)
+    digest.add([[life_ms(plan, 400.0), lending.limited(index)] for index, plan in enumerate(plans)])
+    now, out = 10.0, []
+    for _ in range(400):
+        now += draw.choice((0.0, 1.0, 30.0, 500.0)) * draw.random()
+        volume = draw.choice(tuple(edges))
+        plan = int(volume[1]) % 2
+        kind = draw.choice(("lend", "lend", "sent", "over", "edges"))
+        if kind == "lend":
+            digest.add(lending.lend(volume, plan, draw.choice((0.5, 4.0, 60.0)), now))
+        elif kind == "sent":
+            units = draw.choice((1.0, 3.5))
+            out.append((volume, plan, units))
+            lending.sent(volume, plan, units, now)
+        elif kind == "over" and out:
+            lending.over(*out.pop(draw.randrange(len(out))), now)
+        elif kind == "edges" and draw.random() < 0.1:
+            edges[volume] = draw.randrange(5)
+    return digest.hex()
+
+
+def key_stream(seed: int) -> str:
+    """Drive the memory of idempotency keys; return the digest of what it remembered."""
+    draw, digest = random.Random(seed), Digest()
+    keys = KeyMemory(keep_ms=draw.choice((300.0, 1e9)), most=draw.choice((4, 30)))
+    now, sent = 0.0, []
+    for _ in range(400):
+        now += draw.choice((0.0, 5.0, 100.0)) * draw.random()
+        key, kind = f"k{draw.randrange(12)}", draw.choice(("sent", "first", "never ran"))
+        if kind == "sent":
+            keys.sent(key, now)
+            sent.append((key, now))
+        elif kind == "never ran" and sent:
+            keys.never_ran(*draw.choice(sent[-5:]))
+        digest.add([keys.first(key, now), len(keys)])
+    return digest.hex()
+
+
+def endpoint(draw: random.Random, broken: float) -> dict[str, Any]:
+    """Return one endpoint of a discovery response, sometimes malformed."""
+    statuses = ("HEALTHY", "UNKNOWN", "DRAINING", "UNHEALTHY", "TIMEOUT", "DEGRADED")
+    value: dict[str, Any] = {
+        "endpoint": {"address": {"socket_address": {"address": "n", "port_value": draw.randrange(1, 9)}}},
+        "metadata": {"filter_metadata": {"cressrock": {"shard": draw.randrange(3)}}},
+    }
+    if draw.random() < 0.8:
+        value["health_status"] = draw.choice(statuses)
+    if draw.random() < 0.6:
+        value["metadata"]["filter_metadata"]["cressrock"]["up_since"] = draw.choice((0, 500.0, 7000, 90000.0))
+    if draw.random() < broken:
+        wrong = draw.randrange(6)
+        if wrong == 0:
+            del value["endpoint"]["address"]["socket_address"]["port_value"]
+        elif wrong == 1:
+            value["metadata"]["filter_metadata"]["cressrock"]["shard"] = draw.choice((-1, "1", None))
+        elif wrong == 2:
+            value["health_status"] = "FINE"
+        elif wrong == 3:
+            value["metadata"]["filter_metadata"]["cressrock"]["up_since"] = draw.choice((True, "now"))
+        elif wrong == 4:
+            del value["metadata"]
+        else:
+            value["endpoint"] = []
+    return value
+
+
+def discovery_response(draw: random.Random, version: str) -> bytes:
+    """Return a drawn discovery response."""
+    broken = draw.choice((0.0, 0.0, 0.1))
+    groups: Any = [
+        {
+            "locality": {"zone": draw.choice(("z1", "z2", "z3"))},
+            "lb_endpoints": [endpoint(draw, broken) for _ in range(draw.randrange(4))],
+        }
+        for _ in range(draw.randrange(4))
+    ]
+    if draw.random() < 0.05:
+        groups = "none"
+    cluster = draw.choice(("storage", "storage", "storage", "other"))
+    value: dict[str, Any] = {
+        "version_info": version,
+        "nonce": f"n{draw.randrange(100)}",
+        "resources": [{"cluster_name": cluster, "endpoints": groups}, "text"],
+    }
+    for name in ("version_info", "nonce", "resources"):
+        if draw.random() < 0.03:
+            del value[name]
+    body = json.dumps(value).encode()
+    return body[:-1] if draw.random() < 0.03 else body
+
+
+def node_list_stream(seed: int) -> str:
+    """Hand drawn discovery responses to the list; return the digest of requests, reports and state."""
+    draw, digest = random.Random(seed), Digest(LABELS)
+    state = ListState("storage", max_nodes=draw.choice((3, 100)))
+    now, version = 5000.0, 0
+    for index in range(150):
+        now += draw.random() * 1000
+        version += draw.choice((0, 1, 1, 2, -1))
+        text = draw.choice((str(version), str(version), str(version), f"v{version}"))
+        digest.add(state.request("me"))
+        body, cached = discovery_response(draw, text), index == 0 or draw.random() < 0.05
+        try:
+            news = state.receive(body, now, now + draw.choice((0.0, 90000.0)), cached=cached)
+        except ListError:
+            digest.add("refused")
+        else:
+            digest.add(None if news is None else [news.report, news.version, len(news.warnings)])
+        digest.add([state.version, state.nonce, state.confirmed, state.zones])
+    return digest.hex()
+
+
+def answer_stream(seed: int) -> str:
+    """Read drawn answers of nodes; return the digest of outcomes and reported load."""
+    draw, digest = random.Random(seed), Digest()
+    figures = (0, 1, 57, 101.5, -1, True, "3", None, 1e12, 1e11)
+    for _ in range(200):
+        headers = [(b"content-type", b"text/plain")]
+        if draw.random() < 0.3:
+            headers.append((b"retry-after", b"1"))
+        named: Any = {
+            name: draw.choice(figures)
+            for name in ("cressrock.used", "cressrock.elsewhere", "other")
+            if draw.random() < 0.7
+        }
+        value: Any = {"named_metrics": draw.choice((named, named, named, [], None))}
+        text = (
+            draw.choice((b"JSON ", b"", b"JSON", b"TEXT "))
+            + json.dumps(draw.choice((value, value, 3))).encode()
+        )
+        if draw.random() < 0.8:
+            headers.append((b"endpoint-load-metrics", text))
+        status = draw.choice((200, 201, 207, 304, 404, 412, 423, 500, 502, 503, 503, 504, 507))
+        digest.add([outcome_of(status, headers), list(load_of(headers))])
+    return digest.hex()
+
+
+class DrawnDecisions:
+    """Orders that are drawn, lawful or not; what it is handed goes into the digest."""
+
+    def __init__(self, draw: random.Random, digest: Digest) -> None:
+        self.draw, self.digest, self.requests, self.token = draw, digest, ["never"], 0
+
+    def act(self, now_ms: float, events: list[Any]) -> list[Any]:
+        draw = self.draw
+        self.digest.add([now_ms, events])
+        self.requests += [event.request for event in events if isinstance(event, Arrival)]
+        orders: list[Any] = []
+        for _ in range(draw.randrange(5)):
+            name = draw.choice(self.requests[-6:])
+            kind = draw.choice(["send"] * 8 + ["refuse", "fail", "cancel", "timer", "log", "subscribe"])
+            if kind == "send":
+                orders.append(Send(name, draw.choice(NODES).name, draw.choice((0.0, 0.0, 100.0))))
+            elif kind == "refuse":
+                orders.append(Refuse(name, draw.choice((0.0, 700.0))))
+            elif kind == "fail":
+                orders.append(Fail(name))
+            elif kind == "cancel":
+                orders.append(Cancel(name, draw.randrange(3)))
+            elif kind == "timer":
+                self.token += 1
+                orders.append(SetTimer(now_ms + draw.choice((0.0, 50.0, 300.0)), self.token))
+            elif kind == "log":
+                orders.append(Log("a line"))
+            else:
+                orders.append(Subscribe())
+        return orders
+
+
+class RecordingObserver:
+    """Writes what the driver reports into the digest, without texts."""
+
+    def __init__(self, digest: Digest) -> None:
+        self.digest = digest
+
+    def tripped(self, trip: Tripped) -> None:
+        self.digest.add(["tripped", trip.fence, trip.operation, trip.number])
+
+    def attempt_ended(self, attempt: Attempt, outcome: Outcome, lag_ms: float, text: str) -> None:
+        self.digest.add(["attempt ended", attempt.number, attempt.node.name, outcome, lag_ms])
+
+    def answered(self, request_class: int, verdict: Verdict, reason: Reason | None, ms: float) -> None:
+        self.digest.add(["answered", request_class, verdict, reason, ms])
+
+    def woke(self, events: int, late_ms: float, act_ms: float) -> None:
+        self.digest.add(["woke", events, late_ms, act_ms])
+
+    def line(self, text: str) -> None:
+        self.digest.add(["line", text])
+
+
+class RecordingTransport:
+    """Keeps the attempts that it is handed until the stream ends them."""
+
+    def __init__(self, digest: Digest) -> None:
+        self.digest, self.calls = digest, []
+
+    def start(self, call: Any) -> Any:
+        attempt, digest = call.attempt, self.digest
+        name = [call.label, attempt.number, attempt.node.name]
+        digest.add(["start", name, attempt.sent_at, call.deadline, call.leave_by, call.op.key])
+        self.calls.append(call)
+
+        class Flight:
+            def stop(self) -> None:
+                digest.add(["stop", name])
+
+            def abandon(self) -> None:
+                digest.add(["abandon", name])
+
+        return Flight()
+
+
+def drawn_operation(draw: random.Random) -> Operation:
+    """Return an operation; few keys, so that they come again."""
+    keyed = draw.random() < 0.5
+    return Operation(
+        b"PUT", b"/v/x", "v", f"/x{draw.randrange(5)}", draw.randrange(-1, 3), draw.randrange(len(CLASSES)),
+        float(draw.randrange(1, 9)), plan=draw.randrange(2), writers=draw.randrange(1, 3),
+        idempotency_key=f"k{draw.randrange(6)}" if keyed else "",
+    )  # fmt: skip
+
+
+def driver_stream(seed: int) -> str:
+    """Drive the driver with drawn operations, orders and outcomes; return the digest of all it did."""
+    draw, digest, now = random.Random(seed), Digest(LABELS), [0.0]
+    transport = RecordingTransport(digest)
+    ledger = Ledger(drain_grace_ms=250.0, answer_slack_ms=8.0, max_open=draw.choice((6, 100)))
+    driver = Driver(
+        DrawnDecisions(draw, digest), ledger, transport, CLASSES, RecordingObserver(digest),
+        clock=lambda: now[0], retry_after_ms=draw.choice((0.0, 1000.0)),
+        keys=KeyMemory(keep_ms=60000.0, most=100) if draw.random() < 0.8 else None,
+        subscribe=lambda: digest.add("subscribe"), wake=lambda: digest.add("wake wanted"),
+    )  # fmt: skip
+    driver.listed(NodeList(ListKind.COMPLETE, NODES))
+    absent: set[str] = set()
+
+    def take(name: str) -> None:
+        denied = driver.take(
+            name, "x", drawn_operation(draw), now[0] + draw.choice((200.0, 1500.0)),
+            lambda result: digest.add(["answer", name, result]), draw.choice(("", f"label-{name}")),
+            draw.choice((None, now[0] - 40.0)), lambda: name not in absent,
+        )  # fmt: skip
+        digest.add(["taken", name, denied])
+
+    for index in range(300):
+        now[0] += draw.choice((0.0, 0.0, 5.0, 80.0)) * draw.random()
+        kind = draw.choice(
+            ["take"] * 4
+            + ["turn"] * 6
+            + ["end"] * 5
+            + ["left", "absent", "listed", "poke", "begin", "may leave"]
+        )
+        call = draw.choice(transport.calls) if transport.calls else None
+        if kind == "take":
+            take(f"r{index}")
+        elif kind == "turn" or now[0] >= driver.due():
+            driver.turn()
+        elif kind == "end" and call is not None:
+            transport.calls.remove(call)
+            outcome = draw.choice(list(Outcome))
+            call.end(Ending(outcome, draw.random() * 100, "reply", draw.randrange(3), draw.random(), "text"))
+        elif kind == "begin" and call is not None:
+            digest.add(["began", call.begin("reply")])
+        elif kind == "may leave" and call is not None:
+            digest.add(["may leave", call.may_leave()])
+        elif kind == "left":
+            digest.add(["left", driver.left(f"r{draw.randrange(index + 1)}")])
+        elif kind == "absent":
+            absent.add(f"r{draw.randrange(index + 1)}")
+        elif kind == "listed":
+            report = NodeList(draw.choice(list(ListKind)), node_report(draw))
+            driver.listed(report)
+        elif kind == "poke":
+            driver.poke()
+        digest.add([driver.due(), len(driver.slots), len(driver.out)])
+    driver.stop()
+    for call in list(transport.calls):
+        call.end(Ending(Outcome.RESET, 1.0))
+    digest.add([[fence, ledger.trips[fence]] for fence in Fence])
+    digest.add([len(ledger.entries), len(driver.slots), len(driver.out)])
+    return digest.hex()
+
+
+STREAMS: dict[str, Callable[[int], str]] = {
+    "ledger": ledger_stream,
+    "lending": lending_stream,
+    "keys": key_stream,
+    "node list": node_list_stream,
+    "answers": answer_stream,
+    "driver": driver_stream,
+}
+
+
+# --- what goes over the wire to a node and to the endpoint discovery
+
+
+class ScriptedStream:
+    """A connection that keeps what was sent and gives back one answer at a time."""
+
+    def __init__(self, answers: list[bytes]) -> None:
+        self.sent, self.answers = b"", answers
+        self.more = anyio.Event()
+
+    async def receive(self, max_bytes: int = 65536) -> bytes:
+        while not self.sent.endswith((b"\r\n\r\n", b"payload", b"\r\n0\r\n\r\n", b"}")) or not self.answers:
+            self.more = anyio.Event()
+            await self.more.wait()
+        return self.answers.pop(0)
+
+    async def send(self, item: bytes) -> None:
+        self.sent += item
+        self.more.set()
+
+    async def aclose(self) -> None:
+        self.answers.clear()
+
+
+class SendAtOnce:
+    """Sends each arrival to one node."""
+
+    def act(self, now_ms: float, events: list[Any]) -> list[Any]:
+        return [Send(e.request, NODES[0].name) for e in events if isinstance(e, Arrival)]
+
+
+OPERATIONS: dict[str, dict[str, Any]] = {
+    "get": {"method": b"GET", "target": b"/v/a"},
+    "get with fields": {
+        "method": b"GET",
+        "target": b"/v/a",
+        "headers": [(b"range", b"bytes=2-4")],
+        "units": 2.5,
+    },
+    "keyed put": {"method": b"PUT", "target": b"/v/b", "idempotency_key": "key-1", "body": b"payload"},
+    "put of nothing": {"method": b"PUT", "target": b"/v/b", "body": b""},
+    "delete": {"method": b"DELETE", "target": b"/v/%C3%BC", "units": 8.0, "idempotency_key": "k"},
+}
+ANSWER = b"HTTP/1.1 200 OK\r\ncontent-length: 2\r\nendpoint-load-metrics: JSON {}\r\n\r\nok"
+
+
+def node_bytes(name: str) -> list[Any]:
+    """Carry one operation to a node; return the bytes that it was sent and the answer."""
+    fields = {"volume": "v", "key": "/a", "shard": 0, "request_class": 0, "units": 1.0} | OPERATIONS[name]
+    body = fields.pop("body", None)
+    stream = ScriptedStream([ANSWER])
+    store = Store(memory_bytes=1 << 20, spill_bytes=1 << 20)
+
+    async def program() -> list[Any]:
+        async def connect(host: str, port: int) -> ScriptedStream:
+            assert (host, port) == ("n0", 700)
+            return stream
+
+        op = Operation(**fields, body=None if body is None else whole(store, body))
+        async with NodeClient(connect, PoolBounds(), user_agent="cressrock/me") as nodes:
+            ledger = Ledger(drain_grace_ms=250.0, answer_slack_ms=8.0, max_open=10)
+            driver = TaskDriver(
+                SendAtOnce(), ledger, nodes, CLASSES, RecordingObserver(Digest()), retry_after_ms=1000.0
+            )
+            async with anyio.create_task_group() as tasks:
+                tasks.start_soon(driver.run)
+                driver.listed(NodeList(ListKind.COMPLETE, NODES))
+                result = await driver.perform("exchange", 3, op, driver.clock() + 5000.0, "label")
+                tasks.cancel_scope.cancel()
+        assert isinstance(result, Reply)
+        return [stream.sent.decode("latin-1"), result.status, result.body.decode()]
+
+    return anyio.run(program)
+
+
+def discovery_bytes() -> str:
+    """Return what the first poll of the node list writes."""
+    answer = (FIXTURES / "dispatch_node_list_cache.json").read_bytes()
+    head = b"HTTP/1.1 200 OK\r\ncontent-length: %d\r\n\r\n" % len(answer)
+    stream = ScriptedStream([head + answer])
+    reports: list[NodeList] = []
+
+    async def program() -> None:
+        async def connect(host: str, port: int) -> ScriptedStream:
+            return stream
+
+        async with NodeClient(connect, PoolBounds(), user_agent="cressrock/me") as nodes:
+            await poll_once(nodes, None, reports)
+
+    anyio.run(program)
+    assert [report.kind for report in reports] == [ListKind.COMPLETE]
+    return stream.sent.decode("latin-1")
+
+
+# --- the cache of the node list
+
+
+class Silent:
+    """A log that nobody reads."""
+
+    def __getattr__(self, name: str) -> Callable[..., None]:
+        return lambda *args, **fields: None
+
+
+def watch(client: Any, cache: Path | None, reports: list[NodeList]) -> Watch:
+    """Return what follows the list `storage`, with its reports in a list."""
+    return Watch(
+        ListState("storage", max_nodes=100), client, address="list:1", node_id="me", poll_ms=60000.0,
+        timeout_ms=2000.0, cache=None if cache is None else str(cache), listed=reports.append,
+        wall_ms=lambda: 1e12, log=Silent(),
+    )  # fmt: skip
+
+
+async def poll_once(client: Any, cache: Path | None, reports: list[NodeList]) -> None:
+    """Follow the list until its first report."""
+    follower = watch(client, cache, reports)
+    async with anyio.create_task_group() as tasks:
+        follower.subscribe()
+        tasks.start_soon(follower.run)
+        with anyio.fail_after(10):
+            while not reports:
+                await anyio.sleep(0.001)
+        tasks.cancel_scope.cancel()
+
+
+def cached_report(cache: Path) -> list[Any]:
+    """Return the report that a cache file gives to a new process, without the nodes' times of starting."""
+    reports: list[NodeList] = []
+
+    async def program() -> None:
+        watch(None, cache, reports).load_cache()
+
+    anyio.run(program)
+    [report] = reports
+    return [report.kind.value, [[n.name, n.shard, n.zone, n.state.value] for n in report.nodes]]
+
+
+def write_cache(cache: Path, body: bytes) -> list[str]:
+    """Poll a list that answers with this body; return the kinds of the reports."""
+    reports: list[NodeList] = []
+
+    class Client:
+        async def exchange(self, *args: Any, **options: Any) -> tuple[Reply, None]:
+            return Reply(200, [], body), None
+
+    anyio.run(poll_once, Client(), cache, reports)
+    return [report.kind.value for report in reports]
