--- a/tests/compatibility/record_dispatch.py
+++ b/tests/compatibility/record_dispatch.py
@@ -1,7 +1,7 @@
-"""Records what the dispatch package decides, sends and keeps: `python -m tests.compatibility.record_dispatch`.
+"""Records what the dispatch package decides, sends and keeps.
 
-The cache file, `fixtures/dispatch_node_list_cache.json`, is a response as the list gives it: the package keeps
-a response byte for byte.
+Run as `python -m tests.compatibility.record_dispatch`.  The cache, `fixtures/dispatch_node_list_cache.json`,
+is a response as the list gives it: the package keeps a response byte for byte.
 """
 
 from tests.compatibility import dispatch_cases as cases
--- /dev/null
+++ b/tests/compatibility/test_interfaces.py
@@ -0,0 +1,49 @@
+"""Operators and their tools meet what they met when the fixtures were recorded."""
+
+import pytest
+
+from tests.compatibility import interfaces_cases as cases
+from tests.compatibility.canonical import load
+
+RECORDED = load("interfaces")
+SETTINGS = load("interfaces_settings")
+
+
+def test_every_setting_keeps_its_key_type_default_and_bounds():
+    assert cases.settings_shape() == SETTINGS["shape"]
+
+
+def test_the_settings_reference_lists_the_same_keys_types_and_defaults():
+    assert cases.reference_rows() == SETTINGS["reference"]
+
+
+def test_a_smallest_file_has_the_same_effect():
+    assert cases.effective_settings() == SETTINGS["effective"]
+    assert cases.scheduler_settings() == SETTINGS["scheduler"]
+
+
+def test_the_deploy_file_keeps_its_keys_and_commands():
+    assert cases.deploy_file() == RECORDED["deploy"]
+
+
+def test_metrics_keep_name_kind_labels_and_bounds():
+    assert cases.metrics() == RECORDED["metrics"]
+
+
+def test_codes_and_remedies_stay():
+    assert cases.codes() == RECORDED["codes"]
+
+
+@pytest.mark.parametrize("command", cases.COMMANDS)
+def test_a_command_keeps_its_options(command):
+    assert cases.help_of(command) == RECORDED["help"][command]
+
+
+def test_exit_codes_stay(tmp_path):
+    assert cases.exit_codes(tmp_path) == RECORDED["exit codes"]
+    assert cases.exit_codes_of_the_module(tmp_path) == RECORDED["exit codes of the module"]
+
+
+@pytest.mark.parametrize("program", cases.PROGRAMS)
+def test_the_admin_port_answers_the_same_paths_with_the_same_keys(program, tmp_path):
+    assert cases.admin_port(program, tmp_path) == RECORDED["admin"][program]
