--- /dev/null
+++ b/tests/compatibility/scheduler_cases.py
@@ -0,0 +1,323 @@
+"""Seeded streams of every kind of event for the scheduler, shared by the recorder and the test.
+
+Each stream plays the clients and the nodes of one host: answer times grow with what is out, nodes jam,
+restart, drain and vanish, answers get lost, clients leave, limits are lent.  The digest covers every batch's
+time and the actions that it gave, without the texts of log lines.
+"""
+
+from __future__ import annotations
+
+import heapq
+import random
+from dataclasses import replace
+from typing import Any
+
+from cressrock.brain import Brain
+from cressrock.interface import (
+    Action,
+    Arrival,
+    Cancel,
+    ClientLeft,
+    Counted,
+    Effect,
+    Ended,
+    Event,
+    Fail,
+    Group,
+    Lent,
+    ListKind,
+    Log,
+    Node,
+    NodeList,
+    NodeState,
+    Outcome,
+    Plan,
+    Refuse,
+    RequestClass,
+    Send,
+    SetTimer,
+    Settings,
+    Subscribe,
+    Wake,
+)
+from tests.compatibility.canonical import Digest
+
+FIXTURE = "scheduler_decisions"
+SEEDS = range(200)
+EVENTS = 2000
+LABELS = {
+    Send: "send", Refuse: "refuse", Fail: "fail", Cancel: "cancel", SetTimer: "timer", Subscribe: "subscribe",
+}  # fmt: skip
+UNANSWERED = (Outcome.TIMEOUT, Outcome.RESET, Outcome.CANCELLED, Outcome.NO_CONNECTION, Outcome.MOOT)
+ENDS = [outcome for outcome in Outcome if outcome is not Outcome.OK]
+
+
+def draw_class(rng: random.Random, calm: bool) -> RequestClass:
+    """Draw a class of requests."""
+    deadline = rng.choice([300.0, 1000.0, 3000.0, 8000.0])
+    return RequestClass(
+        deadline * rng.uniform(0.1, 1.0),
+        deadline,
+        rng.choice([0.3, 1.0, 3.0]),
+        rng.choice([0.0, 0.1]),
+        rng.choice(list(Effect)),
+        rng.choice(list(Group)),
+        rng.choice([0.0, 300.0, 2000.0, 6000.0]),
+        rng.random() < (0.1 if calm else 0.25),
+        rng.random() < 0.3,
+    )
+
+
+def draw_plan(rng: random.Random, calm: bool, reserves: bool) -> Plan:
+    """Draw a plan, with a limit in half of the draws."""
+    limited = rng.random() < (0.15 if calm else 0.5)
+    return Plan(
+        rng.choice([0.1, 1.0, 1.0, 6.0]),
+        rng.choice([0.0, 20.0]),
+        rng.choice([0.0, 5.0, 40.0]) if reserves else 0.0,
+        1.0,
+        rng.uniform(5, 300) if limited else 0.0,
+        rng.uniform(8, 80) if limited else 0.0,
+        rng.uniform(0, 9) if limited else 0.0,
+    )
+
+
+def draw_settings(rng: random.Random, calm: bool) -> Settings:
+    """Draw all that a host is told when it starts; a calm host has few bounds beside its nodes' capacity."""
+    classes = tuple(draw_class(rng, calm) for _ in range(rng.randint(1, 4)))
+    reserves = rng.random() < 0.5
+    plans = tuple(draw_plan(rng, calm, reserves) for _ in range(rng.randint(1, 3)))
+    settings = Settings(
+        classes,
+        plans,
+        rng.choice([1, 2, 4] if calm else [1, 1, 2, 4, 30, 230]),
+        rng.random() < 0.4,
+        rng.random() < 0.7,
+        rng.choice([1.0, 2.0, 5.0]),
+        rng.randint(1, 4),
+        8.0,
+        rng.choice([0.0, 500.0]),
+        rng.choice([0.0, 5000.0]),
+        rng.choice([0.1, 0.5, 1.0]),
+        rng.choice([0.0, 3000.0, 10000.0]),
+        rng.choice([500.0, 1000.0]),
+        rng.choice([0.0, 15.0, 60.0]),
+        rng.choice([0.0, 200.0]),
+    )
+    if rng.random() < (0.3 if calm else 0.6):
+        free, share = rng.choice([0.0, 2.0, 10.5]), rng.choice([0.0, 0.1, 0.5])
+        settings = replace(settings, budget_window_ms=1000.0, budget_free=free, budget_share=share)
+        settings = replace(settings, budget_begins_spent=rng.random() < 0.5)
+    return replace(
+        settings,
+        limits_lent=rng.random() < (0.1 if calm else 0.25),
+        advice_max_ms=rng.choice([0.0, 2000.0]),
+        usual_units=2.0,
+        most_units=8.0,
+        share_worth=rng.choice([0.2, 0.7, 1.0]),
+    )
+
+
+class Stream:
+    """One host's clients and nodes, drawn from a seed."""
+
+    def __init__(self, seed: int) -> None:
+        """Draw the settings and begin with four or more nodes; every second stream is a calm host's."""
+        self.rng = rng = random.Random(seed)
+        self.calm = seed % 2 == 0
+        self.settings = draw_settings(rng, self.calm)
+        self.now = rng.choice([0.0, 1000.0, 5e6 + 0.25])
+        self.digest = Digest(LABELS)
+        self.sent = self.refused = self.events = 0
+        self.numbers = 0
+        self.scheduler = Brain(self.settings, seed, self.now)
+        self.open: dict[str, Arrival] = {}
+        self.attempts: dict[str, int] = {}
+        self.pending: dict[str, tuple[int, float]] = {}  # (attempt, sent at)
+        self.ends: list[tuple[float, int, str, int, Outcome]] = []
+        self.timers: list[tuple[float, int]] = []
+        self.shards = rng.choice([2, 3, 6])
+        self.nodes = {f"n{i}": Node(f"n{i}", i % self.shards, i % 2) for i in range(self.shards + 2)}
+        self.service_ms = {name: rng.choice([4.0, 20.0, 60.0]) for name in self.nodes}
+        self.jammed: dict[str, float] = {}
+        self.slots = rng.choice([2, 8, 40])
+        self.rate = rng.choice([0.1, 0.3, 0.6] if self.calm else [0.3, 1.0, 2.5, 6.0])  # arrivals in a batch
+        self.trouble = rng.choice(
+            [0.0, 0.01, 0.05] if self.calm else [0.0, 0.02, 0.15, 0.6]
+        )  # part of the attempts that do not succeed
+        self.lost = rng.choice([0.0, 0.03, 0.1])  # part of the answers that are lost on the way
+        self.news = rng.choice([0.003, 0.02])  # of a batch: chance of a report of the list
+        self.steps = rng.choice([(2.0, 2.0, 4.0, 10.0), (0.0, 1.25, 7.3, 20.0), (5.0, 20.0, 20.0, 130.0)])
+        self.batch([NodeList(rng.choice([ListKind.CACHED, ListKind.COMPLETE]), tuple(self.nodes.values()))])
+
+    def play(self) -> str:
+        """Play the whole stream; return the digest of what the scheduler did."""
+        while self.events < EVENTS:
+            self.now += self.rng.choice(self.steps)
+            self.batch(self.draw_events())
+        return self.digest.hex()
+
+    def batch(self, events: list[Event]) -> None:
+        """Hand the scheduler one batch and carry out its actions."""
+        self.events += len(events)
+        actions = self.scheduler.act(self.now, events)
+        self.digest.add([self.now, *("log" if isinstance(action, Log) else action for action in actions)])
+        for action in actions:
+            self.carry_out(action)
+
+    def carry_out(self, action: Action) -> None:
+        """Do what the host would do for an action."""
+        match action:
+            case Send(name, node, _):
+                self.sent += 1
+                attempt = self.attempts.get(name, 0)
+                self.attempts[name] = attempt + 1
+                self.pending[name] = (attempt, self.now)
+                self.end_later(name, attempt, node)
+            case Refuse(name, _) | Fail(name):
+                self.refused += 1
+                self.open.pop(name, None)
+            case Cancel(name, attempt):
+                if self.rng.random() < 0.8:
+                    self.push_end(self.now + self.rng.uniform(0, 3), name, attempt, Outcome.CANCELLED)
+            case SetTimer(at, token):
+                self.timers.append((at, token))
+            case _:
+                pass
+
+    def end_later(self, name: str, attempt: int, node: str) -> None:
+        """Draw when and how an attempt ends."""
+        rng, request = self.rng, self.open[name]
+        out = len(self.pending)
+        takes = self.service_ms[node] * rng.uniform(0.6, 1.4) + 2 * request.units
+        takes *= 1 + max(0, out / len(self.nodes) - self.slots / 4)
+        outcome, hopeless = Outcome.OK, self.now + 3500
+        if self.jammed.get(node, 0.0) > self.now:
+            takes *= rng.choice([8, 20])
+            if rng.random() < 0.3:
+                outcome, takes = Outcome.FULL, rng.uniform(1, 9)
+        if rng.random() < self.trouble:
+            outcome = rng.choice(ENDS)
+            takes = rng.choice([1.0, 30.0, 400.0])
+        if rng.random() < self.lost:
+            outcome, takes = Outcome.TIMEOUT, 3000.0
+        self.push_end(min(hopeless, self.now + takes), name, attempt, outcome)
+
+    def push_end(self, at: float, name: str, attempt: int, outcome: Outcome) -> None:
+        """Note that an attempt ends at a time."""
+        self.numbers += 1
+        heapq.heappush(self.ends, (at, self.numbers, name, attempt, outcome))
+
+    def draw_events(self) -> list[Event]:
+        """Draw what comes in the next batch: timers, outcomes, arrivals, and now and then all else."""
+        rng, now = self.rng, self.now
+        events: list[Event] = [Wake(token) for at, token in self.timers if at <= now]
+        self.timers = [timer for timer in self.timers if timer[0] > now]
+        while self.ends and self.ends[0][0] <= now:
+            _, _, name, attempt, outcome = heapq.heappop(self.ends)
+            if self.pending.get(name, (-1, 0.0))[0] == attempt:
+                events.append(self.ended(name, attempt, outcome))
+        surge = 4.0 if now % 9000 < 1500 else 1.0
+        for _ in range(int(self.rate * surge + rng.random())):
+            events.append(self.arrival())
+        if self.open and rng.random() < 0.02:
+            name = rng.choice(list(self.open))
+            del self.open[name]
+            events.append(ClientLeft(name))
+        if rng.random() < self.news:
+            events.append(self.node_list())
+        if rng.random() < 0.01:
+            self.jammed[rng.choice(list(self.nodes))] = now + rng.choice([200.0, 2500.0])
+        if rng.random() < 0.01:
+            events.append(self.counted())
+        if self.settings.limits_lent and rng.random() < 0.2:
+            units = rng.choice([2.0, 9.0, 30.0])
+            events.append(Lent(f"v{rng.randrange(6)}", units, now + rng.choice([40.0, 900.0, 3000.0])))
+        if rng.random() < 0.01:
+            events.append(Ended("stranger", 0, Outcome.OK, True, 5.0))
+        if rng.random() < 0.002:
+            self.widen()
+        if rng.random() < 0.0015:
+            self.restart()
+            return [NodeList(ListKind.CACHED, tuple(self.nodes.values()))]
+        return events
+
+    def arrival(self) -> Arrival:
+        """Draw a client's request."""
+        rng = self.rng
+        self.numbers += 1
+        index = rng.randrange(len(self.settings.classes))
+        left = self.settings.classes[index].deadline_ms * rng.choice([1, 1, 1, 0.6, 0.3, 0.02])
+        volume = rng.randrange(6)
+        request = Arrival(
+            f"r{self.numbers}",
+            f"v{volume}",
+            rng.choice(["", "k1", "k2", "k3", f"k{self.numbers}"]),
+            float(rng.randint(1, 8)) if rng.random() < 0.7 else rng.uniform(0.5, 3.0),
+            left,
+            volume % len(self.settings.plans),
+            index,
+            rng.choice([-1, *range(self.shards)]),
+            rng.choice([1, 1, 2, self.settings.hosts]),
+            rng.choice([-1.0, -1.0, -1.0, 0.0, left / 3]),
+            int(rng.random() < 0.03),
+            rng.random() < 0.1,
+        )
+        self.open[request.request] = request
+        self.attempts[request.request] = request.attempts
+        return request
+
+    def ended(self, name: str, attempt: int, outcome: Outcome) -> Ended:
+        """Report how an attempt ended."""
+        _, sent_at = self.pending.pop(name)
+        settled = name not in self.open or outcome is Outcome.OK
+        if not settled and outcome is Outcome.ERROR and self.rng.random() < 0.2:
+            settled = True
+        if settled:
+            self.open.pop(name, None)
+        reached: bool | None = self.rng.choice([True, False, None]) if outcome in UNANSWERED else True
+        used, elsewhere = self.rng.randint(0, 300), self.rng.choice([0.0, 0.0, 3.0, 40.0])
+        return Ended(name, attempt, outcome, settled, self.now - sent_at, used, elsewhere, reached)
+
+    def node_list(self) -> NodeList:
+        """Draw a report of the list: a failed one, changed lines, the whole, or a kept copy with gaps."""
+        rng = self.rng
+        kind = rng.choice(list(ListKind))
+        if kind is ListKind.FAILED:
+            return NodeList(kind)
+        name = rng.choice(list(self.nodes))
+        old = self.nodes[name]
+        state = rng.choice([NodeState.READY] * 4 + list(NodeState))
+        started = rng.choice(
+            [old.up_since_ms, old.up_since_ms, max(1.0, self.now - 10), max(1.0, self.now - 900)]
+        )
+        self.nodes[name] = line = Node(name, old.shard, old.zone, started, state)
+        if kind is ListKind.CHANGES:
+            return NodeList(kind, (line,))
+        absent = rng.choice([None, None, name])
+        return NodeList(kind, tuple(node for node in self.nodes.values() if node.name != absent))
+
+    def counted(self) -> Counted:
+        """Draw what others counted against the budget."""
+        times = [self.now - self.rng.uniform(0, 1500) for _ in range(self.rng.randint(0, 12))]
+        return Counted(tuple(times[:2]), tuple(times[2:]))
+
+    def widen(self) -> None:
+        """Give the scheduler one further class and one further plan."""
+        classes = (*self.settings.classes, draw_class(self.rng, self.calm))
+        plans = (*self.settings.plans, draw_plan(self.rng, self.calm, False))
+        self.settings = replace(self.settings, classes=classes, plans=plans)
+        self.scheduler.widen(self.settings)
+
+    def restart(self) -> None:
+        """Kill the host and start it anew: all that it held is over."""
+        self.open, self.attempts, self.pending, self.timers = {}, {}, {}, []
+        self.ends = []
+        self.scheduler = Brain(self.settings, self.rng.getrandbits(40), self.now)
+
+
+def play(seed: int) -> dict[str, Any]:
+    """Play the stream of a seed; return its digest and how much of what it did, to locate a difference."""
+    stream = Stream(seed)
+    digest = stream.play()
+    return {"digest": digest, "sent": stream.sent, "denied": stream.refused}
