--- /dev/null
+++ b/tests/compatibility/record_presence.py
@@ -0,0 +1,43 @@
+"""Writes the fixtures of presence: run once as `python -m tests.compatibility.record_presence`."""
+
+from __future__ import annotations
+
+from cressrock.presence import names, rooms
+from tests.compatibility import presence_cases as cases
+from tests.compatibility import presence_cluster as cluster
+from tests.compatibility.canonical import save
+
+SEEDS = 40
+SEEDS_WITHOUT_STATE = 10
+
+
+def main() -> None:
+    """Record the wire, the decisions and the admin port of this version."""
+    save(
+        "presence_wire",
+        {
+            "messages": {label: rooms.frame(message).hex() for label, message in cases.messages()},
+            "holders": [names.write(holder).hex() for holder in cases.holders()],
+            "hashes": cases.hashes(),
+            "errors": cases.errors(),
+        },
+    )
+    save(
+        "presence_decisions",
+        {
+            "play": [cases.play(seed)[0] for seed in range(SEEDS)],
+            "verdicts": [cases.verdicts(seed) for seed in range(SEEDS_WITHOUT_STATE)],
+            "crowd": [cases.crowd(seed) for seed in range(SEEDS_WITHOUT_STATE)],
+        },
+    )
+    save(
+        "presence_admin",
+        {
+            "scenes": {scene.__name__: cluster.admin_port(scene) for scene in cluster.SCENES},
+            "library": cluster.client_library(),
+        },
+    )
+
+
+if __name__ == "__main__":
+    main()
--- /dev/null
+++ b/tests/compatibility/test_presence.py
@@ -0,0 +1,101 @@
+"""Presence: what it sends, decides and answers stays as it was recorded."""
+
+from __future__ import annotations
+
+import pytest
+
+from cressrock.errors.presence import FrameRefused
+from cressrock.presence import names, rooms
+from tests.compatibility import presence_cases as cases
+from tests.compatibility import presence_cluster as cluster
+from tests.compatibility.canonical import load
+
+WIRE = load("presence_wire")
+DECISIONS = load("presence_decisions")
+ADMIN = load("presence_admin")
+
+
+def test_every_message_is_recorded() -> None:
+    assert [label for label, _ in cases.messages()] == list(WIRE["messages"])
+
+
+@pytest.mark.parametrize(
+    ("label", "message"), cases.messages(), ids=lambda value: value if isinstance(value, str) else ""
+)
+def test_messages_between_gateways(label: str, message: rooms.Body) -> None:
+    recorded = bytes.fromhex(WIRE["messages"][label])
+    assert rooms.frame(message) == recorded
+    received = bytearray(recorded + recorded[:3])
+    assert rooms.unframe(received) == message
+    assert received == recorded[:3]
+    assert rooms.unframe(received) is None
+
+
+@pytest.mark.parametrize(("label", "body", "message"), cases.READ_ONLY)
+def test_messages_with_fields_left_out_or_added_are_read(label: str, body: str, message: rooms.Body) -> None:
+    data = bytes.fromhex(body)
+    assert rooms.unframe(bytearray(len(data).to_bytes(4, "big") + data)) == message, label
+
+
+@pytest.mark.parametrize("frame", cases.refused_frames())
+def test_frames_that_are_refused(frame: str) -> None:
+    with pytest.raises(FrameRefused):
+        rooms.unframe(bytearray.fromhex(frame))
+
+
+def test_decrees_on_agreed_names() -> None:
+    assert [names.write(holder).hex() for holder in cases.holders()] == WIRE["holders"]
+    assert [names.read(bytes.fromhex(value)) for value in WIRE["holders"]] == cases.holders()
+
+
+@pytest.mark.parametrize("value", ["", "9102", "c0", WIRE["holders"][0].replace("9601", "9602", 1)])
+def test_decrees_of_another_form_are_refused(value: str) -> None:
+    with pytest.raises(FrameRefused):
+        names.read(bytes.fromhex(value))
+
+
+def test_hashes_and_constants() -> None:
+    assert cases.hashes() == WIRE["hashes"]
+
+
+def test_errors() -> None:
+    assert cases.errors() == WIRE["errors"]
+
+
+@pytest.mark.parametrize("seed", range(len(DECISIONS["play"])))
+def test_rooms_of_several_gateways(seed: int) -> None:
+    assert cases.play(seed)[0] == DECISIONS["play"][seed]
+
+
+@pytest.mark.parametrize("seed", range(len(DECISIONS["verdicts"])))
+def test_verdicts_and_claims(seed: int) -> None:
+    assert cases.verdicts(seed) == DECISIONS["verdicts"][seed]
+
+
+@pytest.mark.parametrize("seed", range(len(DECISIONS["crowd"])))
+def test_where_rooms_are(seed: int) -> None:
+    assert cases.crowd(seed) == DECISIONS["crowd"][seed]
+
+
+def test_the_plays_come_to_every_kind_of_output() -> None:
+    outcomes: dict[str, int] = {}
+    for seed in range(8):
+        for label, count in cases.play(seed)[1].items():
+            outcomes[label] = outcomes.get(label, 0) + count
+    assert min(outcomes.values()) >= 5
+    assert {"refused", "parted", "handed over", "taken over", "answered", "buckets", "events"} <= set(
+        outcomes
+    )
+
+
+@pytest.mark.parametrize("scene", cluster.SCENES, ids=lambda scene: scene.__name__)
+def test_answers_of_the_admin_port(scene: cluster.Scene) -> None:
+    answers, recorded = cluster.admin_port(scene), ADMIN["scenes"][scene.__name__]
+    for index, (answer, before) in enumerate(zip(answers, recorded, strict=True)):
+        assert answer == before, index
+
+
+def test_the_client_library() -> None:
+    requests, results = cluster.client_library()
+    assert requests == ADMIN["library"][0]
+    assert results == ADMIN["library"][1]
