--- /dev/null
+++ b/tests/compatibility/copies_cases.py
@@ -0,0 +1,869 @@
+"""Examples and seeded streams of copies: what goes over the wire, what nodes keep, what is decided."""
+
+from __future__ import annotations
+
+import random
+from collections.abc import Awaitable, Callable, Iterable, Iterator, Mapping
+from dataclasses import dataclass
+from typing import Any
+
+import anyio
+import msgspec
+import trio
+import trio.testing
+
+from cressrock.copies import carrier, keeper, model, nodes, reach, repair, sets, write
+from cressrock.council import decrees as d
+from cressrock.council.client import Kept
+from cressrock.dispatch.ledger import Verdict
+from cressrock.dispatch.nodeclient import NoConnection
+from cressrock.dispatch.operation import Operation, Reply, Result
+from cressrock.dispatch.reasons import Reason
+from cressrock.dispatch.transport import Denied
+from cressrock.errors import CressrockError
+from cressrock.errors.copies import NotAllowed
+from cressrock.errors.council import Conflict, NoQuorum
+from cressrock.fleet.members import Member
+from cressrock.fleet.messages import State as MemberState
+from cressrock.http.channel import Headers
+from cressrock.interface import ListKind, Node, NodeList, NodeState, Outcome
+from cressrock.lab.copysim import Text
+from cressrock.lab.rack import Done, Rack, Task
+from cressrock.webdav.paths import parse
+from tests.compatibility.canonical import Digest, canonical
+
+STATES = (model.State.IN, model.State.JOINING, model.State.OWED)
+
+# --- wire
+
+
+@dataclass(frozen=True)
+class WireCase:
+    """A value, and how it is written and read."""
+
+    name: str
+    value: Any
+    encode: Callable[[Any], bytes]
+    decode: Callable[[bytes], Any]
+
+
+@dataclass(frozen=True)
+class ReadCase:
+    """Bytes that only other versions write, or nothing that can be read."""
+
+    name: str
+    data: bytes
+    decode: Callable[[bytes], Any]
+
+
+def outcome(call: Callable[..., Any], *args: Any) -> Any:
+    """Return what a call returned in canonical form, or the code of its error."""
+    try:
+        return canonical(call(*args))
+    except CressrockError as error:
+        return {"error": error.code}
+
+
+def wire_cases() -> list[WireCase]:
+    """Return sets and pages, some with their optional fields unset."""
+    copy, state = model.Copy, model.State
+    three = (copy("a", state.IN, "a0"), copy("b", state.JOINING, "b0", 2, 1), copy("c", state.OWED, "", 0, 9))
+    lost = (model.Lost("a", 0, 4), model.Lost("b", 7, 2**62))
+    entry = model.Entry
+    entries = (
+        entry("/v/x", "1.2", "file", "1.2", True), entry("/v/größe/z", "3.1", "collection", "0.0", False),
+        entry("/v/y", "9223372036854775807.1", "gone", "9.9", True),
+    )  # fmt: skip
+    sync = [
+        ("one copy", model.Sync(1, "a", (copy("a", state.IN),))),
+        ("three copies", model.Sync(3, "a", three)),
+        ("three copies, one loss", model.Sync(2**62, "a", three, lost[:1], 2**40)),
+        ("eight losses", model.Sync(9, "a", three, lost * 4, 9)),
+        ("eight copies", model.Sync(7, "z3", tuple(copy(f"z{n}", state.IN, f"s{n}") for n in range(8)))),
+    ]
+    pages = [
+        ("empty page", model.Page(())),
+        ("page", model.Page(entries, True)),
+        ("last page", model.Page(entries[:1], False)),
+    ]
+    return [
+        *(WireCase(name, value, model.encode, model.decode) for name, value in sync),
+        *(WireCase(name, value, model.encode_page, model.decode_page) for name, value in pages),
+    ]
+
+
+def read_cases() -> list[ReadCase]:
+    """Return bytes of older, newer and broken sets and pages."""
+    pack = msgspec.msgpack.encode
+    one = [["a", "in"]]
+    values: list[tuple[str, Any]] = [
+        ("shortest", [1, "a", one]),
+        ("with losses alone", [1, "a", one, [["b", 1, 2]]]),
+        ("further fields", [2, "a", [["a", "in", "a0", 0, 0, "new"]], [], 2, "new"]),
+        ("epoch 0", [0, "a", one]),
+        ("no copies", [1, "a", []]),
+        ("nine copies", [1, "a", [[c, "in"] for c in "abcdefghi"]]),
+        ("a zone twice", [1, "a", one * 2]),
+        ("a first copy that is owed", [1, "a", [["a", "owed"], ["b", "in"]]]),
+        ("a first copy that is not there", [1, "b", one]),
+        ("unknown state", [1, "a", [["a", "out"]]]),
+        ("zone without a name", [1, "", [["", "in"]]]),
+        ("nine losses", [1, "a", one, [["b", 1, 2]] * 9]),
+        ("negative count", [1, "a", [["a", "in", "", -1]]]),
+    ]
+    entry = ["/v/x", "1.2", "file", "1.2", True]
+    pages: list[tuple[str, Any]] = [
+        ("shortest page", [[entry]]),
+        ("further fields in a page", [[[*entry, 1]], True, "new"]),
+        ("short entry", [[entry[:4]]]),
+        ("not sure nor unsure", [[[*entry[:4], "yes"]]]),
+        ("too many entries", [[entry] * 1025]),
+        ("no page", "x"),
+    ]
+    return [
+        *(ReadCase(f"set: {name}", b"\x01" + pack(value), model.decode) for name, value in values),
+        *(ReadCase(f"page: {name}", b"\x01" + pack(value), model.decode_page) for name, value in pages),
+        *(
+            ReadCase(f"broken {index} for reader {n}", data, reader)
+            for index, data in enumerate((b"", b"\x00", b"\x01", b"\x02", b"\x02x", b"\x01\xc1", b"\xff" * 9))
+            for n, reader in enumerate((model.decode, model.decode_page))
+        ),
+    ]
+
+
+def operations() -> list[write.Op]:
+    """Return operations of every kind, with and without what they may carry."""
+    kind, version = write.Kind, model.Version
+    record = write.Record("/v/x", version(3, 4))
+    full = write.Record("/v/x", version(3, 4), "file", version(2, 1), True, "1000 2000")
+    folder = write.Record("/v/d", version(5, 1), "collection", model.NONE, False)
+    gone = write.Record("/v/g", version(5, 2), "gone", version(5, 2))
+    other = write.Record("/v/o", version(5, 2), "unknown")
+    payload = nodes.Payload(Text("abc"), b"text/plain")
+    return [
+        write.Op("a", "first", 7, "a0", kind.CLIENT),
+        write.Op("a", "in", 7, "", kind.CLIENT, record),
+        write.Op("b", "joining", 2**60, "life", kind.APPLY, record),
+        write.Op("b", "joining", 8, "life", kind.APPLY, full, payload),
+        write.Op("b", "in", 8, "life", kind.APPLY, full, nodes.Payload(Text(""), b"")),
+        write.Op("b", "in", 8, "life", kind.APPLY, folder),
+        write.Op("b", "in", 8, "life", kind.APPLY, gone),
+        write.Op("b", "in", 8, "life", kind.APPLY, other),
+        write.Op("c", "owed", 0, "", kind.LOOK),
+        write.Op("c", "owed", 1, "x", kind.LOOK, full),
+    ]
+
+
+def answers() -> list[tuple[int, list[tuple[bytes, bytes]], str]]:
+    """Return nodes' answers: status, headers, and the key that was asked for."""
+    epoch = (b"x-cressrock-epoch", b"7")
+    record = [
+        (b"x-cressrock-path", b"/v/\xc3\xb6".hex().encode()), (b"x-cressrock-version", b"3.4"),
+        (b"x-cressrock-kind", b"file"), (b"x-cressrock-cleared", b"2.1"), (b"x-cressrock-sure", b"yes"),
+        (b"x-cressrock-times", b"1000 2000"),
+    ]  # fmt: skip
+    version = (b"x-cressrock-version", b"3.4")
+    return [
+        (200, [], "/v/x"),
+        (404, [], "/v/x"),
+        (500, [epoch], "/v/x"),
+        (204, [epoch], "/v/x"),
+        (204, [epoch, version], "/v/x"),
+        (204, [epoch, *record], "/v/x"),
+        (200, [epoch, version, (b"x-cressrock-sure", b"no")], "/v/x"),
+        (409, [epoch, (b"x-cressrock-refused", b"older-epoch")], ""),
+        (409, [epoch, (b"x-cressrock-refused", b"other-store")], ""),
+        (409, [epoch, (b"x-cressrock-refused", b"not-in-sync")], ""),
+        (409, [epoch, (b"x-cressrock-refused", b"a new one")], ""),
+        (200, [(b"x-cressrock-epoch", b"x")], ""),
+        (200, [epoch, (b"x-cressrock-version", b"3")], ""),
+        (200, [epoch, (b"x-cressrock-version", b"3.4.5")], ""),
+        (200, [epoch, (b"x-cressrock-version", b"-3.4")], ""),
+        (200, [epoch, (b"x-cressrock-version", b"1." + b"1" * 50)], ""),
+        (200, [epoch, version, (b"x-cressrock-path", b"zz")], ""),
+        (200, [epoch, version, (b"x-cressrock-path", b"ff")], ""),
+        (200, [epoch, version, (b"x-cressrock-cleared", b"x")], ""),
+    ]
+
+
+def answer_values(got: write.Got) -> Any:
+    """Return what was read of an answer."""
+    return [got.ran, got.gone, got.failed, canonical(got.refused), got.epoch, canonical(got.record)]
+
+
+def names() -> dict[str, Any]:
+    """Return the names under which sets and words are found by others."""
+    regions = {"a": "r0", "b": "r0", "c": "r1", "d": ""}
+    return {
+        "topics": [model.topic("v", 0), model.topic("a volume", 17)],
+        "words": canonical([reach.GONE, reach.STORE, reach.WELL, carrier.KEY]),
+        "refusals": [refusal.value for refusal in model.Refusal],
+        "states": [state.value for state in model.State],
+        "versions": [str(model.NONE), str(model.Version(3, 2**40))],
+        "read versions": [
+            outcome(model.version, text) for text in ("0.0", " 1.2 ", "1", "a.b", "1.2.3", "", "1.-2")
+        ],
+        "headers": [
+            [canonical(nodes.fields(op)), canonical(nodes.fields(op, [model.Version(1, 1), model.NONE])),
+             canonical(nodes.fence(op)), canonical(nodes.method(op))]
+            for op in operations()
+        ],
+        "answers": [
+            answer_values(nodes.got(None, status, headers, key)) for status, headers, key in answers()
+        ],
+        "nearest": [canonical(model.nearest("dcba", own, regions)) for own in ("a", "b", "c", "d", "x")],
+        "back after": [sets.back_after_ms(times, 100.0, 9000.0) for times in (0, 1, 2, 7, 8, 1000)],
+    }  # fmt: skip
+
+
+def stored() -> list[Any]:
+    """Have a stand-in node keep some records; return what it answers, and its list of what it keeps."""
+    rack, found = Rack(0, window_ms=0.0, life="s0"), []
+    op, kind = write.Op, write.Kind
+    first = [
+        ("MKCOL", "/v/d", None), ("PUT", "/v/d/x", "1"), ("PUT", "/v/y", "2"), ("PUT", "/v/y", "3"),
+        ("DELETE", "/v/d", None), ("GET", "/v/y", None), ("GET", "/v/none", None),
+    ]  # fmt: skip
+    for number, (method, key, text) in enumerate(first):
+        fields = nodes.fields(op("a", "first", 1 + number // 3, "s0", kind.CLIENT))
+        found.append(_executed(rack, method, key, fields, text))
+    for asked in operations():
+        key = asked.record.path if asked.record is not None else "/v"
+        text = "abc" if asked.record is not None and asked.record.kind == "file" else None
+        fields = nodes.fields(asked, [model.Version(1, 1)])
+        found.append(_executed(rack, nodes.method(asked).decode(), key, fields, text))
+    for since, after in (("0", ""), ("2", ""), ("0", "/v/d")):
+        fields = nodes.fields(op("a", "first", 2**60, "", kind.LOOK))
+        fields += [(model.OWED, since.encode()), (model.AFTER, after.encode().hex().encode())]
+        found.append(_executed(rack, "GET", "/v", fields, None))
+    return found
+
+
+def _executed(rack: Rack, method: str, key: str, headers: Headers, text: str | None) -> Any:
+    fields = {name.decode(): value.decode() for name, value in headers}
+    body = Text(text) if text is not None else None
+    done = rack.execute(Task(method, parse(key), fields, body, b"", 1000.0))
+    return [method, key, canonical(headers), done.status, canonical(done.headers), done.content.hex()]
+
+
+# --- decisions: the pure modules
+
+
+def draw_set(draw: random.Random) -> model.Sync:
+    """Draw a set of two to four copies, of which one at least is in."""
+    zones = "abcd"[: draw.randrange(2, 5)]
+    copies = []
+    for index, zone in enumerate(zones):
+        state = model.State.IN if not index else draw.choice((STATES[0], *STATES))
+        since = 0 if state is model.State.IN else draw.randrange(4)
+        copies.append(model.Copy(zone, state, f"{zone}{draw.randrange(2)}", since, draw.randrange(3)))
+    inside = [copy.zone for copy in copies if copy.state is model.State.IN]
+    draw.shuffle(copies)
+    epoch = draw.randrange(4, 9)
+    return model.Sync(epoch, draw.choice(inside), tuple(copies), (), draw.randrange(1, epoch + 1))
+
+
+def sets_digest(seed: int) -> str:
+    """Drive a set through changes, lawful and not."""
+    draw, digest = random.Random(f"sets/{seed}"), Digest()
+    sync = draw_set(draw)
+    for _ in range(150):
+        zone = draw.choice("abcde")
+        life = f"{zone}{draw.randrange(2)}"
+        order = draw.sample("abcd", draw.randrange(5))
+        proof = sets.Proof(zone, sync.epoch - draw.choice((0, 0, 0, 1)), life)
+        name, change, args = draw.choice((
+            ("put out", sets.put_out, (sync, zone)),
+            ("first lost", sets.first_lost, (sync, zone, order)),
+            ("first lost", sets.first_lost, (sync, sync.first)),
+            ("joined", sets.joined, (sync, zone, life)),
+            ("came back", sets.came_back, (sync, proof)),
+            ("faded", sets.faded, (sync, zone)),
+            ("taken over", sets.taken_over, (sync, zone, life)),
+            ("founded", sets.founded, (zone, {"b": "b0", "a": life}, [draw.choice((0, 0, 3))])),
+        ))  # fmt: skip
+        digest.add([name, outcome(change, *args)])
+        try:
+            found = change(*args)
+        except CressrockError:
+            continue
+        if name not in ("founded", "taken over") or draw.random() < 0.05:
+            sync = found if found.first in found.reads else sync
+        shown = [sync.writes, sync.reads, sync.zones(*STATES[1:]), sync.copy(zone), sync.copy("a") is None]
+        digest.add([canonical(shown), model.encode(sync)])
+    return digest.hex()
+
+
+def _asked(value: Any) -> Any:
+    """Return what a machine asks for as plain values, behind the name under which it was recorded."""
+    match value:
+        case write.Do(ops):
+            return ["do", [canonical(op) for op in ops]]
+        case write.Fetch(op):
+            return ["fetch", canonical(op)]
+        case write.PutOut(zones, sync):
+            return ["put out", list(zones), canonical(sync)]
+        case write.Refresh(epoch):
+            return ["refresh", epoch]
+        case write.Sure(sync, at):
+            return ["sure", canonical(sync), canonical(at)]
+        case repair.List(op, since, after):
+            return ["list", canonical(op), since, after]
+        case repair.Look(op):
+            return ["look", canonical(op)]
+        case repair.Decide(old, new):
+            return ["decide", canonical(old), canonical(new)]
+    raise TypeError(value)
+
+
+class _Status:
+    """A node's answer, as far as machines look into it."""
+
+    def __init__(self, status: int) -> None:
+        self.status = status
+
+
+def _draw_record(draw: random.Random, op: write.Op, sync: model.Sync) -> write.Record | None:
+    if draw.random() < 0.1:
+        return None
+    if op.record is not None and draw.random() < 0.7:
+        if draw.random() < 0.8:
+            return op.record
+        return _beside(op.record, draw)
+    at = model.Version(draw.randrange(1, sync.epoch + 2), draw.randrange(5))
+    cleared = model.Version(draw.randrange(2), draw.randrange(3))
+    path, kind = draw.choice(("/v/x", "/v/x", "/v")), draw.choice(("file", "file", "collection", "gone"))
+    return write.Record(path, at, kind, cleared, draw.random() < 0.3, draw.choice(("", "1 2")))
+
+
+def _beside(record: write.Record, draw: random.Random) -> write.Record:
+    """Return a record that stands a little before or after another."""
+    at = model.Version(record.at.epoch, max(0, record.at.number + draw.choice((-1, 1))))
+    return write.Record(record.path, at, record.kind, record.cleared, draw.random() < 0.5, record.times)
+
+
+def _draw_got(draw: random.Random, op: write.Op, sync: model.Sync, trouble: float) -> write.Got:
+    if draw.random() < trouble:
+        chance = draw.random()
+        if chance < 0.3:
+            refusal = draw.choice(tuple(model.Refusal))
+            return write.Got(_Status(409), refused=refusal, epoch=sync.epoch + draw.randrange(3))
+        if chance < 0.6:
+            return write.Got(ran=draw.random() < 0.5, gone=draw.random() < 0.5)
+        if chance < 0.8:
+            return write.Got(_Status(500), ran=True, failed=True, epoch=sync.epoch)
+        return write.Got()
+    status = draw.choice((201, 204, 204, 200, 404, 412))
+    epoch = sync.epoch + (draw.random() < 0.1)
+    return write.Got(_Status(status), epoch=epoch, record=_draw_record(draw, op, sync))
+
+
+def _later(draw: random.Random, sync: model.Sync) -> model.Sync:
+    """Return a set as it may stand some changes later."""
+    for _ in range(draw.randrange(1, 3)):
+        zone = draw.choice("abcd")
+        options: list[tuple[Callable[..., model.Sync], Any]] = [
+            (sets.put_out, (sync, zone)),
+            (sets.first_lost, (sync, sync.first)),
+            (sets.joined, (sync, zone, f"{zone}{draw.randrange(2)}")),
+        ]
+        change, args = draw.choice(options)
+        try:
+            sync = change(*args)
+        except CressrockError:
+            continue
+    return sync
+
+
+def _reply(draw: random.Random, asked: Any, sync: model.Sync, trouble: float) -> tuple[Any, model.Sync]:
+    """Return an answer to what a machine asked, and the set that stands then."""
+    match asked:
+        case write.Do(ops):
+            return [_draw_got(draw, op, sync, trouble) for op in ops], sync
+        case write.Fetch(op):
+            record = op.record if draw.random() < 0.8 else _draw_record(draw, op, sync)
+            return (None if record is None or draw.random() < trouble else (record, "payload")), sync
+        case write.PutOut(zones, _):
+            try:
+                for zone in zones:
+                    sync = sets.put_out(sync, zone)
+            except NotAllowed:
+                return None, sync
+            return (None if draw.random() < trouble else sync), sync
+        case write.Refresh():
+            sync = _later(draw, sync)
+            return (None if draw.random() < trouble else sync), sync
+        case repair.List():
+            if draw.random() < trouble / 4:
+                return None, sync
+            count, first = draw.choice((0, 1, 3, 70)), draw.randrange(4)
+            entries = tuple(_entry(draw, first + n) for n in range(count))
+            return model.Page(entries, draw.random() < 0.3), sync
+        case repair.Look():
+            return (None if draw.random() < trouble else f"{asked.op.zone}{draw.randrange(2)}"), sync
+        case repair.Decide():
+            return draw.random() >= trouble, sync
+    return None, sync
+
+
+def _entry(draw: random.Random, number: int) -> model.Entry:
+    at = draw.choice(("1.1", "2.3", "5.1", "5.1", "5.1")) if draw.random() < 0.995 else "broken"
+    kind, cleared = draw.choice(("file", "collection", "gone")), draw.choice(("0.0", "0.0", "1.1"))
+    return model.Entry(f"/v/{number:03}", at, kind, cleared, draw.random() < 0.5)
+
+
+def _drive(draw: random.Random, digest: Digest, steps: Any, sync: model.Sync, trouble: float) -> Any:
+    """Answer a machine to its end; returns what it returned."""
+    value: Any = None
+    while True:
+        try:
+            asked = steps.send(value)
+        except StopIteration as stop:
+            return stop.value
+        digest.add(_asked(asked))
+        value, sync = _reply(draw, asked, sync, trouble)
+
+
+def requests_digest(seed: int) -> str:
+    """Drive writes and reads with any answers that nodes and council may give."""
+    draw, digest = random.Random(f"requests/{seed}"), Digest()
+    for _ in range(120):
+        sync, trouble = draw_set(draw), draw.choice((0.0, 0.1, 0.3, 0.6))
+        rules = write.RULES if draw.random() < 0.9 else write.Rules(draw.random() < 0.5, draw.random() < 0.5)
+        if draw.random() < 0.5:
+            payload = draw.choice((None, "payload"))
+            gone = [zone for zone in "abcd" if draw.random() < 0.1]
+            stands = None if draw.random() < 0.03 else sync
+            steps = write.write(stands, payload, rules, gone)
+        else:
+            order = draw.sample("abcd", draw.randrange(5))
+            steps = write.read(sync, order, counts=draw.random() < 0.9, rules=rules)
+        result: write.Outcome = _drive(draw, digest, steps, sync, trouble)
+        got = None
+        if result.got is not None:
+            got = [getattr(result.got.reply, "status", None), *answer_values(result.got)]
+        digest.add([result.end.value, got])
+    return digest.hex()
+
+
+def repair_digest(seed: int) -> str:
+    """Drive plans that bring a copy back, and their pace."""
+    draw, digest = random.Random(f"repair/{seed}"), Digest()
+    pace = repair.Pace(share=draw.choice((0.1, 0.5, 1.0)), rate=draw.choice((10.0, 200.0)))
+    now = 0.0
+    for _ in range(25):
+        sync, zone = draw_set(draw), draw.choice("abcd")
+        plan = repair.repair(sync, zone, early=draw.random() < 0.1)
+        report = _drive(draw, digest, plan, sync, draw.choice((0.0, 0.01, 0.1, 0.5)))
+        digest.add([report.back, report.moved])
+        now += draw.choice((0.0, 3.0, 100.0))
+        digest.add(pace.wait_ms(now))
+        pace.done(now, draw.choice((0.0, 2.0, 30.0)), refused=draw.random() < 0.2, load=draw.random())
+        digest.add(pace.wait_ms(now + draw.choice((0.0, 1.0, 300.0))))
+    return digest.hex()
+
+
+def reach_digest(seed: int) -> str:
+    """Drive what attempts say of copies, and what many say together."""
+    draw, digest = random.Random(f"reach/{seed}"), Digest()
+    found, now = reach.Reach(), 0.0
+    if seed % 2:
+        found = reach.Reach(least=1, over_ms=0.0, fresh_ms=300.0, absent_ms=50.0)
+    for _ in range(400):
+        now += draw.choice((0.0, 20.0, 60.0, 400.0))
+        shard, act = draw.randrange(4), draw.random()
+        if act < 0.6:
+            bad = draw.random() < 0.6
+            ended = draw.choice((Outcome.TIMEOUT, Outcome.RESET, Outcome.NO_CONNECTION)) if bad else None
+            found.ended(shard, ended or draw.choice(tuple(Outcome)), now)
+        elif act < 0.75:
+            found.listed({n for n in range(4) if draw.random() < 0.9}, range(3), now)
+        elif act < 0.8:
+            found.forgive(shard)
+        else:
+            found.store(shard, other=draw.random() < 0.2)
+        asked = draw.random() < 0.5
+        digest.add([[found.gone(n, now), canonical(found.word(n, now, asked))] for n in range(5)])
+        words = {f"p{n}": draw.choice((reach.GONE, reach.STORE, reach.WELL, b"?")) for n in range(4)}
+        digest.add([reach.lost(words, least) for least in (0, 1, 2, 3)])
+    return digest.hex()
+
+
+# --- decisions: gateways and the planner over nodes
+
+
+class _Log:
+    def __getattr__(self, name: str) -> Callable[..., None]:
+        return lambda *_, **__: None
+
+
+PLACED = {
+    "v": carrier.Placed((0, 1), {"a": (0, 1), "b": (2, 3), "c": (4, 5)}),
+    "w": carrier.Placed((3,), {"a": (1,), "b": (3,)}),
+}
+ZONES, REGIONS = ("a", "b", "c"), {"a": "r0", "b": "r0", "c": "r1"}
+
+
+class _Council:
+    """A register with compare-and-set; processes are told of its decrees some time later."""
+
+    def __init__(self, cluster: Cluster) -> None:
+        self.cluster, self.number, self.failing = cluster, 100, False
+        self.stands: dict[str, d.Decree] = {}
+
+    def asked_by(self, kept: Kept) -> _Asked:
+        return _Asked(self, kept)
+
+
+class _Asked:
+    """The council as one process asks it."""
+
+    def __init__(self, council: _Council, kept: Kept) -> None:
+        self.council, self.kept = council, kept
+
+    async def decide(
+        self, topic: str, value: bytes, hold_ms: float, if_number: int | None = None, **_: Any
+    ) -> d.Decree:
+        council = self.council
+        await anyio.sleep(0.004)
+        council.cluster.digest.add(["decide", topic, canonical(value), hold_ms, if_number])
+        if council.failing:
+            raise NoQuorum("none")
+        stands = council.stands.get(topic)
+        if if_number is not None and if_number != (stands.number if stands is not None else 0):
+            raise Conflict("another stands")
+        council.number += 1
+        decree = council.stands[topic] = d.Decree(topic, council.number, value, hold_ms, "", council.number)
+        self.kept.take(decree)
+        council.cluster.spread_decree(decree)
+        return decree
+
+    async def read(self, topic: str, *_: Any, **__: Any) -> d.Decree | None:
+        await anyio.sleep(0.002)
+        if self.council.failing:
+            raise NoQuorum("none")
+        decree = self.council.stands.get(topic)
+        if decree is not None:
+            self.kept.take(decree)
+        return decree
+
+
+class _Words:
+    """What processes tell each other, as one of them writes it."""
+
+    def __init__(self, all_words: dict[str, dict[Any, bytes]], name: str) -> None:
+        self.all_words, self.me = all_words, (name, 1)
+
+    def get(self, key: str) -> dict[Any, bytes]:
+        return dict(self.all_words.get(key, {}))
+
+    def put(self, key: str, value: bytes) -> None:
+        self.all_words.setdefault(key, {})[self.me] = value
+
+    def remove(self, key: str) -> None:
+        self.all_words.get(key, {}).pop(self.me, None)
+
+
+class _Ground:
+    """A process's surroundings."""
+
+    def __init__(self, cluster: Cluster, name: str) -> None:
+        self.kept = Kept(None, cluster.clock)
+        self.council = cluster.council.asked_by(self.kept)
+        self.spread = _Words(cluster.words, name)
+        self.cluster, self.leading = cluster, True
+
+    def members(self) -> tuple[Member, ...]:
+        states = [("e0", MemberState.ALIVE), ("e1", MemberState.ALIVE), ("e9", MemberState.UNSURE)]
+        return tuple(Member(name, 1, "edge", "a", "r0", "x:1", state, 0.0, b"") for name, state in states)
+
+
+class _Exchange:
+    """A request to the admin port."""
+
+    def __init__(self, method: bytes, body: bytes = b"") -> None:
+        self.head, self.body = type("Head", (), {"method": method})(), body
+        self.answer: Any = None
+
+    async def read(self) -> bytes:
+        data, self.body = self.body[:1000], self.body[1000:]
+        return data
+
+    async def respond(self, status: int, headers: list[tuple[bytes, bytes]], body: bytes = b"") -> None:
+        value = msgspec.json.decode(body)
+        # Texts of errors are for people; what stands must stay as it is.
+        self.answer = [status, canonical(headers), value.get("error") or canonical(body)]
+
+
+class _Stream:
+    """A payload that still comes in."""
+
+    def __init__(self, cluster: Cluster) -> None:
+        self.cluster = cluster
+
+    def abandon(self) -> None:
+        self.cluster.abandoned += 1
+
+
+class _Client:
+    """Connections from the planner to nodes."""
+
+    def __init__(self, cluster: Cluster) -> None:
+        self.cluster = cluster
+
+    async def exchange(
+        self, node: str, op: Operation, extra: Headers, progress: Any, *, may_stream: bool
+    ) -> tuple[Reply, None]:
+        shard = int(node.removeprefix("n"))
+        self.cluster.digest.add(
+            ["repair", node, canonical(op.method), canonical(op.target), canonical(extra)]
+        )
+        reply = await self.cluster.execute(shard, op.method.decode(), op.key, op.headers, op.body)
+        if reply is None:
+            raise NoConnection(node)
+        if self.cluster.draw.random() < 0.05:
+            return Reply(503, reply.headers), None
+        load = (b"endpoint-load-metrics", b'JSON {"cpu_utilization": 0.9}')
+        more = [load] if self.cluster.draw.random() < 0.05 else []
+        return Reply(reply.status, [*reply.headers, *more], reply.body), None
+
+
+class Cluster:
+    """Six nodes in three zones, two gateways and a planner, under simulated time."""
+
+    def __init__(self, seed: int) -> None:
+        """Begin with empty stores; no set is founded yet."""
+        self.draw = random.Random(f"cluster/{seed}")
+        self.digest = Digest()
+        self.racks = {shard: Rack(shard, window_ms=0.0, life=f"s{shard}") for shard in range(6)}
+        self.down: set[int] = set()
+        self.cut: set[tuple[int, int]] = set()  # (gateway, shard)
+        self.words: dict[str, dict[Any, bytes]] = {}
+        self.abandoned = 0
+        self.late: list[tuple[float, Kept, d.Decree]] = []
+        self.council = _Council(self)
+        self.grounds = [_Ground(self, name) for name in ("e0", "e1", "planner")]
+        self.reach = [reach.Reach(), reach.Reach()]
+        shares = carrier.Shares(first=0.5, follow=0.6, told_ms=5.0, ask_ms=100.0, hold_ms=400.0)
+        self.gateways = [
+            carrier.Copies(
+                PLACED, self.grounds[n], shares, self.reach[n], zone=zone, regions=REGIONS,
+                clock=self.clock, log=_Log(), retry_after_ms=1000.0,
+            )
+            for n, zone in enumerate(("a", "c"))
+        ]  # fmt: skip
+        figures = keeper.Figures(
+            look_ms=20.0, witnesses=2, back_least_ms=50.0, back_most_ms=400.0, forget_ms=400.0,
+            hold_ms=400.0, share=0.5, rate=2000.0, busy=0.8, pause_ms=20.0,
+        )  # fmt: skip
+        self.keeper = keeper.Keeper(
+            PLACED, self.grounds[2], _Client(self), figures, regions=REGIONS, clock=self.clock,
+            log=_Log(), life="planner-7",
+        )  # fmt: skip
+
+    def clock(self) -> float:
+        """Return simulated milliseconds."""
+        return trio.current_time() * 1000
+
+    def spread_decree(self, decree: d.Decree) -> None:
+        """Have processes hear of a decree, each some time later; now and then one does not."""
+        for ground in self.grounds:
+            if self.draw.random() < 0.9:
+                self.late.append((self.clock() + self.draw.uniform(1, 60), ground.kept, decree))
+
+    async def execute(self, shard: int, method: str, key: str, headers: Headers, body: Any) -> Reply | None:
+        """Have a node do an operation; None where it cannot be reached."""
+        await anyio.sleep(0.001 + 0.0001 * shard)
+        if shard in self.down:
+            await anyio.sleep(0.01)
+            return None
+        fields = {name.decode(): value.decode() for name, value in headers}
+        done: Done = self.racks[shard].execute(Task(method, parse(key), fields, body, b"", 1000.0))
+        content = done.content
+        if done.payload is not None:
+            held, first, end = done.payload
+            content = (await held.chunk(0))[first:end]
+        self.digest.add(
+            [shard, method, key, canonical(headers), done.status, canonical(done.headers), content]
+        )
+        return Reply(done.status, done.headers, content)
+
+    def _send(self, gateway: int, method: str, key: str) -> carrier.Send:
+        """Return what performs one client's storage operations."""
+
+        async def send(
+            shard: int, own_method: bytes | None, own_key: str | None, headers: Headers, body: Any,
+            deadline: float, *, collect: bool = False,
+        ) -> Result:  # fmt: skip
+            asked = own_method.decode() if own_method is not None else method
+            body = Text(body.decode()) if isinstance(body, bytes) else body
+            reply = None
+            if (gateway, shard) not in self.cut:
+                reply = await self.execute(shard, asked, own_key or key, headers, body)
+            if reply is not None:
+                self.reach[gateway].ended(shard, Outcome.OK, self.clock())
+                if asked == "GET" and not collect and self.draw.random() < 0.5:
+                    return Reply(reply.status, reply.headers, stream=_Stream(self))
+                if self.draw.random() < 0.03:
+                    return Denied(Verdict.FAILED, Reason.DEADLINE)
+                return reply
+            self.reach[gateway].ended(shard, Outcome.NO_CONNECTION, self.clock())
+            await anyio.sleep(max(0.0, min(0.02, (deadline - self.clock()) / 1000)))
+            if self.draw.random() < 0.6:
+                return Denied(Verdict.REFUSED, Reason.SCHEDULER, 50.0)
+            return Denied(Verdict.FAILED, Reason.ATTEMPTS)
+
+        return send
+
+    async def client(self, count: int) -> None:
+        """One client: operations one after another at drawn gateways."""
+        draw = self.draw
+        for number in range(count):
+            gateway = draw.randrange(2)
+            volume = draw.choice(("v", "v", "v", "w"))
+            shard = draw.choice(PLACED[volume].shards)
+            methods = ("GET", "GET", "HEAD", "PUT", "PUT", "PUT", "DELETE", "MKCOL")
+            method, key = draw.choice(methods), f"/{volume}/{draw.choice('xyz')}"
+            body = Text(f"{number}") if method == "PUT" else None
+            copies = self.gateways[gateway]
+            assert copies.has(volume) and not copies.has("u")
+            result = await copies.perform(
+                volume, shard, key, method, 1.0, body, b"text/plain" if body is not None else b"",
+                self._send(gateway, method, key), self.clock() + draw.choice((30.0, 300.0, 1000.0)),
+            )  # fmt: skip
+            if isinstance(result, Reply):
+                answer: Any = [result.status, canonical(result.headers), result.body, result.stream is None]
+            else:
+                answer = [result.verdict.value, result.reason.value, result.retry_after_ms]
+            self.digest.add([gateway, volume, shard, method, key, answer])
+            await anyio.sleep(draw.uniform(0.0, 0.03))
+
+    async def trouble(self) -> None:
+        """Let nodes, ways, decrees and the council fail for a while."""
+        draw = self.draw
+        while True:
+            await anyio.sleep(draw.uniform(0.02, 0.3))
+            shard, kind = draw.choice((0, 0, 1, 2, 3, 4, 5)), draw.random()
+            length = draw.uniform(0.05, 0.8)
+            if kind < 0.1:
+                self.racks[shard] = self.racks[shard].snapshot(f"s{shard}-{draw.randrange(1000)}")
+            elif kind < 0.4:
+                self.down.add(shard)
+                await anyio.sleep(length)
+                if draw.random() < 0.2:
+                    self.racks[shard] = self.racks[shard].snapshot(f"s{shard}-{draw.randrange(1000)}")
+                self.down.discard(shard)
+            elif kind < 0.55:
+                self.cut.add((draw.randrange(2), shard))
+                await anyio.sleep(length)
+                self.cut.clear()
+            elif kind < 0.65:
+                self.council.failing = True
+                await anyio.sleep(length / 2)
+                self.council.failing = False
+            elif kind < 0.75:
+                self.grounds[2].leading = False
+                await anyio.sleep(length / 2)
+                self.grounds[2].leading = True
+            else:
+                for _ in range(3):
+                    await self.order()
+
+    async def order(self) -> None:
+        """Send a request to the planner's admin port."""
+        draw = self.draw
+        wish = {"volume": draw.choice("vwu"), "shard": draw.choice((0, 0, 1)), "zone": draw.choice("abbccd"),
+                "accept_loss": draw.random() < 0.8}  # fmt: skip
+        body = draw.choice((msgspec.json.encode(wish), msgspec.json.encode(wish), b"broken", b"x" * 9000))
+        exchange = _Exchange(draw.choice((b"GET", b"POST", b"POST", b"POST")), body)
+        await self.keeper.handle(exchange)
+        self.digest.add(exchange.answer)
+
+    async def news(self) -> None:
+        """Let decrees come and be renewed, and the node list be told."""
+        while True:
+            await anyio.sleep(0.01)
+            now = self.clock()
+            for at_ms, kept, decree in [one for one in self.late if one[0] <= now]:
+                kept.take(decree)
+                self.late.remove((at_ms, kept, decree))
+            if self.draw.random() < 0.2 and not self.council.failing:
+                self.council.number += 1
+                for decree in list(self.council.stands.values()):
+                    for ground in self.grounds:
+                        if self.draw.random() < 0.7:
+                            ground.kept.take(msgspec.structs.replace(decree, renewed=self.council.number))
+            self.list_nodes()
+
+    def list_nodes(self) -> None:
+        """Tell the node list: a node that is down may be missing, draining, or named still."""
+        draw = self.draw
+        states = {shard: NodeState.READY for shard in range(6)}
+        for shard in self.down:
+            states[shard] = draw.choice((NodeState.READY, NodeState.DRAINING))
+        listed = [Node(f"n{shard}", shard, 0, float(shard), state) for shard, state in states.items()]
+        complete = draw.random() < 0.9
+        kind = ListKind.COMPLETE if complete else draw.choice((ListKind.CHANGES, ListKind.FAILED))
+        some = [node for node in listed if complete or draw.random() < 0.5]
+        self.keeper.listed(NodeList(kind, tuple(some)))
+        for gateway in self.gateways:
+            gateway.listed(listed)
+
+    async def play(self) -> str:
+        """Run for some seconds; return the digest of all that was sent, decided and answered."""
+        async with anyio.create_task_group() as tasks:
+            tasks.start_soon(self.keeper.run)
+            tasks.start_soon(self.news)
+            tasks.start_soon(self.trouble)
+            for gateway, ground in zip(self.gateways, self.grounds, strict=False):
+                tasks.start_soon(carrier.Telling(gateway, ground.spread, 20.0).run)
+            await anyio.sleep(0.1)
+            async with anyio.create_task_group() as clients:
+                for _ in range(3):
+                    clients.start_soon(self.client, 60)
+            await self.settle()
+            tasks.cancel_scope.cancel()
+        for copies in self.gateways:
+            self.digest.add(msgspec.json.encode(copies.status()))
+        self.digest.add([self.abandoned, canonical(self.keeper.status()), canonical(self._stored())])
+        return self.digest.hex()
+
+    async def settle(self) -> None:
+        """Let the planner bring back what it can."""
+        for _ in range(50):
+            self.down.clear()
+            self.cut.clear()
+            self.council.failing, self.grounds[2].leading = False, True
+            await anyio.sleep(0.02)
+
+    def _stored(self) -> Mapping[int, Any]:
+        """Return what the nodes' stores hold of copies, as their lists tell it."""
+        fields = {"x-cressrock-epoch": "99", "x-cressrock-copy": "in;", "x-cressrock-owed": "0"}
+        return {
+            shard: [rack.execute(Task("GET", parse(f"/{volume}"), fields, None, b"", 0.0)).content
+                    for volume in PLACED]
+            for shard, rack in self.racks.items()
+        }  # fmt: skip
+
+
+def cluster_digest(seed: int) -> str:
+    """Drive two gateways and a planner over nodes, with faults."""
+    return run_simulated(seed, lambda: Cluster(seed).play())
+
+
+def run_simulated(seed: int, main: Callable[[], Awaitable[str]]) -> str:
+    """Run under simulated time; the order of tasks that are runnable at once is drawn from the seed."""
+    from trio._core import _run
+
+    _run._ALLOW_DETERMINISTIC_SCHEDULING = True
+    _run._r.seed(seed)
+    return trio.run(main, clock=trio.testing.MockClock(autojump_threshold=0))
+
+
+def stream_seeds() -> Iterator[tuple[str, Callable[[int], str], Iterable[int]]]:
+    """Return every stream by name, with its seeds."""
+    yield "sets", sets_digest, range(20)
+    yield "requests", requests_digest, range(30)
+    yield "repair", repair_digest, range(20)
+    yield "reach", reach_digest, range(10)
+    yield "cluster", cluster_digest, range(10)
