--- a/benchmarks/bad_day.py
+++ b/benchmarks/bad_day.py
@@ -9,11 +9,11 @@
 from functools import partial
 from pathlib import Path
 
-from cressrock.gateway import Parts
 from cressrock.lab.bound import bound
 from cressrock.lab.day import Script, play
 from cressrock.lab.judge import RULES, judge
 from cressrock.lab.service import serve
+from cressrock.programs.gateway import Components
 
 sys.path.insert(0, str(Path(__file__).parent))
 from sites import other  # noqa: E402
@@ -22,7 +22,7 @@
 
 
 def one(script, brain):
-    result = play(script, parts=Parts(decisions=partial(other, brain)) if brain else Parts())
+    result = play(script, parts=Components(decisions=partial(other, brain)) if brain else Components())
     found, best, service = judge(result.trace), bound(result.trace), serve(result.trace)
     return script.seed, found, result.fences, best, len(service.idle)
 
--- a/benchmarks/collect.py
+++ b/benchmarks/collect.py
@@ -20,16 +20,16 @@
 ROOT = Path(__file__).parent.parent
 sys.path.insert(0, str(ROOT))
 
-from cressrock.collect.collector import Collect, Peer  # noqa: E402
-from cressrock.collect.teller import Teller, Times, ranked  # noqa: E402
-from cressrock.collect.words import Entry, Tell, decode, encode  # noqa: E402
+from cressrock.aggregation.collector import MemberInfo, ReportCollector  # noqa: E402
+from cressrock.aggregation.messages import Report, ReportEntry, decode, encode  # noqa: E402
+from cressrock.aggregation.sender import AggregationTimings, ReportSender, rank_collectors  # noqa: E402
+from cressrock.failover.decision import FailoverSettings, ZoneSettings  # noqa: E402
+from cressrock.failover.evidence import ZoneReport, encode_reports  # noqa: E402
+from cressrock.failover.summary import ReportSummarizer  # noqa: E402
 from cressrock.lab import capacity  # noqa: E402
 from cressrock.lab.collectsim import SIX, CollectSim, Descent, figures, part, turns  # noqa: E402
 from cressrock.lab.zonesim import LOOK_MS, ZoneSim, scenes  # noqa: E402
 from cressrock.lab.zonesim import Scene as Played  # noqa: E402
-from cressrock.zones.evidence import Said, pieces  # noqa: E402
-from cressrock.zones.sums import Sums  # noqa: E402
-from cressrock.zones.terms import Zone, Zones  # noqa: E402
 
 RAW = ROOT / "benchmarks" / "results" / "capacity-collect.jsonl"
 READS = 2.5  # a second of each edge's clients
@@ -55,7 +55,7 @@
 
 def owners(sim):
     """Return the first and the second collector of the zone that is lost."""
-    return [name for name, _ in ranked(LOST, sim.collectors)][:2]
+    return [name for name, _ in rank_collectors(LOST, sim.collectors)][:2]
 
 
 def do(*steps):
@@ -168,23 +168,23 @@
     """Measure what a collector of one zone of so many edges, and a teller, hold in memory."""
     _, size, seed = job
     began = time.process_time()
-    of = Zones(zones={n: Zone(region=r, capacity=1e6) for n, r in SIX.items()}, edges=size)
-    peers = [Peer(f"edge-{n:05d}", 1, LOST, True, True, True, False) for n in range(size)]
-    said = [Said(zone, 1, 9, 0, 0, 0, 10.5, 10.5, 9) for zone in SIX]
-    (value,) = pieces(7, said)
+    of = FailoverSettings(zones={n: ZoneSettings(region=r, capacity=1e6) for n, r in SIX.items()}, edges=size)
+    peers = [MemberInfo(f"edge-{n:05d}", 1, LOST, True, True, True, False) for n in range(size)]
+    said = [ZoneReport(zone, 1, 9, 0, 0, 0, 10.5, 10.5, 9) for zone in SIX]
+    (value,) = encode_reports(7, said)
     tracemalloc.start()
-    one = Collect(("m0", 1), Times(), Sums(of), 0.0)
-    one.roster([*peers, Peer("m0", 1, LOST, True, True, False, True)], ["m0"], 0.0)
+    one = ReportCollector(("m0", 1), AggregationTimings(), ReportSummarizer(of), 0.0)
+    one.update_members([*peers, MemberInfo("m0", 1, LOST, True, True, False, True)], ["m0"], 0.0)
     for peer in peers:
-        data = encode(Tell(1, [Entry("zones/0", 1, value)]))
+        data = encode(Report(1, [ReportEntry("zones/0", 1, value)]))
         one.receive(1.0, peer.name, 1, decode(data))
     one.tick(300.0)
     collector = tracemalloc.get_traced_memory()[0]
     tracemalloc.reset_peak()
     before = tracemalloc.get_traced_memory()[0]
-    tellers = [Teller(LOST, Times(), random.Random(n), 0.0) for n in range(100)]
+    tellers = [ReportSender(LOST, AggregationTimings(), random.Random(n), 0.0) for n in range(100)]
     for teller in tellers:
-        teller.roster([(f"m{n}", 1) for n in range(6)], 0.0)
+        teller.update_collectors([(f"m{n}", 1) for n in range(6)], 0.0)
         teller.put("zones/0", bytes(value) + b"", 0.0)
         teller.tick(1000.0)
     each = (tracemalloc.get_traced_memory()[0] - before) / len(tellers)
--- a/benchmarks/council_processes.py
+++ b/benchmarks/council_processes.py
@@ -20,10 +20,10 @@
 
 sys.path.insert(0, str(Path(__file__).parent.parent))
 
-from cressrock.council.log import HardState
-from cressrock.council.messages import Entry
-from cressrock.council.store import Store
-from cressrock.errors import council as e
+from cressrock.consensus.raft.log import HardState
+from cressrock.consensus.raft.messages import LogEntry
+from cressrock.consensus.store import ReplicaStore
+from cressrock.errors import consensus as e
 from tests import test_council_processes as p
 
 SEATS = p.NAMES
@@ -38,7 +38,7 @@
     """One write of each kind in turn: a shared disk is fast and slow by turns, and all meet the same."""
     print(f"## One transaction of a store (ms), {count} of each in turn, an entry of 200 bytes\n")
     print("| journal, synchronous | quarter | median | 99th | worst |\n| --- | --- | --- | --- | --- |")
-    store = Store(folder / "seat", cluster="c", seat="p1")
+    store = ReplicaStore(folder / "seat", cluster="c", replica="p1")
     made = {}
     for journal, level in (("PERSIST", "FULL"), ("TRUNCATE", "FULL"), ("DELETE", "EXTRA"), ("WAL", "FULL")):
         db = sqlite3.connect(folder / journal, isolation_level=None)
@@ -50,7 +50,7 @@
     ours = []
     for index in range(1, count + 1):
         began = time.perf_counter()
-        store.write(HardState(1, "", index - 1, 1), None, (Entry(1, index, "command", bytes(200)),))
+        store.write(HardState(1, "", index - 1, 1), None, (LogEntry(1, index, "command", bytes(200)),))
         ours.append((time.perf_counter() - began) * 1000)
         for db, took in made.values():
             began = time.perf_counter()
@@ -115,7 +115,7 @@
                     try:
                         await council.decide("t", b"x", 60000)
                         break
-                    except e.NoQuorum:
+                    except e.NoQuorumError:
                         pass
                 lost.append((time.perf_counter() - began) * 1000)
                 await it.start(name)
--- a/benchmarks/fences.py
+++ b/benchmarks/fences.py
@@ -11,11 +11,11 @@
 
 import msgspec
 
-from cressrock.brain import Brain
-from cressrock.edge.core import EdgeDecisions
-from cressrock.gateway import Parts
+from cressrock.edge.decisions import EdgeDecisions
 from cressrock.lab.day import Script, play
 from cressrock.lab.judge import judge
+from cressrock.programs.gateway import Components
+from cressrock.scheduler.scheduler import Scheduler
 from cressrock.settings.types import interface_settings
 
 
@@ -25,14 +25,14 @@
 
 def module(settings, seed, now, **changes):
     scheduler = msgspec.structs.replace(settings.scheduler, **changes)
-    return Brain(interface_settings(msgspec.structs.replace(settings, scheduler=scheduler)), seed, now)
+    return Scheduler(interface_settings(msgspec.structs.replace(settings, scheduler=scheduler)), seed, now)
 
 
 class CountedAgain(EdgeDecisions):
     """What another decider had is offered as if nobody had counted it."""
 
     def _route(self, name, now):
-        held = self.held.get(name)
+        held = self.operations.get(name)
         if held is not None:
             held.counted, held.taken_at = False, now
         return super()._route(name, now)
@@ -57,12 +57,12 @@
     """Nobody gives up an attempt whose planner is gone."""
 
     def _look(self, now, actions):
-        out = {name: held for name, held in self.held.items() if self.ledger.entries.get(name, None)}
-        kept = {n: h for n, h in out.items() if self.ledger.entries[n].out() is not None}
+        out = {name: held for name, held in self.operations.items() if self.ledger.entries.get(name, None)}
+        kept = {n: h for n, h in out.items() if self.ledger.entries[n].attempt_in_flight() is not None}
         for name in kept:
-            del self.held[name]
+            del self.operations[name]
         due = super()._look(now, actions)
-        self.held.update(kept)
+        self.operations.update(kept)
         return due
 
 
@@ -71,8 +71,8 @@
 
     def __init__(self, *given, **more):
         super().__init__(*given, **more)
-        if self.lending is not None:
-            self.lending.lend = lambda volume, plan, wanted, now: wanted
+        if self.quota is not None:
+            self.quota.lease = lambda volume, plan, wanted, now: wanted
 
 
 def cold_alone(settings, seed, now):
@@ -113,7 +113,7 @@
         ordered=ordered,
         troubles=("planners", "surge", "replace", "crash", "lost", "broken", "errors", "hung"),
     )
-    result = play(script, parts=Parts(**FENCES[name]))
+    result = play(script, parts=Components(**FENCES[name]))
     found = judge(result.trace)
     rules = sorted({b.rule for b in found.breaches})
     return name, seed, rules, sum(result.fences.values()), len(found.breaches)
--- a/benchmarks/members.py
+++ b/benchmarks/members.py
@@ -18,12 +18,12 @@
 
 sys.path.insert(0, str(Path(__file__).parent.parent))
 
-from cressrock.fleet.members import Gone, MembersSettings, Unsure  # noqa: E402
-from cressrock.fleet.messages import State  # noqa: E402
 from cressrock.lab.fleetsim import FleetSim  # noqa: E402
+from cressrock.membership.membership import MemberDead, MembershipSettings, MemberSuspected  # noqa: E402
+from cressrock.membership.packets import MemberState  # noqa: E402
 
 CUTS = ("two", "three", "one-way", "ring", "single")
-PERIOD = MembersSettings().period_ms
+PERIOD = MembershipSettings().protocol_period_ms
 SIZES = (20, 60, 120, 230, 512, 1024)
 
 
@@ -41,11 +41,11 @@
         sim.run(
             at + 9 * PERIOD,
             lambda name=victim.name: all(
-                host.members._records[name].state is State.GONE for host in sim.hosts.values()
+                host.members._records[name].state is MemberState.DEAD for host in sim.hosts.values()
             ),
         )
         for when, observer, event in sim.events[mark:]:
-            if isinstance(event, Gone):
+            if isinstance(event, MemberDead):
                 if event.name == victim.name:
                     seen.setdefault(observer, (when - at) / PERIOD)
                 else:
@@ -68,8 +68,8 @@
         sim.run(sim.now + 2000)
     sim.run(sim.now + 6000)
     return {
-        "gone": sum(isinstance(event, Gone) for _, _, event in sim.events),
-        "unsure": sum(isinstance(event, Unsure) for _, _, event in sim.events),
+        "gone": sum(isinstance(event, MemberDead) for _, _, event in sim.events),
+        "unsure": sum(isinstance(event, MemberSuspected) for _, _, event in sim.events),
         "stops": rounds * (count // 10),
         "bytes": sum(host.bytes for host in hosts) / count / (sim.now / 1000),
     }
@@ -92,7 +92,7 @@
     else:
         sim.open = lambda one, other: side[one] == side[other]
     sim.run(sim.now + hold)
-    wrong = sum(isinstance(event, Gone) for _, _, event in sim.events)
+    wrong = sum(isinstance(event, MemberDead) for _, _, event in sim.events)
     sim.open = lambda one, other: True
     healed, before = sim.now, sum(host.bytes for host in hosts)
     done = sim.run(healed + 30 * PERIOD, sim.one_view)
@@ -109,7 +109,7 @@
     before = [host.bytes for host in hosts]
     sim.run(33000)
     spent = sorted((host.bytes - start) / 30 for host, start in zip(hosts, before, strict=True))
-    gone = sum(isinstance(event, Gone) for _, _, event in sim.events)
+    gone = sum(isinstance(event, MemberDead) for _, _, event in sim.events)
     return {"mean": sum(spent) / count, "most": spent[-1], "gone": gone}
 
 
--- a/benchmarks/presence.py
+++ b/benchmarks/presence.py
@@ -15,7 +15,7 @@
 
 from cressrock.lab.presence_check import Act, check, converged, state
 from cressrock.lab.presencesim import PresenceNet
-from cressrock.presence.rooms import Rooms, RoomsSettings
+from cressrock.presence.rooms import Rooms, RoomSettings
 
 
 def percentile(values, part):
@@ -32,7 +32,7 @@
 class Run:
     def __init__(self, seed, gateways, members, rooms, sample):
         self.source = random.Random(seed)
-        self.settings = RoomsSettings()
+        self.settings = RoomSettings()
         before = resident()
         self.net = PresenceNet(gateways, seed, self.settings)
         self.rooms = [f"v{n % 40}/room-{n}" for n in range(rooms)]
@@ -48,7 +48,7 @@
 
     def join(self, at, room, carried=True):
         core = self.net.cores[at]
-        view = core.interest(self.net.now, room)
+        view = core.open_view(self.net.now, room)
         view.watchers += 1
         session = core.join(self.net.now, room, self.source.randbytes(16))
         if carried:
@@ -156,7 +156,7 @@
     run.net.delays.clear()
     troubled = run.phase(seconds, lambda second: run.troubles(second, given.members // 10 // seconds))
     say(f"- the same with zones cut off and gateways dying: {show(troubled)}")
-    forced = sum(core.forced for core in run.net.cores)
+    forced = sum(core.forced_releases for core in run.net.cores)
     resyncs = sum(core.resyncs for core in run.net.cores)
     say(f"- shown before a cause that could not be had: {forced}; resyncs (all rooms): {resyncs}")
     run.net.cut([0] * given.gateways)
@@ -187,15 +187,15 @@
     gc.collect()
     tracemalloc.start()
     before = tracemalloc.get_traced_memory()[0]
-    core = Rooms(("edge-0001", 1_790_000_000_000), RoomsSettings(), b"k" * 16)
+    core = Rooms(("edge-0001", 1_790_000_000_000), RoomSettings(), b"k" * 16)
     began = time.perf_counter()
     for n in range(members):
         core.join(float(n), f"volume/project-{n % rooms}", b"sixteen bytes...")
     took = time.perf_counter() - began
-    core.flush(0.0)
+    core.publish_changes(0.0)
     held = tracemalloc.get_traced_memory()[0] - before
     tracemalloc.stop()
-    told = sum(len(key) + len(value or b"") for key, value in core.own_buckets())
+    told = sum(len(key) + len(value or b"") for key, value in core.drain_directory_updates())
     print(
         f"- {members} members in {rooms} rooms at one gateway: {held / 1e6:.1f} MB,"
         f" {held / members:.0f} bytes each; {1e6 * took / members:.0f} us a join (traced);"
--- a/benchmarks/rollout.py
+++ b/benchmarks/rollout.py
@@ -17,7 +17,7 @@
 
 from cressrock.lab import rolloutsim as r  # noqa: E402
 from cressrock.rollout import evidence as e  # noqa: E402
-from cressrock.rollout import stages as s  # noqa: E402
+from cressrock.rollout import lifecycle as s  # noqa: E402
 from cressrock.rollout import verdict as v  # noqa: E402
 
 LONG = r.course(least_s=1800)  # stays in the 5 % stage for half an hour
@@ -46,7 +46,7 @@
 
 def same(seed):
     """No difference at all, and nothing tolerated: the error level by itself."""
-    return played(r.Fleet(r.Shape(), r.course(s.Levels(tolerate=1.0)), seed), seed)
+    return played(r.Fleet(r.Shape(), r.course(s.Thresholds(tolerated_odds_ratio=1.0)), seed), seed)
 
 
 def without_the_coin(seed):
@@ -155,14 +155,18 @@
     for now in range(20):
         fleet._second(now)
     heard = fleet.heard(fleet.marks, fleet.trials)
-    own = e.Own("00" * 12)
+    own = e.LocalCounts("00" * 12)
     state, plan = fleet.state, r.course()
     rows = [
-        ("judge, 230 processes x 5 classes x 1 stage", 20, lambda: v.judge(heard, plan, 5)),
-        ("far_worse, one process", 200, lambda: v.far_worse(own, plan, 5)),
-        ("count a trial", 20000, lambda: own.count(0, 0, True, e.Ended.SERVED, 10.0, 300.0)),
-        ("eligible, 5 % of the volumes", 20000, lambda: s.eligible(state, plan, "v17", "z0")),
-        ("told, one class", 2000, lambda: (own.count(0, 0, True, e.Ended.SERVED, 1.0, 3.0), own.told())),
+        ("judge, 230 processes x 5 classes x 1 stage", 20, lambda: v.accusations_from_counts(heard, plan, 5)),
+        ("far_worse, one process", 200, lambda: v.local_accusation(own, plan, 5)),
+        ("count a trial", 20000, lambda: own.record(0, 0, True, e.RequestOutcome.SERVED, 10.0, 300.0)),
+        ("eligible, 5 % of the volumes", 20000, lambda: s.eligible_stage(state, plan, "v17", "z0")),
+        (
+            "told, one class",
+            2000,
+            lambda: (own.record(0, 0, True, e.RequestOutcome.SERVED, 1.0, 3.0), own.drain_changes()),
+        ),
     ]
     print("\n| pure part | us a call |")
     print("| --- | --- |")
@@ -171,8 +175,10 @@
         for _ in range(count):
             call()
         print(f"| {name} | {(time.perf_counter() - begin) / count * 1e6:,.1f} |")
-    tally = e.Tally([10**6, 10**6], [[10**5, 10**5]] * 5)
-    print(f"\nOne entry in the spread: {len(e.encode(e.Piece(bytes(12), tally)))} bytes at a million trials.")
+    tally = e.OutcomeCounts([10**6, 10**6], [[10**5, 10**5]] * 5)
+    print(
+        f"\nOne entry in the spread: {len(e.encode(e.CountsEntry(bytes(12), tally)))} bytes at a million trials."
+    )
 
 
 def main():
--- a/benchmarks/sites.py
+++ b/benchmarks/sites.py
@@ -15,12 +15,12 @@
 from functools import partial
 from pathlib import Path
 
-from cressrock.gateway import Parts
 from cressrock.lab.bound import bound
 from cressrock.lab.day import Script, play
 from cressrock.lab.judge import judge
 from cressrock.lab.service import Hindrance, serve
 from cressrock.lab.site import load_site
+from cressrock.programs.gateway import Components
 from cressrock.settings.types import interface_settings
 
 WHO = {"3 hosts": (3, 0), "50 hosts": (50, 0), "1 planner": (3, 1), "8 planners": (8, 8)}
@@ -32,13 +32,13 @@
     if "other_brain" not in sys.modules:
         sys.modules["other_brain"] = module
         spec.loader.exec_module(module)
-    return module.Brain(interface_settings(settings), seed, now)
+    return module.Scheduler(interface_settings(settings), seed, now)
 
 
 def one(job):
     site, load, who, seed, seconds, brain = job
     hosts, planners = WHO[who]
-    parts = Parts(decisions=partial(other, brain)) if brain else Parts()
+    parts = Components(decisions=partial(other, brain)) if brain else Components()
     script = Script(
         name="calm",
         seed=seed,
--- a/benchmarks/spread.py
+++ b/benchmarks/spread.py
@@ -18,14 +18,14 @@
 
 sys.path.insert(0, str(Path(__file__).parent.parent))
 
-from cressrock.fleet.spread import Spread, SpreadSettings  # noqa: E402
+from cressrock.gossip.store import GossipStore, GossipStoreSettings  # noqa: E402
 from cressrock.lab.spreadsim import SpreadNet  # noqa: E402
 
 ENTRIES, SIZE = 3, 40
 
 
 def net(members, seed, factor=2.0, **more):
-    made = SpreadNet(members, seed, settings=SpreadSettings(rumour_factor=factor), **more)
+    made = SpreadNet(members, seed, settings=GossipStoreSettings(retransmit_factor=factor), **more)
     made.fill(ENTRIES, SIZE)
     return made
 
@@ -77,7 +77,7 @@
             number += 1
             s = n.spreads[n.source.randrange(members)]
             s.put("key/1", b"%08d" % number * 5)
-            when.append((at, s.me, b"%08d" % number * 5))
+            when.append((at, s.local, b"%08d" % number * 5))
         n.round()
     parts = {k: v / members / (rounds - warm) for k, v in n.bytes.items()}
     # Of what was written 20 rounds before the end and not written over since: the share read.
@@ -106,7 +106,8 @@
 
     rounds = until(n, lambda: n.behind() == 0)
     views = {
-        tuple(sorted((o, repr(sorted(h[2].items()))) for o, h in s.held().items())) for s in n.spreads[::23]
+        tuple(sorted((o, repr(sorted(h[2].items()))) for o, h in s.snapshot().items()))
+        for s in n.spreads[::23]
     }
     assert len(views) == 1
     assert n.spreads[0].total("work") == 40 * (members // 10) > total
@@ -117,10 +118,10 @@
     """Bytes reckoned and measured before, and after 1,000 lives have come and gone beside 20 that stay."""
     tracemalloc.start()
     source = random.Random(seed)
-    settings = SpreadSettings()
-    me = Spread("me", 1, settings, random.Random(seed))
-    stay = [Spread(f"stay-{k}", 1, settings, random.Random(k)) for k in range(20)]
-    admitted = [me.me, *(s.me for s in stay)]
+    settings = GossipStoreSettings()
+    me = GossipStore("me", 1, settings, random.Random(seed))
+    stay = [GossipStore(f"stay-{k}", 1, settings, random.Random(k)) for k in range(20)]
+    admitted = [me.local, *(s.local for s in stay)]
 
     def write(s):
         for key in range(20):
@@ -131,30 +132,30 @@
 
     for s in stay:
         me.merge(write(s))
-    me.admit(admitted)
-    start = me.size(), tracemalloc.get_traced_memory()[0]
+    me.retain_origins(admitted)
+    start = me.size_bytes(), tracemalloc.get_traced_memory()[0]
     most = 0
     for life in range(1000):
-        s = Spread(f"comes-{life % 50}", life + 1, settings, random.Random(life))
-        me.admit([*admitted, s.me])
+        s = GossipStore(f"comes-{life % 50}", life + 1, settings, random.Random(life))
+        me.retain_origins([*admitted, s.local])
         me.merge(write(s))
-        me.discard("room", f"{s.me[0]}-3")
-        me.changes()
-        most = max(most, me.size())
+        me.discard("room", f"{s.local[0]}-3")
+        me.drain_changes()
+        most = max(most, me.size_bytes())
         if life % 50 == 49:
-            me.fresh(1200)
-    me.admit(admitted)
+            me.recent_changes(1200)
+    me.retain_origins(admitted)
     for _ in range(50):
-        me.fresh(1200)
-    end = me.size(), tracemalloc.get_traced_memory()[0]
+        me.recent_changes(1200)
+    end = me.size_bytes(), tracemalloc.get_traced_memory()[0]
     tracemalloc.stop()
-    return start, most, end, len(me.held()), len(me.held()[me.me][2])
+    return start, most, end, len(me.snapshot()), len(me.snapshot()[me.local][2])
 
 
 def cost():
     """Microseconds for each entry: a rumour of 10, a delta of 20, both as repeats; beside a plain dict."""
     found = {}
-    settings = SpreadSettings(max_rumours=1000)
+    settings = GossipStoreSettings(max_rumours=1000)
 
     def clock(call, jobs):
         best = math.inf
@@ -166,26 +167,26 @@
             best = min(best, time.perf_counter() - begin)
         return best * 1e6
 
-    writer = Spread("writer", 1, settings, random.Random(1))
+    writer = GossipStore("writer", 1, settings, random.Random(1))
     for key in range(400):
         writer.put(f"key/{key}", b"v" * 40)
     rumours = []
     while writer._rumours[0]:  # each once
-        rumours.append(writer.fresh(650))
+        rumours.append(writer.recent_changes(650))
     whole, cursor = [], None
     while True:
-        data, cursor = writer.full(cursor, 1200)
+        data, cursor = writer.full_state(cursor, 1200)
         whole.append(data)
         if cursor is None:
             break
-    entries = [(key, (v, p)) for key, (v, p) in writer.held()[writer.me][2].items()]
+    entries = [(key, (v, p)) for key, (v, p) in writer.snapshot()[writer.local][2].items()]
 
     def merge_all(parcels, target):
         for data in parcels:
             target.merge(data)
 
     def fresh_target():
-        return Spread("reader", 1, settings, random.Random(2))
+        return GossipStore("reader", 1, settings, random.Random(2))
 
     def dict_merge(target):
         for key, (version, payload) in entries:
@@ -209,30 +210,32 @@
     found["delta to it, nothing lacking (one call)"] = (
         clock(lambda: [b.delta(digest, 1200) for _ in range(50)], [tuple]) / 50
     )
-    found["admit of 230 (one call)"] = clock(lambda: [a.admit(big.known) for _ in range(20)], [tuple]) / 20
+    found["admit of 230 (one call)"] = (
+        clock(lambda: [a.retain_origins(big.known) for _ in range(20)], [tuple]) / 20
+    )
     return found, told / count
 
 
 def memory(_):
     """Bytes that one member really holds for 1,024 members of three entries, beside the reckoned."""
     tracemalloc.start()
-    settings = SpreadSettings()
-    me = Spread("me", 1, settings, random.Random(1))
+    settings = GossipStoreSettings()
+    me = GossipStore("me", 1, settings, random.Random(1))
     parcels = []
     for number in range(1024):
-        s = Spread(f"edge-{number:04d}", 1, settings, random.Random(1))
+        s = GossipStore(f"edge-{number:04d}", 1, settings, random.Random(1))
         for key in range(ENTRIES):
             s.put(f"key/{key}", number.to_bytes(4, "big") * 10)
-        parcels.append(s.full(None, 10**5)[0])
+        parcels.append(s.full_state(None, 10**5)[0])
         del s
     before = tracemalloc.get_traced_memory()[0]
     for data in parcels:
         me.merge(data)
-    me.changes()
+    me.drain_changes()
     me._rumours, me._told = [{}], {}
     held = tracemalloc.get_traced_memory()[0] - before
     tracemalloc.stop()
-    return held, me.size()
+    return held, me.size_bytes()
 
 
 def p99(values):
--- a/benchmarks/zones.py
+++ b/benchmarks/zones.py
@@ -18,9 +18,9 @@
 
 sys.path.insert(0, str(Path(__file__).parent.parent))
 
+from cressrock.failover.routing import Route, ZoneRouter  # noqa: E402
 from cressrock.interface import Outcome  # noqa: E402
 from cressrock.lab.zonesim import ZoneSim, scenes  # noqa: E402
-from cressrock.zones.spill import Choice, Go  # noqa: E402
 
 BESIDE = ("lost", "lost, hung", "half", "flapping", "one bad network")
 HEAVY = 0.75
@@ -34,7 +34,7 @@
     sim.run(scene)
     second = int(scene.window[0] // 1000)
     served = [a / max(1, min(b, c)) for a, b, c in zip(sim.served, sim.asked, sim.bound, strict=True)]
-    away = [at for at, verdict in sim.decrees if any(e.state in (1, 5) for e in verdict.entries)]
+    away = [at for at, verdict in sim.decrees if any(e.state in (1, 5) for e in verdict.zones)]
     return {
         "service": sim.service(*scene.window),
         "least": min(served[second : int(scene.window[1] // 1000)], default=1.0),
@@ -76,17 +76,17 @@
 def cost():
     """Microseconds of a read and of an attempt's end, in calm."""
     sim = ZoneSim(1)
-    choice = Choice(
+    choice = ZoneRouter(
         "a1", {z: f.region for z, f in sim.settings.zones.items()}, sim.settings, 0.0, random.Random(1)
     )
     best = [1e9, 1e9]
     for turn in range(5):
         begin = time.perf_counter()
         for n in range(20000):
-            assert isinstance(choice.read(["a1", "a2", "b1"], 1.0, False, (turn * 20000 + n) / 10), Go)
+            assert isinstance(choice.route(["a1", "a2", "b1"], 1.0, False, (turn * 20000 + n) / 10), Route)
         between = time.perf_counter()
         for n in range(20000):
-            choice.ended("a1", 1.0, Outcome.OK, (turn * 20000 + n) / 10, 5.0)
+            choice.record_attempt("a1", 1.0, Outcome.OK, (turn * 20000 + n) / 10, 5.0)
         end = time.perf_counter()
         best = [min(best[0], (between - begin) / 0.02), min(best[1], (end - between) / 0.02)]
     return best
--- a/cressrock/collect/collector.py
+++ b/cressrock/aggregation/collector.py
@@ -22,112 +22,125 @@
 from dataclasses import dataclass, field
 from typing import Protocol
 
-from cressrock.collect import words as w
-from cressrock.collect.teller import HEAD, ROOM, Collector, Out, Times, ranked
+from cressrock.aggregation import messages as w
+from cressrock.aggregation.sender import (
+    HEADER_BYTES,
+    MAX_PAYLOAD_BYTES,
+    AggregationTimings,
+    CollectorId,
+    OutgoingMessage,
+    rank_collectors,
+)
 
 Origin = tuple[str, int]  # name and life
 
 SHARE = 0.5  # of a core, that the words of one zone may take
 WORD_MS = 0.1  # of a core for a word, until it is measured
-MOST_SUMS = 4096  # summaries held, of all zones and collectors
+MAX_SUMMARIES = 4096  # summaries held, of all zones and collectors
 PUSHES = 200  # at a tick: more wait for the next
 HANDS = 16  # datagrams of a handover at a tick
 
 
 @dataclass(frozen=True, slots=True)
-class Peer:
+class MemberInfo:
     """A member as collecting needs it.  `alive`: surely; `there`: alive or unsure."""
 
     name: str
-    life: int
+    incarnation: int
     zone: str
     alive: bool
-    there: bool
-    tells: bool  # it has evidence of its own: an edge
-    collects: bool  # it announces that it collects
+    is_present: bool
+    sends_reports: bool  # it has evidence of its own: an edge
+    is_collector: bool  # it announces that it collects
 
 
-class Fold(Protocol):
+class Summarizer(Protocol):
     """What makes sums of a zone's words; one for all keys.  It holds what it is told, by origin."""
 
-    def take(self, origin: Origin, key: str, value: bytes | None, at_ms: float) -> bool:
+    def receive(self, origin: Origin, key: str, value: bytes | None, at_ms: float) -> bool:
         """Take an entry that was put at a time of this clock; returns whether it was news."""
 
     def forget(self, origin: Origin) -> None:
         """Forget an origin."""
 
-    def parts(self, zone: str, origins: Collection[Origin], now_ms: float) -> dict[str, bytes]:
+    def summarize(self, zone: str, origins: Collection[Origin], now_ms: float) -> dict[str, bytes]:
         """Return the sums over these origins, which are of one zone, by key."""
 
-    def down(self, parts: Mapping[str, Mapping[str, bytes]], now_ms: float) -> tuple[bool, bytes]:
+    def broadcast(self, parts: Mapping[str, Mapping[str, bytes]], now_ms: float) -> tuple[bool, bytes]:
         """Return what all processes are to know: whether evidence is wanted, and opaque bytes.
 
         `parts`: the sums of all zones, by zone and key.
         """
 
 
-class Folds:
+class SummarizerRegistry:
     """Several rooms' folds as one: each is told of all entries, and takes those of its own keys."""
 
     def __init__(self) -> None:
         """Begin with none."""
-        self.folds: dict[str, Fold] = {}
+        self.summarizers: dict[str, Summarizer] = {}
 
-    def add(self, name: str, fold: Fold) -> None:
+    def add(self, name: str, fold: Summarizer) -> None:
         """Add one under a name, by which what it sends down is found (`words.decode_down`)."""
-        self.folds[name] = fold
+        self.summarizers[name] = fold
 
-    def take(self, origin: Origin, key: str, value: bytes | None, at_ms: float) -> bool:
+    def receive(self, origin: Origin, key: str, value: bytes | None, at_ms: float) -> bool:
         """Take an entry that was put at a time of this clock."""
-        return any([fold.take(origin, key, value, at_ms) for fold in self.folds.values()])
+        return any([fold.receive(origin, key, value, at_ms) for fold in self.summarizers.values()])
 
     def forget(self, origin: Origin) -> None:
         """Forget an origin."""
-        for fold in self.folds.values():
+        for fold in self.summarizers.values():
             fold.forget(origin)
 
-    def parts(self, zone: str, origins: Collection[Origin], now_ms: float) -> dict[str, bytes]:
+    def summarize(self, zone: str, origins: Collection[Origin], now_ms: float) -> dict[str, bytes]:
         """Return all sums over these origins."""
         found: dict[str, bytes] = {}
-        for fold in self.folds.values():
-            found |= fold.parts(zone, origins, now_ms)
+        for fold in self.summarizers.values():
+            found |= fold.summarize(zone, origins, now_ms)
         return found
 
-    def down(self, parts: Mapping[str, Mapping[str, bytes]], now_ms: float) -> tuple[bool, bytes]:
+    def broadcast(self, parts: Mapping[str, Mapping[str, bytes]], now_ms: float) -> tuple[bool, bytes]:
         """Return whether any of them wants evidence, and what all of them send down."""
-        found = {name: fold.down(parts, now_ms) for name, fold in sorted(self.folds.items())}
-        return any(stir for stir, _ in found.values()), w.encode_down({n: d for n, (_, d) in found.items()})
+        found = {name: fold.broadcast(parts, now_ms) for name, fold in sorted(self.summarizers.items())}
+        return any(stir for stir, _ in found.values()), w.encode_broadcast(
+            {n: d for n, (_, d) in found.items()}
+        )
 
 
 @dataclass(frozen=True, slots=True)
-class Taken:
+class ReceivedSummary:
     """A zone's sums as they were heard last, and when, on this clock."""
 
-    by: Collector
-    at_ms: float
-    summary: w.Summary  # with the parts of all its pieces
+    collector: CollectorId
+    received_at_ms: float
+    summary: w.ZoneSummary  # with the parts of all its pieces
 
 
 @dataclass(slots=True)
 class _Pieces:
     number: int = -1
-    found: dict[int, w.Summary] = field(default_factory=dict)
+    found: dict[int, w.ZoneSummary] = field(default_factory=dict)
 
 
-class Merged:
+class MergedSummaries:
     """All collectors' summaries, merged: of each zone one, the fullest that is still new."""
 
-    def __init__(self, times: Times) -> None:
+    def __init__(self, times: AggregationTimings) -> None:
         """Begin with none."""
         self.times = times
-        self._pieces: dict[tuple[str, Collector], _Pieces] = {}
-        self._taken: dict[tuple[str, Collector], Taken] = {}
+        self._pieces: dict[tuple[str, CollectorId], _Pieces] = {}
+        self._summaries: dict[tuple[str, CollectorId], ReceivedSummary] = {}
 
-    def take(self, now_ms: float, by: Collector, summary: w.Summary) -> None:
+    def receive(self, now_ms: float, by: CollectorId, summary: w.ZoneSummary) -> None:
         """Take a piece of a summary; older ones than what is held change nothing."""
         key = (summary.zone, by)
-        held = self._taken.get(key)
-        if held is None and len(self._taken) + len(self._pieces) >= MOST_SUMS and key not in self._pieces:
+        held = self._summaries.get(key)
+        if (
+            held is None
+            and len(self._summaries) + len(self._pieces) >= MAX_SUMMARIES
+            and key not in self._pieces
+        ):
             return
         if held is not None and held.summary.number >= summary.number:
             return
@@ -137,42 +150,42 @@
         elif summary.number < pieces.number:
             return
         pieces.found[summary.index] = summary
-        if len(pieces.found) >= summary.of:
+        if len(pieces.found) >= summary.chunks:
             parts: dict[str, bytes] = {}
             for index in sorted(pieces.found):
-                parts |= pieces.found[index].parts
-            whole = w.Summary(
+                parts |= pieces.found[index].sums
+            whole = w.ZoneSummary(
                 summary.zone,
                 summary.number,
-                summary.tellers,
-                summary.recent,
+                summary.senders,
+                summary.recent_senders,
                 summary.members,
                 summary.oldest_ms,
-                summary.unheard,
+                summary.missing,
                 parts,
             )
-            self._taken[key] = Taken(by, now_ms, whole)
+            self._summaries[key] = ReceivedSummary(by, now_ms, whole)
             del self._pieces[key]
 
-    def keep(self, collectors: Collection[Collector]) -> None:
+    def retain(self, collectors: Collection[CollectorId]) -> None:
         """Forget collectors that are not among these."""
-        for table in (self._pieces, self._taken):
+        for table in (self._pieces, self._summaries):
             for key in [k for k in table if k[1] not in collectors]:
                 del table[key]
 
-    def others(self, me: Collector) -> bool:
+    def has_others(self, me: CollectorId) -> bool:
         """Whether another collector's summary is held."""
-        return any(by != me for _, by in self._taken)
+        return any(by != me for _, by in self._summaries)
 
-    def parts(self, now_ms: float) -> dict[str, Mapping[str, bytes]]:
+    def sums(self, now_ms: float) -> dict[str, Mapping[str, bytes]]:
         """Return the sums that count now, by zone and key."""
-        return {zone: taken.summary.parts for zone, taken in self.chosen(now_ms).items()}
+        return {zone: taken.summary.sums for zone, taken in self.current(now_ms).items()}
 
-    def chosen(self, now_ms: float) -> dict[str, Taken]:
+    def current(self, now_ms: float) -> dict[str, ReceivedSummary]:
         """Return the summary of each zone that counts now."""
-        found: dict[str, Taken] = {}
-        for (zone, _), taken in sorted(self._taken.items()):
-            if now_ms - taken.at_ms > self.times.lapse_ms:
+        found: dict[str, ReceivedSummary] = {}
+        for (zone, _), taken in sorted(self._summaries.items()):
+            if now_ms - taken.received_at_ms > self.times.summary_ttl_ms:
                 continue
             best = found.get(zone)
             if best is None or _fuller(taken) > _fuller(best):
@@ -180,8 +193,8 @@
         return found
 
 
-def _fuller(taken: Taken) -> tuple[int, int]:
-    return taken.summary.recent, taken.summary.tellers
+def _fuller(taken: ReceivedSummary) -> tuple[int, int]:
+    return taken.summary.recent_senders, taken.summary.senders
 
 
 @dataclass(slots=True)
@@ -205,20 +218,20 @@
         return any(word.number and word.value is not None for word in self.words.values())
 
 
-class Collect:
+class ReportCollector:
     """One collector."""
 
-    def __init__(self, me: Collector, times: Times, fold: Fold, now_ms: float) -> None:
+    def __init__(self, me: CollectorId, times: AggregationTimings, fold: Summarizer, now_ms: float) -> None:
         """`me`: this process."""
-        self.me, self.times, self.fold = me, times, fold
-        self.merged = Merged(times)
-        self.word_ms = WORD_MS
+        self.me, self.times, self.summarizer = me, times, fold
+        self.summaries = MergedSummaries(times)
+        self.entry_cost_ms = WORD_MS
         self.counts = {"words": 0, "unknown": 0, "deaf": 0, "handed": 0, "pushed": 0, "woke": 0}
-        self._peers: dict[str, Peer] = {}
+        self._peers: dict[str, MemberInfo] = {}
         self._tellers: dict[str, set[str]] = {}  # names that tell, by zone
         self._seats: tuple[str, ...] = ()
-        self._collectors: tuple[Collector, ...] = ()
-        self._owner: dict[str, Collector] = {}
+        self._collectors: tuple[CollectorId, ...] = ()
+        self._owner: dict[str, CollectorId] = {}
         self._origins: dict[str, _Origin] = {}
         self._by_zone: dict[str, set[str]] = {}
         self._number = 0  # of summaries, of what comes down, and of handovers
@@ -234,166 +247,168 @@
 
     # --- who is there
 
-    def roster(self, peers: Iterable[Peer], seats: Iterable[str], now_ms: float) -> None:
+    def update_members(self, peers: Iterable[MemberInfo], seats: Iterable[str], now_ms: float) -> None:
         """Take the members' view, and whom to tell summaries; to be called when either changes."""
-        self._peers = {p.name: p for p in peers if p.there}
-        self._collectors = tuple(sorted((p.name, p.life) for p in self._peers.values() if p.collects))
+        self._peers = {p.name: p for p in peers if p.is_present}
+        self._collectors = tuple(
+            sorted((p.name, p.incarnation) for p in self._peers.values() if p.is_collector)
+        )
         # Other collectors too: what comes down to their tellers is of all zones.
         hear = {*(c[0] for c in self._collectors), *(n for n in seats if n in self._peers)}
         self._seats = tuple(sorted(hear - {self.me[0]}))
         self._tellers = {}
         for peer in self._peers.values():
-            if peer.tells:
+            if peer.sends_reports:
                 self._tellers.setdefault(peer.zone, set()).add(peer.name)
         self._owner.clear()
-        self.merged.keep({*self._collectors, self.me})
+        self.summaries.retain({*self._collectors, self.me})
         for name, held in list(self._origins.items()):
             found = self._peers.get(name)
-            if found is None or not found.alive or found.life != held.life or found.zone != held.zone:
+            if found is None or not found.alive or found.incarnation != held.life or found.zone != held.zone:
                 self._forget(name)
 
     def _forget(self, name: str) -> None:
         held = self._origins.pop(name)
         self._by_zone[held.zone].discard(name)
-        self.fold.forget((name, held.life))
+        self.summarizer.forget((name, held.life))
 
-    def owner(self, zone: str) -> Collector:
+    def owner(self, zone: str) -> CollectorId:
         """Return who collects a zone, as this one sees it."""
         found = self._owner.get(zone)
         if found is None:
-            found = self._owner[zone] = next(iter(ranked(zone, self._collectors)), self.me)
+            found = self._owner[zone] = next(iter(rank_collectors(zone, self._collectors)), self.me)
         return found
 
     def zones(self) -> list[str]:
         """Return the zones of which words are held."""
         return sorted(zone for zone, names in self._by_zone.items() if names)
 
-    def active(self) -> bool:
+    def is_active(self) -> bool:
         """Whether anybody tells collectors, here or elsewhere: then sums are the whole evidence."""
         return self._active
 
-    def unheard(self, now_ms: float) -> list[str]:
+    def incomplete_zones(self, now_ms: float) -> list[str]:
         """Return the zones whose tellers are there, but not in any sums that count; half of them do."""
-        chosen = self.merged.chosen(now_ms)
+        chosen = self.summaries.current(now_ms)
         return sorted(
             zone
             for zone, names in self._tellers.items()
-            if zone not in chosen or 2 * chosen[zone].summary.tellers < len(names)
+            if zone not in chosen or 2 * chosen[zone].summary.senders < len(names)
         )
 
-    def held(self) -> int:
+    def origin_count(self) -> int:
         """Return how many origins' words are held."""
         return len(self._origins)
 
     # --- what comes in
 
-    def receive(self, now_ms: float, sender: str, life: int, message: w.Any) -> list[Out]:
+    def receive(self, now_ms: float, sender: str, life: int, message: w.AnyMessage) -> list[OutgoingMessage]:
         """Take a message of a member; returns what goes out for it."""
         if self._woke(now_ms) or now_ms < self._deaf_until:
             self.counts["deaf"] += 1
             return []
-        if isinstance(message, w.Tell):
+        if isinstance(message, w.Report):
             return self._told(now_ms, sender, life, message)
         if (sender, life) not in self._collectors:
             self.counts["unknown"] += 1  # no collector, as far as is known here
             return []
-        if isinstance(message, w.Summary):
-            self.merged.take(now_ms, (sender, life), message)
-        elif isinstance(message, w.Words):
+        if isinstance(message, w.ZoneSummary):
+            self.summaries.receive(now_ms, (sender, life), message)
+        elif isinstance(message, w.Handover):
             all_known = True
-            for held in message.words:
-                all_known &= self._take(held.name, held.life, held.entry, now_ms)
+            for held in message.entries:
+                all_known &= self._take(held.name, held.incarnation, held.entry, now_ms)
             # Of a process that is not known here yet it comes again.
-            return [Out(sender, w.Had(message.number))] if all_known else []
-        elif isinstance(message, w.Had):
+            return [OutgoingMessage(sender, w.HandoverAck(message.number))] if all_known else []
+        elif isinstance(message, w.HandoverAck):
             for name, its_life, key, number in self._handing.pop(message.number, ()):
                 origin = self._origins.get(name)
                 if origin is not None and origin.life == its_life and key in origin.words:
                     origin.words[key].handed = max(origin.words[key].handed, number)
         return []
 
-    def _told(self, now: float, sender: str, life: int, tell: w.Tell) -> list[Out]:
+    def _told(self, now: float, sender: str, life: int, tell: w.Report) -> list[OutgoingMessage]:
         known = self._peers.get(sender)
-        if known is None or known.life != life or not known.alive:
+        if known is None or known.incarnation != life or not known.alive:
             self.counts["unknown"] += 1
             return []  # no answer: it tells again, and the members know it by then
         self._hear(known, now).here = True
         for entry in tell.entries:
             self._take(sender, life, entry, now)
-        return [Out(sender, self._got([tell.number]))]
+        return [OutgoingMessage(sender, self._got([tell.number]))]
 
-    def _hear(self, peer: Peer, now: float) -> _Origin:
+    def _hear(self, peer: MemberInfo, now: float) -> _Origin:
         held = self._origins.get(peer.name)
-        if held is None or held.life != peer.life or held.zone != peer.zone:
+        if held is None or held.life != peer.incarnation or held.zone != peer.zone:
             if held is not None:
                 self._forget(peer.name)
-            held = self._origins[peer.name] = _Origin(peer.life, peer.zone, now, here=False)
+            held = self._origins[peer.name] = _Origin(peer.incarnation, peer.zone, now, here=False)
             self._by_zone.setdefault(peer.zone, set()).add(peer.name)
         held.heard = max(held.heard, now)
         return held
 
-    def _take(self, name: str, life: int, entry: w.Entry, now: float) -> bool:
+    def _take(self, name: str, life: int, entry: w.ReportEntry, now: float) -> bool:
         """Keep a word if it is the newest; returns whether its origin is known."""
         at = now - entry.age_ms
         known = self._peers.get(name)
-        if known is None or known.life != life or not known.alive:
+        if known is None or known.incarnation != life or not known.alive:
             self.counts["unknown"] += 1
             return False
         held = self._hear(known, at)
         word = held.words.get(entry.key)
-        if word is not None and (word.number, -word.at) >= (entry.number, -at):
+        if word is not None and (word.number, -word.at) >= (entry.version, -at):
             return True
-        if word is None and len(held.words) >= w.MAX_ENTRIES:
+        if word is None and len(held.words) >= w.MAX_ENTRIES_PER_ORIGIN:
             return True
         # The same word heard by two ways is as old as the older of both says.
-        held.words[entry.key] = _Word(entry.number, entry.value, at)
+        held.words[entry.key] = _Word(entry.version, entry.value, at)
         self.counts["words"] += 1
-        self.fold.take((name, life), entry.key, entry.value, at)
+        self.summarizer.receive((name, life), entry.key, entry.value, at)
         return True
 
-    def spread(self, now_ms: float, name: str, life: int, key: str, value: bytes | None) -> None:
+    def receive_gossip(self, now_ms: float, name: str, life: int, key: str, value: bytes | None) -> None:
         """Take an entry that came by the spread: of a process that does not tell collectors."""
         known = self._peers.get(name)
-        if known is None or known.life != life or not known.alive:
+        if known is None or known.incarnation != life or not known.alive:
             return
         held = self._origins.get(name)
         if held is not None and held.life == life and held.tells():
             return  # it tells collectors itself; what is left in the spread may be old
         held = self._hear(known, now_ms)
         word = held.words.get(key)
-        if (word is None or word.value != value) and (word or len(held.words) < w.MAX_ENTRIES):
+        if (word is None or word.value != value) and (word or len(held.words) < w.MAX_ENTRIES_PER_ORIGIN):
             held.words[key] = _Word(0, value, now_ms)
-            self.fold.take((name, life), key, value, now_ms)
+            self.summarizer.receive((name, life), key, value, now_ms)
 
-    def spent(self, words: int, ms: float) -> None:
+    def record_cost(self, words: int, ms: float) -> None:
         """Hear how much of a core so many words took; from it follows how often tellers may tell."""
         if words:
-            self.word_ms += min(1.0, words / 200) * (ms / words - self.word_ms)
+            self.entry_cost_ms += min(1.0, words / 200) * (ms / words - self.entry_cost_ms)
 
     # --- what goes out
 
     def _woke(self, now: float) -> bool:
         """Whether this process stood still just now: then what is held and queued is of unknown age."""
         gap, self._ticked = now - self._ticked, now
-        if gap <= self.times.lapse_ms:
+        if gap <= self.times.summary_ttl_ms:
             return False
         for name in list(self._origins):
             self._forget(name)
         self._handing.clear()
-        self._deaf_until, self._whole = now + self.times.lapse_ms, self._active or self._whole
+        self._deaf_until, self._whole = now + self.times.summary_ttl_ms, self._active or self._whole
         self._woken = now
         self._pushed.clear()
         self.counts["woke"] += 1
         return True
 
-    def tick(self, now_ms: float) -> list[Out]:
+    def tick(self, now_ms: float) -> list[OutgoingMessage]:
         """Return what is due; to be called at least every `tell_ms`."""
         if self._woke(now_ms) or now_ms < self._deaf_until or now_ms < self._next:
             return []
-        self._next = max(now_ms, self._next + self.times.tell_ms)
-        sends: list[Out] = []
+        self._next = max(now_ms, self._next + self.times.summary_interval_ms)
+        sends: list[OutgoingMessage] = []
         told = {zone for zone in self.zones() if self._tells(zone, now_ms)}
-        self._active = bool(told) or self.merged.others(self.me)
+        self._active = bool(told) or self.summaries.has_others(self.me)
         if not self._active:
             # Everybody tells by the spread, as before; or what was told here was forgotten just now.
             return self._pushes(now_ms) if self._whole else []
@@ -401,7 +416,7 @@
             # What came by the spread all seats have; of a zone that tells nobody no summary is needed.
             found = self._summaries(zone, now_ms)
             sends += found if zone in told else []
-        stir, down = self.fold.down(self.merged.parts(now_ms), now_ms)
+        stir, down = self.summarizer.broadcast(self.summaries.sums(now_ms), now_ms)
         if stir != self._stir or down != self._down:
             self._number += 1
         if not stir and not self._whole:
@@ -416,7 +431,7 @@
 
     def _tells(self, zone: str, now: float) -> bool:
         """Whether anybody of a zone tells collectors, be it that there is nothing to tell."""
-        late = 2 * self.times.renew_ms
+        late = 2 * self.times.renewal_interval_ms
         held = [self._origins[name] for name in self._by_zone[zone]]
         return any(o.here and now - o.heard <= late or o.tells() for o in held)
 
@@ -428,7 +443,7 @@
                 names |= tellers
         return sorted(names)
 
-    def _pushes(self, now: float) -> list[Out]:
+    def _pushes(self, now: float) -> list[OutgoingMessage]:
         """Say to those who were not told yet, or whose word did not come, that evidence is wanted."""
         again = max(2 * self._pace(), 1000.0)
         names, waits = [], False
@@ -443,47 +458,47 @@
                 if len(names) >= PUSHES:
                     break
         # Danger: asked for everything in every answer, tellers would never come to an end.
-        self._whole = self._whole and waits and now - self._woken <= 2 * self.times.renew_ms
+        self._whole = self._whole and waits and now - self._woken <= 2 * self.times.renewal_interval_ms
         got = self._got([])
         for name in names:
             self._pushed[name] = now
         self.counts["pushed"] += len(names)
-        return [Out(name, got) for name in names]
+        return [OutgoingMessage(name, got) for name in names]
 
     def _pace(self) -> float:
-        return max(self.times.beat_ms, len(self._origins) * self.word_ms / SHARE)
+        return max(self.times.min_update_interval_ms, len(self._origins) * self.entry_cost_ms / SHARE)
 
-    def _got(self, numbers: list[int]) -> w.Got:
-        window = len(self._mine_zones()) * self.times.beat_ms
-        window = min(self._pace(), max(window, self.times.beat_ms / 2))
+    def _got(self, numbers: list[int]) -> w.ReportAck:
+        window = len(self._mine_zones()) * self.times.min_update_interval_ms
+        window = min(self._pace(), max(window, self.times.min_update_interval_ms / 2))
         whole = self._whole and not numbers
-        return w.Got(numbers, self._number, self._stir, window, self._pace(), whole, self._down)
+        return w.ReportAck(numbers, self._number, self._stir, window, self._pace(), whole, self._down)
 
     def _mine_zones(self) -> list[str]:
         return [zone for zone in self._tellers if self.owner(zone) == self.me]
 
-    def _summaries(self, zone: str, now: float) -> list[Out]:
+    def _summaries(self, zone: str, now: float) -> list[OutgoingMessage]:
         names = self._by_zone[zone]
         origins = {(n, self._origins[n].life) for n in names}
         there = self._tellers.get(zone, set())
         tellers = names & there  # others may tell as well, but are not missed
         heard = [self._origins[n].heard for n in tellers]
-        parts = sorted(self.fold.parts(zone, origins, now).items())
+        parts = sorted(self.summarizer.summarize(zone, origins, now).items())
         groups: list[dict[str, bytes]] = [{}]
-        room = ROOM - 200
+        room = MAX_PAYLOAD_BYTES - 200
         for key, value in parts:
             more = len(key) + len(value) + 6
             if groups[-1] and more > room:
                 groups.append({})
-                room = ROOM - 200
+                room = MAX_PAYLOAD_BYTES - 200
             groups[-1][key] = value
             room -= more
         self._number += 1
-        recent = sum(now - at <= 2 * self.times.lapse_ms for at in heard)
+        recent = sum(now - at <= 2 * self.times.summary_ttl_ms for at in heard)
         unheard = sorted(there - names)[: w.SAMPLE]
         oldest = max(0.0, now - min(heard, default=now))
         found = [
-            w.Summary(
+            w.ZoneSummary(
                 zone,
                 self._number,
                 len(tellers),
@@ -498,16 +513,16 @@
             for index, group in enumerate(groups)
         ]
         for summary in found:
-            self.merged.take(now, self.me, summary)
-        return [Out(name, s) for name in self._seats for s in found]
+            self.summaries.receive(now, self.me, summary)
+        return [OutgoingMessage(name, s) for name in self._seats for s in found]
 
-    def _hand(self, zone: str, now: float) -> list[Out]:
+    def _hand(self, zone: str, now: float) -> list[OutgoingMessage]:
         """Hand words over to who collects their zone; forget them once all are acknowledged."""
         to, names = self.owner(zone), sorted(self._by_zone[zone])
-        sends: list[Out] = []
+        sends: list[OutgoingMessage] = []
         batch: list[tuple[str, int, str, int]] = []
-        held: list[w.Held] = []
-        room, left = ROOM - HEAD, False
+        held: list[w.HeldEntry] = []
+        room, left = MAX_PAYLOAD_BYTES - HEADER_BYTES, False
         if len(self._handing) > 4 * HANDS:
             self._handing.clear()  # what was not answered is handed over again
 
@@ -515,8 +530,8 @@
             nonlocal batch, held, room
             self._number += 1
             self._handing[self._number] = batch
-            sends.append(Out(to[0], w.Words(self._number, zone, held)))
-            batch, held, room = [], [], ROOM - HEAD
+            sends.append(OutgoingMessage(to[0], w.Handover(self._number, zone, held)))
+            batch, held, room = [], [], MAX_PAYLOAD_BYTES - HEADER_BYTES
 
         for name in names:
             origin = self._origins[name]
@@ -526,11 +541,11 @@
                 left = True
                 if len(sends) >= HANDS:
                     break
-                entry = w.Entry(key, word.number, word.value, round(max(0.0, now - word.at)))
-                one = w.Held(name, origin.life, entry)
-                if held and w.size(one) > room:
+                entry = w.ReportEntry(key, word.number, word.value, round(max(0.0, now - word.at)))
+                one = w.HeldEntry(name, origin.life, entry)
+                if held and w.encoded_size(one) > room:
                     close()
-                room -= w.size(one)
+                room -= w.encoded_size(one)
                 held.append(one)
                 batch.append((name, origin.life, key, word.number))
         if held:
@@ -548,13 +563,13 @@
             "held": len(self._origins),
             "zones": {
                 zone: {
-                    "by": t.by[0],
-                    "tellers": t.summary.tellers,
+                    "by": t.collector[0],
+                    "tellers": t.summary.senders,
                     "members": t.summary.members,
                     "oldest_ms": round(t.summary.oldest_ms),
-                    "unheard": t.summary.unheard,
+                    "unheard": t.summary.missing,
                 }
-                for zone, t in self.merged.chosen(now_ms).items()
+                for zone, t in self.summaries.current(now_ms).items()
             },
             "stir": self._stir,
             "counts": dict(self.counts),
--- a/cressrock/collect/words.py
+++ b/cressrock/aggregation/messages.py
@@ -18,23 +18,23 @@
 import msgspec
 from msgspec import Meta, Struct
 
-from cressrock.errors.collect import CollectMalformed, CollectVersion
+from cressrock.errors.aggregation import MalformedAggregationMessageError, UnsupportedAggregationVersionError
 
 VERSION = 1
-CAPABLE = b"collect/1"  # what a collector says of itself among the members (`About.extra`)
-MAX_KEY, MAX_VALUE = 64, 640  # bytes, as the spread's own
-MAX_ENTRIES = 256  # of one origin
+CAPABILITY = b"collect/1"  # what a collector says of itself among the members (`About.extra`)
+MAX_KEY_BYTES, MAX_VALUE_BYTES = 64, 640  # bytes, as the spread's own
+MAX_ENTRIES_PER_ORIGIN = 256  # of one origin
 SAMPLE = 8  # names of those who were not heard
 
 Count = Annotated[int, Meta(ge=0, le=2**53)]
 Ms = Annotated[float, Meta(ge=0, le=1e12)]
-Key = Annotated[str, Meta(min_length=1, max_length=MAX_KEY)]
+Key = Annotated[str, Meta(min_length=1, max_length=MAX_KEY_BYTES)]
 Name = Annotated[str, Meta(min_length=1, max_length=64)]
-Value = Annotated[bytes, Meta(max_length=MAX_VALUE)]
+Value = Annotated[bytes, Meta(max_length=MAX_VALUE_BYTES)]
 Opaque = Annotated[bytes, Meta(max_length=4096)]
 
 
-class Entry(Struct, frozen=True, array_like=True):
+class ReportEntry(Struct, frozen=True, array_like=True):
     """One word: `number` grows with each change within the teller's life; None: the key was removed.
 
     `age_ms`: how long ago it was put, by its teller's clock, and then by those of collectors that handed it
@@ -42,7 +42,7 @@
     """
 
     key: Key
-    number: Count
+    version: Count
     value: Value | None
     age_ms: Ms = 0.0
 
@@ -51,14 +51,14 @@
     """Any message of the collectors."""
 
 
-class Tell(Message, frozen=True, tag=1):
+class Report(Message, frozen=True, tag=1):
     """A teller's word.  An empty one says that the teller is there and has nothing to say."""
 
     number: Count  # of this telling, to be named in the answer
-    entries: Annotated[list[Entry], Meta(max_length=MAX_ENTRIES)] = []
+    entries: Annotated[list[ReportEntry], Meta(max_length=MAX_ENTRIES_PER_ORIGIN)] = []
 
 
-class Got(Message, frozen=True, tag=2):
+class ReportAck(Message, frozen=True, tag=2):
     """What arrived, and what comes down.
 
     `numbers`: of tellings; empty: a push.  `stir`: evidence is wanted from all, within `window_ms` (drawn by
@@ -66,38 +66,38 @@
     orders those of one collector's life.
     """
 
-    numbers: Annotated[list[Count], Meta(max_length=MAX_ENTRIES)]
-    at: Count
-    stir: bool
+    numbers: Annotated[list[Count], Meta(max_length=MAX_ENTRIES_PER_ORIGIN)]
+    broadcast_number: Count
+    evidence_requested: bool
     window_ms: Ms
     pace_ms: Ms
-    whole: bool = False
-    down: Opaque = b""
+    resend_all: bool = False
+    broadcast: Opaque = b""
 
 
-class Held(Struct, frozen=True, array_like=True):
+class HeldEntry(Struct, frozen=True, array_like=True):
     """One origin's word as a collector holds it."""
 
     name: Name
-    life: Count
-    entry: Entry
+    incarnation: Count
+    entry: ReportEntry
 
 
-class Words(Message, frozen=True, tag=3):
+class Handover(Message, frozen=True, tag=3):
     """Words of a zone that the receiver collects."""
 
     number: Count
     zone: Annotated[str, Meta(max_length=64)]
-    words: Annotated[list[Held], Meta(max_length=1024)]
+    entries: Annotated[list[HeldEntry], Meta(max_length=1024)]
 
 
-class Had(Message, frozen=True, tag=4):
+class HandoverAck(Message, frozen=True, tag=4):
     """The answer to `Words`: those of this number are held here."""
 
     number: Count
 
 
-class Summary(Message, frozen=True, tag=5):
+class ZoneSummary(Message, frozen=True, tag=5):
     """What one zone's tellers come to at one collector.
 
     `number` grows with each telling of this collector's life.  `tellers` were heard, `recent` of them of
@@ -108,57 +108,61 @@
 
     zone: Annotated[str, Meta(max_length=64)]
     number: Count
-    tellers: Count
-    recent: Count
+    senders: Count
+    recent_senders: Count
     members: Count
     oldest_ms: Ms
-    unheard: Annotated[list[Name], Meta(max_length=SAMPLE)]
-    parts: Annotated[dict[Key, Opaque], Meta(max_length=256)]
+    missing: Annotated[list[Name], Meta(max_length=SAMPLE)]
+    sums: Annotated[dict[Key, Opaque], Meta(max_length=256)]
     index: Annotated[int, Meta(ge=0, le=63)] = 0
-    of: Annotated[int, Meta(ge=1, le=64)] = 1
+    chunks: Annotated[int, Meta(ge=1, le=64)] = 1
 
 
-Any = Tell | Got | Words | Had | Summary
+AnyMessage = Report | ReportAck | Handover | HandoverAck | ZoneSummary
 
 _encode = msgspec.msgpack.Encoder().encode
-_decoder = msgspec.msgpack.Decoder(Any)
+_decoder = msgspec.msgpack.Decoder(AnyMessage)
 
 
-def encode(message: Any) -> bytes:
+def encode(message: AnyMessage) -> bytes:
     """Return a message's bytes."""
     return bytes((VERSION,)) + _encode(message)
 
 
-def decode(data: bytes) -> Any:
+def decode(data: bytes) -> AnyMessage:
     """Read a message.  Raises CollectMalformed, CollectVersion."""
     if not data:
-        raise CollectMalformed("no bytes where a message of the collectors should be")
+        raise MalformedAggregationMessageError("no bytes where a message of the collectors should be")
     if data[0] != VERSION:
-        raise CollectVersion(f"a collectors' message of version {data[0]}; this program reads {VERSION}")
+        raise UnsupportedAggregationVersionError(
+            f"a collectors' message of version {data[0]}; this program reads {VERSION}"
+        )
     try:
         return _decoder.decode(memoryview(data)[1:])
     except (msgspec.DecodeError, RecursionError, UnicodeDecodeError) as wrong:
-        raise CollectMalformed(f"a collectors' message that cannot be read: {str(wrong)[:200]}") from None
+        raise MalformedAggregationMessageError(
+            f"a collectors' message that cannot be read: {str(wrong)[:200]}"
+        ) from None
 
 
 _down = msgspec.msgpack.Decoder(dict[Key, bytes])
 
 
-def encode_down(rooms: dict[str, bytes]) -> bytes:
+def encode_broadcast(rooms: dict[str, bytes]) -> bytes:
     """Return what comes down, of each room by its name."""
     return _encode(rooms)
 
 
-def decode_down(data: bytes) -> dict[str, bytes]:
+def decode_broadcast(data: bytes) -> dict[str, bytes]:
     """Read what comes down.  Raises CollectMalformed."""
     if not data:
         return {}
     try:
         return _down.decode(data)
     except (msgspec.DecodeError, RecursionError, UnicodeDecodeError) as wrong:
-        raise CollectMalformed(f"what came down cannot be read: {str(wrong)[:200]}") from None
+        raise MalformedAggregationMessageError(f"what came down cannot be read: {str(wrong)[:200]}") from None
 
 
-def size(value: Entry | Held) -> int:
+def encoded_size(value: ReportEntry | HeldEntry) -> int:
     """Return an element's bytes on the wire."""
     return len(_encode(value))
--- a/cressrock/benchlink.py
+++ b/cressrock/benchlink.py
@@ -10,14 +10,13 @@
 from collections.abc import Callable
 from typing import TextIO
 
-from cressrock.brain import Brain
-from cressrock.config import settings_from
+from cressrock.config import parse_settings
 from cressrock.interface import (
     Action,
     Arrival,
+    AttemptEnded,
     Cancel,
     ClientLeft,
-    Ended,
     Event,
     Fail,
     ListKind,
@@ -26,12 +25,13 @@
     NodeList,
     NodeState,
     Outcome,
-    Refuse,
+    Reject,
     Send,
     SetTimer,
     Subscribe,
-    Wake,
+    TimerFired,
 )
+from cressrock.scheduler.scheduler import Scheduler
 
 OUTCOMES = {
     "0": Outcome.OK,
@@ -40,7 +40,7 @@
     "104": Outcome.RESET,
     "110": Outcome.TIMEOUT,
     "111": Outcome.NO_CONNECTION,
-    "114": Outcome.MOOT,
+    "114": Outcome.ABANDONED,
     "125": Outcome.CANCELLED,
 }
 STATES = {"0": NodeState.GONE, "1": NodeState.READY, "2": NodeState.DRAINING}
@@ -57,7 +57,7 @@
         name=value["server"],
         shard=int(value.get("cluster", 0)),
         zone=int(value.get("area", 0)),
-        up_since_ms=float(value.get("up_since_ms", 0)),
+        started_at_ms=float(value.get("up_since_ms", 0)),
         state=STATES[value.get("stage_state", "0")],
     )
 
@@ -72,21 +72,21 @@
         plan=int(value.get("plan", 0)),
         request_class=int(value.get("cls", 0)),
         shard=int(float(value.get("lies_in", -1))),
-        writers=int(value.get("writers", 0)),
+        sharing_hosts=int(value.get("writers", 0)),
     )
 
 
 def _ended(value: dict[str, str]) -> Event:
-    return Ended(
+    return AttemptEnded(
         request=value["tid"],
         attempt=int(value.get("shot", 0)),
         outcome=OUTCOMES[value.get("code", "0")],
         settled=value.get("settled", "0") == "1",
-        lag_ms=float(value.get("lag_ms", 0)),
-        used=int(float(value.get("metered", 0))),
-        elsewhere=float(value.get("delta", 0)),
+        latency_ms=float(value.get("lag_ms", 0)),
+        reported_usage=int(float(value.get("metered", 0))),
+        units_elsewhere=float(value.get("delta", 0)),
         # The simulator's stores take a request's units as its first attempt is sent; a moot one never is.
-        reached=OUTCOMES[value.get("code", "0")] is not Outcome.MOOT,
+        charged=OUTCOMES[value.get("code", "0")] is not Outcome.ABANDONED,
     )
 
 
@@ -94,7 +94,7 @@
     "INBOUND": _arrival,
     "COMPLETED": _ended,
     "TIMED_OUT_CLIENT": lambda value: ClientLeft(value["tid"]),
-    "TIMEOUT_FIRED": lambda value: Wake(int(value.get("ctx", 0))),
+    "TIMEOUT_FIRED": lambda value: TimerFired(int(value.get("ctx", 0))),
 }
 
 
@@ -108,7 +108,7 @@
             # A microsecond too early, the module finds nothing due and no timer to set anew: it sleeps on.
             early = float(f"{at:.3f}") < at
             return f"SET_TIMER dispatcher={instance} alarm_time_ms={at + 0.001 * early:.3f} ctx={token}"
-        case Refuse(request, away):
+        case Reject(request, away):
             advice = f" hold_off_ms={away:.3f}" if away else ""
             return f"BOUNCE dispatcher={instance} tid={request}{advice}"
         case Fail(request):
@@ -130,7 +130,7 @@
         self.source = source
         self.sink = sink
         self.line_number = 0
-        self.brains: dict[int, Brain] = {}
+        self.brains: dict[int, Scheduler] = {}
         self.lists: dict[int, tuple[Node, ...]] = {}
 
     def run(self) -> None:
@@ -194,7 +194,7 @@
         instance = int(value["dispatcher"])
         if word == "BEGIN":
             config = json.loads(value["config"])
-            self.brains[instance] = Brain(settings_from(config), int(value.get("prng", 0)), now_ms)
+            self.brains[instance] = Scheduler(parse_settings(config), int(value.get("prng", 0)), now_ms)
             queued[instance] = []
         elif word == "SHUTDOWN":
             self.brains.pop(instance, None)
--- a/cressrock/cli/main.py
+++ b/cressrock/cli/main.py
@@ -21,10 +21,10 @@
 
 from cressrock import net
 from cressrock.errors import CressrockError
-from cressrock.errors.listening import AddressUnavailable
-from cressrock.gateway import Gateway, World
+from cressrock.errors.listening import AddressUnavailableError
 from cressrock.http.server import Server
 from cressrock.observe import logs
+from cressrock.programs.gateway import Environment, Gateway
 from cressrock.settings import SettingsError, evaluate, load
 from cressrock.settings.load import convert
 
@@ -145,24 +145,24 @@
 
 
 async def _plan(settings: Any) -> None:
-    from cressrock.plan import PlannerProgram
+    from cressrock.programs.planner import PlannerProgram
 
     log = logs.logger(planner=settings.name)
-    program = PlannerProgram(settings, World(net.connect, net.wall_ms, settings.seed or _seed(), log))
+    program = PlannerProgram(settings, Environment(net.connect, net.wall_ms, settings.seed or _seed(), log))
     async with anyio.create_task_group() as tasks:
         await tasks.start(program.run)
         address, close = await net.listen(
             settings.pair.listen, program.serve, tasks, setting="pair.listen", log=log
         )
         admin = await _admin(settings, program.admin, tasks, log)
-        bound = program.ground.addresses if program.ground is not None else {}
+        bound = program.runtime.addresses if program.runtime is not None else {}
         log.info("planning", address=address, admin=admin, epoch=program.epoch, version=_version(), **bound)
         with anyio.open_signal_receiver(signal.SIGTERM, signal.SIGINT) as signals:
             async for _ in signals:
                 break
         await close()
-        if program.ground is not None:
-            await program.ground.leave()
+        if program.runtime is not None:
+            await program.runtime.leave()
         log.info("stopped")
         tasks.cancel_scope.cancel()
 
@@ -176,7 +176,7 @@
         while isinstance(error, BaseExceptionGroup):
             error = error.exceptions[0]
         if isinstance(error, net.BindError):
-            error = AddressUnavailable(str(error))
+            error = AddressUnavailableError(str(error))
         _stop(UNAVAILABLE, str(error))
     except* CressrockError as group:
         error = group
@@ -189,14 +189,14 @@
 
 async def _serve(path: str, variables: dict[str, str], settings: Any) -> None:
     log = logs.logger(dispatcher=settings.name)
-    gateway = Gateway(settings, World(net.connect, net.wall_ms, settings.seed or _seed(), log))
+    gateway = Gateway(settings, Environment(net.connect, net.wall_ms, settings.seed or _seed(), log))
     async with anyio.create_task_group() as tasks:
         await tasks.start(gateway.run)
         address, close = await net.listen(
             settings.front.listen, gateway.serve, tasks, setting="front.listen", log=log
         )
         admin = await _admin(settings, gateway.admin, tasks, log)
-        bound = gateway.ground.addresses if gateway.ground is not None else {}
+        bound = gateway.runtime.addresses if gateway.runtime is not None else {}
         log.info("serving", address=address, admin=admin, version=_version(), **bound)
         await _signals(gateway, path, variables, log)
         log.info("stopping", owed=len(gateway.driver.ledger.entries) if gateway.driver else 0)
--- a/cressrock/council/decrees.py
+++ b/cressrock/consensus/decisions.py
@@ -29,39 +29,41 @@
 
 import msgspec
 
-from cressrock.errors.council import BadDecree, StoreNewer
+from cressrock.errors.consensus import InvalidDecisionError, StoreTooNewError
 
-VERSION = 1
-COUNT = 32  # bits of a beat that count within a term
+FORMAT_VERSION = 1
+RENEWAL_COUNT_BITS = 32  # bits of a beat that count within a term
 
 _T = TypeVar("_T")
 Text = Annotated[str, msgspec.Meta(max_length=256)]
 Topic = Annotated[str, msgspec.Meta(min_length=1, max_length=256)]
-MOST_TOPICS = 16384  # that a reader keeps: one for each of 10,000 servers, and others; `Limits` has its own
-MAX_VALUE = 1 << 19  # the codec's outermost bound; limits are far lower
-Value = Annotated[bytes, msgspec.Meta(max_length=MAX_VALUE)]
+MAX_TOPICS = 16384  # that a reader keeps: one for each of 10,000 servers, and others; `Limits` has its own
+MAX_VALUE_BYTES = 1 << 19  # the codec's outermost bound; limits are far lower
+Value = Annotated[bytes, msgspec.Meta(max_length=MAX_VALUE_BYTES)]
 Whole = Annotated[int, msgspec.Meta(ge=0, le=2**63 - 1)]
 Hold = Annotated[float, msgspec.Meta(gt=0, le=86_400_000)]
 
 
-class Limits(msgspec.Struct, frozen=True, array_like=True):
+class DecisionLimits(msgspec.Struct, frozen=True, array_like=True):
     """Bounds of the council's memory; part of the replicated state."""
 
     max_topics: Annotated[int, msgspec.Meta(ge=1, le=1 << 20)] = 4096  # a few hundred volumes, zones, rooms
-    max_value: Annotated[int, msgspec.Meta(ge=1, le=MAX_VALUE)] = 49152  # below raft max_entry
-    max_bytes: Annotated[int, msgspec.Meta(ge=1, le=1 << 26)] = 4 << 20  # a snapshot crosses in a second
+    max_value_bytes: Annotated[int, msgspec.Meta(ge=1, le=MAX_VALUE_BYTES)] = 49152  # below raft max_entry
+    max_total_bytes: Annotated[int, msgspec.Meta(ge=1, le=1 << 26)] = (
+        4 << 20
+    )  # a snapshot crosses in a second
     max_requests: Annotated[int, msgspec.Meta(ge=1, le=1 << 20)] = 4096  # repeats come within seconds
 
 
-class Decree(msgspec.Struct, frozen=True, array_like=True):
+class Decision(msgspec.Struct, frozen=True, array_like=True):
     """One decision: topic, number, value, how long it counts without renewal, who asked, newest beat."""
 
     topic: Topic
-    number: Whole
+    version: Whole
     value: Value
-    hold_ms: Hold
-    by: Text = ""
-    renewed: Whole = 0
+    lease_ms: Hold
+    author: Text = ""
+    renewal: Whole = 0
 
 
 class Decide(msgspec.Struct, frozen=True, array_like=True, tag="decide"):
@@ -69,56 +71,56 @@
 
     topic: Topic
     value: Value
-    hold_ms: Hold
-    by: Text
-    request: Topic
-    asked_at: Whole
-    if_number: Whole | None = None
+    lease_ms: Hold
+    author: Text
+    request_id: Topic
+    asked_at_index: Whole
+    if_version: Whole | None = None
 
 
 class Drop(msgspec.Struct, frozen=True, array_like=True, tag="drop"):
     """Let nothing stand for `topic`: it is renewed no more and expires at its readers."""
 
     topic: Topic
-    request: Topic
-    asked_at: Whole
-    if_number: Whole | None = None
+    request_id: Topic
+    asked_at_index: Whole
+    if_version: Whole | None = None
 
 
-class Ground(msgspec.Struct, frozen=True, array_like=True, tag="ground"):
+class SetVersionBase(msgspec.Struct, frozen=True, array_like=True, tag="ground"):
     """Let numbers go on above `number`, and set limits; the first leader's first command.
 
     After a recovery from a lost majority `sure` is the last index that the recovered store knew as committed:
     what stands from after it gets a new number, since the old one may have been given to something else.
     """
 
-    number: Whole
-    limits: Limits | None = None
-    sure: Whole | None = None
+    version_base: Whole
+    limits: DecisionLimits | None = None
+    committed_index: Whole | None = None
 
 
-Command = Decide | Drop | Ground
+Command = Decide | Drop | SetVersionBase
 
 
 class Done(msgspec.Struct, frozen=True, array_like=True, tag="done"):
     """What a request came to: the decree's number, or that of the drop."""
 
-    number: Whole
+    version: Whole
 
 
-class Clash(msgspec.Struct, frozen=True, array_like=True, tag="clash"):
+class VersionConflict(msgspec.Struct, frozen=True, array_like=True, tag="clash"):
     """The number that was asked for does not stand; this one does (0: none)."""
 
-    number: Whole
+    version: Whole
 
 
-class Refused(msgspec.Struct, frozen=True, array_like=True, tag="refused"):
+class Rejected(msgspec.Struct, frozen=True, array_like=True, tag="refused"):
     """Not applied, by a stated reason: too-large, too-many, forgotten."""
 
     reason: Text
 
 
-Outcome = Done | Clash | Refused
+Outcome = Done | VersionConflict | Rejected
 
 
 class _State(msgspec.Struct, frozen=True, array_like=True):
@@ -126,40 +128,40 @@
 
     applied: Whole
     offset: Whole
-    limits: Limits
+    limits: DecisionLimits
     forgotten: Whole
-    decrees: list[Decree]
+    decrees: list[Decision]
     requests: list[tuple[str, int, Outcome]]
 
 
 _encoder = msgspec.msgpack.Encoder()
 _command = msgspec.msgpack.Decoder(Command)
-_decree = msgspec.msgpack.Decoder(Decree)
+_decree = msgspec.msgpack.Decoder(Decision)
 _state = msgspec.msgpack.Decoder(_State)
 _seen = msgspec.msgpack.Decoder(tuple[int, dict[str, tuple[int, int]]])
 
 
 def _take(decoder: msgspec.msgpack.Decoder[_T], data: bytes, what: str) -> _T:
     if not data:
-        raise BadDecree(f"no bytes where {what} should be")
-    if data[0] > VERSION:
-        raise StoreNewer(f"{what} of version {data[0]}; this program knows up to {VERSION}")
+        raise InvalidDecisionError(f"no bytes where {what} should be")
+    if data[0] > FORMAT_VERSION:
+        raise StoreTooNewError(f"{what} of version {data[0]}; this program knows up to {FORMAT_VERSION}")
     if data[0] < 1:
-        raise BadDecree(f"{what} of version {data[0]}")
+        raise InvalidDecisionError(f"{what} of version {data[0]}")
     try:
         return decoder.decode(data[1:])
     except (msgspec.DecodeError, RecursionError) as wrong:
-        raise BadDecree(f"{what} that cannot be read: {str(wrong)[:200]}") from None
+        raise InvalidDecisionError(f"{what} that cannot be read: {str(wrong)[:200]}") from None
 
 
-def spread_key(topic: str) -> str:
+def gossip_key(topic: str) -> str:
     """Return the key under which seats put a topic's decree (as `encode` gives it) into the spread."""
     return f"decree/{topic}"
 
 
-def encode(message: Command | Decree) -> bytes:
+def encode(message: Command | Decision) -> bytes:
     """Return a command's or decree's bytes: one byte of version, then MessagePack."""
-    return bytes((VERSION,)) + _encoder.encode(message)
+    return bytes((FORMAT_VERSION,)) + _encoder.encode(message)
 
 
 def decode_command(data: bytes) -> Command:
@@ -167,38 +169,38 @@
     return _take(_command, data, "a command")
 
 
-def decode_decree(data: bytes) -> Decree:
+def decode_decision(data: bytes) -> Decision:
     """Read a decree.  Raises BadDecree; StoreNewer where only a newer program knows it."""
     return _take(_decree, data, "a decree")
 
 
-class Decrees:
+class DecisionState:
     """The state that the committed log makes; the same at every seat that applied the same index."""
 
-    def __init__(self, limits: Limits | None = None) -> None:
+    def __init__(self, limits: DecisionLimits | None = None) -> None:
         """Begin empty; the limits hold until a Ground sets others."""
-        self.limits = limits or Limits()
+        self.limits = limits or DecisionLimits()
         self.applied = 0
-        self.offset = 0
-        self.forgotten = 0  # requests first asked at or before this index may have been forgotten
-        self.bytes = 0
-        self._decrees: dict[str, Decree] = {}
+        self.version_offset = 0
+        self.forgotten_until_index = 0  # requests first asked at or before this index may have been forgotten
+        self.total_bytes = 0
+        self._decrees: dict[str, Decision] = {}
         self._requests: OrderedDict[str, tuple[int, Outcome]] = OrderedDict()
 
     # --- reading
 
-    def get(self, topic: str) -> Decree | None:
+    def get(self, topic: str) -> Decision | None:
         """Return what stands for a topic."""
         return self._decrees.get(topic)
 
-    def all(self) -> tuple[Decree, ...]:
+    def all_decisions(self) -> tuple[Decision, ...]:
         """Return everything that stands, by topic."""
         return tuple(self._decrees[topic] for topic in sorted(self._decrees))
 
     @property
-    def number(self) -> int:
+    def version(self) -> int:
         """The newest number that can have been given."""
-        return self.applied + self.offset
+        return self.applied + self.version_offset
 
     def outcome(self, request: str) -> Outcome | None:
         """Return what a request came to, if it was applied and is remembered."""
@@ -214,72 +216,74 @@
         then, since to pass over what others apply would part it from them without a word.
         """
         if index != self.applied + 1:
-            raise BadDecree(f"entry {index} after {self.applied}")
+            raise InvalidDecisionError(f"entry {index} after {self.applied}")
         command = decode_command(data) if data else None
         self.applied = index
         if command is None:
             return None
-        if isinstance(command, Ground):
-            stale = self._after(command.sure) if command.sure is not None else []
+        if isinstance(command, SetVersionBase):
+            stale = self._after(command.committed_index) if command.committed_index is not None else []
             # Never below: a repeat, or a clock that was set back, must not let a number be given twice.
-            self.offset = max(self.offset + len(stale), command.number - index)
+            self.version_offset = max(self.version_offset + len(stale), command.version_base - index)
             for back, decree in enumerate(reversed(stale)):
-                renumbered = msgspec.structs.replace(decree, number=self.number - back)
+                renumbered = msgspec.structs.replace(decree, version=self.version - back)
                 self._decrees[decree.topic] = renumbered
             if command.limits is not None:
                 self.limits = command.limits
                 self._forget()
-            return command, Done(self.number)
-        if (known := self._requests.get(command.request)) is not None:
+            return command, Done(self.version)
+        if (known := self._requests.get(command.request_id)) is not None:
             return command, known[1]
-        if command.asked_at < self.forgotten:
-            return command, Refused("forgotten")
+        if command.asked_at_index < self.forgotten_until_index:
+            return command, Rejected("forgotten")
         outcome = self._decide(command) if isinstance(command, Decide) else self._drop(command)
-        self._requests[command.request] = (index, outcome)
+        self._requests[command.request_id] = (index, outcome)
         self._forget()
         return command, outcome
 
-    def _after(self, sure: int) -> list[Decree]:
-        found = (decree for decree in self._decrees.values() if decree.number > sure + self.offset)
-        return sorted(found, key=lambda decree: decree.number)
+    def _after(self, sure: int) -> list[Decision]:
+        found = (decree for decree in self._decrees.values() if decree.version > sure + self.version_offset)
+        return sorted(found, key=lambda decree: decree.version)
 
     def _forget(self) -> None:
         while len(self._requests) > self.limits.max_requests:
             _, (index, _) = self._requests.popitem(last=False)
-            self.forgotten = max(self.forgotten, index)
+            self.forgotten_until_index = max(self.forgotten_until_index, index)
 
     def _stands(self, topic: str) -> int:
         found = self._decrees.get(topic)
-        return found.number if found else 0
+        return found.version if found else 0
 
     def _decide(self, command: Decide) -> Outcome:
         stands = self._stands(command.topic)
-        if command.if_number is not None and command.if_number != stands:
-            return Clash(stands)
+        if command.if_version is not None and command.if_version != stands:
+            return VersionConflict(stands)
         old = self._decrees.get(command.topic)
         size = len(command.topic.encode()) + len(command.value)
-        grown = self.bytes + size - (self._size(old) if old else 0)
-        over = grown > max(self.limits.max_bytes, self.bytes)  # what makes it smaller is always taken
-        if over or len(command.value) > self.limits.max_value:
-            return Refused("too-large")
+        grown = self.total_bytes + size - (self._size(old) if old else 0)
+        over = grown > max(
+            self.limits.max_total_bytes, self.total_bytes
+        )  # what makes it smaller is always taken
+        if over or len(command.value) > self.limits.max_value_bytes:
+            return Rejected("too-large")
         if old is None and len(self._decrees) >= self.limits.max_topics:
-            return Refused("too-many")
-        self.bytes = grown
-        self._decrees[command.topic] = Decree(
-            command.topic, self.number, command.value, command.hold_ms, command.by
+            return Rejected("too-many")
+        self.total_bytes = grown
+        self._decrees[command.topic] = Decision(
+            command.topic, self.version, command.value, command.lease_ms, command.author
         )
-        return Done(self.number)
+        return Done(self.version)
 
     def _drop(self, command: Drop) -> Outcome:
         stands = self._stands(command.topic)
-        if command.if_number is not None and command.if_number != stands:
-            return Clash(stands)
+        if command.if_version is not None and command.if_version != stands:
+            return VersionConflict(stands)
         if (old := self._decrees.pop(command.topic, None)) is not None:
-            self.bytes -= self._size(old)
-        return Done(self.number)
+            self.total_bytes -= self._size(old)
+        return Done(self.version)
 
     @staticmethod
-    def _size(decree: Decree) -> int:
+    def _size(decree: Decision) -> int:
         return len(decree.topic.encode()) + len(decree.value)
 
     # --- snapshots
@@ -287,11 +291,18 @@
     def snapshot(self) -> bytes:
         """Return the whole state; equal states give equal bytes."""
         requests = [(name, index, outcome) for name, (index, outcome) in self._requests.items()]
-        state = _State(self.applied, self.offset, self.limits, self.forgotten, list(self.all()), requests)
-        return bytes((VERSION,)) + _encoder.encode(state)
+        state = _State(
+            self.applied,
+            self.version_offset,
+            self.limits,
+            self.forgotten_until_index,
+            list(self.all_decisions()),
+            requests,
+        )
+        return bytes((FORMAT_VERSION,)) + _encoder.encode(state)
 
     @classmethod
-    def restore(cls, data: bytes, applied: int = 0) -> Decrees:
+    def restore(cls, data: bytes, applied: int = 0) -> DecisionState:
         """Return the state of a snapshot; b"" is the empty state, at index `applied`.
 
         Raises BadDecree; StoreNewer where only a newer program knows it.
@@ -301,35 +312,35 @@
             self.applied = applied
             return self
         state = _take(_state, data, "a snapshot")
-        self.limits, self.applied, self.offset = state.limits, state.applied, state.offset
-        self.forgotten = state.forgotten
+        self.limits, self.applied, self.version_offset = state.limits, state.applied, state.offset
+        self.forgotten_until_index = state.forgotten
         for decree in state.decrees:
             self._decrees[decree.topic] = decree
-            self.bytes += self._size(decree)
+            self.total_bytes += self._size(decree)
         for name, index, outcome in state.requests:
             self._requests[name] = (index, outcome)
         return self
 
 
-class Beats:
+class LeaseRenewals:
     """The leader's side of renewal: which beat a confirmed read index earns."""
 
-    def __init__(self, most: int = 2048) -> None:
+    def __init__(self, max_pending: int = 2048) -> None:
         """Begin without a beat; at most `most` questions wait, above what a seat lets wait for a read."""
-        self.most = most
-        self.beat = 0
+        self.max_pending = max_pending
+        self.last_renewal = 0
         self._asked: dict[int, tuple[int, float]] = {}  # token -> term in which it was asked, and when
         self._token = 0
 
     def ask(self, term: int, now_ms: float) -> int:
         """Return a token to ask a read index under, in this term."""
         self._token += 1
-        while len(self._asked) >= self.most:  # a leader without a quorum asks again and again
+        while len(self._asked) >= self.max_pending:  # a leader without a quorum asks again and again
             self._asked.pop(next(iter(self._asked)))
         self._asked[self._token] = (term, now_ms)
         return self._token
 
-    def confirmed(self, token: int, term: int, now_ms: float, within_ms: float) -> int | None:
+    def confirm(self, token: int, term: int, now_ms: float, within_ms: float) -> int | None:
         """Return the beat for a confirmed read; None where the term has changed or too long has passed.
 
         A process that was stopped between the quorum's word and its own would else renew, on waking, what
@@ -339,19 +350,19 @@
         if asked is None or asked[0] != term or now_ms >= asked[1] + within_ms:
             return None
         # A read index is confirmed only by a quorum that still followed this term after it was asked.
-        self.beat = max(self.beat + 1, (term << COUNT) + 1)
-        return self.beat
+        self.last_renewal = max(self.last_renewal + 1, (term << RENEWAL_COUNT_BITS) + 1)
+        return self.last_renewal
 
 
 @dataclass(frozen=True, slots=True)
 class Expired:
     """A decree whose hold is over, since when on the reader's clock (ms): it counts no more."""
 
-    decree: Decree
-    since: float
+    decision: Decision
+    expired_at_ms: float
 
 
-class Reader:
+class DecisionReader:
     """What one process takes from the council: the newest decree by topic, and how long it counts.
 
     `since` of a decree is when this reader *first* heard its newest beat, on its own clock.  A copy seen
@@ -359,49 +370,49 @@
     a newer beat is heard.
     """
 
-    def __init__(self, seen: bytes = b"", *, max_topics: int = MOST_TOPICS) -> None:
+    def __init__(self, stored: bytes = b"", *, max_topics: int = MAX_TOPICS) -> None:
         """`seen` is what `seen()` gave in a former life.  Raises BadDecree, StoreNewer."""
         self.max_topics = max_topics
-        self.floor = 0  # numbers at or below are not taken for topics that are not known any more
+        self.version_floor = 0  # numbers at or below are not taken for topics that are not known any more
         self._past: dict[str, tuple[int, int]] = {}
-        self._held: dict[str, tuple[Decree, float]] = {}
-        if seen:
-            self.floor, self._past = _take(_seen, seen, "what a reader has seen")
+        self._held: dict[str, tuple[Decision, float]] = {}
+        if stored:
+            self.version_floor, self._past = _take(_seen, stored, "what a reader has seen")
 
-    def take(self, decree: Decree, now_ms: float) -> bool:
+    def receive(self, decree: Decision, now_ms: float) -> bool:
         """Take a decree, from whomever; returns whether it is newer (number, beat) than what was seen."""
-        topic, mark = decree.topic, (decree.number, decree.renewed)
+        topic, mark = decree.topic, (decree.version, decree.renewal)
         past = self._past.get(topic)
         if past is None:
-            if decree.number <= self.floor:
+            if decree.version <= self.version_floor:
                 return False
         elif mark < past or (mark == past and topic in self._held):
             return False
         self._past[topic] = mark
         # Known from a former life and not renewed since: what it says may be long over.
-        self._held[topic] = (decree, now_ms - decree.hold_ms if mark == past else now_ms)
+        self._held[topic] = (decree, now_ms - decree.lease_ms if mark == past else now_ms)
         if past is None and len(self._past) > self.max_topics:
             # The smallest number goes, and raises the floor: what is forgotten can never be taken again.
             oldest = min(self._past, key=lambda known: self._past[known])
-            self.floor = max(self.floor, self._past.pop(oldest)[0])
+            self.version_floor = max(self.version_floor, self._past.pop(oldest)[0])
             self._held.pop(oldest, None)
         return mark != past
 
-    def get(self, topic: str, now_ms: float) -> Decree | Expired | None:
+    def get(self, topic: str, now_ms: float) -> Decision | Expired | None:
         """Return the decree that counts now, or since when the newest one does not; None if none is known."""
         found = self._held.get(topic)
         if found is None:
             return None
         decree, since = found
-        end = since + decree.hold_ms
+        end = since + decree.lease_ms
         return decree if now_ms < end else Expired(decree, end)
 
-    def next_end(self, now_ms: float) -> float:
+    def next_expiry_ms(self, now_ms: float) -> float:
         """Return when the next decree that counts now ends without renewal; inf if none."""
-        ends = (since + decree.hold_ms for decree, since in self._held.values())
+        ends = (since + decree.lease_ms for decree, since in self._held.values())
         return min((end for end in ends if end > now_ms), default=float("inf"))
 
-    def number(self, topic: str) -> int:
+    def last_version(self, topic: str) -> int:
         """Return the newest number seen of a topic, in this life or a former one; 0 if none."""
         return self._past.get(topic, (0, 0))[0]
 
@@ -409,11 +420,11 @@
         """Return the topics of which a decree is held, sorted."""
         return tuple(sorted(self._held))
 
-    def seen(self) -> bytes:
+    def to_bytes(self) -> bytes:
         """Return what is to be kept on disk, so that the next life takes nothing older."""
-        return bytes((VERSION,)) + _encoder.encode((self.floor, self._past))
+        return bytes((FORMAT_VERSION,)) + _encoder.encode((self.version_floor, self._past))
 
 
-def renewed(decrees: Iterable[Decree], beat: int) -> tuple[Decree, ...]:
+def with_renewal(decrees: Iterable[Decision], beat: int) -> tuple[Decision, ...]:
     """Return the decrees with a beat."""
-    return tuple(msgspec.structs.replace(decree, renewed=beat) for decree in decrees)
+    return tuple(msgspec.structs.replace(decree, renewal=beat) for decree in decrees)
--- a/cressrock/council/messages.py
+++ b/cressrock/consensus/raft/messages.py
@@ -12,25 +12,25 @@
 import msgspec
 from msgspec import Meta, Struct
 
-from cressrock.errors.council import MessageRefused
+from cressrock.errors.consensus import InvalidMessageError
 
-VERSION = 1
-MAX_FRAME = 4 * 1024 * 1024  # bytes of one encoded message: nothing larger is looked at
-MAX_SEATS = 16
+PROTOCOL_VERSION = 1
+MAX_MESSAGE_BYTES = 4 * 1024 * 1024  # bytes of one encoded message: nothing larger is looked at
+MAX_VOTERS = 16
 
 Name = Annotated[str, Meta(min_length=1, max_length=64)]
 Count = Annotated[int, Meta(ge=0, le=2**53)]
-Data = Annotated[bytes, Meta(max_length=MAX_FRAME)]
-Names = Annotated[tuple[Name, ...], Meta(max_length=MAX_SEATS)]
-Kind = Literal["empty", "command", "seats"]
+Data = Annotated[bytes, Meta(max_length=MAX_MESSAGE_BYTES)]
+Names = Annotated[tuple[Name, ...], Meta(max_length=MAX_VOTERS)]
+EntryKind = Literal["empty", "command", "seats"]
 
 
-class Entry(Struct, frozen=True, array_like=True):
+class LogEntry(Struct, frozen=True, array_like=True):
     """One entry of the log; `data` of a `seats` entry is `pack_seats` of all seats from here on."""
 
     term: Count
     index: Count
-    kind: Kind
+    kind: EntryKind
     data: Data = b""
 
 
@@ -56,7 +56,7 @@
     granted: bool
 
 
-class Vote(Message, frozen=True, tag="vote", kw_only=True):
+class RequestVote(Message, frozen=True, tag="vote", kw_only=True):
     """A candidate's request for a vote in `term`; `transfer`: the leader itself asked it to stand (3.10)."""
 
     last_index: Count
@@ -64,13 +64,13 @@
     transfer: bool = False
 
 
-class VoteReply(Message, frozen=True, tag="voted", kw_only=True):
+class RequestVoteReply(Message, frozen=True, tag="voted", kw_only=True):
     """The answer to a Vote of this `term`."""
 
     granted: bool
 
 
-class Append(Message, frozen=True, tag="append", kw_only=True):
+class AppendEntries(Message, frozen=True, tag="append", kw_only=True):
     """The leader's entries after (`previous_index`, `previous_term`); without entries a heartbeat.
 
     `round` numbers the leader's heartbeats in its term; the answer repeats it (read index, lease).
@@ -78,12 +78,12 @@
 
     previous_index: Count
     previous_term: Count
-    entries: Annotated[tuple[Entry, ...], Meta(max_length=4096)] = ()
+    entries: Annotated[tuple[LogEntry, ...], Meta(max_length=4096)] = ()
     commit: Count = 0
     round: Count = 0
 
 
-class AppendReply(Message, frozen=True, tag="appended", kw_only=True):
+class AppendEntriesReply(Message, frozen=True, tag="appended", kw_only=True):
     """Accepted: the log agrees with the leader's up to `match`.  Refused: see `conflict_*`.
 
     Refused means that the log has not (`previous_index`, the leader's term of it); then `conflict_term` is
@@ -123,23 +123,23 @@
     """The leader asks the receiver to stand at once (3.10)."""
 
 
-class Refused(Message, frozen=True, tag="refused", kw_only=True):
+class StaleGeneration(Message, frozen=True, tag="refused", kw_only=True):
     """The receiver is of an older generation of the council and has no say any more."""
 
     reason: Annotated[str, Meta(max_length=512)]
 
 
-SeatMessage = (
+RaftMessage = (
     PreVote
     | PreVoteReply
-    | Vote
-    | VoteReply
-    | Append
-    | AppendReply
+    | RequestVote
+    | RequestVoteReply
+    | AppendEntries
+    | AppendEntriesReply
     | InstallSnapshot
     | InstallSnapshotReply
     | TimeoutNow
-    | Refused
+    | StaleGeneration
 )
 
 
@@ -157,7 +157,7 @@
     cluster: Annotated[str, Meta(max_length=64)]
     sender: Name
     to: Name
-    body: SeatMessage
+    body: RaftMessage
 
 
 _encoder = msgspec.msgpack.Encoder()
@@ -166,41 +166,45 @@
 _names = msgspec.msgpack.Decoder(Names)
 
 
-def encode(cluster: str, sender: str, to: str, message: SeatMessage) -> bytes:
+def encode(cluster: str, sender: str, to: str, message: RaftMessage) -> bytes:
     """Return the bytes of one message, without a frame's length."""
-    return _encoder.encode(_Envelope(VERSION, cluster, sender, to, message))
+    return _encoder.encode(_Envelope(PROTOCOL_VERSION, cluster, sender, to, message))
 
 
-def decode(data: bytes, cluster: str) -> tuple[str, str, SeatMessage]:
+def decode(data: bytes, cluster: str) -> tuple[str, str, RaftMessage]:
     """Return (sender, receiver, message); `MessageRefused` says why not, its `reason` is for a counter."""
-    if len(data) > MAX_FRAME:
-        raise MessageRefused(f"a message of {len(data)} bytes, at most {MAX_FRAME} are taken", "size")
+    if len(data) > MAX_MESSAGE_BYTES:
+        raise InvalidMessageError(
+            f"a message of {len(data)} bytes, at most {MAX_MESSAGE_BYTES} are taken", "size"
+        )
     try:
         head = _head.decode(data)
     except (msgspec.DecodeError, RecursionError) as error:
-        raise MessageRefused(f"a message that is none: {error}", "malformed") from None
-    if head.v != VERSION:
-        raise MessageRefused(f"a message of version {head.v}, this process speaks {VERSION}", "version")
+        raise InvalidMessageError(f"a message that is none: {error}", "malformed") from None
+    if head.v != PROTOCOL_VERSION:
+        raise InvalidMessageError(
+            f"a message of version {head.v}, this process speaks {PROTOCOL_VERSION}", "version"
+        )
     if head.cluster != cluster:
-        raise MessageRefused(f"a message of cluster {head.cluster!r}, this is {cluster!r}", "cluster")
+        raise InvalidMessageError(f"a message of cluster {head.cluster!r}, this is {cluster!r}", "cluster")
     try:
         envelope = _envelope.decode(data)
     except (msgspec.DecodeError, RecursionError) as error:
-        raise MessageRefused(f"a message that is none: {error}", "malformed") from None
+        raise InvalidMessageError(f"a message that is none: {error}", "malformed") from None
     return envelope.sender, envelope.to, envelope.body
 
 
-def pack_seats(seats: tuple[str, ...]) -> bytes:
+def encode_voters(seats: tuple[str, ...]) -> bytes:
     """Return the data of a `seats` entry."""
     return _encoder.encode(seats)
 
 
-def unpack_seats(data: bytes) -> tuple[str, ...]:
+def decode_voters(data: bytes) -> tuple[str, ...]:
     """Return the seats of a `seats` entry; `MessageRefused` if the data are none, or name one twice."""
     try:
         seats = _names.decode(data)
     except msgspec.DecodeError as error:
-        raise MessageRefused(f"seats that are none: {error}", "malformed") from None
+        raise InvalidMessageError(f"seats that are none: {error}", "malformed") from None
     if not seats or len(set(seats)) != len(seats):
-        raise MessageRefused(f"seats that are none, or one of them twice: {seats}", "malformed")
+        raise InvalidMessageError(f"seats that are none, or one of them twice: {seats}", "malformed")
     return seats
--- a/cressrock/council/recover.py
+++ b/cressrock/consensus/recover.py
@@ -1,6 +1,6 @@
 """The operator's way out when a majority of seats is lost for good: a council of one, made from one store.
 
-`python -m cressrock.council.recover STORE --cluster ID --seat NAME --i-have-lost-the-majority`.  Without the
+`python -m cressrock.consensus.recover STORE --cluster ID --seat NAME --i-have-lost-the-majority`.  Without the
 last word nothing is changed and the cost is printed.  See docs/council.md.
 """
 
@@ -11,11 +11,11 @@
 import time
 from dataclasses import dataclass, replace
 
-from cressrock.council import decrees as d
-from cressrock.council.raft import Entry, force_new
-from cressrock.council.store import Store
+from cressrock.consensus import decisions as d
+from cressrock.consensus.raft.node import LogEntry, force_single_voter
+from cressrock.consensus.store import ReplicaStore
 from cressrock.errors import CressrockError
-from cressrock.errors.council import StoreForeign
+from cressrock.errors.consensus import ForeignStoreError
 
 SPARE = 1_000_000  # numbers left free at least, where the wall clock was set back
 
@@ -47,53 +47,53 @@
 
     Raises the store's errors (StoreBusy while its seat runs), StoreForeign for a seat without a council.
     """
-    store = Store(path, cluster=cluster, seat=seat, expect=True)
+    store = ReplicaStore(path, cluster=cluster, replica=seat, must_exist=True)
     try:
         header, stored = store.header, store.load()
-        if not header.founders:
-            raise StoreForeign(f"{path} has no council: its seat was never part of one")
-        state = d.Decrees()
+        if not header.initial_replicas:
+            raise ForeignStoreError(f"{path} has no council: its seat was never part of one")
+        state = d.DecisionState()
         seats: tuple[str, ...] = ()
         if stored.snapshot is not None:
-            state = d.Decrees.restore(stored.snapshot.data, stored.snapshot.index)
+            state = d.DecisionState.restore(stored.snapshot.data, stored.snapshot.index)
         for entry in stored.entries:
             state.apply(entry.index, entry.data if entry.kind == "command" else b"")
-        alone = force_new(stored, header.identity)
+        alone = force_single_voter(stored, header.identity)
         last = alone.entries[-1]
         ended = stored.entries[-1] if stored.entries else stored.snapshot
-        seats = seats_of(stored.snapshot.seats if stored.snapshot else (), stored.entries)
+        seats = seats_of(stored.snapshot.voters if stored.snapshot else (), stored.entries)
         if force:
             # Right behind the change of seats: nothing is decided before it, every number after it is new.
-            number = max(int(wall_ms), state.number + SPARE)
-            data = d.encode(d.Ground(number, None, stored.hard.commit))
-            ground = Entry(last.term, last.index + 1, "command", data)
-            store.keep_header(header, replace(alone, entries=(*alone.entries, ground)))
+            number = max(int(wall_ms), state.version + SPARE)
+            data = d.encode(d.SetVersionBase(number, None, stored.hard_state.commit))
+            ground = LogEntry(last.term, last.index + 1, "command", data)
+            store.save_header(header, replace(alone, entries=(*alone.entries, ground)))
         return Found(
             header.identity,
             seats,
             ended.term if ended else 0,
             ended.index if ended else 0,
-            stored.hard.commit,
-            stored.hard.generation,
-            len(state.all()),
+            stored.hard_state.commit,
+            stored.hard_state.generation,
+            len(state.all_decisions()),
         )
     finally:
         store.close()
 
 
-def seats_of(seats: tuple[str, ...], entries: tuple[Entry, ...]) -> tuple[str, ...]:
+def seats_of(seats: tuple[str, ...], entries: tuple[LogEntry, ...]) -> tuple[str, ...]:
     """Return the seats after these entries."""
-    from cressrock.council.messages import unpack_seats
+    from cressrock.consensus.raft.messages import decode_voters
 
     for entry in entries:
         if entry.kind == "seats":
-            seats = unpack_seats(entry.data)
+            seats = decode_voters(entry.data)
     return seats
 
 
 def main(arguments: list[str] | None = None) -> int:
     """Run from the command line; 0 when done, 1 with an error, 2 when nothing was changed."""
-    parser = argparse.ArgumentParser(prog="python -m cressrock.council.recover", description=__doc__)
+    parser = argparse.ArgumentParser(prog="python -m cressrock.consensus.recover", description=__doc__)
     parser.add_argument("store")
     parser.add_argument("--cluster", required=True)
     parser.add_argument("--seat", required=True)
--- a/cressrock/council/carrier.py
+++ b/cressrock/consensus/replica.py
@@ -30,38 +30,53 @@
 import xxhash
 from anyio.abc import TaskGroup
 
-from cressrock.council import decrees as d
-from cressrock.council import messages as m
-from cressrock.council import wire as w
-from cressrock.council.client import AskSettings, Council, Kept
-from cressrock.council.line import Connection, Line, Redial, World, in_line, off_loop
-from cressrock.council.raft import Entry, Ready, Role, Seat, Stored, Timing, first
-from cressrock.council.store import Header, Store, name_of
+from cressrock.consensus import decisions as d
+from cressrock.consensus import wire as w
+from cressrock.consensus.client import ClientSettings, ConsensusClient, DecisionCache
+from cressrock.consensus.raft import messages as m
+from cressrock.consensus.raft.node import (
+    LogEntry,
+    RaftNode,
+    RaftSettings,
+    Ready,
+    Role,
+    StoredState,
+    initial_state,
+)
+from cressrock.consensus.store import ReplicaStore, StoreHeader, replica_name
+from cressrock.consensus.transport import (
+    Connection,
+    Environment,
+    PeerConnection,
+    ReconnectBackoff,
+    run_in_thread,
+    run_inline,
+)
 from cressrock.errors import CressrockError
-from cressrock.errors.council import (
-    CouncilBusy,
-    MessageRefused,
-    NotLeader,
-    PeerParted,
-    SeatRemoved,
-    SeatsRefused,
-    SeatsWrong,
-    StoreLost,
+from cressrock.errors.consensus import (
+    ConsensusBusyError,
+    InvalidMessageError,
+    InvalidReplicaSetError,
+    MembershipChangeRefusedError,
+    NotLeaderError,
+    PeerRejectedError,
+    ReplicaRemovedError,
+    StoreMissingError,
 )
 from cressrock.http.channel import Stream
 
 __all__ = [
-    "AskSettings",
-    "Council",
-    "CouncilSeat",
-    "Kept",
-    "Redial",
-    "SeatSettings",
-    "World",
-    "check_hold",
-    "check_seats",
-    "in_line",
-    "off_loop",
+    "ClientSettings",
+    "ConsensusClient",
+    "ConsensusReplica",
+    "DecisionCache",
+    "ReconnectBackoff",
+    "ReplicaSettings",
+    "Environment",
+    "check_lease",
+    "check_replica_set",
+    "run_inline",
+    "run_in_thread",
 ]
 
 FOREVER = float("inf")
@@ -69,54 +84,60 @@
 
 
 @dataclass(frozen=True, slots=True)
-class SeatSettings:
+class ReplicaSettings:
     """One seat; times in milliseconds.  `seats` gives each one's address as this process reaches it."""
 
     name: str
     cluster: str
-    seats: Mapping[str, str]
+    replicas: Mapping[str, str]
     store: str | Path
     start: Literal["found", "join", "expect"] = "found"
-    timing: Timing = Timing()
+    timing: RaftSettings = RaftSettings()
     bounds: w.Bounds = w.Bounds()
-    redial: Redial = Redial()
-    limits: d.Limits = d.Limits()
-    renew_ms: float = 500.0  # how often a leader renews; a few of them should fit the shortest hold
-    join_ms: float = 200.0  # how often a new seat asks to be taken in
-    ask_ms: float = 2000.0  # how long a seat works on one question
+    reconnect: ReconnectBackoff = ReconnectBackoff()
+    limits: d.DecisionLimits = d.DecisionLimits()
+    renewal_interval_ms: float = (
+        500.0  # how often a leader renews; a few of them should fit the shortest hold
+    )
+    join_interval_ms: float = 200.0  # how often a new seat asks to be taken in
+    request_timeout_ms: float = 2000.0  # how long a seat works on one question
     max_inbox: int = 4096  # messages of other seats that wait for the disk; more are lost, as on a wire
-    max_asks: int = 1024  # questions at work at once; more are told to come later
+    max_pending_requests: int = 1024  # questions at work at once; more are told to come later
     max_connections: int = 1024  # open at once, seats' and clients'; more are parted with at once
-    max_log: int = 4096  # entries; at half of it a snapshot is drawn, at all of it the log is cut to that
+    max_log_entries: int = (
+        4096  # entries; at half of it a snapshot is drawn, at all of it the log is cut to that
+    )
     max_log_bytes: int = 8 << 20  # bytes of entries, likewise
 
 
-def check_seats(names: Iterable[str], me: str) -> None:
+def check_replica_set(names: Iterable[str], me: str) -> None:
     """Check the seats of a council.  Raises SeatsWrong."""
     listed = list(names)
     if len(set(listed)) != len(listed):
-        raise SeatsWrong(f"a seat is named twice: {', '.join(sorted(listed))}")
+        raise InvalidReplicaSetError(f"a seat is named twice: {', '.join(sorted(listed))}")
     if len(listed) not in (3, 5):
-        raise SeatsWrong(f"{len(listed)} seats: {', '.join(listed)}")
+        raise InvalidReplicaSetError(f"{len(listed)} seats: {', '.join(listed)}")
     for name in listed:
         if not 0 < len(name) <= MAX_NAME or "#" in name:
-            raise SeatsWrong(f"the seat's name {name!r}: 1 to {MAX_NAME} characters, none of them '#'")
+            raise InvalidReplicaSetError(
+                f"the seat's name {name!r}: 1 to {MAX_NAME} characters, none of them '#'"
+            )
     if me not in listed:
-        raise SeatsWrong(f"{me!r} is not among the seats {', '.join(listed)}")
+        raise InvalidReplicaSetError(f"{me!r} is not among the seats {', '.join(listed)}")
 
 
-def check_hold(hold_ms: float, timing: Timing, renew_ms: float) -> None:
+def check_lease(lease_ms: float, timing: RaftSettings, renewal_interval_ms: float) -> None:
     """Check that a hold lives through a leader's death.  Raises SeatsWrong.
 
     A death is noticed within two election times, a new leader stands within two more, and renews at once;
     below that sum every change of leader lets decrees lapse.
     """
-    least = 4 * timing.election_ms + renew_ms
-    if hold_ms < least:
-        raise SeatsWrong(f"a hold of {hold_ms:g} ms; with these elections at least {least:g}")
+    least = 4 * timing.election_ms + renewal_interval_ms
+    if lease_ms < least:
+        raise InvalidReplicaSetError(f"a hold of {lease_ms:g} ms; with these elections at least {least:g}")
 
 
-def council_of(cluster: str, founders: tuple[str, ...]) -> str:
+def consensus_group_id(cluster: str, founders: tuple[str, ...]) -> str:
     """Return a council's own name, made from the identities that founded it."""
     text = "\0".join((cluster, *sorted(founders)))
     return xxhash.xxh3_64_hexdigest(text.encode())
@@ -136,38 +157,38 @@
             self.done.set()
 
 
-class CouncilSeat:
+class ConsensusReplica:
     """One seat: `run` it in a task group, and hand accepted streams to `serve`."""
 
     def __init__(
         self,
-        world: World,
-        settings: SeatSettings,
+        environment: Environment,
+        settings: ReplicaSettings,
         *,
-        publish: Callable[[tuple[d.Decree, ...]], None] = lambda decrees: None,
-        changed: Callable[[dict[str, Any]], None] = lambda status: None,
-        applied: Callable[[int, d.Command, d.Outcome], None] = lambda index, command, outcome: None,
+        publish: Callable[[tuple[d.Decision, ...]], None] = lambda decrees: None,
+        on_status_change: Callable[[dict[str, Any]], None] = lambda status: None,
+        on_applied: Callable[[int, d.Command, d.Outcome], None] = lambda index, command, outcome: None,
         max_pages: int = 0,
     ) -> None:
         """`publish` takes decrees for all to read, from a leader with each beat and from any seat when newly
         decided; `changed` the status when role, leader or failure changed.  Raises SeatsWrong.
         """
         if settings.start == "found":
-            check_seats(settings.seats, settings.name)
-        self.world, self.settings = world, settings
-        self.publish, self.changed, self.applied = publish, changed, applied
+            check_replica_set(settings.replicas, settings.name)
+        self.environment, self.settings = environment, settings
+        self.publish, self.on_status_change, self.on_applied = publish, on_status_change, on_applied
         self.max_pages = max_pages
         self.failed: CressrockError | None = None
-        self.store: Store | None = None
-        self.header: Header | None = None
-        self.seat: Seat | None = None
-        self.decrees = d.Decrees(settings.limits)
-        self.beats = d.Beats()
+        self.store: ReplicaStore | None = None
+        self.header: StoreHeader | None = None
+        self.raft: RaftNode | None = None
+        self.decisions = d.DecisionState(settings.limits)
+        self.renewals = d.LeaseRenewals()
         self.counts: Counter[str] = Counter()
-        self.lines: dict[str, Line] = {}
+        self.connections: dict[str, PeerConnection] = {}
         self._tasks: TaskGroup | None = None
         self._served: set[Connection] = set()
-        self._inbox: deque[tuple[str, m.SeatMessage]] = deque()
+        self._inbox: deque[tuple[str, m.RaftMessage]] = deque()
         self._asks: deque[_Asked] = deque()
         self._at_work = 0
         self._waiting: dict[str, list[_Asked]] = {}
@@ -176,7 +197,7 @@
         self._renew_due = 0.0
         self._mark: tuple[int, bytes] | None = None
         self._told: tuple[object, ...] = ()
-        self._stored = Stored()
+        self._stored = StoredState()
         self._sat = False
         self._replayed = 0  # the last index that the store held at the start
 
@@ -188,21 +209,21 @@
         return self.header.identity if self.header else ""
 
     @property
-    def founders(self) -> tuple[str, ...]:
+    def initial_replicas(self) -> tuple[str, ...]:
         """The identities that founded this seat's council; () before it has one."""
-        return tuple(self.header.founders) if self.header else ()
+        return tuple(self.header.initial_replicas) if self.header else ()
 
     def _me(self) -> w.Me:
-        founders = self.founders
-        council = council_of(self.settings.cluster, founders) if founders else ""
-        return w.Me(self.settings.cluster, self.identity, True, council, founders, self.decrees.applied)
+        founders = self.initial_replicas
+        council = consensus_group_id(self.settings.cluster, founders) if founders else ""
+        return w.Me(self.settings.cluster, self.identity, True, council, founders, self.decisions.applied)
 
     def status(self) -> dict[str, Any]:
         """Return the seat's status as plain values, for an admin port."""
-        seat, now = self.seat, self.world.clock()
+        seat, now = self.raft, self.environment.clock()
         role = "failed" if self.failed else seat.role.value if seat else "waiting"
-        heard = {name: line.heard_ms() for name, line in self.lines.items()}
-        parted = {name: line.parted.reason for name, line in self.lines.items() if line.parted}
+        heard = {name: line.heard_ms() for name, line in self.connections.items()}
+        parted = {name: line.parted.reason for name, line in self.connections.items() if line.parted}
         return {
             "name": self.settings.name,
             "identity": self.identity,
@@ -211,29 +232,31 @@
             "failed": self.failed.fields() if self.failed else None,
             "term": seat.term if seat else 0,
             "generation": seat.generation if seat else 0,
-            "leader": name_of(seat.leader) if seat else "",
-            "seats": list(seat.seats) if seat else [],
+            "leader": replica_name(seat.leader) if seat else "",
+            "seats": list(seat.voters) if seat else [],
             "commit": seat.commit if seat else 0,
-            "applied": self.decrees.applied,
-            "number": self.decrees.number,
-            "topics": len(self.decrees.all()),
+            "applied": self.decisions.applied,
+            "number": self.decisions.version,
+            "topics": len(self.decisions.all_decisions()),
             "log": len(seat.log.entries) if seat else 0,
-            "beat": self.beats.beat,
+            "beat": self.renewals.last_renewal,
             "heard_ms_ago": {name: None if at is None else round(now - at) for name, at in heard.items()},
             "parted": parted,
             "store_bytes": self.store.size() if self.store else 0,
-            "counts": dict(self.counts) | (dict(seat.counts) if seat else {}),
+            "counts": dict(self.counts) | (dict(seat.drop_counts) if seat else {}),
         }
 
     def _tell(self) -> None:
-        seat = self.seat
+        seat = self.raft
         now = (seat.role, seat.term, seat.leader) if seat else (None, 0, "")
-        known = (*now, self.failed, self.founders)
+        known = (*now, self.failed, self.initial_replicas)
         if known != self._told:
             self._told = known
             status = self.status()
-            self.world.say("council.seat", **{key: status[key] for key in ("role", "term", "leader")})
-            self.changed(status)
+            self.environment.log_event(
+                "council.seat", **{key: status[key] for key in ("role", "term", "leader")}
+            )
+            self.on_status_change(status)
 
     # --- life
 
@@ -244,11 +267,11 @@
             async with anyio.create_task_group() as tasks:
                 self._tasks = tasks
                 try:
-                    await self.world.keep(self._open)
+                    await self.environment.run_blocking(self._open)
                     self._begin()
-                    for name in sorted(set(settings.seats) - {settings.name}):
-                        self.lines[name] = self._dial(name)
-                        tasks.start_soon(self.lines[name].run)
+                    for name in sorted(set(settings.replicas) - {settings.name}):
+                        self.connections[name] = self._dial(name)
+                        tasks.start_soon(self.connections[name].run)
                     self._tell()
                     tasks.start_soon(self._joining)
                     await self._drive()
@@ -264,35 +287,37 @@
     def _open(self) -> None:
         settings = self.settings
         Path(settings.store).parent.mkdir(parents=True, exist_ok=True)
-        self.store = Store(
+        self.store = ReplicaStore(
             settings.store,
             cluster=settings.cluster,
-            seat=settings.name,
-            expect=settings.start == "expect",
-            draw=self.world.draw,
+            replica=settings.name,
+            must_exist=settings.start == "expect",
+            random_bytes=self.environment.random_bytes,
             max_pages=self.max_pages,
         )
         self.header = self.store.header
         if self.header.removed:
-            raise SeatRemoved(f"seat {self.identity} was put out of the council")
+            raise ReplicaRemovedError(f"seat {self.identity} was put out of the council")
         self._stored = self.store.load()
 
     def _begin(self) -> None:
-        if not self.founders:
+        if not self.initial_replicas:
             return
         snapshot = self._stored.snapshot
-        self.decrees = d.Decrees(self.settings.limits)
+        self.decisions = d.DecisionState(self.settings.limits)
         if snapshot is not None:
-            self.decrees = d.Decrees.restore(snapshot.data, snapshot.index)
-            self._sat = self.identity in snapshot.seats
-        now = self.world.clock()
+            self.decisions = d.DecisionState.restore(snapshot.data, snapshot.index)
+            self._sat = self.identity in snapshot.voters
+        now = self.environment.clock()
         entries = self._stored.entries
-        self._replayed = entries[-1].index if entries else self.decrees.applied
-        self.seat = Seat(self.identity, self._stored, self.settings.timing, self.world.source, now)
+        self._replayed = entries[-1].index if entries else self.decisions.applied
+        self.raft = RaftNode(
+            self.identity, self._stored, self.settings.timing, self.environment.random_source, now
+        )
 
     def _fail(self, wrong: CressrockError) -> None:
-        self.failed, self.seat, self._tasks = wrong, None, None
-        self.world.say("council.seat.stopped", **wrong.fields())
+        self.failed, self.raft, self._tasks = wrong, None, None
+        self.environment.log_event("council.seat.stopped", **wrong.fields())
         self._end_all(w.Elsewhere())
         for connection in list(self._served):
             connection.close(wrong.code, wrong.text)
@@ -313,48 +338,48 @@
 
     # --- founding and joining
 
-    def _dial(self, name: str) -> Line:
-        return Line(
-            self.world,
+    def _dial(self, name: str) -> PeerConnection:
+        return PeerConnection(
+            self.environment,
             name,
-            self.settings.seats[name],
+            self.settings.replicas[name],
             self._me,
             bounds=self.settings.bounds,
-            redial=self.settings.redial,
+            redial=self.settings.reconnect,
             opened=self._wake,
         )
 
     async def _found(self) -> None:
         """Look whether this seat can have a council by now."""
-        if self.seat is not None or self.header is None:
+        if self.raft is not None or self.header is None:
             return
-        met = {name: line.peer for name, line in self.lines.items() if line.peer is not None}
+        met = {name: line.peer for name, line in self.connections.items() if line.peer is not None}
         standing = [peer for peer in met.values() if peer.council]
         founders: tuple[str, ...] = ()
-        stored = Stored()
+        stored = StoredState()
         for peer in standing:
             if self.identity in peer.founders or self.settings.start == "join":
                 founders = tuple(peer.founders)
             else:
-                raise StoreLost(
+                raise StoreMissingError(
                     f"the council {peer.council} stands (seat {peer.who} says), and the store of "
                     f"{self.settings.name} at {self.settings.store} is not of it"
                 )
-        if not standing and self.settings.start != "join" and len(met) == len(self.lines):
+        if not standing and self.settings.start != "join" and len(met) == len(self.connections):
             founders = tuple(sorted((self.identity, *(peer.who for peer in met.values()))))
-            if sorted(map(name_of, founders)) != sorted(self.settings.seats):
-                raise SeatsWrong(f"at the seats' addresses sit {', '.join(founders)}")
+            if sorted(map(replica_name, founders)) != sorted(self.settings.replicas):
+                raise InvalidReplicaSetError(f"at the seats' addresses sit {', '.join(founders)}")
         if not founders:
             return
         if self.identity in founders:
-            stored = first(founders)
-        header = msgspec.structs.replace(self.header, founders=founders)
+            stored = initial_state(founders)
+        header = msgspec.structs.replace(self.header, initial_replicas=founders)
         store = self.store
         assert store is not None
-        await self.world.keep(partial(store.keep_header, header, stored))
+        await self.environment.run_blocking(partial(store.save_header, header, stored))
         self.header, self._stored = header, stored
         self._begin()
-        self.world.say("council.founded", council=self._me().council, founders=list(founders))
+        self.environment.log_event("council.founded", council=self._me().council, founders=list(founders))
         # Whoever greeted before learns of the council by greeting again.
         for connection in list(self._served):
             if connection.talk.peer_seat:
@@ -365,13 +390,13 @@
         if self.settings.start != "join":
             return
         while True:
-            await anyio.sleep(self.settings.join_ms / 1000)
-            if self.failed is not None or (self.seat is not None and self.identity in self.seat.seats):
+            await anyio.sleep(self.settings.join_interval_ms / 1000)
+            if self.failed is not None or (self.raft is not None and self.identity in self.raft.voters):
                 return
-            if self.seat is None:
+            if self.raft is None:
                 continue
-            for line in self.lines.values():
-                until = self.world.clock() + self.settings.ask_ms
+            for line in self.connections.values():
+                until = self.environment.clock() + self.settings.request_timeout_ms
                 reply = await line.ask(w.Join(self.identity), forward=True, until_ms=until)
                 if isinstance(reply, d.Done):
                     break
@@ -380,7 +405,7 @@
 
     async def serve(self, stream: Stream) -> None:
         """Serve one accepted stream to its end."""
-        clock = self.world.clock
+        clock = self.environment.clock
         talk = w.Talk(False, self._me(), clock(), bounds=self.settings.bounds)
         connection = Connection(talk, stream, clock, lambda event: self._on_event(connection, event))
         self._served.add(connection)
@@ -400,23 +425,25 @@
             case w.Raft(data):
                 self._on_raft(connection.talk.peer, data)
             case w.Ask():
-                if self._tasks is None or self._at_work >= self.settings.max_asks:
+                if self._tasks is None or self._at_work >= self.settings.max_pending_requests:
                     connection.send(w.Answer(event.number, w.Later("too much is asked at once")))
                 else:
                     self._at_work += 1
                     self._tasks.start_soon(self._answer, connection, event)
             case w.Closed(code, reason) if code not in ("ended", "council-founded"):
                 self.counts[f"parted {code}"] += 1
-                self.world.say("council.parted", peer=connection.talk.peer, code=code, reason=reason)
+                self.environment.log_event(
+                    "council.parted", peer=connection.talk.peer, code=code, reason=reason
+                )
 
     def _on_raft(self, peer: str, data: bytes) -> None:
         try:
             sender, to, message = m.decode(data, self.settings.cluster)
-        except MessageRefused as wrong:
+        except InvalidMessageError as wrong:
             self.counts[f"refused {wrong.reason}"] += 1
             return
         # A connection speaks for the seat that greeted on it, and only to who we are in this life.
-        if sender != peer or to != self.identity or self.seat is None:
+        if sender != peer or to != self.identity or self.raft is None:
             self.counts["not for us"] += 1
         elif len(self._inbox) >= self.settings.max_inbox:
             self.counts["inbox full"] += 1
@@ -427,19 +454,19 @@
     async def _answer(self, connection: Connection, ask: w.Ask) -> None:
         try:
             reply = await self._reply(ask.question, ask.forward)
-            connection.send(w.Answer(ask.number, reply, self.decrees.applied))
+            connection.send(w.Answer(ask.number, reply, self.decisions.applied))
         finally:
             self._at_work -= 1
 
     async def _reply(self, question: w.Question, forward: bool) -> w.Reply:
         if isinstance(question, w.Status):
             return w.told(self.status())
-        if self.seat is None:
+        if self.raft is None:
             return w.Later("this seat has no council yet")
-        until = self.world.clock() + self.settings.ask_ms
-        if self.seat.role is not Role.LEADER:
-            hint = name_of(self.seat.leader)
-            line = self.lines.get(hint)
+        until = self.environment.clock() + self.settings.request_timeout_ms
+        if self.raft.role is not Role.LEADER:
+            hint = replica_name(self.raft.leader)
+            line = self.connections.get(hint)
             if forward and line is not None and line.peer is not None:
                 return await line.ask(question, forward=False, until_ms=until) or w.Elsewhere()
             return w.Elsewhere(hint)
@@ -453,20 +480,20 @@
     # --- the one task that touches the core
 
     async def _drive(self) -> None:
-        clock = self.world.clock
+        clock = self.environment.clock
         while True:
             self._news = anyio.Event()
             await anyio.lowlevel.checkpoint()
             await self._found()
             due = FOREVER
-            if (seat := self.seat) is not None:
+            if (seat := self.raft) is not None:
                 now = clock()
                 while self._inbox:
                     sender, message = self._inbox.popleft()
                     seat.receive(now, sender, message)
                 seat.tick(now)
-                if seat.turned_away:
-                    raise PeerParted(f"seat {self.identity}: {seat.turned_away}")
+                if seat.excluded_reason:
+                    raise PeerRejectedError(f"seat {self.identity}: {seat.excluded_reason}")
                 self._lead(seat, now)
                 if seat.has_ready():
                     await self._batch(seat, seat.ready())
@@ -474,37 +501,37 @@
                     self._tell()
                     continue
                 self._tell()
-                due = min(seat.next_due(), self._renew_due if seat.role is Role.LEADER else FOREVER)
+                due = min(seat.next_deadline_ms(), self._renew_due if seat.role is Role.LEADER else FOREVER)
             if self._inbox or self._asks:
                 continue
             with anyio.move_on_at(due / 1000 + 1e-6):
                 await self._news.wait()
 
-    def _lead(self, seat: Seat, now: float) -> None:
+    def _lead(self, seat: RaftNode, now: float) -> None:
         """Take up what is asked; renew what stands."""
         asks, self._asks = self._asks, deque()
         if seat.role is not Role.LEADER:
             for asked in asks:
-                asked.answer(w.Elsewhere(name_of(seat.leader)))
+                asked.answer(w.Elsewhere(replica_name(seat.leader)))
             self._leave()
             return
         for asked in asks:
             try:
                 self._take(seat, now, asked)
-            except NotLeader as wrong:
-                asked.answer(w.Elsewhere(name_of(wrong.hint)))
-            except (CouncilBusy, SeatsRefused) as wrong:
+            except NotLeaderError as wrong:
+                asked.answer(w.Elsewhere(replica_name(wrong.leader_hint)))
+            except (ConsensusBusyError, MembershipChangeRefusedError) as wrong:
                 asked.answer(w.Later(wrong.text[:512]))
         if now >= self._renew_due:
-            self._renew_due = now + self.settings.renew_ms
+            self._renew_due = now + self.settings.renewal_interval_ms
             try:
-                if self.decrees.offset:
+                if self.decisions.version_offset:
                     self._read(seat, now, None)
                 else:
                     # Numbers begin at the wall clock, so that no founding gives one that a former one gave.
-                    ground = d.Ground(int(self.world.wall_ms()), self.settings.limits)
+                    ground = d.SetVersionBase(int(self.environment.wall_ms()), self.settings.limits)
                     seat.propose(now, d.encode(ground))
-            except (NotLeader, CouncilBusy):
+            except (NotLeaderError, ConsensusBusyError):
                 pass
 
     def _leave(self) -> None:
@@ -513,123 +540,123 @@
         waiting, self._waiting = self._waiting, {}
         for many in waiting.values():
             for asked in many:
-                asked.answer(w.Elsewhere(name_of(self.seat.leader) if self.seat else ""))
+                asked.answer(w.Elsewhere(replica_name(self.raft.leader) if self.raft else ""))
 
-    def _take(self, seat: Seat, now: float, asked: _Asked) -> None:
+    def _take(self, seat: RaftNode, now: float, asked: _Asked) -> None:
         question = asked.question
         match question:
             case w.Join(who):
                 asked.answer(self._join(seat, now, who))
             case w.Remove(who):
-                names = [one for one in seat.seats if who in (one, name_of(one))]
+                names = [one for one in seat.voters if who in (one, replica_name(one))]
                 if names:
-                    seat.change_seats(now, remove=names[0])
-                asked.answer(w.Later("being put out") if names else d.Done(seat.log.last))
+                    seat.change_voters(now, remove=names[0])
+                asked.answer(w.Later("being put out") if names else d.Done(seat.log.last_index))
             case w.Transfer(to):
-                names = [one for one in seat.seats if name_of(one) == to]
+                names = [one for one in seat.voters if replica_name(one) == to]
                 if names != [self.identity]:
-                    seat.transfer(now, names[0] if names else to)
-                asked.answer(d.Done(seat.log.last))
-            case _ if not self.decrees.offset:
+                    seat.transfer_leadership(now, names[0] if names else to)
+                asked.answer(d.Done(seat.log.last_index))
+            case _ if not self.decisions.version_offset:
                 asked.answer(w.Later("the council has no ground yet"))
             case w.Read():
                 self._read(seat, now, asked)
             case d.Decide() | d.Drop():
                 self._propose(seat, now, asked, question)
 
-    def _propose(self, seat: Seat, now: float, asked: _Asked, command: d.Decide | d.Drop) -> None:
-        known = self.decrees.outcome(command.request)
+    def _propose(self, seat: RaftNode, now: float, asked: _Asked, command: d.Decide | d.Drop) -> None:
+        known = self.decisions.outcome(command.request_id)
         if known is not None:
             asked.answer(self._stands(command, known))
-        elif (waiting := self._waiting.get(command.request)) is not None:
+        elif (waiting := self._waiting.get(command.request_id)) is not None:
             waiting.append(asked)  # it is in the log already
         else:
             data = d.encode(command)
-            if len(data) > self.settings.timing.max_entry:
-                asked.answer(d.Refused("too-large"))
+            if len(data) > self.settings.timing.max_entry_bytes:
+                asked.answer(d.Rejected("too-large"))
                 return
             seat.propose(now, data)
-            self._waiting[command.request] = [asked]
+            self._waiting[command.request_id] = [asked]
 
-    def _read(self, seat: Seat, now: float, asked: _Asked | None) -> None:
-        token = self.beats.ask(seat.term, now)
+    def _read(self, seat: RaftNode, now: float, asked: _Asked | None) -> None:
+        token = self.renewals.ask(seat.term, now)
         seat.read_index(now, token)
         self._reads[token] = asked
 
-    def _join(self, seat: Seat, now: float, who: str) -> w.Reply:
-        if who in seat.seats:
-            return d.Done(seat.log.last)
-        former = [one for one in seat.seats if name_of(one) == name_of(who)]
+    def _join(self, seat: RaftNode, now: float, who: str) -> w.Reply:
+        if who in seat.voters:
+            return d.Done(seat.log.last_index)
+        former = [one for one in seat.voters if replica_name(one) == replica_name(who)]
         if former:
             # First out, then in: with both among the seats the dead one would count for the quorum.
-            seat.change_seats(now, remove=former[0])
+            seat.change_voters(now, remove=former[0])
             return w.Later(f"{former[0]} is being put out")
-        seat.change_seats(now, add=who)
+        seat.change_voters(now, add=who)
         return w.Later("being taken in")
 
     @staticmethod
     def _stands(command: d.Command, outcome: d.Outcome) -> w.Reply:
         if isinstance(command, d.Decide) and isinstance(outcome, d.Done):
             return w.Stands(
-                d.Decree(command.topic, outcome.number, command.value, command.hold_ms, command.by)
+                d.Decision(command.topic, outcome.version, command.value, command.lease_ms, command.author)
             )
         return outcome
 
-    async def _batch(self, seat: Seat, ready: Ready) -> None:
+    async def _batch(self, seat: RaftNode, ready: Ready) -> None:
         store = self.store
         assert store is not None
-        if ready.to_keep:
-            work = partial(store.write, ready.hard, ready.snapshot, ready.entries, ready.truncate_from)
-            await self.world.keep(work)
+        if ready.must_persist:
+            work = partial(store.write, ready.hard_state, ready.snapshot, ready.entries, ready.truncate_from)
+            await self.environment.run_blocking(work)
         for to, message in ready.messages:
-            line = self.lines.get(name_of(to))
+            line = self.connections.get(replica_name(to))
             if line is None:
                 self.counts["no address"] += 1
                 continue
             line.send(w.Raft(m.encode(self.settings.cluster, self.identity, to, message)))
-        if ready.restore and ready.snapshot is not None:
-            self.decrees = d.Decrees.restore(ready.snapshot.data, ready.snapshot.index)
+        if ready.restore_snapshot and ready.snapshot is not None:
+            self.decisions = d.DecisionState.restore(ready.snapshot.data, ready.snapshot.index)
             self._mark = None
-            await self._seats(ready.snapshot.seats)
+            await self._seats(ready.snapshot.voters)
         for entry in ready.committed:
             await self._apply(entry)
         for token in ready.lost_reads:
             asked = self._reads.pop(int(token), None)
             if asked is not None:
-                asked.answer(w.Elsewhere(name_of(seat.leader)))
-        for read in ready.reads:
+                asked.answer(w.Elsewhere(replica_name(seat.leader)))
+        for read in ready.confirmed_reads:
             self._confirmed(seat, int(read.token))
         seat.advance(ready)
 
-    def _confirmed(self, seat: Seat, token: int) -> None:
+    def _confirmed(self, seat: RaftNode, token: int) -> None:
         asked = self._reads.pop(token, None)
         within = self.settings.timing.election_ms
-        beat = self.beats.confirmed(token, seat.term, self.world.clock(), within)
+        beat = self.renewals.confirm(token, seat.term, self.environment.clock(), within)
         if asked is None:
-            if beat is not None and self.decrees.offset:
-                self.publish(d.renewed(self.decrees.all(), beat))
+            if beat is not None and self.decisions.version_offset:
+                self.publish(d.with_renewal(self.decisions.all_decisions(), beat))
         elif beat is None or not isinstance(asked.question, w.Read):
             asked.answer(w.Elsewhere())
         else:
-            found = self.decrees.get(asked.question.topic)
-            asked.answer(w.Stands(found and msgspec.structs.replace(found, renewed=beat)))
+            found = self.decisions.get(asked.question.topic)
+            asked.answer(w.Stands(found and msgspec.structs.replace(found, renewal=beat)))
 
-    async def _apply(self, entry: Entry) -> None:
+    async def _apply(self, entry: LogEntry) -> None:
         if entry.kind == "seats":
-            await self._seats(m.unpack_seats(entry.data))
-        found = self.decrees.apply(entry.index, entry.data if entry.kind == "command" else b"")
+            await self._seats(m.decode_voters(entry.data))
+        found = self.decisions.apply(entry.index, entry.data if entry.kind == "command" else b"")
         if found is None:
             return
         command, outcome = found
-        self.applied(entry.index, command, outcome)
-        if isinstance(command, d.Ground):
+        self.on_applied(entry.index, command, outcome)
+        if isinstance(command, d.SetVersionBase):
             return
-        for asked in self._waiting.pop(command.request, ()):
+        for asked in self._waiting.pop(command.request_id, ()):
             asked.answer(self._stands(command, outcome))
-        stands = self.decrees.get(command.topic)
+        stands = self.decisions.get(command.topic)
         # Not what the store held at the start: nobody knows how long that has lain there.
         live = entry.index > self._replayed
-        if live and isinstance(outcome, d.Done) and stands is not None and stands.number == outcome.number:
+        if live and isinstance(outcome, d.Done) and stands is not None and stands.version == outcome.version:
             self.publish((stands,))
 
     async def _seats(self, seats: tuple[str, ...]) -> None:
@@ -638,15 +665,17 @@
         if not self._sat or self.identity in seats or self.header is None or self.store is None:
             return  # a new seat reads of the times before it
         header = msgspec.structs.replace(self.header, removed=True)
-        await self.world.keep(partial(self.store.keep_header, header))
-        raise SeatRemoved(f"seat {self.identity} was put out of the council")
+        await self.environment.run_blocking(partial(self.store.save_header, header))
+        raise ReplicaRemovedError(f"seat {self.identity} was put out of the council")
 
-    def _compact(self, seat: Seat) -> None:
+    def _compact(self, seat: RaftNode) -> None:
         """Keep the log bounded, and enough of it that a seat which is a little behind needs no snapshot."""
         settings = self.settings
-        full = max(len(seat.log.entries) / settings.max_log, seat.log.sizes / settings.max_log_bytes)
+        full = max(
+            len(seat.log.entries) / settings.max_log_entries, seat.log.data_bytes / settings.max_log_bytes
+        )
         if full >= 0.5 and self._mark is None:
-            self._mark = (self.decrees.applied, self.decrees.snapshot())
+            self._mark = (self.decisions.applied, self.decisions.snapshot())
         elif full >= 1 and self._mark is not None:
             seat.compact(*self._mark)
             self._mark = None
--- a/cressrock/council/store.py
+++ b/cressrock/consensus/store.py
@@ -38,17 +38,17 @@
 import msgspec
 import xxhash
 
-from cressrock.council.log import HardState, Snapshot, Stored
-from cressrock.council.messages import Entry, Kind
-from cressrock.errors.council import (
-    StoreBusy,
+from cressrock.consensus.raft.log import HardState, Snapshot, StoredState
+from cressrock.consensus.raft.messages import EntryKind, LogEntry
+from cressrock.errors.consensus import (
+    ForeignStoreError,
+    StoreCorruptError,
     StoreError,
-    StoreForeign,
-    StoreFull,
-    StoreLost,
-    StoreNewer,
-    StoreOlder,
-    StoreTorn,
+    StoreFullError,
+    StoreLockedError,
+    StoreMissingError,
+    StoreTooNewError,
+    StoreTooOldError,
 )
 
 FORMAT = 1
@@ -57,27 +57,27 @@
 APPLICATION = 0x63726B63  # SQLite's application_id: tells a council's store from any other database
 
 
-class Header(msgspec.Struct, frozen=True, array_like=True):
+class StoreHeader(msgspec.Struct, frozen=True, array_like=True):
     """Whose store this is; `founders`: who founded its council, () before; `removed`: it was put out."""
 
     format: int
     cluster: str
-    seat: str
-    own: str
-    founders: tuple[str, ...] = ()  # two foundings never speak to one another
+    replica: str
+    instance_id: str
+    initial_replicas: tuple[str, ...] = ()  # two foundings never speak to one another
     removed: bool = False
 
     @property
     def identity(self) -> str:
         """The seat's name in the replicated log."""
-        return f"{self.seat}#{self.own}"
+        return f"{self.replica}#{self.instance_id}"
 
 
-class Kept(msgspec.Struct, frozen=True, array_like=True):
+class StoredEntry(msgspec.Struct, frozen=True, array_like=True):
     """How an entry is stored under its index: term, kind, data."""
 
     term: Annotated[int, msgspec.Meta(ge=0, le=2**63 - 1)]
-    kind: Kind
+    kind: EntryKind
     data: bytes
 
 
@@ -108,7 +108,7 @@
     return _pack(_Hard(hard.term, hard.voted_for, hard.commit, hard.generation))
 
 
-def name_of(identity: str) -> str:
+def replica_name(identity: str) -> str:
     """Return the seat's name in an identity `name#id`."""
     return identity.partition("#")[0]
 
@@ -121,9 +121,9 @@
 def unseal(label: str, data: object) -> bytes:
     """Return a row's value.  Raises StoreTorn."""
     if not isinstance(data, bytes) or len(data) < 8:
-        raise StoreTorn(f"the row {label!r} of the store has no checksum")
+        raise StoreCorruptError(f"the row {label!r} of the store has no checksum")
     if xxhash.xxh3_64_digest(label.encode() + b"\0" + data[8:]) != data[:8]:
-        raise StoreTorn(f"the row {label!r} of the store does not have its checksum")
+        raise StoreCorruptError(f"the row {label!r} of the store does not have its checksum")
     return data[8:]
 
 
@@ -132,7 +132,7 @@
     try:
         return msgspec.msgpack.decode(value, type=kind)
     except msgspec.DecodeError as wrong:
-        raise StoreTorn(f"the row {label!r} of the store cannot be read: {wrong}") from None
+        raise StoreCorruptError(f"the row {label!r} of the store cannot be read: {wrong}") from None
 
 
 def flush_directory(path: Path) -> None:
@@ -144,7 +144,7 @@
         os.close(handle)
 
 
-class Store:
+class ReplicaStore:
     """One seat's store, held by one process at a time.  Not for two threads at once."""
 
     def __init__(
@@ -152,9 +152,9 @@
         path: str | Path,
         *,
         cluster: str,
-        seat: str,
-        expect: bool = False,
-        draw: Callable[[int], bytes] = os.urandom,
+        replica: str,
+        must_exist: bool = False,
+        random_bytes: Callable[[int], bytes] = os.urandom,
         max_pages: int = 0,
     ) -> None:
         """Open the store, or make it where there is none.
@@ -164,13 +164,15 @@
         """
         self.path = Path(path)
         there = self.path.exists() and self.path.stat().st_size > 0
-        if expect and not there:
-            raise StoreLost(f"no store of seat {seat!r} at {self.path}, and the settings expect one")
+        if must_exist and not there:
+            raise StoreMissingError(
+                f"no store of seat {replica!r} at {self.path}, and the settings expect one"
+            )
         self._db: sqlite3.Connection | None = None
         self.full = False
         try:
             with self._care():
-                self._open(there, expect, cluster, seat, draw, max_pages)
+                self._open(there, must_exist, cluster, replica, random_bytes, max_pages)
         except BaseException:
             self.close()
             raise
@@ -183,7 +185,7 @@
         self._db = db
         if there and not self._foreign_or_version(db):
             if expect:
-                raise StoreLost(f"the store of seat {seat!r} at {self.path} is empty")
+                raise StoreMissingError(f"the store of seat {seat!r} at {self.path} is empty")
             there = False
         # Exclusive: two processes on one store would be two seats with one vote.
         db.execute("PRAGMA locking_mode=EXCLUSIVE")
@@ -193,16 +195,18 @@
         if pages:
             db.execute(f"PRAGMA max_page_count={int(pages)}")
         if not there:
-            header = Header(FORMAT, cluster, seat, draw(8).hex())
+            header = StoreHeader(FORMAT, cluster, seat, draw(8).hex())
             self._make(db, header)
         db.execute("BEGIN EXCLUSIVE")  # taken once, and kept by the locking mode
         db.execute("COMMIT")
         self._whole(db)
-        self.header: Header = _read(Header, "header", self._row("header"))
+        self.header: StoreHeader = _read(StoreHeader, "header", self._row("header"))
         if self.header.cluster != cluster:
-            raise StoreForeign(f"{self.path} belongs to cluster {self.header.cluster!r}, not {cluster!r}")
-        if seat and self.header.seat != seat:
-            raise StoreForeign(f"{self.path} is the store of seat {self.header.seat!r}, not {seat!r}")
+            raise ForeignStoreError(
+                f"{self.path} belongs to cluster {self.header.cluster!r}, not {cluster!r}"
+            )
+        if seat and self.header.replica != seat:
+            raise ForeignStoreError(f"{self.path} is the store of seat {self.header.replica!r}, not {seat!r}")
 
     def _foreign_or_version(self, db: sqlite3.Connection) -> bool:
         # Before any table is understood: these fields stand in the file's first 100 bytes in every format.
@@ -212,14 +216,14 @@
         (application,) = db.execute("PRAGMA application_id").fetchone()
         (version,) = db.execute("PRAGMA user_version").fetchone()
         if application != APPLICATION:
-            raise StoreForeign(f"{self.path} is a database of another program")
+            raise ForeignStoreError(f"{self.path} is a database of another program")
         if version > FORMAT:
-            raise StoreNewer(f"{self.path} has format {version}; this program knows up to {FORMAT}")
+            raise StoreTooNewError(f"{self.path} has format {version}; this program knows up to {FORMAT}")
         if version < OLDEST:
-            raise StoreOlder(f"{self.path} has format {version}; this program knows from {OLDEST}")
+            raise StoreTooOldError(f"{self.path} has format {version}; this program knows from {OLDEST}")
         return True
 
-    def _make(self, db: sqlite3.Connection, header: Header) -> None:
+    def _make(self, db: sqlite3.Connection, header: StoreHeader) -> None:
         db.execute("BEGIN EXCLUSIVE")
         db.execute(f"PRAGMA application_id={APPLICATION}")
         db.execute(f"PRAGMA user_version={FORMAT}")
@@ -235,14 +239,14 @@
     def _whole(self, db: sqlite3.Connection) -> None:
         answer = [row[0] for row in db.execute("PRAGMA integrity_check(3)")]
         if answer != ["ok"]:
-            raise StoreTorn(f"{self.path} is damaged: {'; '.join(map(str, answer))[:300]}")
+            raise StoreCorruptError(f"{self.path} is damaged: {'; '.join(map(str, answer))[:300]}")
 
     # --- rows
 
     def _row(self, name: str) -> object:
         row = self._use().execute("SELECT value FROM kept WHERE name=?", (name,)).fetchone()
         if row is None:
-            raise StoreTorn(f"the row {name!r} of {self.path} is missing")
+            raise StoreCorruptError(f"the row {name!r} of {self.path} is missing")
         return row[0]
 
     def _put(self, name: str, value: bytes) -> None:
@@ -262,17 +266,17 @@
             text = str(wrong)
             code = getattr(wrong, "sqlite_errorcode", 0) & 0xFF
             if code == sqlite3.SQLITE_FULL:
-                raise StoreFull(f"{self.path}: {text}") from wrong
+                raise StoreFullError(f"{self.path}: {text}") from wrong
             if code in (sqlite3.SQLITE_BUSY, sqlite3.SQLITE_LOCKED):
-                raise StoreBusy(f"{self.path}: {text}") from wrong
+                raise StoreLockedError(f"{self.path}: {text}") from wrong
             if code in (sqlite3.SQLITE_CORRUPT, sqlite3.SQLITE_NOTADB):
-                raise StoreTorn(f"{self.path}: {text}") from wrong
+                raise StoreCorruptError(f"{self.path}: {text}") from wrong
             if code == sqlite3.SQLITE_IOERR and self._short():
-                raise StoreFull(f"{self.path}: {text}") from wrong
+                raise StoreFullError(f"{self.path}: {text}") from wrong
             raise StoreError(f"{self.path}: {text}") from wrong
         except OSError as wrong:
             if wrong.errno in (errno.ENOSPC, errno.EDQUOT, errno.EFBIG):
-                raise StoreFull(f"{self.path}: {wrong}") from wrong
+                raise StoreFullError(f"{self.path}: {wrong}") from wrong
             raise StoreError(f"{self.path}: {wrong}") from wrong
 
     def _short(self) -> bool:
@@ -294,12 +298,12 @@
 
     # --- what the seat does
 
-    def load(self) -> Stored:
+    def load(self) -> StoredState:
         """Return what was kept.  Raises StoreTorn where any of it is not as it was written."""
         with self._care():
             return self._load()
 
-    def _load(self) -> Stored:
+    def _load(self) -> StoredState:
         db = self._use()
         hard = _read(_Hard, "hard", self._row("hard"))
         tail = _read(_Tail, "tail", self._row("tail"))
@@ -310,29 +314,33 @@
         index = snapshot.index if snapshot else 0
         term = snapshot.term if snapshot else 0
         if tail.first != index + 1:
-            raise StoreTorn(f"the log of {self.path} begins at {tail.first}, its snapshot ends at {index}")
-        entries: list[Entry] = []
+            raise StoreCorruptError(
+                f"the log of {self.path} begins at {tail.first}, its snapshot ends at {index}"
+            )
+        entries: list[LogEntry] = []
         for place, data in db.execute("SELECT place, value FROM log ORDER BY place"):
             index += 1
             if place != index:
-                raise StoreTorn(f"entry {index} of {self.path} is missing; the next one is {place}")
-            one = _read(Kept, f"log {place}", data)
+                raise StoreCorruptError(f"entry {index} of {self.path} is missing; the next one is {place}")
+            one = _read(StoredEntry, f"log {place}", data)
             if one.term < term:
-                raise StoreTorn(f"entry {place} of {self.path} has term {one.term} after {term}")
+                raise StoreCorruptError(f"entry {place} of {self.path} has term {one.term} after {term}")
             term = one.term
-            entries.append(Entry(one.term, place, one.kind, one.data))
+            entries.append(LogEntry(one.term, place, one.kind, one.data))
         if (tail.last, tail.count) != (index, len(entries)):
-            raise StoreTorn(f"the log of {self.path} ends at {index}; it was kept up to {tail.last}")
+            raise StoreCorruptError(f"the log of {self.path} ends at {index}; it was kept up to {tail.last}")
         if not (snapshot.index if snapshot else 0) <= hard.commit <= index or hard.term < term:
-            raise StoreTorn(f"vote and log of {self.path} do not fit: {hard} with a log up to {index}")
+            raise StoreCorruptError(
+                f"vote and log of {self.path} do not fit: {hard} with a log up to {index}"
+            )
         kept_hard = HardState(hard.term, hard.voted_for, hard.commit, hard.generation)
-        return Stored(kept_hard, snapshot, tuple(entries))
+        return StoredState(kept_hard, snapshot, tuple(entries))
 
     def write(
         self,
         hard: HardState | None = None,
         snapshot: Snapshot | None = None,
-        entries: Sequence[Entry] = (),
+        entries: Sequence[LogEntry] = (),
         truncate_from: int | None = None,
     ) -> None:
         """Keep one Ready in one transaction; when this returns, it lasts.
@@ -342,12 +350,12 @@
         answered from memory, so the seat has to end.  Raises StoreFull and the other types.
         """
         if self.full:
-            raise StoreFull(f"{self.path} was full before")
+            raise StoreFullError(f"{self.path} was full before")
         try:
             with self._care():
                 self._write(hard, snapshot, entries, truncate_from)
         except StoreError as wrong:
-            self.full = isinstance(wrong, StoreFull)
+            self.full = isinstance(wrong, StoreFullError)
             self.close()
             raise
 
@@ -355,7 +363,7 @@
         self,
         hard: HardState | None,
         snapshot: Snapshot | None,
-        entries: Sequence[Entry],
+        entries: Sequence[LogEntry],
         truncate_from: int | None,
     ) -> None:
         db = self._use()
@@ -392,10 +400,10 @@
     def _term(self, place: int) -> int:
         row = self._use().execute("SELECT value FROM log WHERE place=?", (place,)).fetchone()
         if row is None:
-            raise StoreTorn(f"entry {place} of {self.path} is missing")
-        return int(_read(Kept, f"log {place}", row[0]).term)
+            raise StoreCorruptError(f"entry {place} of {self.path} is missing")
+        return int(_read(StoredEntry, f"log {place}", row[0]).term)
 
-    def keep_header(self, header: Header, stored: Stored | None = None) -> None:
+    def save_header(self, header: StoreHeader, stored: StoredState | None = None) -> None:
         """Replace the header (founding, recovery, removal) in one transaction; with `stored`, all else too.
 
         Raises as `write` does.
@@ -409,12 +417,12 @@
                     self._replace(stored)
                 db.execute("COMMIT")
         except StoreError as wrong:
-            self.full = isinstance(wrong, StoreFull)
+            self.full = isinstance(wrong, StoreFullError)
             self.close()
             raise
         self.header = header
 
-    def _replace(self, stored: Stored) -> None:
+    def _replace(self, stored: StoredState) -> None:
         db = self._use()
         db.execute("DELETE FROM log")
         db.execute("DELETE FROM kept WHERE name='snapshot'")
@@ -427,14 +435,14 @@
             last += 1
             self._insert(entry)
         self._put("tail", _pack(_Tail(first, last, len(stored.entries))))
-        self._put("hard", _hard(stored.hard))
+        self._put("hard", _hard(stored.hard_state))
 
     @staticmethod
     def _snapshot(snapshot: Snapshot) -> bytes:
-        return _pack(_Snapshot(snapshot.index, snapshot.term, tuple(snapshot.seats), snapshot.data))
+        return _pack(_Snapshot(snapshot.index, snapshot.term, tuple(snapshot.voters), snapshot.data))
 
-    def _insert(self, entry: Entry) -> None:
-        value = seal(f"log {entry.index}", _pack(Kept(entry.term, entry.kind, entry.data)))
+    def _insert(self, entry: LogEntry) -> None:
+        value = seal(f"log {entry.index}", _pack(StoredEntry(entry.term, entry.kind, entry.data)))
         self._use().execute("INSERT INTO log VALUES(?, ?)", (entry.index, value))
 
     def size(self) -> int:
--- a/cressrock/council/line.py
+++ b/cressrock/consensus/transport.py
@@ -11,44 +11,44 @@
 import anyio
 import anyio.to_thread
 
-from cressrock.council import wire as w
+from cressrock.consensus import wire as w
 from cressrock.http.channel import BROKEN, Stream
 
 
-async def off_loop(work: Callable[[], None]) -> None:
+async def run_in_thread(work: Callable[[], None]) -> None:
     """Do blocking work in a thread and wait for it, also when cancelled: a write is done or has failed."""
     await anyio.to_thread.run_sync(work)
 
 
-async def in_line(work: Callable[[], None]) -> None:
+async def run_inline(work: Callable[[], None]) -> None:
     """Do blocking work at once: for simulated time, in which a thread's real time must not pass."""
     work()
 
 
 @dataclass(frozen=True, slots=True)
-class World:
+class Environment:
     """What a carrier takes from outside: clocks (ms), dialling, threads, chance; `draw` for a store."""
 
     clock: Callable[[], float]
     wall_ms: Callable[[], float]
     connect: Callable[[str, int], Awaitable[Stream]]
-    source: random.Random
+    random_source: random.Random
     log: Any = None
-    keep: Callable[[Callable[[], None]], Awaitable[None]] = off_loop
-    draw: Callable[[int], bytes] = os.urandom
+    run_blocking: Callable[[Callable[[], None]], Awaitable[None]] = run_in_thread
+    random_bytes: Callable[[int], bytes] = os.urandom
 
-    def say(self, event: str, **fields: object) -> None:
+    def log_event(self, event: str, **fields: object) -> None:
         """Log one line."""
         if self.log is not None:
             self.log.info(event, **fields)
 
 
 @dataclass(frozen=True, slots=True)
-class Redial:
+class ReconnectBackoff:
     """Waits between attempts, in ms: doubled from `least` to `most`, each drawn from its half up."""
 
-    least_ms: float = 50.0
-    most_ms: float = 1000.0
+    min_ms: float = 50.0
+    max_ms: float = 1000.0
     connect_ms: float = 1000.0  # an attempt that hangs longer is given up
 
 
@@ -59,7 +59,7 @@
         self, talk: w.Talk, stream: Stream, clock: Callable[[], float], told: Callable[[w.Event], None]
     ) -> None:
         """`told` takes each event, the Closed as the last one."""
-        self.talk, self.stream, self.clock, self.told = talk, stream, clock, told
+        self.talk, self.stream, self.clock, self.on_event = talk, stream, clock, told
         self._news = anyio.Event()
 
     def wake(self) -> None:
@@ -79,7 +79,7 @@
 
     def _tell(self, events: list[w.Event]) -> None:
         for event in events:
-            self.told(event)
+            self.on_event(event)
 
     async def run(self) -> None:
         """Serve to the end and close the stream."""
@@ -119,18 +119,18 @@
             scope.cancel()
 
 
-class Line:
+class PeerConnection:
     """A connection to one seat that is dialled again whenever it ends."""
 
     def __init__(
         self,
-        world: World,
+        world: Environment,
         name: str,
         address: str,
         me: Callable[[], w.Me],
         *,
         bounds: w.Bounds,
-        redial: Redial,
+        redial: ReconnectBackoff,
         opened: Callable[[], None] = lambda: None,
     ) -> None:
         """`me` says who greets, `opened` is called when it stands."""
@@ -147,7 +147,7 @@
     async def run(self) -> None:
         """Keep the line up until cancelled."""
         host, _, port = self.address.rpartition(":")
-        wait = self.redial.least_ms
+        wait = self.redial.min_ms
         while True:
             stream = None
             try:
@@ -163,9 +163,9 @@
                 finally:
                     self._end()
                 if talk.peer:
-                    wait = self.redial.least_ms
-            await anyio.sleep(wait * self.world.source.uniform(0.5, 1) / 1000)
-            wait = min(wait * 2, self.redial.most_ms)
+                    wait = self.redial.min_ms
+            await anyio.sleep(wait * self.world.random_source.uniform(0.5, 1) / 1000)
+            wait = min(wait * 2, self.redial.max_ms)
 
     def heard_ms(self) -> float | None:
         """Return when the other end was heard last on our clock, None while the line does not stand."""
@@ -196,7 +196,7 @@
                 self._opened()
             case w.Closed(code, reason):
                 if code != "ended" and (self.parted is None or self.parted.code != code):
-                    self.world.say("council.line.parted", seat=self.name, code=code, reason=reason)
+                    self.world.log_event("council.line.parted", seat=self.name, code=code, reason=reason)
                 self.parted = event
                 self._fell()
             case w.Answer(number, reply):
--- a/cressrock/council/wire.py
+++ b/cressrock/consensus/wire.py
@@ -18,7 +18,7 @@
 import msgspec
 from msgspec import Meta, Struct
 
-from cressrock.council import decrees as d
+from cressrock.consensus import decisions as d
 
 VERSIONS = (1,)
 FRAME = 4
@@ -122,7 +122,7 @@
 class Stands(Struct, frozen=True, array_like=True, tag="stands"):
     """What stands, or was decided; None: nothing does."""
 
-    decree: d.Decree | None
+    decree: d.Decision | None
 
 
 class Elsewhere(Struct, frozen=True, array_like=True, tag="elsewhere"):
@@ -143,7 +143,7 @@
     text: Annotated[str, Meta(max_length=65536)]
 
 
-Reply = Stands | d.Clash | d.Refused | Elsewhere | Later | Told | d.Done
+Reply = Stands | d.VersionConflict | d.Rejected | Elsewhere | Later | Told | d.Done
 
 
 class Answer(Struct, frozen=True, array_like=True, tag="answer"):
--- a/cressrock/dispatch/driver.py
+++ b/cressrock/dispatch/driver.py
@@ -13,35 +13,42 @@
 from dataclasses import dataclass
 from typing import Any, Protocol
 
-from cressrock.dispatch.keys import KeyMemory
-from cressrock.dispatch.ledger import NEVER_RAN, Attempt, Ledger, Settled, Tripped, Verdict
+from cressrock.dispatch.idempotency import IdempotencyKeys
+from cressrock.dispatch.ledger import NEVER_RAN, Attempt, FenceTrip, Ledger, Settled, Verdict
 from cressrock.dispatch.reasons import Reason
-from cressrock.dispatch.transport import Denied, Ending, Flight, Transport, Work, reached
+from cressrock.dispatch.transport import (
+    AttemptHandle,
+    AttemptResult,
+    Denial,
+    ShardRequest,
+    Transport,
+    reached_node,
+)
 from cressrock.interface import (
     Action,
     Arrival,
+    AttemptEnded,
     Cancel,
     ClientLeft,
-    Effect,
-    Ended,
     Event,
     Fail,
+    Idempotency,
     ListKind,
     Log,
     NodeList,
     Outcome,
-    Refuse,
+    Reject,
     RequestClass,
     Send,
     SetTimer,
     Subscribe,
-    Wake,
+    TimerFired,
 )
 
 FOREVER = float("inf")
 
 
-class Decisions(Protocol):
+class DecisionModule(Protocol):
     """The scheduler's decision module."""
 
     def act(self, now_ms: float, events: list[Event]) -> list[Action]:
@@ -51,7 +58,7 @@
 class Observer(Protocol):
     """Where the driver tells what it did; structured logs and metrics, or a test's list."""
 
-    def tripped(self, trip: Tripped) -> None:
+    def fence_tripped(self, trip: FenceTrip) -> None:
         """Report an order that a fence stopped."""
 
     def attempt_ended(self, attempt: Attempt, outcome: Outcome, lag_ms: float, text: str) -> None:
@@ -60,7 +67,7 @@
     def answered(self, request_class: int, verdict: Verdict, reason: Reason | None, ms: float) -> None:
         """Report an operation's final answer."""
 
-    def woke(self, events: int, late_ms: float, act_ms: float) -> None:
+    def batch_processed(self, events: int, late_ms: float, act_ms: float) -> None:
         """Report a batch: its events, how long the oldest waited, what the decisions took."""
 
     def line(self, text: str) -> None:
@@ -71,7 +78,7 @@
 class _Slot:
     """An operation that somebody waits for."""
 
-    op: Work
+    op: ShardRequest
     label: str
     deadline: float
     taken_at: float
@@ -93,7 +100,7 @@
         self.attempt = attempt
         self.deadline = deadline
         self.leave_by = driver.ledger.leave_by(name, attempt.number)
-        self.flight: Flight | None = None
+        self.flight: AttemptHandle | None = None
 
     @property
     def op(self) -> Any:
@@ -107,13 +114,13 @@
         if not self.slot.present():
             # Danger: whoever reads the client hears of its end later: its reading is paused, or the loop was
             # busy.  An attempt that begins meanwhile is work for nobody.
-            self.driver.left(self.name)
+            self.driver.client_left(self.name)
         return self.driver.ledger.may_leave(self.name, self.attempt.number, self.driver.clock())
 
     def begin(self, reply: Any) -> bool:
         return self.driver._began(self, reply)
 
-    def end(self, ending: Ending) -> None:
+    def end(self, ending: AttemptResult) -> None:
         self.driver._ended(self, ending)
 
 
@@ -125,7 +132,7 @@
 
     def __init__(
         self,
-        decisions: Decisions,
+        decisions: DecisionModule,
         ledger: Ledger,
         transport: Transport,
         classes: tuple[RequestClass, ...],
@@ -133,9 +140,9 @@
         *,
         clock: Callable[[], float],
         retry_after_ms: float = 0.0,
-        keys: KeyMemory | None = None,
+        keys: IdempotencyKeys | None = None,
         subscribe: Callable[[], None] = lambda: None,
-        wake: Callable[[], None] = lambda: None,
+        request_wakeup: Callable[[], None] = lambda: None,
     ) -> None:
         """`clock` gives monotonic milliseconds.
 
@@ -151,34 +158,34 @@
         self.subscribe = subscribe
         self.keys = keys
         self.clock = clock
-        self.wake = wake
-        self.slots: dict[str, _Slot] = {}
+        self.request_wakeup = request_wakeup
+        self.pending: dict[str, _Slot] = {}
         # Attempts out live longer than the slot whose client has left: they can still be ordered off.
-        self.out: dict[tuple[str, int], _Call] = {}
+        self.in_flight: dict[tuple[str, int], _Call] = {}
         self._inbox: deque[tuple[float, int, str, Event | _Slot]] = deque()
         self._timers: dict[int, float] = {}
         self._poked = False
 
     # --- what happened
 
-    def listed(self, report: NodeList) -> None:
+    def receive_node_list(self, report: NodeList) -> None:
         """Hand over news of the node list; the ledger knows it from this moment, as rule 3 counts."""
         if report.kind is not ListKind.FAILED:
             complete = report.kind is not ListKind.CHANGES
-            self.ledger.news(report.nodes, self.clock(), complete=complete)
+            self.ledger.update_nodes(report.nodes, self.clock(), complete=complete)
         self._tell("", 0, report)
 
-    def take(
+    def submit(
         self,
         name: str,
         exchange: str,
-        op: Work,
+        op: ShardRequest,
         deadline: float,
         answer: Callable[[Any], None],
         label: str = "",
         since: float | None = None,
         present: Callable[[], bool] = lambda: True,
-    ) -> Denied | None:
+    ) -> Denial | None:
         """Take an operation; `answer` gets its one final answer later, unless it is denied here and now.
 
         `present` tells whether the client is still there; it is asked just before each attempt's first byte,
@@ -190,61 +197,61 @@
         now = self.clock()
         cls = self.classes[op.request_class]
         since = now if since is None else since
-        if self.keys is not None and op.idempotency_key and cls.effect is Effect.KEYED:
-            first = self.keys.first(op.idempotency_key, now)
+        if self.keys is not None and op.idempotency_key and cls.idempotency is Idempotency.KEYED:
+            first = self.keys.first_sent_ms(op.idempotency_key, now)
             if first is not None:
                 since = min(since, first)  # a later try of the same user
-                deadline = min(deadline, first + cls.repeat_window_ms)
+                deadline = min(deadline, first + cls.deduplication_window_ms)
                 if now >= deadline:
-                    return Denied(Verdict.FAILED, Reason.KEY)
-        if self.ledger.take(name, exchange, cls, deadline, now) is None:
-            return Denied(Verdict.REFUSED, Reason.FULL, self.retry_after_ms)
-        slot = self.slots[name] = _Slot(op, label or name, deadline, now, since, answer, present)
+                    return Denial(Verdict.FAILED, Reason.KEY)
+        if self.ledger.accept(name, exchange, cls, deadline, now) is None:
+            return Denial(Verdict.REJECTED, Reason.FULL, self.retry_after_ms)
+        slot = self.pending[name] = _Slot(op, label or name, deadline, now, since, answer, present)
         self._tell(name, 1, slot)
         return None
 
-    def left(self, name: str) -> bool:
+    def client_left(self, name: str) -> bool:
         """Say that the client has left; False if it had its answer before.
 
         What is out at a node runs on to its outcome, which the decisions hear and nobody is shown; what has
         not left whole for one does not run at all.
         """
-        slot = self.slots.pop(name, None)
-        if slot is None or not self.ledger.left(name):
+        slot = self.pending.pop(name, None)
+        if slot is None or not self.ledger.client_left(name):
             return False
         self._tell(name, 3, ClientLeft(name))
         entry = self.ledger.entries.get(name)
-        call = self.out.get((name, len(entry.attempts) - 1)) if entry is not None else None
+        call = self.in_flight.get((name, len(entry.attempts) - 1)) if entry is not None else None
         if call is not None and call.flight is not None:
             # Danger: where attempts may not be cancelled, the rest of it would arrive, and it begin, later.
             call.flight.abandon()
         self.observer.answered(slot.op.request_class, Verdict.LEFT, Reason.LEFT, self.clock() - slot.taken_at)
         return True
 
-    def stop(self) -> None:
+    def abort_pending(self) -> None:
         """Give everything that is owed its final answer now: the process ends, and nobody else can."""
-        for name in list(self.slots):
+        for name in list(self.pending):
             entry = self.ledger.entries.get(name)
-            harmless = entry is not None and self.ledger.may_refuse(entry)
-            end = self.ledger.refuse if harmless else self.ledger.fail
+            harmless = entry is not None and self.ledger.may_reject(entry)
+            end = self.ledger.reject if harmless else self.ledger.fail
             self._deny(name, end(name, Reason.STOPPING), Reason.STOPPING, 0.0)
 
-    def poke(self) -> None:
+    def request_batch(self) -> None:
         """Ask for a turn though nothing happened here: the decisions have orders of their own accord."""
         self._poked = True
-        self.wake()
+        self.request_wakeup()
 
     def _tell(self, name: str, rank: int, event: Event | _Slot) -> None:
         self._inbox.append((self.clock(), rank, name, event))
-        self.wake()
+        self.request_wakeup()
 
     # --- the loop
 
-    def due(self) -> float:
+    def next_batch_ms(self) -> float:
         """Return when the next turn has to be taken at the latest, should nothing happen."""
-        return min(min(self._timers.values(), default=FOREVER), self.ledger.next_due())
+        return min(min(self._timers.values(), default=FOREVER), self.ledger.next_overdue_ms())
 
-    def turn(self) -> None:
+    def process_batch(self) -> None:
         """Hand over what has happened, and carry out what is ordered."""
         now = self.clock()
         waiting = sorted(self._inbox, key=_order)
@@ -255,13 +262,15 @@
         for token, at in sorted(self._timers.items()):
             if at <= now:
                 del self._timers[token]
-                events.append(Wake(token))
+                events.append(TimerFired(token))
         if events or self._poked:
             self._poked = False
             actions = self.decisions.act(now, events)
             for action in actions:
                 self._carry_out(action, now)
-            self.observer.woke(len(events), now - waiting[0][0] if waiting else 0.0, self.clock() - now)
+            self.observer.batch_processed(
+                len(events), now - waiting[0][0] if waiting else 0.0, self.clock() - now
+            )
         for name in self.ledger.overdue(now):
             self._deny(name, self.ledger.fail(name, Reason.OVERDUE), Reason.OVERDUE, 0.0)
 
@@ -277,7 +286,7 @@
             plan=op.plan,
             request_class=op.request_class,
             shard=op.shard,
-            writers=op.writers,
+            sharing_hosts=op.writers,
             waited_ms=max(0.0, now - slot.since),
         )
 
@@ -285,8 +294,8 @@
         match action:
             case Send(request, node, within_ms):
                 self._send(request, node, within_ms, now)
-            case Refuse(request, stay_away_ms):
-                verdict = self.ledger.refuse(request, Reason.SCHEDULER)
+            case Reject(request, stay_away_ms):
+                verdict = self.ledger.reject(request, Reason.SCHEDULER)
                 self._deny(request, verdict, Reason.SCHEDULER, stay_away_ms or self.retry_after_ms)
             case Fail(request):
                 entry = self.ledger.entries.get(request)
@@ -294,7 +303,7 @@
                 reason = Reason.DEADLINE if last in (None, Outcome.TIMEOUT) else Reason.ATTEMPTS
                 self._deny(request, self.ledger.fail(request, reason), reason, 0.0)
             case Cancel(request, attempt):
-                call = self.out.get((request, attempt))
+                call = self.in_flight.get((request, attempt))
                 if call is not None and call.flight is not None:
                     call.flight.stop()
             case SetTimer(at_ms, token):
@@ -306,33 +315,35 @@
 
     def _send(self, name: str, node: str, within_ms: float, now: float) -> None:
         entered = self.ledger.send(name, node, now)
-        slot = self.slots.get(name)
-        if isinstance(entered, Tripped) or slot is None:
-            if isinstance(entered, Tripped):
-                self.observer.tripped(entered)
+        slot = self.pending.get(name)
+        if isinstance(entered, FenceTrip) or slot is None:
+            if isinstance(entered, FenceTrip):
+                self.observer.fence_tripped(entered)
                 number = entered.number
             else:
                 number = entered.number
-                self.ledger.ended(name, number, Outcome.MOOT)
-            self._tell(name, 2, Ended(name, number, Outcome.MOOT, slot is None, 0.0, reached=False))
+                self.ledger.record_outcome(name, number, Outcome.ABANDONED)
+            self._tell(
+                name, 2, AttemptEnded(name, number, Outcome.ABANDONED, slot is None, 0.0, charged=False)
+            )
             return
         if self.keys is not None and slot.op.idempotency_key:
-            self.keys.sent(slot.op.idempotency_key, now)
+            self.keys.record_sent(slot.op.idempotency_key, now)
         deadline = slot.deadline if not within_ms else min(slot.deadline, now + within_ms)
-        call = self.out[name, entered.number] = _Call(self, name, slot, entered, deadline)
+        call = self.in_flight[name, entered.number] = _Call(self, name, slot, entered, deadline)
         call.flight = self.transport.start(call)
 
     def _deny(self, name: str, verdict: Verdict | None, reason: Reason, retry_after_ms: float) -> None:
         """Hand on a refusal or a failure, once; None says that the answer was given before."""
-        slot = self.slots.get(name)
+        slot = self.pending.get(name)
         if verdict is None or slot is None:
             return
         if verdict is Verdict.FAILED and reason is Reason.SCHEDULER:
             reason = Reason.FENCED_REFUSAL
-        self._give(name, slot, Denied(verdict, reason, retry_after_ms), verdict, reason)
+        self._give(name, slot, Denial(verdict, reason, retry_after_ms), verdict, reason)
 
     def _give(self, name: str, slot: _Slot, result: Any, verdict: Verdict, reason: Reason | None) -> None:
-        self.slots.pop(name, None)
+        self.pending.pop(name, None)
         slot.answer(result)
         self.observer.answered(slot.op.request_class, verdict, reason, self.clock() - slot.taken_at)
 
@@ -344,27 +355,27 @@
         self._give(call.name, call.slot, reply, Verdict.SERVED, None)
         return True
 
-    def _ended(self, call: _Call, ending: Ending) -> Settled:
+    def _ended(self, call: _Call, ending: AttemptResult) -> Settled:
         """Enter an attempt's one outcome with the ledger, and tell the decisions."""
         name, attempt, outcome = call.name, call.attempt, ending.outcome
-        del self.out[name, attempt.number]
-        settled = self.ledger.ended(name, attempt.number, outcome)
+        del self.in_flight[name, attempt.number]
+        settled = self.ledger.record_outcome(name, attempt.number, outcome)
         key = call.slot.op.idempotency_key
         if self.keys is not None and key and outcome in NEVER_RAN:
-            self.keys.never_ran(key, attempt.sent_at)
-        event = Ended(
+            self.keys.retract_sent(key, attempt.sent_at_ms)
+        event = AttemptEnded(
             name,
             attempt.number,
             outcome,
-            settled.over,
-            ending.lag_ms,
+            settled.is_answered,
+            ending.latency_ms,
             ending.used,
             ending.elsewhere,
-            reached(outcome),
+            reached_node(outcome),
         )
         self._tell(name, 2, event)
-        self.observer.attempt_ended(attempt, outcome, ending.lag_ms, ending.text)
-        if settled.now:
+        self.observer.attempt_ended(attempt, outcome, ending.latency_ms, ending.text)
+        if settled.answered_now:
             self._give(name, call.slot, ending.reply, Verdict.SERVED, None)
         return settled
 
--- a/cressrock/dispatch/keys.py
+++ b/cressrock/dispatch/idempotency.py
@@ -9,30 +9,30 @@
 from collections import OrderedDict
 
 
-class KeyMemory:
+class IdempotencyKeys:
     """First sendings of keys that may have run, for `keep_ms`, at most `most` of them."""
 
-    def __init__(self, *, keep_ms: float, most: int) -> None:
+    def __init__(self, *, keep_ms: float, max_keys: int) -> None:
         """Start with none."""
         self.keep_ms = keep_ms
-        self.most = most
+        self.most = max_keys
         self._first: OrderedDict[str, float] = OrderedDict()
 
     def __len__(self) -> int:
         """Count the keys that are held."""
         return len(self._first)
 
-    def first(self, key: str, now: float) -> float | None:
+    def first_sent_ms(self, key: str, now: float) -> float | None:
         """Return when work under a key was first sent, as far as it may have run; None: not known to be."""
         at = self._first.get(key)
         return at if at is not None and now - at <= self.keep_ms else None
 
-    def sent(self, key: str, now: float) -> None:
+    def record_sent(self, key: str, now: float) -> None:
         """Enter a sending; only the first one counts."""
         self._expire(now)
         self._first.setdefault(key, now)
 
-    def never_ran(self, key: str, sent_at: float) -> None:
+    def retract_sent(self, key: str, sent_at: float) -> None:
         """Take back a first sending that provably never ran."""
         if self._first.get(key) == sent_at:
             del self._first[key]
--- a/cressrock/dispatch/ledger.py
+++ b/cressrock/dispatch/ledger.py
@@ -14,9 +14,9 @@
 from enum import Enum
 
 from cressrock.dispatch.reasons import Fence, Reason
-from cressrock.interface import Effect, Group, Node, NodeState, Outcome, RequestClass
+from cressrock.interface import DeduplicationScope, Idempotency, Node, NodeState, Outcome, RequestClass
 
-NEVER_RAN = frozenset({Outcome.FULL, Outcome.NO_CONNECTION, Outcome.MOOT})
+NEVER_RAN = frozenset({Outcome.FULL, Outcome.NO_CONNECTION, Outcome.ABANDONED})
 _ALLOWED = frozenset({NodeState.READY})
 
 
@@ -24,7 +24,7 @@
     """The one final answer of an operation."""
 
     SERVED = "served"
-    REFUSED = "refused"
+    REJECTED = "refused"
     FAILED = "failed"
     LEFT = "left"
 
@@ -35,7 +35,7 @@
 
     number: int
     node: Node
-    sent_at: float
+    sent_at_ms: float
     outcome: Outcome | None = None
 
     @property
@@ -50,14 +50,14 @@
 
     name: str
     exchange: str
-    cls: RequestClass
-    taken_at: float
-    deadline: float
+    request_class: RequestClass
+    accepted_at_ms: float
+    deadline_ms: float
     attempts: list[Attempt] = field(default_factory=list)
     verdict: Verdict | None = None
     reason: Reason | None = None
 
-    def out(self) -> Attempt | None:
+    def attempt_in_flight(self) -> Attempt | None:
         """Return the attempt that has no outcome yet."""
         for attempt in reversed(self.attempts):
             if attempt.outcome is None:
@@ -70,7 +70,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Tripped:
+class FenceTrip:
     """An order that was not carried out, and the rule that it would have broken."""
 
     fence: Fence
@@ -83,8 +83,8 @@
 class Settled:
     """What an outcome did: `over` the operation has its answer; `now` this outcome was the answer."""
 
-    over: bool
-    now: bool
+    is_answered: bool
+    answered_now: bool
 
 
 class Ledger:
@@ -108,14 +108,18 @@
         self.max_nodes = max_nodes
         self.entries: dict[str, Entry] = {}
         self.nodes: dict[str, Node] = {}
-        self.told: dict[str, float] = {}  # when this dispatcher was told that a node drains or is gone
-        self.trips: Counter[Fence] = Counter()
-        self.answers: Counter[Verdict] = Counter()
+        self.withdrawn_at_ms: dict[
+            str, float
+        ] = {}  # when this dispatcher was told that a node drains or is gone
+        self.fence_trips: Counter[Fence] = Counter()
+        self.answer_counts: Counter[Verdict] = Counter()
         self._due: list[tuple[float, str]] = []
 
     # --- operations
 
-    def take(self, name: str, exchange: str, cls: RequestClass, deadline: float, now: float) -> Entry | None:
+    def accept(
+        self, name: str, exchange: str, cls: RequestClass, deadline: float, now: float
+    ) -> Entry | None:
         """Take an operation: from here one final answer is owed.  None where the bound is reached.
 
         Raises ValueError for a name that is held already: names are never reused.
@@ -128,7 +132,7 @@
         heapq.heappush(self._due, (deadline + self.answer_slack_ms, name))
         return entry
 
-    def send(self, name: str, node: str, now: float) -> Attempt | Tripped:
+    def send(self, name: str, node: str, now: float) -> Attempt | FenceTrip:
         """Enter an attempt that was ordered, unless it would break a rule."""
         entry = self.entries.get(name)
         if entry is None:
@@ -139,19 +143,19 @@
         if line is None:
             return self._stop(entry, Node(node, -1), now, Fence.NODE, f"{node} was never listed")
         if self.barred(node, now):
-            detail = f"{node} drains or is gone, told {now - self.told[node]:.0f} ms ago"
+            detail = f"{node} drains or is gone, told {now - self.withdrawn_at_ms[node]:.0f} ms ago"
             return self._stop(entry, line, now, Fence.DRAIN, detail)
-        if entry.out() is not None:
+        if entry.attempt_in_flight() is not None:
             return self._stop(entry, line, now, Fence.TWICE, f"send to {node} while an attempt is out")
         ran = entry.first_run()
-        if ran is not None and entry.cls.effect is not Effect.REPEATABLE:
-            if entry.cls.effect is Effect.UNSAFE:
+        if ran is not None and entry.request_class.idempotency is not Idempotency.ALWAYS:
+            if entry.request_class.idempotency is Idempotency.NEVER:
                 return self._stop(entry, line, now, Fence.UNSAFE, f"{ran.node.name} may have run it")
-            if not self._same_group(entry.cls.group, ran.node, line):
+            if not self._same_group(entry.request_class.deduplication_scope, ran.node, line):
                 detail = f"{ran.node.name} may have run it, {node} is elsewhere"
                 return self._stop(entry, line, now, Fence.GROUP, detail)
-            if now - ran.sent_at > entry.cls.repeat_window_ms:
-                detail = f"first sent {now - ran.sent_at:.0f} ms ago"
+            if now - ran.sent_at_ms > entry.request_class.deduplication_window_ms:
+                detail = f"first sent {now - ran.sent_at_ms:.0f} ms ago"
                 return self._stop(entry, line, now, Fence.WINDOW, detail)
         attempt = Attempt(len(entry.attempts), line, now)
         entry.attempts.append(attempt)
@@ -167,10 +171,10 @@
         if entry is None or entry.verdict is not None or number >= len(entry.attempts):
             return False
         if self.barred(entry.attempts[number].node.name, now):
-            self.trips[Fence.DRAIN] += 1
+            self.fence_trips[Fence.DRAIN] += 1
             return False
         if now > self.leave_by(name, number):
-            self.trips[Fence.WINDOW] += 1
+            self.fence_trips[Fence.WINDOW] += 1
             return False
         return True
 
@@ -184,12 +188,16 @@
         the first byte, which is with the kernel as soon as `may_leave` was asked.
         """
         entry = self.entries.get(name)
-        if entry is None or entry.cls.effect is not Effect.KEYED or number >= len(entry.attempts):
+        if (
+            entry is None
+            or entry.request_class.idempotency is not Idempotency.KEYED
+            or number >= len(entry.attempts)
+        ):
             return float("inf")
         ran = entry.first_run()
         if ran is None or ran is entry.attempts[number]:
             return float("inf")
-        return ran.sent_at + entry.cls.repeat_window_ms
+        return ran.sent_at_ms + entry.request_class.deduplication_window_ms
 
     def commit(self, name: str) -> bool:
         """Enter that an answer has begun to leave for the client: it is the final one.  False if too late."""
@@ -199,7 +207,7 @@
         self._answer(entry, Verdict.SERVED, None)
         return True
 
-    def ended(self, name: str, number: int, outcome: Outcome) -> Settled:
+    def record_outcome(self, name: str, number: int, outcome: Outcome) -> Settled:
         """Enter an attempt's outcome.  The first OK is the answer; a late one is for the module alone.
 
         Raises ValueError for an attempt that was never sent or has its outcome already.
@@ -215,13 +223,13 @@
         self._forget(entry)
         return settled
 
-    def refuse(self, name: str, reason: Reason) -> Verdict | None:
+    def reject(self, name: str, reason: Reason) -> Verdict | None:
         """Give a refusal where a retry is provably harmless, else a failure.  None if already answered."""
         entry = self.entries.get(name)
         if entry is None or entry.verdict is not None:
             return None
-        if self.may_refuse(entry):
-            return self._answer(entry, Verdict.REFUSED, reason)
+        if self.may_reject(entry):
+            return self._answer(entry, Verdict.REJECTED, reason)
         self._trip(Fence.REFUSAL, name, "an attempt may have run")
         return self._answer(entry, Verdict.FAILED, Reason.FENCED_REFUSAL)
 
@@ -232,7 +240,7 @@
             return None
         return self._answer(entry, Verdict.FAILED, reason)
 
-    def left(self, name: str) -> bool:
+    def client_left(self, name: str) -> bool:
         """Enter that the client no longer waits: nothing more is owed.  False if it was over before."""
         entry = self.entries.get(name)
         if entry is None or entry.verdict is not None:
@@ -251,7 +259,7 @@
                 late.append(name)
         return late
 
-    def next_due(self) -> float:
+    def next_overdue_ms(self) -> float:
         """Return when `overdue` has to be asked next; infinity with nothing owed."""
         while self._due and self._over(self._due[0][1]):
             heapq.heappop(self._due)
@@ -261,68 +269,71 @@
         entry = self.entries.get(name)
         return entry is None or entry.verdict is not None
 
-    def may_refuse(self, entry: Entry) -> bool:
+    def may_reject(self, entry: Entry) -> bool:
         """Whether a refusal is true: nothing may have run, or all that may have is safe to repeat."""
-        if entry.cls.effect is Effect.REPEATABLE or entry.first_run() is None:
+        if entry.request_class.idempotency is Idempotency.ALWAYS or entry.first_run() is None:
             return True
-        return entry.cls.effect is Effect.KEYED and entry.cls.group is Group.ALL
+        return (
+            entry.request_class.idempotency is Idempotency.KEYED
+            and entry.request_class.deduplication_scope is DeduplicationScope.ALL
+        )
 
     # --- nodes
 
-    def news(self, nodes: Iterable[Node], now: float, *, complete: bool) -> None:
+    def update_nodes(self, nodes: Iterable[Node], now: float, *, complete: bool) -> None:
         """Enter a report of the node list; what a complete one lacks is gone."""
         listed = {line.name: line for line in nodes}
         if complete:
             for name, line in self.nodes.items():
                 if name not in listed:
-                    listed[name] = Node(name, line.shard, line.zone, line.up_since_ms, NodeState.GONE)
+                    listed[name] = Node(name, line.shard, line.zone, line.started_at_ms, NodeState.GONE)
         for name, line in listed.items():
             self.nodes[name] = line
             if line.state in _ALLOWED:
-                self.told.pop(name, None)
+                self.withdrawn_at_ms.pop(name, None)
             else:
-                self.told.setdefault(name, now)
+                self.withdrawn_at_ms.setdefault(name, now)
         if len(self.nodes) > self.max_nodes:
             self._drop_gone()
 
     def barred(self, node: str, now: float) -> bool:
         """Whether a node's drain grace is over, counted from when this dispatcher was first told."""
-        told = self.told.get(node)
+        told = self.withdrawn_at_ms.get(node)
         return told is not None and now > told + self.drain_grace_ms
 
     def _drop_gone(self) -> None:
         """Forget the nodes that were gone first: the table stays bounded through years of replacements."""
         gone = [n for n, line in self.nodes.items() if line.state is NodeState.GONE]
-        gone.sort(key=lambda name: (self.told[name], name))
+        gone.sort(key=lambda name: (self.withdrawn_at_ms[name], name))
         for name in gone[: len(self.nodes) - self.max_nodes]:
-            del self.nodes[name], self.told[name]
+            del self.nodes[name], self.withdrawn_at_ms[name]
 
     # --- inside
 
     @staticmethod
-    def _same_group(group: Group, first: Node, other: Node) -> bool:
-        if group is Group.ALL:
+    def _same_group(group: DeduplicationScope, first: Node, other: Node) -> bool:
+        if group is DeduplicationScope.ALL:
             return True
-        return first.zone == other.zone if group is Group.ZONE else first.shard == other.shard
+        return first.zone == other.zone if group is DeduplicationScope.ZONE else first.shard == other.shard
 
     def _answer(self, entry: Entry, verdict: Verdict, reason: Reason | None) -> Verdict:
         entry.verdict = verdict
         entry.reason = reason
-        self.answers[verdict] += 1
+        self.answer_counts[verdict] += 1
         self._forget(entry)
         return verdict
 
     def _forget(self, entry: Entry) -> None:
-        if entry.verdict is not None and entry.out() is None:
+        if entry.verdict is not None and entry.attempt_in_flight() is None:
             self.entries.pop(entry.name, None)
 
-    def _stop(self, entry: Entry, node: Node, now: float, fence: Fence, detail: str) -> Tripped:
+    def _stop(self, entry: Entry, node: Node, now: float, fence: Fence, detail: str) -> FenceTrip:
         """Keep the number of an attempt that was not made, so that both sides go on counting alike."""
         number = len(entry.attempts)
-        entry.attempts.append(Attempt(number, node, now, Outcome.MOOT))
-        self.trips[fence] += 1
-        return Tripped(fence, entry.name, detail, number)
+        entry.attempts.append(Attempt(number, node, now, Outcome.ABANDONED))
+        self.fence_trips[fence] += 1
+        return FenceTrip(fence, entry.name, detail, number)
 
-    def _trip(self, fence: Fence, name: str, detail: str) -> Tripped:
-        self.trips[fence] += 1
-        return Tripped(fence, name, detail)
+    def _trip(self, fence: Fence, name: str, detail: str) -> FenceTrip:
+        self.fence_trips[fence] += 1
+        return FenceTrip(fence, name, detail)
