--- a/cressrock/dispatch/nodeclient.py
+++ b/cressrock/dispatch/node_client.py
@@ -16,8 +16,17 @@
 from anyio.abc import TaskGroup
 from msgspec import Meta, Struct
 
-from cressrock.dispatch.operation import Body, Cut, Operation, Reply
-from cressrock.http.channel import BROKEN, Channel, Gone, Headers, PushStream, Stream, TooLarge, header
+from cressrock.dispatch.operation import Body, Operation, PayloadTruncatedError, Reply
+from cressrock.http.channel import (
+    BROKEN,
+    Channel,
+    ConnectionLostError,
+    Headers,
+    MessageTooLargeError,
+    PushStream,
+    Stream,
+    header,
+)
 from cressrock.http.server import Size, Time
 
 Connect = Callable[[str, int], Awaitable[Stream]]
@@ -35,16 +44,16 @@
     max_reply_bytes: Size = 16777216  # and one that has to be taken in whole may not be larger
 
 
-class NoConnection(Exception):
+class NoConnectionError(Exception):
     """No byte of the request was handed to a connection: it cannot have run."""
 
 
-class Overtaken(Exception):
+class SentTooLateError(Exception):
     """The connection came up too late for the request: no byte was handed to it."""
 
 
 @dataclass(slots=True)
-class Progress:
+class AttemptProgress:
     """How far an attempt came; true at every moment, also when it is cancelled."""
 
     sent: bool = False  # from here on the node may have it
@@ -87,11 +96,11 @@
                     self.done.set()
                     return b""
                 else:
-                    raise Gone("the node closed in mid-answer")
-        except (Gone, h11.RemoteProtocolError) as broken:
+                    raise ConnectionLostError("the node closed in mid-answer")
+        except (ConnectionLostError, h11.RemoteProtocolError) as broken:
             self.cut = True
             self.done.set()
-            raise Cut(str(broken)) from broken
+            raise PayloadTruncatedError(str(broken)) from broken
 
     def abandon(self) -> None:
         """Say that nobody reads on."""
@@ -131,7 +140,7 @@
         """Count the open connections."""
         return sum(pool.open for pool in self.pools.values())
 
-    def forget(self, node: str) -> None:
+    def close_idle(self, node: str) -> None:
         """Close the idle connections to a node that is gone."""
         pool = self.pools.get(node)
         if pool is not None:
@@ -142,7 +151,7 @@
                 del self.pools[node]
 
     async def exchange(
-        self, node: str, op: Operation, extra: Headers, progress: Progress, *, may_stream: bool
+        self, node: str, op: Operation, extra: Headers, progress: AttemptProgress, *, may_stream: bool
     ) -> tuple[Reply, NodePayload | None]:
         """Send an operation and return the answer, with its payload if that is handed on as it comes.
 
@@ -174,7 +183,7 @@
         node: str,
         op: Operation,
         extra: Headers,
-        progress: Progress,
+        progress: AttemptProgress,
         may_stream: bool,
     ) -> tuple[Reply, NodePayload | None]:
         headers: Headers = [(b"host", node.encode()), (b"user-agent", self.user_agent), *op.headers, *extra]
@@ -187,7 +196,7 @@
                 headers.append((b"content-length", str(body.length).encode()))
         first.append(h11.Request(method=op.method, target=op.target, headers=headers))
         if not progress.may_leave():
-            raise Overtaken("the connection came up too late for it")
+            raise SentTooLateError("the connection came up too late for it")
         progress.sent = True
         if body is None or body.length == 0:
             await channel.send(*first, h11.EndOfMessage())
@@ -207,16 +216,16 @@
                 try:
                     await channel.send(*first)
                     await self._upload(channel, body)
-                except Cut as cut:
+                except PayloadTruncatedError as cut:
                     failure.append(cut)
                     tasks.cancel_scope.cancel()
-                except Gone:
+                except ConnectionLostError:
                     pass  # the answer, if one came before the end, is still to be read
 
             tasks.start_soon(upload)
             try:
                 result = await self._answer(channel, progress, may_stream and op.stream)
-            except (Gone, TooLarge, h11.RemoteProtocolError) as failed:
+            except (ConnectionLostError, MessageTooLargeError, h11.RemoteProtocolError) as failed:
                 failure.append(failed)
             # An answer before the end of the payload is the answer; the rest is not sent.
             tasks.cancel_scope.cancel()
@@ -233,7 +242,7 @@
         await channel.send(h11.EndOfMessage())
 
     async def _answer(
-        self, channel: Channel, progress: Progress, may_stream: bool
+        self, channel: Channel, progress: AttemptProgress, may_stream: bool
     ) -> tuple[Reply, NodePayload | None]:
         event = await channel.response()
         headers: Headers = list(event.headers)
@@ -265,7 +274,7 @@
             with anyio.fail_after(self.bounds.connect_timeout_ms / 1000):
                 stream = await self.connect(host, int(port))
         except (*BROKEN, TimeoutError, ValueError) as failed:
-            raise NoConnection(f"{node}: {failed or 'not accepted in time'}") from failed
+            raise NoConnectionError(f"{node}: {failed or 'not accepted in time'}") from failed
         self.opened += 1
         pool.open += 1
         channel = Channel(
--- a/cressrock/dispatch/nodelist.py
+++ b/cressrock/dispatch/node_list.py
@@ -25,12 +25,12 @@
 }
 
 
-class ListError(ValueError):
+class NodeListError(ValueError):
     """A discovery response that cannot be used; the text names the place in it."""
 
 
 @dataclass(frozen=True, slots=True)
-class News:
+class NodeListUpdate:
     """What a response brought: a report for the scheduler, the new version, and what was odd in it."""
 
     report: NodeList
@@ -38,7 +38,7 @@
     warnings: tuple[str, ...]
 
 
-class ListState:
+class NodeListState:
     """The list as last accepted.  `zones` maps locality names to numbers in order of appearance."""
 
     def __init__(self, cluster: str, *, max_nodes: int) -> None:
@@ -65,7 +65,9 @@
             }
         )
 
-    def receive(self, body: bytes, now_ms: float, wall_ms: float, *, cached: bool = False) -> News | None:
+    def receive(
+        self, body: bytes, now_ms: float, wall_ms: float, *, cached: bool = False
+    ) -> NodeListUpdate | None:
         """Take in a DiscoveryResponse.  None where it repeats the present version.
 
         Raises ListError, and changes nothing, where the response is malformed.
@@ -73,26 +75,26 @@
         try:
             value = msgspec.json.decode(body)
         except msgspec.DecodeError as wrong:
-            raise ListError(f"discovery response is not JSON: {wrong}") from None
+            raise NodeListError(f"discovery response is not JSON: {wrong}") from None
         if not isinstance(value, dict) or not isinstance(value.get("version_info"), str):
-            raise ListError("discovery response: version_info is missing")
+            raise NodeListError("discovery response: version_info is missing")
         version: str = value["version_info"]
         if version == self.version and self.confirmed:
             return None
         if not cached and _older(version, self.version):
-            raise ListError(f"discovery response: version {version} is older than {self.version}")
+            raise NodeListError(f"discovery response: version {version} is older than {self.version}")
         nodes, zones, warnings = self._nodes(value, now_ms, wall_ms)
         self.version, self.nonce, self.zones = version, str(value.get("nonce", "")), zones
         self.confirmed = not cached
         kind = ListKind.CACHED if cached else ListKind.COMPLETE
-        return News(NodeList(kind, tuple(nodes)), version, tuple(warnings))
+        return NodeListUpdate(NodeList(kind, tuple(nodes)), version, tuple(warnings))
 
     def _nodes(
         self, value: dict[str, Any], now_ms: float, wall_ms: float
     ) -> tuple[list[Node], dict[str, int], list[str]]:
         resources = value.get("resources")
         if not isinstance(resources, list):
-            raise ListError("discovery response: resources is missing")
+            raise NodeListError("discovery response: resources is missing")
         found: dict[str, Node] = {}
         warnings: list[str] = []
         zones = dict(self.zones)
@@ -113,7 +115,9 @@
                             continue
                     found[node.name] = node
         if len(found) > self.max_nodes:
-            raise ListError(f"discovery response names {len(found)} nodes; at most {self.max_nodes} are held")
+            raise NodeListError(
+                f"discovery response names {len(found)} nodes; at most {self.max_nodes} are held"
+            )
         known = {key: at for key, at in self._starts.items() if key[0] in found}
         self._starts = known
         return sorted(found.values(), key=lambda n: n.name), zones, warnings
@@ -122,18 +126,18 @@
         address = _get(endpoint, "endpoint", "address", "socket_address", default=None)
         host, port = _get(address, "address", default=None), _get(address, "port_value", default=None)
         if not isinstance(host, str) or not isinstance(port, int):
-            raise ListError(f"{place}.endpoint.address.socket_address is missing")
+            raise NodeListError(f"{place}.endpoint.address.socket_address is missing")
         meta = _get(endpoint, "metadata", "filter_metadata", "cressrock", default={})
         shard = _get(meta, "shard", default=None)
         if not isinstance(shard, int) or shard < 0:
-            raise ListError(f"{place}.metadata: shard is missing or not a whole number")
+            raise NodeListError(f"{place}.metadata: shard is missing or not a whole number")
         status = endpoint.get("health_status", "HEALTHY")
         if status not in _STATES:
-            raise ListError(f"{place}.health_status: unknown word {status!r}")
+            raise NodeListError(f"{place}.health_status: unknown word {status!r}")
         name = f"{host}:{port}"
         since = _get(meta, "up_since", default=0)
         if not isinstance(since, (int, float)) or isinstance(since, bool):
-            raise ListError(f"{place}.metadata: up_since is not a number")
+            raise NodeListError(f"{place}.metadata: up_since is not a number")
         started = 0.0
         if since:
             age = max(0.0, wall_ms - float(since))
@@ -157,5 +161,5 @@
 def _list(value: Any, name: str, place: str) -> list[Any]:
     found = _get(value, name, default=[])
     if not isinstance(found, list):
-        raise ListError(f"{place}.{name} is not a list")
+        raise NodeListError(f"{place}.{name} is not a list")
     return found
--- a/cressrock/dispatch/watch.py
+++ b/cressrock/dispatch/node_list_watch.py
@@ -13,20 +13,20 @@
 import anyio
 import h11
 
-from cressrock.dispatch.nodeclient import NoConnection, NodeClient, Progress
-from cressrock.dispatch.nodelist import ListError, ListState, News
+from cressrock.dispatch.node_client import AttemptProgress, NoConnectionError, NodeClient
+from cressrock.dispatch.node_list import NodeListError, NodeListState, NodeListUpdate
 from cressrock.dispatch.operation import Operation
-from cressrock.dispatch.spool import Store, whole
-from cressrock.http.channel import Gone, TooLarge
+from cressrock.dispatch.spool import PayloadStore, complete_spool
+from cressrock.http.channel import ConnectionLostError, MessageTooLargeError
 from cressrock.interface import ListKind, NodeList
 
 
-class Watch:
+class NodeListWatch:
     """Polls the list while subscribed; a failed call ends the subscription and is reported as such."""
 
     def __init__(
         self,
-        state: ListState,
+        state: NodeListState,
         client: NodeClient,
         *,
         address: str,
@@ -34,7 +34,7 @@
         poll_ms: float,
         timeout_ms: float,
         cache: str | None,
-        listed: Callable[[NodeList], None],
+        on_report: Callable[[NodeList], None],
         wall_ms: Callable[[], float],
         log: Any,
     ) -> None:
@@ -46,12 +46,14 @@
         self.poll_ms = poll_ms
         self.timeout_ms = timeout_ms
         self.cache = Path(cache) if cache else None
-        self.listed = listed
+        self.listed = on_report
         self.wall_ms = wall_ms
         self.log = log
-        self.heard_at: float | None = None  # when the list last answered, on anyio's clock in milliseconds
+        self.last_response_ms: float | None = (
+            None  # when the list last answered, on anyio's clock in milliseconds
+        )
         self._wanted = anyio.Event()
-        self._store = Store(memory_bytes=1 << 20, spill_bytes=1 << 20)
+        self._store = PayloadStore(memory_bytes=1 << 20, spill_bytes=1 << 20)
 
     def subscribe(self) -> None:
         """Ask now, and then again and again until a call fails."""
@@ -66,7 +68,7 @@
                 news = self.state.receive(body, anyio.current_time() * 1000, self.wall_ms(), cached=True)
                 assert news is not None
                 report = news.report
-            except (OSError, ListError) as wrong:
+            except (OSError, NodeListError) as wrong:
                 self.log.warning("node list cache unusable", file=str(self.cache), error=str(wrong))
         self.listed(report)
 
@@ -90,14 +92,16 @@
             0,
             0.0,
             headers=[(b"content-type", b"application/json")],
-            body=whole(self._store, self.state.request(self.node_id)),
+            body=complete_spool(self._store, self.state.request(self.node_id)),
         )
         problem = "no answer in time"
-        news: News | None = None
+        news: NodeListUpdate | None = None
         good = False
         with anyio.move_on_after(self.timeout_ms / 1000):
             try:
-                reply, _ = await self.client.exchange(self.address, op, [], Progress(), may_stream=False)
+                reply, _ = await self.client.exchange(
+                    self.address, op, [], AttemptProgress(), may_stream=False
+                )
                 if reply.status == 304:
                     good = True
                 elif reply.status != 200:
@@ -105,13 +109,19 @@
                 else:
                     news = self.state.receive(reply.body, anyio.current_time() * 1000, self.wall_ms())
                     good = True
-            except (NoConnection, Gone, TooLarge, h11.RemoteProtocolError, ListError) as failed:
+            except (
+                NoConnectionError,
+                ConnectionLostError,
+                MessageTooLargeError,
+                h11.RemoteProtocolError,
+                NodeListError,
+            ) as failed:
                 problem = str(failed)
         if not good:
             self.log.info("node list call failed", address=self.address, error=problem)
             self.listed(NodeList(ListKind.FAILED))
             return False
-        self.heard_at = anyio.current_time() * 1000
+        self.last_response_ms = anyio.current_time() * 1000
         if news is not None:
             for warning in news.warnings:
                 self.log.warning("node list", version=news.version, warning=warning)
--- a/cressrock/dispatch/answers.py
+++ b/cressrock/dispatch/node_response.py
@@ -14,9 +14,9 @@
 from cressrock.http.channel import Headers, header
 from cressrock.interface import Outcome
 
-LOAD = b"endpoint-load-metrics"
-USED = "cressrock.used"
-ELSEWHERE = "cressrock.elsewhere"
+LOAD_HEADER = b"endpoint-load-metrics"
+USED_METRIC = "cressrock.used"
+ELSEWHERE_METRIC = "cressrock.elsewhere"
 
 
 def outcome_of(status: int, headers: Headers) -> Outcome:
@@ -28,12 +28,12 @@
     return Outcome.OK
 
 
-def load_of(headers: Headers) -> tuple[int, float]:
+def reported_load(headers: Headers) -> tuple[int, float]:
     """Return (used, elsewhere) of an answer: 1 + percent of the plan's rate, and units; 0 if untold.
 
     A report that cannot be read counts as none: it must not cost the client its answer.
     """
-    field = header(headers, LOAD)
+    field = header(headers, LOAD_HEADER)
     if field is None:
         return 0, 0.0
     try:
@@ -43,7 +43,7 @@
     named = value.get("named_metrics") if isinstance(value, dict) else None
     if not isinstance(named, dict):
         return 0, 0.0
-    return int(_figure(named.get(USED))), _figure(named.get(ELSEWHERE))
+    return int(_figure(named.get(USED_METRIC))), _figure(named.get(ELSEWHERE_METRIC))
 
 
 def _figure(value: Any) -> float:
--- a/cressrock/dispatch/operation.py
+++ b/cressrock/dispatch/operation.py
@@ -8,7 +8,7 @@
 from dataclasses import dataclass, field
 from typing import Protocol
 
-from cressrock.dispatch.transport import Denied
+from cressrock.dispatch.transport import Denial
 from cressrock.http.channel import Headers
 
 
@@ -46,7 +46,7 @@
     stream: bool = False  # the payload of its answer may be handed on while it still comes in
 
 
-class Incoming(Protocol):
+class IncomingPayload(Protocol):
     """The payload of an answer that still comes in from a node."""
 
     async def chunk(self) -> bytes:
@@ -56,7 +56,7 @@
         """Say that nobody reads on; the attempt ends."""
 
 
-class Cut(Exception):
+class PayloadTruncatedError(Exception):
     """A payload ended before its end: the client must see that too."""
 
 
@@ -67,8 +67,8 @@
     status: int
     headers: Headers
     body: bytes = b""
-    stream: Incoming | None = None
+    stream: IncomingPayload | None = None
     payload: Body | None = None
 
 
-Result = Reply | Denied
+Result = Reply | Denial
--- a/cressrock/dispatch/lending.py
+++ b/cressrock/dispatch/quota.py
@@ -24,7 +24,7 @@
 MOST_AWAY = 0.5  # of a part's burst: what may be lent within a loan's life, for whatever rate
 
 
-def life_ms(plan: Plan, lend_ms: float) -> float:
+def lease_duration_ms(plan: Plan, lend_ms: float) -> float:
     """Return how long a loan of a plan counts: at most `lend_ms`, shorter where the burst is small."""
     if not plan.limit_rate:
         return lend_ms
@@ -41,7 +41,7 @@
     loans: deque[list[float]] = field(default_factory=deque)  # [until, units not yet seen used]
 
 
-class Lending:
+class EdgeQuota:
     """This edge's parts of its volumes' limits.
 
     `edges(volume)` is the number of edges that hold a part of it.  Bounded by the volumes in the settings.
@@ -57,7 +57,7 @@
         self.born = now_ms
         self.parts: dict[str, _Part] = {}
 
-    def limited(self, plan: int) -> bool:
+    def is_limited(self, plan: int) -> bool:
         """Whether a plan has a limit."""
         return self.plans[plan].limit_rate > 0
 
@@ -67,7 +67,7 @@
         if part is None:
             part = self.parts[volume] = _Part(self.born)
         figures, count = self.plans[plan], max(1, self.edges(volume))
-        rate, life = figures.limit_rate / 1000 / count, life_ms(figures, self.lend_ms)
+        rate, life = figures.limit_rate / 1000 / count, lease_duration_ms(figures, self.lend_ms)
         most = SAFE * (figures.limit_burst + figures.limit_slack) / count - rate * life - part.due
         part.store = max(0.0, min(most, part.store + (now - part.at) * rate))
         part.at = now
@@ -75,17 +75,17 @@
             part.loans.popleft()
         return part
 
-    def lend(self, volume: str, plan: int, wanted: float, now: float) -> float:
+    def lease(self, volume: str, plan: int, wanted: float, now: float) -> float:
         """Return how many units to lend for so many that wait, and book them; 0 where none is to be had."""
         part = self._part(volume, plan, now)
         units = min(part.store, wanted - sum(loan[1] for loan in part.loans))
         if units <= 0:
             return 0.0
         part.store -= units
-        part.loans.append([now + life_ms(self.plans[plan], self.lend_ms), units])
+        part.loans.append([now + lease_duration_ms(self.plans[plan], self.lend_ms), units])
         return units
 
-    def sent(self, volume: str, plan: int, units: float, now: float) -> None:
+    def record_sent(self, volume: str, plan: int, units: float, now: float) -> None:
         """Enter that an attempt leaves: it takes what was lent first, and may arrive from now on."""
         part = self._part(volume, plan, now)
         part.due += units
@@ -94,7 +94,7 @@
             loan[1] -= used
             units -= used
 
-    def over(self, volume: str, plan: int, units: float, now: float) -> None:
+    def record_outcome(self, volume: str, plan: int, units: float, now: float) -> None:
         """Enter an attempt's outcome: it has arrived by now, or never will."""
         part = self._part(volume, plan, now)
         part.due = max(0.0, part.due - units)
--- a/cressrock/dispatch/spool.py
+++ b/cressrock/dispatch/spool.py
@@ -10,12 +10,12 @@
 
 import anyio
 
-from cressrock.dispatch.operation import Cut
+from cressrock.dispatch.operation import PayloadTruncatedError
 
 READ = 262144
 
 
-class Store:
+class PayloadStore:
     """The bounds that all payloads share, in bytes."""
 
     def __init__(self, *, memory_bytes: int, spill_bytes: int, directory: str | None = None) -> None:
@@ -23,14 +23,14 @@
         self.memory_bytes = memory_bytes
         self.spill_bytes = spill_bytes
         self.directory = directory
-        self.held = 0
-        self.spilled = 0  # payloads that went to a file, in all
+        self.memory_used_bytes = 0
+        self.spilled_payloads = 0  # payloads that went to a file, in all
 
 
 class Spool:
     """One payload.  One writer appends; any number of readers follow it from its start."""
 
-    def __init__(self, store: Store, declared: int | None) -> None:
+    def __init__(self, store: PayloadStore, declared: int | None) -> None:
         """`declared` is the length that was announced, None if chunked."""
         self.store = store
         self.declared = declared
@@ -51,7 +51,7 @@
         """Add bytes.  Raises OSError where the temporary file cannot grow."""
         if self._file is None and (
             self.size + len(data) > self.store.spill_bytes
-            or self.store.held + len(data) > self.store.memory_bytes
+            or self.store.memory_used_bytes + len(data) > self.store.memory_bytes
         ):
             self._spill()
         if self._file is not None:
@@ -60,7 +60,7 @@
         else:
             self._starts.append(self.size)
             self._chunks.append(data)
-            self.store.held += len(data)
+            self.store.memory_used_bytes += len(data)
         self.size += len(data)
         self._wake()
 
@@ -80,7 +80,7 @@
             if self.complete:
                 return b""
             if self.broken:
-                raise Cut("the client broke off its payload")
+                raise PayloadTruncatedError("the client broke off its payload")
             await self._more.wait()
         if self._file is not None:
             self._file.seek(offset)
@@ -98,18 +98,18 @@
         if self._file is not None:
             self._file.close()
             self._file = None
-        self.store.held -= sum(map(len, self._chunks))
+        self.store.memory_used_bytes -= sum(map(len, self._chunks))
         self._chunks.clear()
         self._starts.clear()
         self.size, self.complete = 0, False
         self.fail()
 
     def _spill(self) -> None:
-        self.store.spilled += 1
+        self.store.spilled_payloads += 1
         self._file = tempfile.TemporaryFile(dir=self.store.directory, buffering=0)
         for data in self._chunks:
             self._file.write(data)
-        self.store.held -= self.size
+        self.store.memory_used_bytes -= self.size
         self._chunks.clear()
         self._starts.clear()
 
@@ -118,7 +118,7 @@
         news.set()
 
 
-def whole(store: Store, data: bytes) -> Spool:
+def complete_spool(store: PayloadStore, data: bytes) -> Spool:
     """Return a spool that holds these bytes and no more."""
     spool = Spool(store, len(data))
     if data:
--- a/cressrock/dispatch/tasks.py
+++ b/cressrock/dispatch/task_driver.py
@@ -12,14 +12,20 @@
 from anyio.abc import TaskGroup
 from anyio.lowlevel import checkpoint
 
-from cressrock.dispatch.answers import load_of, outcome_of
-from cressrock.dispatch.driver import FOREVER, Decisions, Driver, Observer
-from cressrock.dispatch.keys import KeyMemory
+from cressrock.dispatch.driver import FOREVER, DecisionModule, Driver, Observer
+from cressrock.dispatch.idempotency import IdempotencyKeys
 from cressrock.dispatch.ledger import Ledger
-from cressrock.dispatch.nodeclient import NoConnection, NodeClient, NodePayload, Overtaken, Progress
-from cressrock.dispatch.operation import Cut, Operation, Reply, Result
-from cressrock.dispatch.transport import Call, Ending
-from cressrock.http.channel import Gone, Headers, TooLarge
+from cressrock.dispatch.node_client import (
+    AttemptProgress,
+    NoConnectionError,
+    NodeClient,
+    NodePayload,
+    SentTooLateError,
+)
+from cressrock.dispatch.node_response import outcome_of, reported_load
+from cressrock.dispatch.operation import Operation, PayloadTruncatedError, Reply, Result
+from cressrock.dispatch.transport import AttemptResult, Call
+from cressrock.http.channel import ConnectionLostError, Headers, MessageTooLargeError
 from cressrock.interface import Outcome, RequestClass
 
 
@@ -39,7 +45,7 @@
     def abandon(self) -> None:
         pass  # how much of it the kernel has is not known here
 
-    def report(self, ending: Ending) -> None:
+    def report(self, ending: AttemptResult) -> None:
         self.reported = True
         self.call.end(ending)
 
@@ -67,7 +73,7 @@
         op: Operation = call.op
         attempt = call.attempt
         node = attempt.node.name
-        progress = Progress(may_leave=call.may_leave)
+        progress = AttemptProgress(may_leave=call.may_leave)
         outcome, text = Outcome.CANCELLED, ""
         reply: Reply | None = None
         lag: float | None = None
@@ -81,7 +87,7 @@
                 if op.idempotency_key:
                     trace.append((b"idempotency-key", op.idempotency_key.encode()))
                 reply, payload = await self.nodes.exchange(node, op, trace, progress, may_stream=op.stream)
-                lag = self.clock() - attempt.sent_at
+                lag = self.clock() - attempt.sent_at_ms
                 outcome = outcome_of(reply.status, reply.headers)
                 if payload is not None and call.begin(reply):
                     scope.deadline = FOREVER  # a started stream has no deadline of its class
@@ -95,15 +101,15 @@
                         # node did its part; the rest of the way is between this client and us.
                         flight.report(_ending(outcome, lag, progress, reply, "slow reader"))
                         await payload.done.wait()
-        except Overtaken as failed:
-            outcome, text = Outcome.MOOT, str(failed)
-        except NoConnection as failed:
+        except SentTooLateError as failed:
+            outcome, text = Outcome.ABANDONED, str(failed)
+        except NoConnectionError as failed:
             outcome, text = Outcome.NO_CONNECTION, str(failed)
-        except Gone as failed:
+        except ConnectionLostError as failed:
             outcome, text = Outcome.RESET, str(failed)
-        except (h11.RemoteProtocolError, TooLarge) as failed:
+        except (h11.RemoteProtocolError, MessageTooLargeError) as failed:
             outcome, text = Outcome.ERROR, str(failed)
-        except Cut as failed:
+        except PayloadTruncatedError as failed:
             outcome, text = Outcome.CANCELLED, str(failed)
         finally:
             # Also under cancellation from outside: the ledger must never keep an attempt without outcome.
@@ -114,7 +120,7 @@
                     await self.nodes.finish(node, payload)
             if not flight.reported:
                 if lag is None:
-                    lag = self.clock() - attempt.sent_at
+                    lag = self.clock() - attempt.sent_at_ms
                 flight.report(_ending(outcome, lag, progress, reply, text))
 
     async def _read_out(self, payload: NodePayload) -> bool:
@@ -129,15 +135,19 @@
         return True
 
 
-def _ending(outcome: Outcome, lag: float, progress: Progress, reply: Reply | None, text: str) -> Ending:
-    used, elsewhere = load_of(progress.headers) if progress.headers else (0, 0.0)
-    return Ending(outcome, lag, reply, used, elsewhere, text)
+def _ending(
+    outcome: Outcome, lag: float, progress: AttemptProgress, reply: Reply | None, text: str
+) -> AttemptResult:
+    used, elsewhere = reported_load(progress.headers) if progress.headers else (0, 0.0)
+    return AttemptResult(outcome, lag, reply, used, elsewhere, text)
 
 
-def _stopped(ordered: bool, progress: Progress) -> tuple[Outcome, str]:
+def _stopped(ordered: bool, progress: AttemptProgress) -> tuple[Outcome, str]:
     """Name what a stopped attempt was: without a byte handed over it provably never ran."""
     if not progress.sent:
-        return (Outcome.MOOT, "cancelled unsent") if ordered else (Outcome.NO_CONNECTION, "no connection")
+        return (
+            (Outcome.ABANDONED, "cancelled unsent") if ordered else (Outcome.NO_CONNECTION, "no connection")
+        )
     return (Outcome.CANCELLED, "cancelled") if ordered else (Outcome.TIMEOUT, "no answer in time")
 
 
@@ -146,14 +156,14 @@
 
     def __init__(
         self,
-        decisions: Decisions,
+        decisions: DecisionModule,
         ledger: Ledger,
         nodes: NodeClient,
         classes: tuple[RequestClass, ...],
         observer: Observer,
         *,
         retry_after_ms: float,
-        keys: KeyMemory | None = None,
+        keys: IdempotencyKeys | None = None,
         reader_patience_ms: float = FOREVER,
         subscribe: Callable[[], None] = lambda: None,
         clock: Callable[[], float] | None = None,
@@ -169,9 +179,9 @@
             observer,
             clock=clock,
             retry_after_ms=retry_after_ms,
-            keys=keys or KeyMemory(keep_ms=60000.0, most=100000),
+            keys=keys or IdempotencyKeys(keep_ms=60000.0, max_keys=100000),
             subscribe=subscribe,
-            wake=lambda: self._news.set(),
+            request_wakeup=lambda: self._news.set(),
         )
         self._news = anyio.Event()
         self._earlier = anyio.Event()
@@ -198,13 +208,13 @@
             results.append(result)
             ready.set()
 
-        denied = self.take(name, exchange, op, deadline, answer, f"{label or exchange};{number}", since)
+        denied = self.submit(name, exchange, op, deadline, answer, f"{label or exchange};{number}", since)
         if denied is not None:
             return denied
         try:
             await ready.wait()
         except anyio.get_cancelled_exc_class():
-            if not self.left(name) and results:
+            if not self.client_left(name) and results:
                 result = results[0]
                 if isinstance(result, Reply) and result.stream is not None:
                     result.stream.abandon()
@@ -220,8 +230,8 @@
                 await self._news.wait()
                 await checkpoint()  # what else comes in the same instant joins the batch
                 self._news = anyio.Event()
-                self.turn()
-                due = self.due()
+                self.process_batch()
+                due = self.next_batch_ms()
                 if due < self._rings_at:
                     self._rings_at = due
                     self._earlier.set()
--- a/cressrock/dispatch/transport.py
+++ b/cressrock/dispatch/transport.py
@@ -13,10 +13,10 @@
 from cressrock.dispatch.reasons import Reason
 from cressrock.interface import Outcome
 
-NEVER_BEGUN = (Outcome.NO_CONNECTION, Outcome.MOOT)
+NEVER_BEGUN = (Outcome.NO_CONNECTION, Outcome.ABANDONED)
 
 
-class Work(Protocol):
+class ShardRequest(Protocol):
     """What the scheduler has to know of one request to one shard, however its bytes look."""
 
     @property
@@ -53,7 +53,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Denied:
+class Denial:
     """No answer of a node: a refusal (a retry is harmless) or a failure (nothing is promised)."""
 
     verdict: Verdict
@@ -61,7 +61,7 @@
     retry_after_ms: float = 0.0
 
 
-def reached(outcome: Outcome) -> bool | None:
+def reached_node(outcome: Outcome) -> bool | None:
     """Whether an attempt's request came to a node, None where nobody can tell.  A fixed reading.
 
     A refusal or an error line may have been written to whoever connected, before it had read a request.
@@ -72,11 +72,11 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Ending:
+class AttemptResult:
     """How an attempt ended.  `used` and `elsewhere` are what the node told of the volume, 0 if nothing."""
 
     outcome: Outcome
-    lag_ms: float
+    latency_ms: float
     reply: Any = None  # the node's answer, in the transport's own form; with OK alone
     used: int = 0
     elsewhere: float = 0.0
@@ -106,25 +106,25 @@
     def leave_by(self) -> float:
         """When its last byte has to have left, on the driver's clock; infinity where nothing bounds it.
 
-        What has not left whole by then must not leave at all: it ends as MOOT, as it never ran.  A transport
-        that cannot tell asks `may_leave` alone.
+        What has not left whole by then must not leave at all: it ends as ABANDONED, as it never ran.  A
+        transport that cannot tell asks `may_leave` alone.
         """
 
     def may_leave(self) -> bool:
-        """Whether it may still go; has to be asked just before its first byte.  False: it ends as MOOT."""
+        """Whether it may still go, to be asked just before its first byte.  False: it ends as ABANDONED."""
 
     def begin(self, reply: Any) -> bool:
         """Hand on an answer whose payload still comes in; False: the request was over before."""
 
-    def end(self, ending: Ending) -> None:
+    def end(self, ending: AttemptResult) -> None:
         """Report the outcome; has to be called once."""
 
 
-class Flight(Protocol):
+class AttemptHandle(Protocol):
     """An attempt under way."""
 
     def stop(self) -> None:
-        """Give the attempt up; its outcome still has to be reported, MOOT where nothing was handed over."""
+        """Give the attempt up; its outcome is still reported, ABANDONED where nothing was handed over."""
 
     def abandon(self) -> None:
         """Let nothing more of it leave if it has not left whole: its client has gone, and it never ran.
@@ -136,5 +136,5 @@
 class Transport(Protocol):
     """What carries attempts."""
 
-    def start(self, call: Call) -> Flight:
+    def start(self, call: Call) -> AttemptHandle:
         """Begin an attempt.  `call.end` may be called before this returns."""
--- a/cressrock/edge/core.py
+++ b/cressrock/edge/decisions.py
@@ -25,13 +25,13 @@
 import msgspec
 
 from cressrock import interface as i
-from cressrock.dispatch.driver import Decisions
+from cressrock.dispatch.driver import DecisionModule
 from cressrock.dispatch.ledger import Ledger
-from cressrock.dispatch.lending import Lending, life_ms
+from cressrock.dispatch.quota import EdgeQuota, lease_duration_ms
+from cressrock.edge.attempt_history import Record
+from cressrock.edge.disposition import DisconnectedPolicy, Fate, fate, next_look, retry_after
 from cressrock.edge.grants import Grants, Stale, Unused
-from cressrock.edge.orphans import Away, Fate, fate, next_look, retry_after
-from cressrock.edge.record import Record
-from cressrock.edge.turns import Turns
+from cressrock.edge.ordering import KeyOrdering
 from cressrock.link import messages as m
 
 RING = 1  # the token of this edge's one timer; those of its own decisions come above it
@@ -43,7 +43,7 @@
 
     NOBODY = "nobody"
     PLANNER = "planner"
-    OWN = "own"
+    LOCAL = "own"
 
 
 @dataclass(slots=True)
@@ -76,16 +76,16 @@
     def __init__(
         self,
         ledger: Ledger,
-        away: Away,
+        away: DisconnectedPolicy,
         source: random.Random,
         *,
-        turns: Turns | None = None,
-        own: Decisions | None = None,
-        lending: Lending | None = None,
+        ordering: KeyOrdering | None = None,
+        local: DecisionModule | None = None,
+        quota: EdgeQuota | None = None,
         max_outbox: int = 100000,
         tick_ms: float = 100.0,
-        late_ms: float = 0.0,
-        budget_ms: float = 0.0,
+        uncounted_after_ms: float = 0.0,
+        budget_window_ms: float = 0.0,
     ) -> None:
         """Start without a planner.  `tick_ms`: so often at least the planner hears this edge's clock.
 
@@ -93,19 +93,19 @@
         budget's window.
         """
         self.tick_ms = tick_ms
-        self.late_ms = late_ms
+        self.late_ms = uncounted_after_ms
         self.last_up = 0.0
         self.ledger = ledger
         self.grants = Grants(ledger)
         self.away = away
         self.random = source
-        self.turns = turns
-        self.own = own  # told as little as said above
-        self.lending = lending
-        self.record = Record(budget_ms)
+        self.ordering = ordering
+        self.local = local  # told as little as said above
+        self.quota = quota
+        self.record = Record(budget_window_ms)
         self.stamp, self.stamp_at = 0, 0.0  # the planner's newest, and when it came
         self.max_outbox = max_outbox
-        self.held: dict[str, _Held] = {}
+        self.operations: dict[str, _Held] = {}
         self.outbox: deque[m.Event] = deque()
         self.sequence = 0
         self.away_since: float | None = 0.0
@@ -117,15 +117,15 @@
         self._told_barred: set[str] = set()
         self.when_outbox: Callable[[], None] = lambda: None
         # Versions of the rules: what a class's and a plan's number stand for, and which the planner holds.
-        self.versioned = False
-        self.plans = 0  # of one version; 0: there is one
-        self.version: Callable[[i.Arrival], tuple[str, int, int]] = lambda a: ("", a.request_class, a.plan)
+        self.knows_versions = False
+        self.plans_per_version = 0  # of one version; 0: there is one
+        self.version_of: Callable[[i.Arrival], tuple[str, int, int]] = lambda a: ("", a.request_class, a.plan)
         self.theirs: frozenset[str] | None = frozenset()  # None: not told yet
-        self.moved = 0  # operations that came to a planner without their version
+        self.version_fallbacks = 0  # operations that came to a planner without their version
 
     # --- the link's side
 
-    def joined(self, planner: str, epoch: int, now: float, *, versioned: bool = False) -> bool:
+    def planner_joined(self, planner: str, epoch: int, now: float, *, versioned: bool = False) -> bool:
         """Enter a planner's epoch: what can lawfully be decided by it is offered.  False: it is too old.
 
         `versioned`: it will tell which versions of the rules it holds.
@@ -140,16 +140,16 @@
             self._route(name, now)
         return True
 
-    def lost(self, now: float) -> None:
+    def planner_lost(self, now: float) -> None:
         """Enter that the planner is away: no grant is valid from here on, and nothing goes up."""
         if self.away_since is None:
             self.away_since = now
         self.grants.away()
         self.theirs = frozenset()
         self._change()
-        extra, taken = self.record.tell(Decider.OWN, now)
+        extra, taken = self.record.tell(Decider.LOCAL, now)
         if extra or taken:
-            self._own_events.append(i.Counted(tuple(extra), tuple(taken)))
+            self._own_events.append(i.RetryBudgetUsage(tuple(extra), tuple(taken)))
 
     def _change(self) -> None:
         """Take back what the former decider had, the most urgent first."""
@@ -159,10 +159,10 @@
         for name, sent in list(self._out.items()):
             if sent.decider is Decider.PLANNER:
                 self._out[name] = replace(sent, decider=Decider.NOBODY)
-        for name, held in sorted(self.held.items(), key=lambda item: (item[1].deadline, item[0])):
+        for name, held in sorted(self.operations.items(), key=lambda item: (item[1].deadline, item[0])):
             if held.decider is Decider.PLANNER:
                 held.decider = Decider.NOBODY
-            elif held.decider is Decider.OWN:
+            elif held.decider is Decider.LOCAL:
                 self._take_back(name, held)
             if held.decider is Decider.NOBODY:
                 self._adrift[name] = None
@@ -174,19 +174,23 @@
         Danger: two deciders would each keep order on a key apart; what has to run in order never stays.
         """
         entry = self.ledger.entries.get(name)
-        if entry is None or entry.verdict is not None or entry.out() is not None:
+        if entry is None or entry.verdict is not None or entry.attempt_in_flight() is not None:
             return
-        if entry.first_run() is None or entry.cls.effect is i.Effect.REPEATABLE or entry.cls.in_turn:
+        if (
+            entry.first_run() is None
+            or entry.request_class.idempotency is i.Idempotency.ALWAYS
+            or entry.request_class.ordered
+        ):
             self._own_events.append(i.ClientLeft(name))
             held.decider = Decider.NOBODY
 
     def decides(self, version: str) -> bool:
         """Whether a request that came now would be decided by this version of the rules."""
         if self.grants.planner is None:
-            return self.own is not None
+            return self.local is not None
         return self.theirs is not None and version in self.theirs
 
-    def order(self, planner: str, order: m.Order) -> None:
+    def receive_order(self, planner: str, order: m.Order) -> None:
         """Take an order in; it is carried out at the next turn, if it is still valid then."""
         self._orders.append((planner, order))
 
@@ -200,7 +204,7 @@
 
     def next_tick(self) -> float:
         """Return when `tick` has something to tell; infinity with nothing held or no planner."""
-        if self.grants.planner is None or not self.held:
+        if self.grants.planner is None or not self.operations:
             return FOREVER
         return self.last_up + self.tick_ms
 
@@ -212,13 +216,13 @@
             match event:
                 case i.NodeList():
                     self._own_events.append(event)
-                case i.Wake(token):
+                case i.TimerFired(token):
                     if token > RING:
-                        self._own_events.append(i.Wake(token - RING - 1))
+                        self._own_events.append(i.TimerFired(token - RING - 1))
                 case i.Arrival():
-                    self.held[event.request] = _Held(event, now_ms, now_ms + event.remaining_ms)
+                    self.operations[event.request] = _Held(event, now_ms, now_ms + event.remaining_ms)
                     self._adrift[event.request] = None
-                case i.Ended():
+                case i.AttemptEnded():
                     self._ended(event, now_ms)
                 case i.ClientLeft(request):
                     self._left(request, now_ms)
@@ -240,19 +244,19 @@
         for name in list(self._adrift):
             again = min(again, self._route(name, now))
         if self.grants.planner is None:
-            for volume, plan, wanted in self._wanted(Decider.OWN):
+            for volume, plan, wanted in self._wanted(Decider.LOCAL):
                 self._lend_own(volume, plan, wanted, now)
-        if self.own is not None and self._own_events:
+        if self.local is not None and self._own_events:
             events, self._own_events = self._own_events, []
-            for action in self.own.act(now, events):
+            for action in self.local.act(now, events):
                 self._own_order(action, now, actions)
-        elif self.own is None:
+        elif self.local is None:
             self._own_events.clear()
         return again
 
     def _route(self, name: str, now: float) -> float:
         """Hand an operation to the planner, else to the own decisions; returns when to try again."""
-        held, entry = self.held.get(name), self.ledger.entries.get(name)
+        held, entry = self.operations.get(name), self.ledger.entries.get(name)
         if held is None or entry is None or entry.verdict is not None:
             self._adrift.pop(name, None)
             return FOREVER
@@ -264,12 +268,12 @@
         if free > now:
             return free
         if self.grants.planner is not None:
-            version = self.version(held.arrival)[0]
+            version = self.version_of(held.arrival)[0]
             if version and self.theirs is None:
                 return FOREVER  # the planner's first word, on its way, says whether it holds that version
             self._offer(name, held, len(entry.attempts), now)
-        elif self.own is not None:
-            held.decider, held.shift = Decider.OWN, 0
+        elif self.local is not None:
+            held.decider, held.shift = Decider.LOCAL, 0
             waited = held.arrival.waited_ms
             passed = now - held.taken_at
             self._own_events.append(
@@ -277,8 +281,8 @@
                     held.arrival,
                     remaining_ms=max(0.0, held.deadline - now),
                     waited_ms=waited if waited < 0 else waited + passed,
-                    attempts=len(entry.attempts),
-                    counted=held.counted,
+                    earlier_attempts=len(entry.attempts),
+                    counted_in_budget=held.counted,
                 )
             )
         else:
@@ -303,12 +307,12 @@
 
     def _wanted(self, decider: Decider) -> list[tuple[str, int, float]]:
         """Return volumes with a limit, their plan, and the units that wait with a decider."""
-        if self.lending is None:
+        if self.quota is None:
             return []
         found: dict[str, tuple[int, float]] = {}
-        for name, held in self.held.items():
+        for name, held in self.operations.items():
             a = held.arrival
-            if held.decider is decider and name not in self._out and self.lending.limited(a.plan):
+            if held.decider is decider and name not in self._out and self.quota.is_limited(a.plan):
                 found[a.volume] = (a.plan, found.get(a.volume, (0, 0.0))[1] + a.units)
         return [(volume, plan, units) for volume, (plan, units) in found.items()]
 
@@ -316,7 +320,7 @@
         """Return the units of a volume that wait with the planner."""
         return sum(
             held.arrival.units
-            for name, held in self.held.items()
+            for name, held in self.operations.items()
             if held.arrival.volume == volume and held.decider is Decider.PLANNER and name not in self._out
         )
 
@@ -324,34 +328,39 @@
         for volume, plan, wanted in self._wanted(Decider.PLANNER):
             if units := self._loan(volume, plan, wanted, now):
                 # A plan's limit is the same in all versions; to the planner it goes by the settings' number.
-                self._up(m.Lend(0, now, volume, plan % (self.plans or plan + 1), units, self.stamp), now)
+                self._up(
+                    m.LimitLease(
+                        0, now, volume, plan % (self.plans_per_version or plan + 1), units, self.stamp
+                    ),
+                    now,
+                )
 
     def _loan(self, volume: str, plan: int, wanted: float, now: float) -> float:
         """Return units for the planner; none by an old stamp, by which they would hardly count there."""
-        if self.lending is None:
+        if self.quota is None:
             return 0.0
-        if now > self.stamp_at + life_ms(self.lending.plans[plan], self.lending.lend_ms) / 4:
+        if now > self.stamp_at + lease_duration_ms(self.quota.plans[plan], self.quota.lend_ms) / 4:
             return 0.0
-        return self.lending.lend(volume, plan, wanted, now)
+        return self.quota.lease(volume, plan, wanted, now)
 
     def _lend_own(self, volume: str, plan: int, wanted: float, now: float) -> None:
-        if self.lending is not None and (units := self.lending.lend(volume, plan, wanted, now)):
-            until = now + life_ms(self.lending.plans[plan], self.lending.lend_ms)
-            self._own_events.append(i.Lent(volume, units, until))
+        if self.quota is not None and (units := self.quota.lease(volume, plan, wanted, now)):
+            until = now + lease_duration_ms(self.quota.plans[plan], self.quota.lend_ms)
+            self._own_events.append(i.LimitLease(volume, units, until))
 
     def _free_at(self, held: _Held, now: float) -> float:
-        return now if self.turns is None else self.turns.free_at(held.arrival, now)
+        return now if self.ordering is None else self.ordering.free_at(held.arrival, now)
 
     def _offer(self, name: str, held: _Held, attempts: int, now: float) -> None:
         held.decider, held.shift = Decider.PLANNER, 0
         a = held.arrival
         lent = 0.0
-        if self.lending is not None and self.lending.limited(a.plan):
+        if self.quota is not None and self.quota.is_limited(a.plan):
             lent = self._loan(a.volume, a.plan, self._waiting_units(a.volume), now)
-        version, cls, plan = self.version(a)
+        version, cls, plan = self.version_of(a)
         if version and version not in (self.theirs or ()):
             version = ""  # its planner changed to one that lacks it: by the settings' own, its time as given
-            self.moved += 1
+            self.version_fallbacks += 1
         request = m.Request(
             0,
             now,
@@ -363,7 +372,7 @@
             plan,
             cls,
             a.shard,
-            a.writers,
+            a.sharing_hosts,
             a.waited_ms if a.waited_ms < 0 else a.waited_ms + now - held.taken_at,
             attempts,
             held.counted,
@@ -374,40 +383,40 @@
         self._up(request, now)
 
     def _left(self, name: str, now: float) -> None:
-        held = self.held.pop(name, None)
+        held = self.operations.pop(name, None)
         self._adrift.pop(name, None)
-        if held is not None and held.decider is Decider.OWN:
+        if held is not None and held.decider is Decider.LOCAL:
             self._own_events.append(i.ClientLeft(name))
         elif held is not None and held.decider is Decider.PLANNER:
             self._up(m.Left(0, now, name), now)
 
-    def _ended(self, event: i.Ended, now: float) -> None:
+    def _ended(self, event: i.AttemptEnded, now: float) -> None:
         """Tell an attempt's outcome to who ordered it; what is then without a decider gets one."""
-        name, held = event.request, self.held.get(event.request)
-        if self.turns is not None:
-            self.turns.ended(name, event.outcome, now)
+        name, held = event.request, self.operations.get(event.request)
+        if self.ordering is not None:
+            self.ordering.ended(name, event.outcome, now)
         sent = self._out.pop(name, None)
-        if sent is not None and self.lending is not None and self.lending.limited(sent.plan):
-            self.lending.over(sent.volume, sent.plan, sent.units, now)
-        if sent is not None and sent.decider is Decider.OWN:
+        if sent is not None and self.quota is not None and self.quota.is_limited(sent.plan):
+            self.quota.record_outcome(sent.volume, sent.plan, sent.units, now)
+        if sent is not None and sent.decider is Decider.LOCAL:
             self._own_events.append(replace(event, attempt=event.attempt + sent.shift))
             if held is not None and not event.settled and self.grants.planner is not None:
                 self._take_back(name, held)
         elif sent is not None and sent.decider is Decider.PLANNER and self.grants.planner is not None:
-            ended = m.Ended(
+            ended = m.AttemptEnded(
                 0,
                 now,
                 name,
                 event.attempt + sent.shift,
                 event.outcome.value,
                 event.settled,
-                event.lag_ms,
-                event.used,
-                event.elsewhere,
+                event.latency_ms,
+                event.reported_usage,
+                event.units_elsewhere,
             )
             self._up(ended, now)
         if event.settled:
-            self.held.pop(name, None)
+            self.operations.pop(name, None)
             self._adrift.pop(name, None)
         elif held is not None and held.decider is Decider.NOBODY:
             # It ran on from before a change: now its fate can be decided.
@@ -417,7 +426,7 @@
         """Take the next event out to be sent; one that waited for credit is counted by nobody any more."""
         event = self.outbox.popleft()
         if isinstance(event, m.Request) and now > event.at_ms + self.late_ms:
-            return msgspec.structs.replace(event, counted=True)
+            return msgspec.structs.replace(event, counted_in_budget=True)
         return event
 
     def _up(self, event: m.Event, now: float) -> None:
@@ -431,12 +440,12 @@
     # --- orders
 
     def _carry(self, planner: str, order: m.Order, now: float, actions: list[i.Action]) -> None:
-        if isinstance(order, m.Stamp):
+        if isinstance(order, m.ClockStamp):
             if planner == self.grants.planner:
                 self.stamp, self.stamp_at = order.number, now
                 self._lend_planner(now)
             return
-        if isinstance(order, m.Rules):
+        if isinstance(order, m.RuleVersions):
             if planner == self.grants.planner:
                 self.theirs = frozenset(order.versions)
             return
@@ -444,7 +453,7 @@
             if isinstance(order, m.Grant):
                 self.grants.check(planner, order, now)  # counts it
             return
-        held = self.held.get(order.operation)
+        held = self.operations.get(order.operation)
         match order:
             case m.Grant(_, _, operation, _, node, _, within_ms):
                 unused = self._check(planner, order, held, now)
@@ -452,7 +461,10 @@
                     self._send(held, i.Send(operation, node, within_ms), now, actions)
                     return
                 # The planner counts this attempt as out: it must hear that it never ran.
-                self._up(m.Ended(0, now, operation, order.attempt, i.Outcome.MOOT.value, False, 0.0), now)
+                self._up(
+                    m.AttemptEnded(0, now, operation, order.attempt, i.Outcome.ABANDONED.value, False, 0.0),
+                    now,
+                )
                 entry = self.ledger.entries.get(operation)
                 if held is not None and entry is not None:
                     held.shift = order.attempt + 1 - len(entry.attempts)
@@ -462,8 +474,8 @@
                     self._up(m.Barred(0, now, node), now)
             case m.Answer(_, operation, refused, stay_away_ms):
                 if held is not None and held.decider is Decider.PLANNER:
-                    del self.held[operation]
-                    actions.append(i.Refuse(operation, stay_away_ms) if refused else i.Fail(operation))
+                    del self.operations[operation]
+                    actions.append(i.Reject(operation, stay_away_ms) if refused else i.Fail(operation))
             case m.CallOff(_, operation, attempt):
                 sent = self._out.get(operation)
                 if sent is not None and sent.decider is Decider.PLANNER:
@@ -481,8 +493,8 @@
         return None
 
     def _own_order(self, action: i.Action, now: float, actions: list[i.Action]) -> None:
-        held = self.held.get(getattr(action, "request", ""))
-        mine = held is not None and held.decider is Decider.OWN
+        held = self.operations.get(getattr(action, "request", ""))
+        mine = held is not None and held.decider is Decider.LOCAL
         match action:
             case i.Send(request):
                 entry = self.ledger.entries.get(request)
@@ -490,17 +502,17 @@
                     self._send(held, action, now, actions)
                 elif entry is not None:
                     number = len(entry.attempts) + (held.shift if held is not None else 0)
-                    moot = i.Ended(request, number, i.Outcome.MOOT, False, 0.0, reached=False)
+                    moot = i.AttemptEnded(request, number, i.Outcome.ABANDONED, False, 0.0, charged=False)
                     self._own_events.append(moot)
                     if held is not None:
                         held.shift += 1
-            case i.Refuse(request) | i.Fail(request):
+            case i.Reject(request) | i.Fail(request):
                 if mine:
-                    del self.held[request]
+                    del self.operations[request]
                     actions.append(action)
             case i.Cancel(request, attempt):
                 sent = self._out.get(request)
-                if sent is not None and sent.decider is Decider.OWN:
+                if sent is not None and sent.decider is Decider.LOCAL:
                     actions.append(i.Cancel(request, attempt - sent.shift))
             case i.SetTimer(at_ms, token):
                 actions.append(i.SetTimer(at_ms, token + RING + 1))
@@ -513,12 +525,12 @@
         entry = self.ledger.entries.get(action.request)
         if entry is not None and entry.attempts:
             self.record.tried(self._by(held.decider), now)
-            if held.decider is Decider.OWN and self.grants.planner is not None:
+            if held.decider is Decider.LOCAL and self.grants.planner is not None:
                 self._tell_planner(now)
-        if self.lending is not None and self.lending.limited(a.plan):
-            self.lending.sent(a.volume, a.plan, a.units, now)
-        if self.turns is not None:
-            self.turns.sent(held.arrival)
+        if self.quota is not None and self.quota.is_limited(a.plan):
+            self.quota.record_sent(a.volume, a.plan, a.units, now)
+        if self.ordering is not None:
+            self.ordering.sent(held.arrival)
         actions.append(action)
 
     # --- what nobody decides about in time
@@ -526,25 +538,27 @@
     def _look(self, now: float, actions: list[i.Action]) -> float:
         """Answer what nobody decides about in time; returns when to look again."""
         waiting = []
-        for name in list(self.held):
+        for name in list(self.operations):
             entry = self.ledger.entries.get(name)
             if entry is None or entry.verdict is not None:
-                del self.held[name]
+                del self.operations[name]
                 continue
-            held = self.held[name]
-            if held.decider is Decider.OWN:
+            held = self.operations[name]
+            if held.decider is Decider.LOCAL:
                 continue  # its own answer comes, and the ledger stands behind it
             found = fate(entry, now, joined=self.grants.planner is not None, away=self.away)
             if found is Fate.REFUSE:
                 since = self.away_since if self.away_since is not None else now
-                actions.append(i.Refuse(name, retry_after(since, now, self.away, self.random)))
-            elif found is Fate.FAIL and (held.decider is Decider.NOBODY or entry.out() is not None):
+                actions.append(i.Reject(name, retry_after(since, now, self.away, self.random)))
+            elif found is Fate.FAIL and (
+                held.decider is Decider.NOBODY or entry.attempt_in_flight() is not None
+            ):
                 actions.append(i.Fail(name))
             else:
                 waiting.append(entry)
                 continue
             self.fates[found] += 1
-            del self.held[name]
+            del self.operations[name]
             self._adrift.pop(name, None)
             if held.decider is Decider.PLANNER and self.grants.planner is not None:
                 self._up(m.Left(0, now, name), now)
--- a/cressrock/edge/orphans.py
+++ b/cressrock/edge/disposition.py
@@ -19,7 +19,7 @@
 from enum import Enum
 
 from cressrock.dispatch.ledger import Entry
-from cressrock.interface import Effect
+from cressrock.interface import Idempotency
 
 
 class Fate(Enum):
@@ -33,7 +33,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Away:
+class DisconnectedPolicy:
     """Figures for the time without a planner, in milliseconds."""
 
     # A planner is told that an operation's time is over this much earlier than it is; what it then has not
@@ -43,26 +43,26 @@
     retry_most_ms: float = 8000.0
 
 
-def fate(entry: Entry, now: float, *, joined: bool, away: Away) -> Fate:
+def fate(entry: Entry, now: float, *, joined: bool, away: DisconnectedPolicy) -> Fate:
     """Decide about one operation that has no answer yet."""
-    if entry.out() is not None:
+    if entry.attempt_in_flight() is not None:
         # Danger: the planner that would have ended the wait at its time is gone.
-        return Fate.FAIL if now >= entry.deadline - away.answer_margin_ms / 2 else Fate.RUN_ON
+        return Fate.FAIL if now >= entry.deadline_ms - away.answer_margin_ms / 2 else Fate.RUN_ON
     may_have_run = entry.first_run() is not None
-    if may_have_run and entry.cls.effect is not Effect.REPEATABLE:
+    if may_have_run and entry.request_class.idempotency is not Idempotency.ALWAYS:
         return Fate.FAIL
-    if now >= entry.deadline - away.answer_margin_ms / 2:
+    if now >= entry.deadline_ms - away.answer_margin_ms / 2:
         return Fate.REFUSE
     return Fate.OFFER if joined else Fate.WAIT
 
 
-def next_look(entries: Iterable[Entry], now: float, away: Away) -> float:
+def next_look(entries: Iterable[Entry], now: float, away: DisconnectedPolicy) -> float:
     """Return when an operation that has no answer has to be looked at again; infinity with none."""
-    times = [e.deadline - away.answer_margin_ms / 2 for e in entries if e.verdict is None]
+    times = [e.deadline_ms - away.answer_margin_ms / 2 for e in entries if e.verdict is None]
     return min((max(now, t) for t in times), default=float("inf"))
 
 
-def retry_after(away_since: float, now: float, away: Away, source: random.Random) -> float:
+def retry_after(away_since: float, now: float, away: DisconnectedPolicy, source: random.Random) -> float:
     """Say in how many milliseconds a refused client should come back.
 
     Danger: all clients of all edges return in the second in which the planner does.  The longer it is away,
@@ -72,30 +72,30 @@
     return away.retry_least_ms + source.random() * max(0.0, longest - away.retry_least_ms)
 
 
-def offers(entries: Iterable[Entry], now: float, away: Away, *, most: int) -> list[Entry]:
+def offers(entries: Iterable[Entry], now: float, away: DisconnectedPolicy, *, most: int) -> list[Entry]:
     """Return the operations to offer a planner in its next step, the most urgent first.
 
     Danger: a planner that returns to many edges with full backlogs is buried by them; each step is bounded
     by what it gave credit for.
     """
     found = [e for e in entries if e.verdict is None and fate(e, now, joined=True, away=away) is Fate.OFFER]
-    found.sort(key=lambda e: (e.deadline, e.name))
+    found.sort(key=lambda e: (e.deadline_ms, e.name))
     return found[:most]
 
 
-class Reconnect:
+class ReconnectBackoff:
     """When to try which planner next: in order of preference, with growing waits and seeded jitter."""
 
     def __init__(
-        self, planners: tuple[str, ...], source: random.Random, *, least_ms: float, most_ms: float
+        self, planners: tuple[str, ...], source: random.Random, *, min_wait_ms: float, max_wait_ms: float
     ) -> None:
         """`planners` in order of preference."""
         if not planners:
             raise ValueError("an edge needs at least one planner")
         self.planners = planners
         self.random = source
-        self.least_ms = least_ms
-        self.most_ms = most_ms
+        self.least_ms = min_wait_ms
+        self.most_ms = max_wait_ms
         self.failures = 0
         self.turn = 0  # of the list
         self.at = 0.0
--- a/cressrock/edge/grants.py
+++ b/cressrock/edge/grants.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass
 from enum import StrEnum
 
-from cressrock.dispatch.ledger import Attempt, Ledger, Tripped
+from cressrock.dispatch.ledger import Attempt, FenceTrip, Ledger
 from cressrock.link.messages import Grant
 
 
@@ -75,7 +75,7 @@
         self._used.clear()
         self._floor = -1
 
-    def use(self, planner: str, grant: Grant, now: float) -> Attempt | Tripped | Unused:
+    def use(self, planner: str, grant: Grant, now: float) -> Attempt | FenceTrip | Unused:
         """Use a grant for an attempt, if it is valid and breaks nothing that the edge itself knows."""
         unused = self.check(planner, grant, now)
         return unused if unused is not None else self.ledger.send(grant.operation, grant.node, now)
--- a/cressrock/edge/turns.py
+++ b/cressrock/edge/ordering.py
@@ -11,7 +11,7 @@
 MAY_STILL_RUN = (Outcome.TIMEOUT, Outcome.RESET, Outcome.CANCELLED)
 
 
-class Turns:
+class KeyOrdering:
     """Which operations are out on each key that has to run in order, and until when the key rests.
 
     `settle_ms`: how long an attempt that ended without an answer may still run (a rule's figure).  Bounded by
@@ -28,7 +28,7 @@
 
     def sent(self, arrival: Arrival) -> None:
         """Enter that an attempt leaves."""
-        if arrival.key and self.classes[arrival.request_class].in_turn:
+        if arrival.key and self.classes[arrival.request_class].ordered:
             self.out[arrival.request] = arrival.key
             self.busy.setdefault(arrival.key, set()).add(arrival.request)
 
@@ -47,7 +47,7 @@
 
     def free_at(self, arrival: Arrival, now: float) -> float:
         """Return from when on an operation may be decided about: now, later, or infinity: not known yet."""
-        if not arrival.key or not self.classes[arrival.request_class].in_turn:
+        if not arrival.key or not self.classes[arrival.request_class].ordered:
             return now
         if self.busy.get(arrival.key, set()) - {arrival.request}:
             return float("inf")
--- a/cressrock/edge/carrier.py
+++ b/cressrock/edge/planner_link.py
@@ -7,11 +7,11 @@
 
 import anyio
 
-from cressrock.edge.core import EdgeDecisions
-from cressrock.edge.orphans import Reconnect
+from cressrock.edge.decisions import EdgeDecisions
+from cressrock.edge.disposition import ReconnectBackoff
 from cressrock.http.channel import BROKEN, Stream
-from cressrock.link.carrier import LinkCarrier
-from cressrock.link.protocol import LENDING, RULES, Bounds, Closed, Link, Opened, Role, State
+from cressrock.link.connection import LinkCarrier
+from cressrock.link.protocol import LENDING, RULE_VERSIONS, Closed, Link, LinkLimits, Opened, Role, State
 
 Connect = Callable[[str, int], Awaitable[Stream]]
 
@@ -22,14 +22,14 @@
     def __init__(
         self,
         core: EdgeDecisions,
-        reconnect: Reconnect,
+        reconnect: ReconnectBackoff,
         connect: Connect,
         poke: Callable[[], None],
         *,
         name: str,
-        life: str,
+        incarnation: str,
         clock: Callable[[], float],
-        bounds: Bounds,
+        limits: LinkLimits,
         log: Any,
     ) -> None:
         """`poke` asks the driver for a turn; `clock` is the driver's, in milliseconds."""
@@ -38,9 +38,9 @@
         self.connect = connect
         self.poke = poke
         self.name = name
-        self.life = life
+        self.life = incarnation
         self.clock = clock
-        self.bounds = bounds
+        self.bounds = limits
         self.log = log
         self.joins = 0
 
@@ -63,16 +63,18 @@
                 except Exception as error:  # noqa: BLE001  a defect; the edge's promises outlive its link
                     self.log.error("defect", error=repr(error), exc_info=error)
                     why = "a defect of this edge"
-            self.core.lost(self.clock())
+            self.core.planner_lost(self.clock())
             self.reconnect.lost(self.clock())
             self.poke()
             self.log.warning("planner away", planner=address, why=why)
 
     async def _serve(self, stream: Stream, address: str) -> str:
         """Serve one connection to its end; returns why it ended."""
-        can = {LENDING: self.core.lending is not None, RULES: self.core.versioned}
+        can = {LENDING: self.core.quota is not None, RULE_VERSIONS: self.core.knows_versions}
         able = tuple(name for name, it_does in can.items() if it_does)
-        link = Link(Role.EDGE, self.name, self.clock(), life=self.life, capabilities=able, bounds=self.bounds)
+        link = Link(
+            Role.EDGE, self.name, self.clock(), incarnation=self.life, capabilities=able, bounds=self.bounds
+        )
         carrier = LinkCarrier(
             link,
             stream,
@@ -89,11 +91,11 @@
         for one in told:
             match one:
                 case Opened():
-                    if (LENDING in one.capabilities) != (self.core.lending is not None):
+                    if (LENDING in one.capabilities) != (self.core.quota is not None):
                         link.close("pair.edges: set it at this planner and its edges, or at neither")
                         return "no agreement on who holds the limits"
-                    versioned = RULES in one.capabilities
-                    if not self.core.joined(address, one.epoch, self.clock(), versioned=versioned):
+                    versioned = RULE_VERSIONS in one.capabilities
+                    if not self.core.planner_joined(address, one.epoch, self.clock(), versioned=versioned):
                         newest = self.core.grants.newest.get(address, 0)
                         link.close(f"epoch {one.epoch} is over, {newest} was seen")
                         return "its epoch is over"
@@ -104,7 +106,7 @@
                 case Closed(reason):
                     return reason
                 case _:
-                    self.core.order(address, one)
+                    self.core.receive_order(address, one)
                     link.taken(1)
                     self.poke()
         return None
--- a/cressrock/errors/collect.py
+++ b/cressrock/errors/aggregation.py
@@ -7,21 +7,21 @@
 from cressrock.errors import CressrockError
 
 
-class CollectError(CressrockError):
+class AggregationError(CressrockError):
     """Evidence could not be collected; the types below say why."""
 
     code: ClassVar[str] = "collect"
     remedy: ClassVar[str] = "look at `collect` in the process's status; it goes on by its own view meanwhile"
 
 
-class CollectMalformed(CollectError):
+class MalformedAggregationMessageError(AggregationError):
     """Bytes that should be a message of the collectors cannot be read; they count as none."""
 
     code: ClassVar[str] = "collect-malformed"
     remedy: ClassVar[str] = "find the process named as their sender: another program, or a damaged path"
 
 
-class CollectVersion(CollectError):
+class UnsupportedAggregationVersionError(AggregationError):
     """A message of the collectors is of a version that this program does not read; it counts as none."""
 
     code: ClassVar[str] = "collect-version"
@@ -31,7 +31,7 @@
     )
 
 
-class CollectTooLarge(CollectError):
+class ReportTooLargeError(AggregationError):
     """An entry of evidence is larger than one datagram carries; it was not told."""
 
     code: ClassVar[str] = "collect-too-large"
--- a/cressrock/errors/council.py
+++ b/cressrock/errors/consensus.py
@@ -7,33 +7,33 @@
 from cressrock.errors import CressrockError
 
 
-class NotLeader(CressrockError):
+class NotLeaderError(CressrockError):
     """This seat does not lead the council, or may no longer be sure that it does; `hint` names who may."""
 
     code: ClassVar[str] = "council-not-leader"
     remedy: ClassVar[str] = "ask the seat that is named; with none named, see if a majority of seats runs"
 
-    def __init__(self, text: str, hint: str = "") -> None:
+    def __init__(self, text: str, leader_hint: str = "") -> None:
         """`hint` is the name of the seat that is taken for the leader, "" if none is known."""
         super().__init__(text)
-        self.hint = hint
+        self.leader_hint = leader_hint
 
 
-class CouncilBusy(CressrockError):
+class ConsensusBusyError(CressrockError):
     """The council has as much undecided as it may hold, or a proposal is larger than it may be."""
 
     code: ClassVar[str] = "council-busy"
     remedy: ClassVar[str] = "ask again later; if it lasts, look for seats that are cut off or have slow disks"
 
 
-class SeatsRefused(CressrockError):
+class MembershipChangeRefusedError(CressrockError):
     """A change of seats was not begun: another is under way, or the new seat does not have the log yet."""
 
     code: ClassVar[str] = "council-seats-refused"
     remedy: ClassVar[str] = "wait for the change under way, start the new seat, and ask again"
 
 
-class MessageRefused(CressrockError):
+class InvalidMessageError(CressrockError):
     """A message between seats was malformed, of an unknown version, or of another cluster."""
 
     code: ClassVar[str] = "council-message-refused"
@@ -45,7 +45,7 @@
         self.reason = reason
 
 
-class CouncilDiverged(CressrockError):
+class LogDivergedError(CressrockError):
     """A leader asks a seat to change an entry that is committed: two councils share one name."""
 
     code: ClassVar[str] = "council-diverged"
@@ -55,21 +55,21 @@
     )
 
 
-class CouncilError(CressrockError):
+class ConsensusError(CressrockError):
     """Something of the council failed; the types below say what."""
 
     code = "council"
     remedy = "look at the status of each seat on its admin port"
 
 
-class StoreError(CouncilError):
+class StoreError(ConsensusError):
     """A seat's store cannot be used; the seat takes no part."""
 
     code = "council-store"
     remedy = "keep the file as it is, and look at the disk and at the log lines before this one"
 
 
-class StoreTorn(StoreError):
+class StoreCorruptError(StoreError):
     """A seat's store is damaged: a checksum, an index without its entry, or the database itself is wrong."""
 
     code = "council-store-torn"
@@ -79,28 +79,28 @@
     )
 
 
-class StoreOlder(StoreError):
+class StoreTooOldError(StoreError):
     """A seat's store was written by an older program in a format that this one no longer reads."""
 
     code = "council-store-older"
     remedy = "start this seat with the version before this one, or put the file aside and join as a new seat"
 
 
-class StoreNewer(StoreError):
+class StoreTooNewError(StoreError):
     """A seat's store, or a command in its log, was written by a newer program than this one."""
 
     code = "council-store-newer"
     remedy = "start this seat with the newer version; never downgrade a seat over a store that was upgraded"
 
 
-class StoreForeign(StoreError):
+class ForeignStoreError(StoreError):
     """The store belongs to another cluster, another seat or another program."""
 
     code = "council-store-foreign"
     remedy = "correct the path, cluster or seat's name in the settings; never rename a store to make it fit"
 
 
-class StoreLost(StoreError):
+class StoreMissingError(StoreError):
     """The council stands and knows this seat, but its store is not there."""
 
     code = "council-store-lost"
@@ -110,42 +110,42 @@
     )
 
 
-class StoreFull(StoreError):
+class StoreFullError(StoreError):
     """The disk of a seat is full: what it was to keep is not kept, so the seat stepped down and is silent."""
 
     code = "council-store-full"
     remedy = "make room on the seat's disk, then start the seat again; the other seats go on meanwhile"
 
 
-class StoreBusy(StoreError):
+class StoreLockedError(StoreError):
     """Another process has this store open."""
 
     code = "council-store-busy"
     remedy = "one process for a seat: end the other one, or correct the path"
 
 
-class SeatRemoved(CouncilError):
+class ReplicaRemovedError(ConsensusError):
     """This seat was put out of the council by decision; it takes no part any more."""
 
     code = "council-seat-removed"
     remedy = "if it is to sit again, put its store aside and start it once with start = 'join'"
 
 
-class SeatsWrong(CouncilError):
+class InvalidReplicaSetError(ConsensusError):
     """The seats in the settings cannot make a council, or cannot be changed like this."""
 
     code = "council-seats-wrong"
     remedy = "name 3 or 5 seats, each once with its address, this one among them; change one at a time"
 
 
-class PeerParted(CouncilError):
+class PeerRejectedError(ConsensusError):
     """A peer of the council was parted with: another cluster, generation, council or version."""
 
     code = "council-peer-parted"
     remedy = "compare cluster, seats and program versions of both; after a recovery, the old seats join anew"
 
 
-class NoQuorum(CouncilError):
+class NoQuorumError(ConsensusError):
     """No majority of the seats answered within the time; what was asked may or may not still be decided."""
 
     code = "council-no-quorum"
@@ -154,40 +154,40 @@
         "see the way out in docs/council.md"
     )
 
-    def __init__(self, text: str, waited_ms: float = 0, unknown: bool = True) -> None:
+    def __init__(self, text: str, waited_ms: float = 0, outcome_unknown: bool = True) -> None:
         """`waited_ms` is how long was asked; `unknown`: the decision may still come to stand."""
         super().__init__(text)
         self.waited_ms = waited_ms
-        self.unknown = unknown
+        self.outcome_unknown = outcome_unknown
 
 
-class Conflict(CouncilError):
+class DecisionConflictError(ConsensusError):
     """A decision that was to follow a certain number did not: another one stands."""
 
     code = "council-conflict"
     remedy = "none needed: whoever asked reads what stands and decides again"
 
-    def __init__(self, text: str, number: int = 0) -> None:
+    def __init__(self, text: str, version: int = 0) -> None:
         """`number` is the one that stands; 0 where none does."""
         super().__init__(text)
-        self.number = number
+        self.version = version
 
 
-class TooLarge(CouncilError):
+class DecisionTooLargeError(ConsensusError):
     """A decision is larger than the council keeps, or there are too many topics."""
 
     code = "council-too-large"
     remedy = "raise the council's limits with a quorum up, or drop topics that are over"
 
 
-class Forgotten(CouncilError):
+class RequestForgottenError(ConsensusError):
     """A decision was asked again so late that the council no longer knows whether it was applied."""
 
     code = "council-forgotten"
     remedy = "none needed: whoever asked reads what stands and decides again"
 
 
-class BadDecree(CouncilError):
+class InvalidDecisionError(ConsensusError):
     """Bytes that should be a decree, a command or a snapshot of the council are not."""
 
     code = "council-bad-bytes"
--- a/cressrock/errors/zones.py
+++ b/cressrock/errors/failover.py
@@ -7,28 +7,28 @@
 from cressrock.errors import CressrockError
 
 
-class ZonesError(CressrockError):
+class FailoverError(CressrockError):
     """Something of the zones' part failed; the types below say what."""
 
     code: ClassVar[str] = "zones"
     remedy: ClassVar[str] = "look at `zones` in the process's status; traffic goes on by its own evidence"
 
 
-class ZonesMalformed(ZonesError):
+class MalformedFailoverDataError(FailoverError):
     """Bytes that should be evidence or a decree about zones cannot be read; they count as none."""
 
     code: ClassVar[str] = "zones-malformed"
     remedy: ClassVar[str] = "find the process named as their origin: another program, or a damaged path"
 
 
-class ZonesVersion(ZonesError):
+class UnsupportedFailoverVersionError(FailoverError):
     """Evidence or a decree about zones is of a version that this program does not read; it counts as none."""
 
     code: ClassVar[str] = "zones-version"
     remedy: ClassVar[str] = "bring the processes to neighbouring versions, planners with seats last"
 
 
-class MoveRefused(ZonesError):
+class WriteMoveRejectedError(FailoverError):
     """Writes were not moved to another region: it is not defined, or more could be lost than allowed."""
 
     code: ClassVar[str] = "zones-move-refused"
--- a/cressrock/errors/spread.py
+++ b/cressrock/errors/gossip.py
@@ -7,35 +7,35 @@
 from cressrock.errors import CressrockError
 
 
-class SpreadError(CressrockError):
+class GossipError(CressrockError):
     """The spread could not do what it was asked; nothing was changed."""
 
     code: ClassVar[str] = "spread"
     remedy: ClassVar[str] = "see the text; the spread's state is as it was before"
 
 
-class SpreadTooLarge(SpreadError):
+class EntryTooLargeError(GossipError):
     """A key, an item or a value of one's own is empty or larger than one datagram may carry of it."""
 
     code: ClassVar[str] = "spread-too-large"
     remedy: ClassVar[str] = "keep less in one entry, or raise max_key or max_value in all processes alike"
 
 
-class SpreadOriginFull(SpreadError):
+class OriginFullError(GossipError):
     """This process holds as many bytes of its own entries as it may ask the fleet to keep for it."""
 
     code: ClassVar[str] = "spread-origin-full"
     remedy: ClassVar[str] = "find what writes so many keys; or raise max_origin_bytes in all processes alike"
 
 
-class SpreadMalformed(SpreadError):
+class MalformedGossipError(GossipError):
     """Bytes from another process are no digest or parcel of the spread; they were dropped whole."""
 
     code: ClassVar[str] = "spread-malformed"
     remedy: ClassVar[str] = "look which sender it is: another program, or a damaged path, uses this port"
 
 
-class SpreadVersionUnknown(SpreadError):
+class UnsupportedGossipFormatError(GossipError):
     """Bytes from another process are of a format that this program does not read; they were dropped whole."""
 
     code: ClassVar[str] = "spread-version-unknown"
--- a/cressrock/errors/listening.py
+++ b/cressrock/errors/listening.py
@@ -7,7 +7,7 @@
 from cressrock.errors import CressrockError
 
 
-class AddressUnavailable(CressrockError):
+class AddressUnavailableError(CressrockError):
     """An address to listen at could not be bound; the text names the setting, the address and why."""
 
     code: ClassVar[str] = "address-unavailable"
--- a/cressrock/errors/fleet.py
+++ b/cressrock/errors/membership.py
@@ -12,42 +12,42 @@
     remedy = "see the reason that is counted beside it; a steady rate has a sender to be found"
 
 
-class ForeignCluster(DatagramError):
+class ForeignClusterError(DatagramError):
     """A datagram came from a process of another cluster id."""
 
     code = "fleet-foreign"
     remedy = "give processes of one fleet one cluster id, and fleets that share a network different ports"
 
 
-class OtherVersion(DatagramError):
+class UnsupportedPacketVersionError(DatagramError):
     """A datagram speaks a version of the fleet's messages that this process does not know."""
 
     code = "fleet-version"
     remedy = "bring both processes to neighbouring versions of the program; the log names its address"
 
 
-class Malformed(DatagramError):
+class MalformedPacketError(DatagramError):
     """A datagram cannot be read as a message of the fleet."""
 
     code = "fleet-malformed"
     remedy = "find what else sends to this port; between processes of the fleet it points at a damaged path"
 
 
-class TooLarge(DatagramError):
+class PacketTooLargeError(DatagramError):
     """A datagram or a frame is larger than is taken."""
 
     code = "fleet-too-large"
     remedy = "use one max_datagram on all processes, below what the path carries without fragments"
 
 
-class ExchangeFailed(CressrockError):
+class StateExchangeError(CressrockError):
     """A full exchange of the member list ended before both sides had said all."""
 
     code = "fleet-exchange"
     remedy = "open the fleet's port for TCP as well as UDP, both ways; it is tried again by itself"
 
 
-class Fenced(CressrockError):
+class FencedError(CressrockError):
     """Another process of the same name has a newer life; this one has to stop."""
 
     code = "fleet-fenced"
--- a/cressrock/errors/presence.py
+++ b/cressrock/errors/presence.py
@@ -15,21 +15,21 @@
     status: ClassVar[int] = 400
 
 
-class BadRoom(PresenceError):
+class InvalidRoomError(PresenceError):
     """A request names no room that can be: no volume of this gateway, or a path past its bound."""
 
     code = "presence-bad-room"
     remedy = "name a room by a path whose first segment is a volume of this gateway's settings"
 
 
-class BadRequest(PresenceError):
+class PresenceRequestError(PresenceError):
     """A request of presence is malformed, or a field is past its bound."""
 
     code = "presence-bad-request"
     remedy = "correct the field that the text names; docs/presence.md lists all with their bounds"
 
 
-class RoomFull(PresenceError):
+class PresenceLimitError(PresenceError):
     """A bound of presence is reached at this gateway: members of a room, members, rooms or watchers."""
 
     code = "presence-full"
@@ -37,7 +37,7 @@
     status = 503
 
 
-class SessionOver(PresenceError):
+class SessionEndedError(PresenceError):
     """The session of a token is not here: it ended, its grace is over, or nobody who answers knows it."""
 
     code = "presence-session-over"
@@ -45,7 +45,7 @@
     status = 410
 
 
-class SessionElsewhere(PresenceError):
+class SessionUnavailableError(PresenceError):
     """A session's gateway could not be asked, and nobody here holds what its token is checked against."""
 
     code = "presence-session-elsewhere"
@@ -53,7 +53,7 @@
     status = 503
 
 
-class NotNear(PresenceError):
+class MajorityNotReachedError(PresenceError):
     """A join `near` was not taken over by a majority of the region in time; it was withdrawn."""
 
     code = "presence-not-near"
@@ -61,7 +61,7 @@
     status = 503
 
 
-class NameHeld(PresenceError):
+class NameHeldError(PresenceError):
     """Another session holds the agreed name, and is not known to be gone."""
 
     code = "presence-name-held"
@@ -69,7 +69,7 @@
     status = 409
 
 
-class NotAgreed(PresenceError):
+class NameNotDecidedError(PresenceError):
     """The council did not decide on an agreed name in time, or there is none in the settings."""
 
     code = "presence-not-agreed"
@@ -77,14 +77,14 @@
     status = 503
 
 
-class FrameRefused(PresenceError):
+class PresenceFrameError(PresenceError):
     """A frame from another gateway was malformed, too large, or of another version or cluster."""
 
     code = "presence-frame"
     remedy = "look for a process of another version or cluster at the address of a gateway"
 
 
-class Unreachable(PresenceError):
+class GatewayUnreachableError(PresenceError):
     """The gateway's admin port did not answer the library."""
 
     code = "presence-unreachable"
--- a/cressrock/errors/copies.py
+++ b/cressrock/errors/replication.py
@@ -7,35 +7,35 @@
 from cressrock.errors import CressrockError
 
 
-class CopiesError(CressrockError):
+class ReplicationError(CressrockError):
     """Something about a shard's copies could not be done; its set is as it was before."""
 
     code: ClassVar[str] = "copies"
     remedy: ClassVar[str] = "see the text; the set of copies is as it was before"
 
 
-class BadSet(CopiesError):
+class InvalidSetError(ReplicationError):
     """A decree's value is no set of copies, or a node's list of records cannot be read."""
 
     code: ClassVar[str] = "copies-bad-set"
     remedy: ClassVar[str] = "find what wrote the topic `sync/...`: only planners and edges of this program do"
 
 
-class SetNewer(CopiesError):
+class UnknownSetVersionError(ReplicationError):
     """A set of copies was written by a newer program; it is not guessed at."""
 
     code: ClassVar[str] = "copies-set-newer"
     remedy: ClassVar[str] = "update this process to the version that the others run"
 
 
-class NotAllowed(CopiesError):
+class TransitionNotAllowedError(ReplicationError):
     """A change of a set whose precondition does not hold, such as a copy coming back without everything."""
 
     code: ClassVar[str] = "copies-not-allowed"
     remedy: ClassVar[str] = "nothing: the change is tried again from the set as it stands"
 
 
-class OnlyCopy(CopiesError):
+class OnlyReplicaError(ReplicationError):
     """The only copy that has every acknowledged write is the one that is lost."""
 
     code: ClassVar[str] = "copies-only-copy"
--- a/cressrock/errors/rollout.py
+++ b/cressrock/errors/rollout.py
@@ -14,42 +14,42 @@
     remedy: ClassVar[str] = "see the text; `GET /v1/rollout` tells what stands"
 
 
-class RulesWrong(RolloutError):
+class InvalidRulesError(RolloutError):
     """A rules document cannot be read, or a figure in it makes no sense; the text names the place."""
 
     code: ClassVar[str] = "rollout-rules-wrong"
     remedy: ClassVar[str] = "mend the document at the place that is named and start it again"
 
 
-class RulesNewer(RolloutError):
+class UnknownRulesVersionError(RolloutError):
     """A rules document, or a rollout's decree, is of a version that this program does not know."""
 
     code: ClassVar[str] = "rollout-newer"
     remedy: ClassVar[str] = "bring this process up to the release that wrote it; it serves as before"
 
 
-class RulesDiffer(RolloutError):
+class IncompatibleRulesError(RolloutError):
     """Two versions of the rules may not live side by side: something differs that safety counts on."""
 
     code: ClassVar[str] = "rollout-rules-differ"
     remedy: ClassVar[str] = "change that place by the settings of all processes, not by a rollout"
 
 
-class RolloutRuns(RolloutError):
+class RolloutInProgressError(RolloutError):
     """Another rollout is under way: there is one at a time."""
 
     code: ClassVar[str] = "rollout-runs"
     remedy: ClassVar[str] = "wait for its end, or withdraw it by its digest"
 
 
-class RolloutSpent(RolloutError):
+class RolloutAlreadyEndedError(RolloutError):
     """This very document was halted, withdrawn or expired before; unchanged it is not started again."""
 
     code: ClassVar[str] = "rollout-spent"
     remedy: ClassVar[str] = "change the rules; what was wrong with them stands in the decree's figures"
 
 
-class RolloutAbsent(RolloutError):
+class RolloutNotFoundError(RolloutError):
     """There is no such rollout under way."""
 
     code: ClassVar[str] = "rollout-absent"
--- a/cressrock/zones/terms.py
+++ b/cressrock/failover/decision.py
@@ -13,12 +13,16 @@
 import msgspec
 from msgspec import Meta, Struct
 
-from cressrock.errors.zones import MoveRefused, ZonesMalformed, ZonesVersion
+from cressrock.errors.failover import (
+    MalformedFailoverDataError,
+    UnsupportedFailoverVersionError,
+    WriteMoveRejectedError,
+)
 
 VERSION = 1
 TOPIC = "zones"
-MOVE_TOPIC = "zones/move"
-WHOLE = 64  # parts are told in 64ths
+WRITE_MOVE_TOPIC = "zones/move"
+FULL_SHARE = 64  # parts are told in 64ths
 
 ZoneName = Annotated[str, Meta(pattern=r"^[A-Za-z0-9][A-Za-z0-9._-]{0,63}$")]
 _Text = Annotated[str, Meta(max_length=64)]
@@ -29,17 +33,17 @@
 _Count = Annotated[int, Meta(ge=1, le=65535)]
 
 
-class Zone(Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
+class ZoneSettings(Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
     """One zone: its region, and the units a second that its nodes bear, of all edges together."""
 
     region: ZoneName
     capacity: Annotated[float, Meta(gt=0, le=1e9)]
 
 
-class Zones(Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
+class FailoverSettings(Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
     """Near while that is safe: zones, and when one is given up and taken back (`docs/zones.md`)."""
 
-    zones: Annotated[dict[ZoneName, Zone], Meta(min_length=2, max_length=64)]
+    zones: Annotated[dict[ZoneName, ZoneSettings], Meta(min_length=2, max_length=64)]
     edges: _Count  # that there are, in all zones together
     bears: _Share = 0.95  # of a zone's capacity, its own work and what is spilled to it together
     usual: _Share = 0.6  # of a zone's capacity that its own work takes, where nobody tells
@@ -81,20 +85,20 @@
             raise ValueError("fresh_ms: is below calm_ms, so that in calm no evidence would count")
         for step, part in enumerate(self.parts()):
             grown = self.safe_start + (1 - self.safe_start) * min(1.0, step * self.step_ms / self.warm_ms)
-            if part > WHOLE * grown + 1e-9:
-                least = (part / WHOLE - self.safe_start) / (1 - self.safe_start) * self.warm_ms / step
+            if part > FULL_SHARE * grown + 1e-9:
+                least = (part / FULL_SHARE - self.safe_start) / (1 - self.safe_start) * self.warm_ms / step
                 raise ValueError(
-                    f"step_ms: {self.step_ms:g} brings nodes that are still cold to {part}/{WHOLE} of their "
+                    f"step_ms: {self.step_ms:g} brings nodes that are still cold to {part}/{FULL_SHARE} of their "
                     f"work; at least {least:g}"
                 )
 
     def parts(self) -> tuple[int, ...]:
         """Return the parts of the way back, in 64ths: doubled from the greatest that cold nodes bear."""
         first = 1
-        while first * 2 <= WHOLE * self.safe_start:
+        while first * 2 <= FULL_SHARE * self.safe_start:
             first *= 2
         found = [first]
-        while found[-1] < WHOLE:
+        while found[-1] < FULL_SHARE:
             found.append(found[-1] * 2)
         return tuple(found)
 
@@ -103,29 +107,29 @@
         return {name: zone.region for name, zone in self.zones.items()}
 
 
-class State(IntEnum):
+class ZoneState(IntEnum):
     """What stands of a zone."""
 
-    NEAR = 0  # whole; listed only while its losses are remembered
-    GONE = 1  # given up: nothing but tries
-    BACK = 2  # on the way back, by parts
-    HALF = 3  # a part of its nodes is away; it serves what it can
+    LOCAL = 0  # whole; listed only while its losses are remembered
+    EVACUATED = 1  # given up: nothing but tries
+    RECOVERING = 2  # on the way back, by parts
+    DEGRADED = 3  # a part of its nodes is away; it serves what it can
     SLOW = 4  # it answers late; it serves a part
-    SPLIT = 5  # those in `blind` cannot reach it and go elsewhere, all others stay
+    PARTITIONED = 5  # those in `blind` cannot reach it and go elsewhere, all others stay
 
 
-class Entry(Struct, frozen=True, array_like=True):
+class ZoneDecision(Struct, frozen=True, array_like=True):
     """What stands of one zone.  With `blind`, `part` is for edges in these zones only; others have all."""
 
     zone: _Text
     state: Annotated[int, Meta(ge=0, le=255)]
-    part: Annotated[int, Meta(ge=0, le=WHOLE)]
+    share: Annotated[int, Meta(ge=0, le=FULL_SHARE)]
     losses: Annotated[int, Meta(ge=0, le=255)] = 0
     edges: _Small = 0  # over which a part of the way back is shared out
-    blind: Annotated[list[_Text], Meta(max_length=64)] = []
+    blind_zones: Annotated[list[_Text], Meta(max_length=64)] = []
 
 
-class Verdict(Struct, frozen=True, array_like=True):
+class FailoverDecision(Struct, frozen=True, array_like=True):
     """What stands of all zones, and what may be spilled where.
 
     `room` is in units a second, of all edges together; `want` is what those ask for who have to go
@@ -133,19 +137,19 @@
     append fields.
     """
 
-    entries: Annotated[list[Entry], Meta(max_length=64)] = []
-    room: Annotated[dict[_Text, _Units], Meta(max_length=64)] = {}
-    want: _Units = 0.0
+    zones: Annotated[list[ZoneDecision], Meta(max_length=64)] = []
+    spare_capacity: Annotated[dict[_Text, _Units], Meta(max_length=64)] = {}
+    evacuated_demand: _Units = 0.0
 
-    def of(self, zone: str) -> Entry:
+    def for_zone(self, zone: str) -> ZoneDecision:
         """Return what stands of a zone."""
-        for entry in self.entries:
+        for entry in self.zones:
             if entry.zone == zone:
                 return entry
-        return Entry(zone, State.NEAR, WHOLE)
+        return ZoneDecision(zone, ZoneState.LOCAL, FULL_SHARE)
 
 
-class Move(Struct, frozen=True, array_like=True):
+class WriteMove(Struct, frozen=True, array_like=True):
     """The operator's word: writes of a region are taken by another from now on.
 
     `may_lose_ms`: acknowledged writes of so long before the move may be lost; 0: none may.
@@ -153,44 +157,44 @@
 
     source: _Text
     target: _Text
-    may_lose_ms: Annotated[float, Meta(ge=0, le=1e12)]
-    by: Annotated[str, Meta(max_length=128)] = ""
+    max_loss_ms: Annotated[float, Meta(ge=0, le=1e12)]
+    requested_by: Annotated[str, Meta(max_length=128)] = ""
 
 
 _T = TypeVar("_T")
 _encode = msgspec.msgpack.Encoder().encode
-_verdict = msgspec.msgpack.Decoder(Verdict)
-_move = msgspec.msgpack.Decoder(Move)
+_verdict = msgspec.msgpack.Decoder(FailoverDecision)
+_move = msgspec.msgpack.Decoder(WriteMove)
 
 
-def encode(value: Verdict | Move) -> bytes:
+def encode(value: FailoverDecision | WriteMove) -> bytes:
     """Return a decree's value: one byte of version, then MessagePack."""
     return bytes((VERSION,)) + _encode(value)
 
 
-def take(decoder: msgspec.msgpack.Decoder[_T], data: bytes, what: str) -> _T:
+def decode_versioned(decoder: msgspec.msgpack.Decoder[_T], data: bytes, subject: str) -> _T:
     """Read versioned bytes.  Raises ZonesMalformed, ZonesVersion."""
     if not data:
-        raise ZonesMalformed(f"no bytes where {what} should be")
+        raise MalformedFailoverDataError(f"no bytes where {subject} should be")
     if data[0] != VERSION:
-        raise ZonesVersion(f"{what} of version {data[0]}; this program reads {VERSION}")
+        raise UnsupportedFailoverVersionError(f"{subject} of version {data[0]}; this program reads {VERSION}")
     try:
         return decoder.decode(data[1:])
     except (msgspec.DecodeError, RecursionError) as wrong:
-        raise ZonesMalformed(f"{what} that cannot be read: {str(wrong)[:200]}") from None
+        raise MalformedFailoverDataError(f"{subject} that cannot be read: {str(wrong)[:200]}") from None
 
 
-def decode(data: bytes) -> Verdict:
+def decode(data: bytes) -> FailoverDecision:
     """Read a verdict.  Raises ZonesMalformed, ZonesVersion."""
-    return take(_verdict, data, "a verdict about zones")
+    return decode_versioned(_verdict, data, "a verdict about zones")
 
 
-def decode_move(data: bytes) -> Move:
+def decode_write_move(data: bytes) -> WriteMove:
     """Read a move of writes.  Raises ZonesMalformed, ZonesVersion."""
-    return take(_move, data, "a move of writes")
+    return decode_versioned(_move, data, "a move of writes")
 
 
-def check_move(regions: Mapping[str, str], move: Move, behind_ms: float | None) -> Move:
+def check_write_move(regions: Mapping[str, str], move: WriteMove, behind_ms: float | None) -> WriteMove:
     """Return the move if it may be decreed.  Raises MoveRefused.
 
     `regions` is zone -> region.  `behind_ms`: how far the target's copies are behind what the source has
@@ -200,15 +204,15 @@
     known = sorted(set(regions.values()))
     for name in (move.source, move.target):
         if name not in known:
-            raise MoveRefused(f"{name!r} is no region; the regions are {', '.join(known)}")
+            raise WriteMoveRejectedError(f"{name!r} is no region; the regions are {', '.join(known)}")
     if move.source == move.target:
-        raise MoveRefused(f"writes of {move.source!r} are there already")
-    if behind_ms is None and move.may_lose_ms == 0:
-        raise MoveRefused(
+        raise WriteMoveRejectedError(f"writes of {move.source!r} are there already")
+    if behind_ms is None and move.max_loss_ms == 0:
+        raise WriteMoveRejectedError(
             f"how far {move.target!r} is behind {move.source!r} is not known, and none may be lost"
         )
-    if behind_ms is not None and behind_ms > move.may_lose_ms:
-        raise MoveRefused(
-            f"{move.target!r} is {behind_ms:g} ms behind {move.source!r}; {move.may_lose_ms:g} may be lost"
+    if behind_ms is not None and behind_ms > move.max_loss_ms:
+        raise WriteMoveRejectedError(
+            f"{move.target!r} is {behind_ms:g} ms behind {move.source!r}; {move.max_loss_ms:g} may be lost"
         )
     return move
--- a/cressrock/zones/verdict.py
+++ b/cressrock/failover/evaluation.py
@@ -26,9 +26,15 @@
 
 import msgspec
 
-from cressrock.zones.evidence import Heard, Origin
-from cressrock.zones.sums import Mark, Tally, Told, View, Who
-from cressrock.zones.terms import WHOLE, Entry, State, Verdict, Zones
+from cressrock.failover.decision import (
+    FULL_SHARE,
+    FailoverDecision,
+    FailoverSettings,
+    ZoneDecision,
+    ZoneState,
+)
+from cressrock.failover.evidence import Origin, ReceivedReport
+from cressrock.failover.summary import EvidenceView, ReportView, WitnessCounts, ZoneMark, ZoneMember
 
 DRIFT = 0.25  # room or demand that changed by so much is told anew
 ROOM_MS = 3000.0  # and so long after the last decree at the earliest
@@ -37,45 +43,45 @@
 
 
 @dataclass(slots=True)
-class Memory:
+class EvaluationMemory:
     """What a leader remembers from one look to the next."""
 
-    marks: dict[str, Mark] = field(default_factory=dict)
-    decided_at: float = -1e18
-    tallies: dict[str, Tally] = field(default_factory=dict)  # of the last look, for the status
+    marks: dict[str, ZoneMark] = field(default_factory=dict)
+    decided_at_ms: float = -1e18
+    witnesses: dict[str, WitnessCounts] = field(default_factory=dict)  # of the last look, for the status
     unheard: dict[str, float] = field(default_factory=dict)  # since when the words of a place are missing
 
 
-def need(of: Zones, edges: int) -> int:
+def need(of: FailoverSettings, edges: int) -> int:
     """Return how many witnesses a verdict takes: `witnesses`, of very few edges at least two."""
     return max(2, min(of.witnesses, math.ceil(edges / 2)))
 
 
 def _assess(
-    of: Zones, zone: str, tally: Tally, who: Mapping[Origin, Who], silent: bool
+    of: FailoverSettings, zone: str, tally: WitnessCounts, who: Mapping[Origin, ZoneMember], silent: bool
 ) -> tuple[str, list[str]]:
     """Return what a tally comes to: "", gone, split (with the blind places), half or slow.
 
     `silent`: none of the zone's own processes is alive in the leader's view, which counts as one witness.
     """
-    edges = sum(w.edge and w.alive for w in who.values())
+    edges = sum(w.is_edge and w.alive for w in who.values())
     wanted = need(of, edges)
-    bad, good = tally.total()
+    bad, good = tally.unreachable_and_reachable()
     # Of a place, two thirds have to agree; else somebody's own network is more likely.  A half is also what
     # a word is on its way from good to bad: there must not be more of them than of bad ones.  And of few
     # attempts at a zone that is half away, some edges' all fail; of their place's all together, half do.
-    halves = sum(tally.half.values())
+    halves = sum(tally.degraded.values())
     blind = sorted(
         p
-        for p, n in tally.bad.items()
+        for p, n in tally.unreachable.items()
         if n > 0
-        and n >= 2 * tally.good.get(p, 0)
-        and n >= tally.half.get(p, 0)
-        and tally.failed[p] >= AWAY * tally.tried[p]
+        and n >= 2 * tally.reachable.get(p, 0)
+        and n >= tally.degraded.get(p, 0)
+        and tally.failed_attempts[p] >= AWAY * tally.attempts[p]
     )
-    seeing = sorted(p for p, n in tally.good.items() if p not in blind)
+    seeing = sorted(p for p, n in tally.reachable.items() if p not in blind)
     if bad and not seeing and blind and bad >= halves:
-        own = sum(w.edge and w.alive and w.place == zone for w in who.values())
+        own = sum(w.is_edge and w.alive and w.zone == zone for w in who.values())
         # In calm only a zone's own edges go there: a loss may have no other witnesses.  Each reaches others
         # (else it is suspect), and their fellows were asked and would have contradicted.
         alone = blind == [zone] and bad >= max(wanted, of.own_share * own) and bad >= 2 * good
@@ -83,8 +89,8 @@
             return "gone", []
     if seeing and blind:
         # A place with one edge cannot be told from that edge's bad network; it helps itself.
-        sure = [p for p in blind if tally.bad[p] >= 2]
-        if sure and sum(tally.bad[p] for p in sure) >= wanted:
+        sure = [p for p in blind if tally.unreachable[p] >= 2]
+        if sure and sum(tally.unreachable[p] for p in sure) >= wanted:
             return "split", sure
     told = bad + good + halves
     if halves and halves + bad >= wanted and 2 * (halves + bad) > told:
@@ -94,32 +100,32 @@
     return "", []
 
 
-def judge(
-    of: Zones,
-    members: Sequence[Who],
-    words: Mapping[Origin, Mapping[str, Heard]],
+def evaluate_reports(
+    of: FailoverSettings,
+    members: Sequence[ZoneMember],
+    words: Mapping[Origin, Mapping[str, ReceivedReport]],
     beats: Mapping[Origin, int],
-    standing: Verdict | None,
+    standing: FailoverDecision | None,
     now_ms: float,
-    memory: Memory,
-) -> Verdict | None:
+    memory: EvaluationMemory,
+) -> FailoverDecision | None:
     """Return what should stand by all words, as a process has them that hears everybody: see `weigh`.
 
     `words` and `beats` are of `All`.
     """
-    told = Told(of, {w.origin: w for w in members if w.alive}, words)
-    return weigh(of, members, told, beats, standing, now_ms, memory)
+    told = ReportView(of, {w.origin: w for w in members if w.alive}, words)
+    return evaluate(of, members, told, beats, standing, now_ms, memory)
 
 
-def weigh(
-    of: Zones,
-    members: Sequence[Who],
-    view: View,
+def evaluate(
+    of: FailoverSettings,
+    members: Sequence[ZoneMember],
+    view: EvidenceView,
     beats: Mapping[Origin, int],
-    standing: Verdict | None,
+    standing: FailoverDecision | None,
     now_ms: float,
-    memory: Memory,
-) -> Verdict | None:
+    memory: EvaluationMemory,
+) -> FailoverDecision | None:
     """Return what should stand instead of `standing` (None: nothing does), or None where it may stay.
 
     `members` is the leader's own view, `view` the evidence; `beats` are of the tellers that are heard here
@@ -127,112 +133,115 @@
     the result does so under the number of `standing`: where another came first, the next look begins from
     that one.
     """
-    stands = standing or Verdict()
+    stands = standing or FailoverDecision()
     who = {w.origin: w for w in members if w.alive}
-    living = {w.place for w in who.values()}
-    lost = {w.place for w in members} - living  # zones of which no process is alive
-    missing = view.unheard()
+    living = {w.zone for w in who.values()}
+    lost = {w.zone for w in members} - living  # zones of which no process is alive
+    missing = view.unheard_zones()
     memory.unheard = {place: memory.unheard.get(place, now_ms) for place in sorted(missing)}
     # Danger: a collector dies, and with it those are not heard who reach a zone that others call away.  Their
     # words come by the next one within seconds; who is not heard for longer counts no more, as ever.
     waits = any(now_ms - since <= of.fresh_ms for since in memory.unheard.values())
-    entries: dict[str, Entry] = {}
-    memory.tallies = {}
+    entries: dict[str, ZoneDecision] = {}
+    memory.witnesses = {}
     for zone in sorted(of.zones):
-        entry = stands.of(zone)
-        mark = memory.marks.setdefault(zone, Mark())
-        key = (entry.state, entry.part)
-        if mark.number_state != key:
-            mark.number_state, mark.since, mark.beats = key, now_ms, dict(beats)
+        entry = stands.for_zone(zone)
+        mark = memory.marks.setdefault(zone, ZoneMark())
+        key = (entry.state, entry.share)
+        if mark.state_and_share != key:
+            mark.state_and_share, mark.since_ms, mark.intervals = key, now_ms, dict(beats)
             mark.accused = ("", now_ms)
             mark.faded = now_ms
         entries[zone] = _one(of, zone, entry, mark, who, view, now_ms, memory, zone in lost, waits)
     _keep_enough(of, stands, entries)
-    wanted = [e for e in entries.values() if e.state != State.NEAR or e.losses]
+    wanted = [e for e in entries.values() if e.state != ZoneState.LOCAL or e.losses]
     room, want = _room(of, entries, view, stands)
-    result = Verdict(wanted, room, want)
-    moved = wanted != stands.entries
-    drifted = now_ms - memory.decided_at >= ROOM_MS and _drifted(result, stands) and not waits
+    result = FailoverDecision(wanted, room, want)
+    moved = wanted != stands.zones
+    drifted = now_ms - memory.decided_at_ms >= ROOM_MS and _drifted(result, stands) and not waits
     if not moved and not drifted:
         return None
     return result
 
 
-def decided(memory: Memory, now_ms: float) -> None:
+def record_decision(memory: EvaluationMemory, now_ms: float) -> None:
     """Note that a result of `judge` was decided, or is being so."""
-    memory.decided_at = now_ms
+    memory.decided_at_ms = now_ms
 
 
 def _one(
-    of: Zones,
+    of: FailoverSettings,
     zone: str,
-    entry: Entry,
-    mark: Mark,
-    who: Mapping[Origin, Who],
-    view: View,
+    entry: ZoneDecision,
+    mark: ZoneMark,
+    who: Mapping[Origin, ZoneMember],
+    view: EvidenceView,
     now: float,
-    memory: Memory,
+    memory: EvaluationMemory,
     silent: bool,
     waits: bool,
-) -> Entry:
+) -> ZoneDecision:
     """Return what should stand of one zone.  `waits`: who might contradict a loss is not heard just now."""
-    edges = sum(w.edge and w.place == zone for w in who.values()) + view.asking(zone)
-    if entry.blind:  # only these are held back, and share a part
-        edges = max(1, sum(w.edge and w.place in entry.blind for w in who.values()))
-    later = entry.state in (State.BACK, State.GONE)
-    tally = view.tally(zone, mark if later else None)
-    memory.tallies[zone] = tally
+    edges = sum(w.is_edge and w.zone == zone for w in who.values()) + view.remote_requesters(zone)
+    if entry.blind_zones:  # only these are held back, and share a part
+        edges = max(1, sum(w.is_edge and w.zone in entry.blind_zones for w in who.values()))
+    later = entry.state in (ZoneState.RECOVERING, ZoneState.EVACUATED)
+    tally = view.count_witnesses(zone, mark if later else None)
+    memory.witnesses[zone] = tally
     kind, blind = _assess(of, zone, tally, who, silent)
     if kind != mark.accused[0]:
         mark.accused = (kind, now)
     held = 0.0 if waits else now - mark.accused[1]
-    bad, good = tally.total()
-    spent = now - mark.since
+    bad, good = tally.unreachable_and_reachable()
+    spent = now - mark.since_ms
     patience = 2.0 ** min(max(0, entry.losses - 1), of.most_losses)
-    enough = need(of, sum(w.edge for w in who.values()))
+    enough = need(of, sum(w.is_edge for w in who.values()))
     losses = min(entry.losses + 1, of.most_losses)
 
-    def new(state: State, part: int, *, lost: bool = False, blind: Sequence[str] = ()) -> Entry:
-        return Entry(zone, state, part, losses if lost else entry.losses, edges, list(blind))
+    def new(state: ZoneState, part: int, *, lost: bool = False, blind: Sequence[str] = ()) -> ZoneDecision:
+        return ZoneDecision(zone, state, part, losses if lost else entry.losses, edges, list(blind))
 
-    if entry.state == State.GONE:
+    if entry.state == ZoneState.EVACUATED:
         well = good >= enough and bad <= good * (1 - of.bad_share)
         if spent >= of.rest_ms * patience and well:
-            return new(State.BACK, of.parts()[0])
+            return new(ZoneState.RECOVERING, of.parts()[0])
         return entry
-    if entry.state == State.BACK:
+    if entry.state == ZoneState.RECOVERING:
         if bad >= 2 and bad >= BACK_BAD * (bad + good) and not waits:
-            if entry.blind:
-                return new(State.SPLIT, 0, lost=True, blind=entry.blind)
-            return new(State.GONE, 0, lost=True)
+            if entry.blind_zones:
+                return new(ZoneState.PARTITIONED, 0, lost=True, blind=entry.blind_zones)
+            return new(ZoneState.EVACUATED, 0, lost=True)
         if spent >= of.step_ms and good >= enough and bad <= good * (1 - of.bad_share):
-            if entry.part * 2 >= WHOLE:
-                return new(State.NEAR, WHOLE)
-            return new(State.BACK, entry.part * 2, blind=entry.blind)
+            if entry.share * 2 >= FULL_SHARE:
+                return new(ZoneState.LOCAL, FULL_SHARE)
+            return new(ZoneState.RECOVERING, entry.share * 2, blind=entry.blind_zones)
         return entry
     if kind == "gone" and held >= of.confirm_ms:
-        return new(State.GONE, 0, lost=entry.state != State.SPLIT)  # a split was counted as the same loss
-    if entry.state == State.SPLIT:
-        since = view.tally(zone, mark)
+        return new(
+            ZoneState.EVACUATED, 0, lost=entry.state != ZoneState.PARTITIONED
+        )  # a split was counted as the same loss
+    if entry.state == ZoneState.PARTITIONED:
+        since = view.count_witnesses(zone, mark)
         cured = all(
-            since.good.get(p, 0) >= 2 and since.bad.get(p, 0) <= (1 - of.bad_share) * since.good[p]
-            for p in entry.blind
-            if sum(w.edge and w.place == p for w in who.values())
+            since.reachable.get(p, 0) >= 2
+            and since.unreachable.get(p, 0) <= (1 - of.bad_share) * since.reachable[p]
+            for p in entry.blind_zones
+            if sum(w.is_edge and w.zone == p for w in who.values())
         )
         if spent >= of.rest_ms * patience and cured:
-            return new(State.BACK, of.parts()[0], blind=entry.blind)
+            return new(ZoneState.RECOVERING, of.parts()[0], blind=entry.blind_zones)
         return entry
     if kind == "split" and held >= of.split_ms:
-        return new(State.SPLIT, 0, lost=True, blind=blind)
-    if kind == "half" and held >= of.step_ms and entry.part > WHOLE // 2:
-        return new(State.HALF, WHOLE // 2)
-    if kind == "slow" and held >= of.split_ms and entry.part > WHOLE // 8 and spent >= of.step_ms:
+        return new(ZoneState.PARTITIONED, 0, lost=True, blind=blind)
+    if kind == "half" and held >= of.step_ms and entry.share > FULL_SHARE // 2:
+        return new(ZoneState.DEGRADED, FULL_SHARE // 2)
+    if kind == "slow" and held >= of.split_ms and entry.share > FULL_SHARE // 8 and spent >= of.step_ms:
         # It serves, and less work may be all it needs: half of it goes, then half of that.
-        return new(State.SLOW, entry.part // 2)
-    if entry.state in (State.HALF, State.SLOW):
+        return new(ZoneState.SLOW, entry.share // 2)
+    if entry.state in (ZoneState.DEGRADED, ZoneState.SLOW):
         if not kind and held >= of.step_ms and spent >= of.step_ms and good >= enough:
-            part = min(WHOLE, entry.part * 2)
-            return new(State(entry.state) if part < WHOLE else State.NEAR, part)
+            part = min(FULL_SHARE, entry.share * 2)
+            return new(ZoneState(entry.state) if part < FULL_SHARE else ZoneState.LOCAL, part)
         return entry
     if entry.losses and now - mark.faded >= of.fade_ms:
         mark.faded = now
@@ -240,32 +249,32 @@
     return entry
 
 
-def _keep_enough(of: Zones, stands: Verdict, entries: dict[str, Entry]) -> None:
+def _keep_enough(of: FailoverSettings, stands: FailoverDecision, entries: dict[str, ZoneDecision]) -> None:
     """Take back what would give up more than may be; what stands already goes first."""
     total = sum(z.capacity for z in of.zones.values())
 
-    def away(entry: Entry) -> float:
-        if entry.blind or entry.state == State.BACK:
+    def away(entry: ZoneDecision) -> float:
+        if entry.blind_zones or entry.state == ZoneState.RECOVERING:
             return 0.0  # most of it serves, or soon does
-        return of.zones[entry.zone].capacity * (1 - entry.part / WHOLE)
+        return of.zones[entry.zone].capacity * (1 - entry.share / FULL_SHARE)
 
     left = total
-    order = sorted(entries, key=lambda z: (away(stands.of(z)) < away(entries[z]), z))
+    order = sorted(entries, key=lambda z: (away(stands.for_zone(z)) < away(entries[z]), z))
     for zone in order:
         if left - away(entries[zone]) < of.least_left * total - 1e-9:
-            entries[zone] = stands.of(zone)
+            entries[zone] = stands.for_zone(zone)
         left -= away(entries[zone])
 
 
 def _room(
-    of: Zones, entries: Mapping[str, Entry], view: View, stands: Verdict
+    of: FailoverSettings, entries: Mapping[str, ZoneDecision], view: EvidenceView, stands: FailoverDecision
 ) -> tuple[dict[str, float], float]:
     """Return what may be spilled into each whole zone, and what all ask for who have to go elsewhere."""
-    hurt = {z for z, e in entries.items() if e.part < WHOLE}
+    hurt = {z for z, e in entries.items() if e.share < FULL_SHARE}
     if not hurt:
         return {}, 0.0
     load = {zone: view.load(zone) for zone in of.zones}
-    want = sum(view.want(zone, entries[zone].blind) for zone in sorted(hurt))
+    want = sum(view.demand(zone, entries[zone].blind_zones) for zone in sorted(hurt))
     room = {}
     for zone, figures in of.zones.items():
         if zone in hurt:
@@ -275,9 +284,12 @@
     return room, round(want, 3)
 
 
-def _drifted(new: Verdict, old: Verdict) -> bool:
+def _drifted(new: FailoverDecision, old: FailoverDecision) -> bool:
     """Whether room or demand differ enough that it is worth a decree."""
-    if new.room.keys() != old.room.keys():
-        return bool(new.entries)
-    pairs = [(new.want, old.want), *((value, old.room[zone]) for zone, value in new.room.items())]
+    if new.spare_capacity.keys() != old.spare_capacity.keys():
+        return bool(new.zones)
+    pairs = [
+        (new.evacuated_demand, old.evacuated_demand),
+        *((value, old.spare_capacity[zone]) for zone, value in new.spare_capacity.items()),
+    ]
     return any(abs(a - b) > DRIFT * max(a, b, 1e-9) for a, b in pairs)
--- a/cressrock/zones/sums.py
+++ b/cressrock/failover/summary.py
@@ -19,144 +19,158 @@
 import msgspec
 from msgspec import Meta, Struct
 
-from cressrock.errors.zones import ZonesError
-from cressrock.zones.evidence import PREFIX, All, Heard, Origin, Word
-from cressrock.zones.terms import VERSION, State, Verdict, Zones, take
+from cressrock.errors.failover import FailoverError
+from cressrock.failover.decision import (
+    VERSION,
+    FailoverDecision,
+    FailoverSettings,
+    ZoneState,
+    decode_versioned,
+)
+from cressrock.failover.evidence import REPORT_KEY_PREFIX, FleetEvidence, Origin, ReceivedReport, ZoneHealth
 
 
 @dataclass(frozen=True, slots=True)
-class Who:
+class ZoneMember:
     """A member of the fleet as the verdict needs it: alive is what the leader's own view holds for sure."""
 
     origin: Origin
-    place: str
+    zone: str
     alive: bool
-    edge: bool
+    is_edge: bool
 
 
 @dataclass(slots=True)
-class Tally:
+class WitnessCounts:
     """Who says what of one zone.  Counts of witnesses, by place."""
 
-    bad: dict[str, int] = field(default_factory=dict)
-    good: dict[str, int] = field(default_factory=dict)
-    half: dict[str, int] = field(default_factory=dict)
+    unreachable: dict[str, int] = field(default_factory=dict)
+    reachable: dict[str, int] = field(default_factory=dict)
+    degraded: dict[str, int] = field(default_factory=dict)
     slow: int = 0
-    suspect: int = 0
-    failed: dict[str, int] = field(default_factory=dict)  # attempts, by place
-    tried: dict[str, int] = field(default_factory=dict)
+    suspects: int = 0
+    failed_attempts: dict[str, int] = field(default_factory=dict)  # attempts, by place
+    attempts: dict[str, int] = field(default_factory=dict)
 
-    def total(self) -> tuple[int, int]:
+    def unreachable_and_reachable(self) -> tuple[int, int]:
         """Return how many say that it is away, and how many reach it."""
-        return sum(self.bad.values()), sum(self.good.values())
+        return sum(self.unreachable.values()), sum(self.reachable.values())
 
 
 @dataclass(slots=True)
-class Mark:
+class ZoneMark:
     """What a leader remembers of one zone."""
 
-    number_state: tuple[int, int] = (-1, -1)  # state and part that stood when the times below began
-    since: float = 0.0
-    beats: dict[Origin, int] = field(default_factory=dict)  # of each teller when they began
+    state_and_share: tuple[int, int] = (-1, -1)  # state and part that stood when the times below began
+    since_ms: float = 0.0
+    intervals: dict[Origin, int] = field(default_factory=dict)  # of each teller when they began
     accused: tuple[str, float] = ("", 0.0)  # of what, and since when without a break
     faded: float = 0.0  # since when the zone has stayed
 
 
-def suspect(words: Mapping[str, Heard], fresh_ms: float) -> bool:
+def suspect(words: Mapping[str, ReceivedReport], fresh_ms: float) -> bool:
     """Whether a teller's own network may be what is bad: it reaches nothing well, or misses most."""
-    recent = [h.said.word for h in words.values() if h.age_ms <= fresh_ms and h.said.word]
-    wrong = sum(word >= Word.HALF for word in recent)
+    recent = [h.report.health for h in words.values() if h.age_ms <= fresh_ms and h.report.health]
+    wrong = sum(word >= ZoneHealth.DEGRADED for word in recent)
     return wrong > 0 and (wrong == len(recent) or 2 * wrong > len(recent))
 
 
 def count(
-    of: Zones, found: Tally, place: str, heard: Heard | None, suspected: bool, since: int | None
+    of: FailoverSettings,
+    found: WitnessCounts,
+    place: str,
+    heard: ReceivedReport | None,
+    suspected: bool,
+    since: int | None,
 ) -> None:
     """Count one teller's fresh word; whether it reached the zone only if it did so of late.
 
     With `since`, only on attempts after this beat, and by how the last one ended: of a zone that is given up
     there are only a few tries, and a bad word would outlive several that arrived.
     """
-    if heard is None or heard.age_ms > of.fresh_ms or heard.said.word == Word.SILENT:
+    if heard is None or heard.age_ms > of.fresh_ms or heard.report.health == ZoneHealth.UNKNOWN:
         return
-    if since is None and heard.said.word != Word.BAD and heard.age_ms > of.recent_ms:
+    if since is None and heard.report.health != ZoneHealth.UNREACHABLE and heard.age_ms > of.recent_ms:
         return
-    if since is not None and heard.beat <= since:
+    if since is not None and heard.interval <= since:
         return
     if suspected:
-        found.suspect += 1
+        found.suspects += 1
         return
-    said = heard.said
-    found.failed[place] = found.failed.get(place, 0) + said.failed
-    found.tried[place] = found.tried.get(place, 0) + said.failed + said.reached
-    if said.word == Word.BAD if since is None else said.run < 0:
-        found.bad[place] = found.bad.get(place, 0) + 1
-    elif since is None and said.word == Word.HALF:
-        found.half[place] = found.half.get(place, 0) + 1
-    elif said.run > 0:  # a good word whose last attempt failed contradicts nobody
-        found.good[place] = found.good.get(place, 0) + 1
-        found.slow += said.word == Word.SLOW
-
-
-class View(Protocol):
+    said = heard.report
+    found.failed_attempts[place] = found.failed_attempts.get(place, 0) + said.failed
+    found.attempts[place] = found.attempts.get(place, 0) + said.failed + said.reached
+    if said.health == ZoneHealth.UNREACHABLE if since is None else said.streak < 0:
+        found.unreachable[place] = found.unreachable.get(place, 0) + 1
+    elif since is None and said.health == ZoneHealth.DEGRADED:
+        found.degraded[place] = found.degraded.get(place, 0) + 1
+    elif said.streak > 0:  # a good word whose last attempt failed contradicts nobody
+        found.reachable[place] = found.reachable.get(place, 0) + 1
+        found.slow += said.health == ZoneHealth.SLOW
+
+
+class EvidenceView(Protocol):
     """What a verdict asks of the evidence."""
 
-    def tally(self, zone: str, since: Mark | None) -> Tally:
+    def count_witnesses(self, zone: str, since: ZoneMark | None) -> WitnessCounts:
         """Count who says what of a zone; with a mark, of what was tried after it alone."""
 
-    def asking(self, zone: str) -> int:
+    def remote_requesters(self, zone: str) -> int:
         """Return how many tellers of other places have clients that ask for a zone first."""
 
     def load(self, zone: str) -> float:
         """Return the zone's own work as its edges told it, units a second."""
 
-    def want(self, zone: str, places: Collection[str]) -> float:
+    def demand(self, zone: str, places: Collection[str]) -> float:
         """Return what clients ask of a zone first, of edges in these places (none: in all)."""
 
-    def unheard(self) -> frozenset[str]:
+    def unheard_zones(self) -> frozenset[str]:
         """Return the places whose edges' words are not here, though such edges are alive."""
 
 
-class Told:
+class ReportView:
     """The view of a process that hears all words."""
 
     def __init__(
-        self, of: Zones, who: Mapping[Origin, Who], words: Mapping[Origin, Mapping[str, Heard]]
+        self,
+        of: FailoverSettings,
+        who: Mapping[Origin, ZoneMember],
+        words: Mapping[Origin, Mapping[str, ReceivedReport]],
     ) -> None:
         """`who`: the living members; words of others do not count."""
         self.of, self.who = of, who
         self.words = {origin: mine for origin, mine in words.items() if origin in who}
         self.suspects = {o for o, mine in self.words.items() if suspect(mine, of.fresh_ms)}
 
-    def tally(self, zone: str, since: Mark | None) -> Tally:
+    def count_witnesses(self, zone: str, since: ZoneMark | None) -> WitnessCounts:
         """Count who says what of a zone."""
-        found = Tally()
+        found = WitnessCounts()
         for origin, mine in self.words.items():
-            beat = since.beats.get(origin, -1) if since is not None else None
-            count(self.of, found, self.who[origin].place, mine.get(zone), origin in self.suspects, beat)
+            beat = since.intervals.get(origin, -1) if since is not None else None
+            count(self.of, found, self.who[origin].zone, mine.get(zone), origin in self.suspects, beat)
         return found
 
-    def asking(self, zone: str) -> int:
+    def remote_requesters(self, zone: str) -> int:
         """Return how many tellers elsewhere ask for a zone first."""
         return sum(
-            zone in mine and mine[zone].said.want > 0
+            zone in mine and mine[zone].report.demand > 0
             for origin, mine in self.words.items()
-            if not (self.who[origin].edge and self.who[origin].place == zone)
+            if not (self.who[origin].is_edge and self.who[origin].zone == zone)
         )
 
     def load(self, zone: str) -> float:
         """Return the zone's own work."""
-        return sum(mine[zone].said.units for mine in self.words.values() if zone in mine)
+        return sum(mine[zone].report.load for mine in self.words.values() if zone in mine)
 
-    def want(self, zone: str, places: Collection[str]) -> float:
+    def demand(self, zone: str, places: Collection[str]) -> float:
         """Return what clients ask of a zone first."""
         return sum(
-            mine[zone].said.want
+            mine[zone].report.demand
             for origin, mine in self.words.items()
-            if zone in mine and (not places or self.who[origin].place in places)
+            if zone in mine and (not places or self.who[origin].zone in places)
         )
 
-    def unheard(self) -> frozenset[str]:
+    def unheard_zones(self) -> frozenset[str]:
         """Return none: what is not heard here is not heard by anybody."""
         return frozenset()
 
@@ -169,7 +183,7 @@
 Counts = Annotated[list[Small], Meta(min_length=7, max_length=7)]  # bad good half slow suspect failed tried
 
 
-class Row(Struct, frozen=True, array_like=True):
+class SummaryRow(Struct, frozen=True, array_like=True):
     """What the edges of one place say of one zone.
 
     `accusers`: tellers whose fresh word is slow or worse.  `asking`: those whose clients ask for it first.
@@ -186,103 +200,103 @@
     later: Counts
 
 
-class Down(Struct, frozen=True, array_like=True):
+class ZoneLoads(Struct, frozen=True, array_like=True):
     """What comes down to every edge: the zones' own work, units a second."""
 
     loads: Annotated[dict[Annotated[str, Meta(max_length=64)], Units], Meta(max_length=64)]
 
 
 _encode = msgspec.msgpack.Encoder().encode
-_row = msgspec.msgpack.Decoder(Row)
-_down = msgspec.msgpack.Decoder(Down)
+_row = msgspec.msgpack.Decoder(SummaryRow)
+_down = msgspec.msgpack.Decoder(ZoneLoads)
 
 
-def read_row(data: bytes) -> Row:
+def decode_summary_row(data: bytes) -> SummaryRow:
     """Read a row.  Raises ZonesMalformed, ZonesVersion."""
-    return take(_row, data, "a sum about zones")
+    return decode_versioned(_row, data, "a sum about zones")
 
 
-def read_loads(data: bytes) -> dict[str, float]:
+def decode_zone_loads(data: bytes) -> dict[str, float]:
     """Read what came down.  Raises ZonesMalformed, ZonesVersion."""
-    return take(_down, data, "the zones' work").loads
+    return decode_versioned(_down, data, "the zones' work").loads
 
 
-def _counts(tally: Tally, place: str) -> list[int]:
+def _counts(tally: WitnessCounts, place: str) -> list[int]:
     return [
-        tally.bad.get(place, 0),
-        tally.good.get(place, 0),
-        tally.half.get(place, 0),
+        tally.unreachable.get(place, 0),
+        tally.reachable.get(place, 0),
+        tally.degraded.get(place, 0),
         tally.slow,
-        tally.suspect,
-        tally.failed.get(place, 0),
-        tally.tried.get(place, 0),
+        tally.suspects,
+        tally.failed_attempts.get(place, 0),
+        tally.attempts.get(place, 0),
     ]
 
 
-def _add(tally: Tally, place: str, counts: list[int]) -> None:
+def _add(tally: WitnessCounts, place: str, counts: list[int]) -> None:
     bad, good, half, slow, suspects, failed, tried = counts
-    for table, number in ((tally.bad, bad), (tally.good, good), (tally.half, half)):
+    for table, number in ((tally.unreachable, bad), (tally.reachable, good), (tally.degraded, half)):
         if number:
             table[place] = table.get(place, 0) + number
     if bad or good or half or tried:
-        tally.failed[place] = tally.failed.get(place, 0) + failed
-        tally.tried[place] = tally.tried.get(place, 0) + tried
+        tally.failed_attempts[place] = tally.failed_attempts.get(place, 0) + failed
+        tally.attempts[place] = tally.attempts.get(place, 0) + tried
     tally.slow += slow
-    tally.suspect += suspects
+    tally.suspects += suspects
 
 
-class Sums:
+class ReportSummarizer:
     """A collector's sums of what edges say (`collect.collector.Fold`)."""
 
-    def __init__(self, settings: Zones) -> None:
+    def __init__(self, settings: FailoverSettings) -> None:
         """Begin with nothing heard."""
         self.settings = settings
-        self.all = All(settings, max_origins=1 << 20)  # whom the collector knows bounds it
-        self.marks: dict[str, Mark] = {}
+        self.evidence = FleetEvidence(settings, max_origins=1 << 20)  # whom the collector knows bounds it
+        self.marks: dict[str, ZoneMark] = {}
         self.refused = 0
 
-    def take(self, origin: Origin, key: str, value: bytes | None, at_ms: float) -> bool:
+    def receive(self, origin: Origin, key: str, value: bytes | None, at_ms: float) -> bool:
         """Take an entry that was put at a time of this clock; of others' keys nothing."""
-        return key.startswith(PREFIX) and self.all.take(origin, key, value, at_ms)
+        return key.startswith(REPORT_KEY_PREFIX) and self.evidence.receive(origin, key, value, at_ms)
 
     def forget(self, origin: Origin) -> None:
         """Forget an origin."""
-        self.all.forget(origin)
+        self.evidence.forget(origin)
 
-    def stands(self, verdict: Verdict | None, now_ms: float) -> None:
+    def apply_decision(self, verdict: FailoverDecision | None, now_ms: float) -> None:
         """Take what stands by decree: what is tried from now on counts for the next step."""
-        stands = verdict or Verdict()
+        stands = verdict or FailoverDecision()
         for zone in self.settings.zones:
-            entry = stands.of(zone)
-            mark = self.marks.setdefault(zone, Mark())
-            if mark.number_state != (entry.state, entry.part):
-                mark.number_state, mark.since = (entry.state, entry.part), now_ms
-                mark.beats = self.all.beats()
+            entry = stands.for_zone(zone)
+            mark = self.marks.setdefault(zone, ZoneMark())
+            if mark.state_and_share != (entry.state, entry.share):
+                mark.state_and_share, mark.since_ms = (entry.state, entry.share), now_ms
+                mark.intervals = self.evidence.latest_intervals()
 
-    def parts(self, zone: str, origins: Collection[Origin], now_ms: float) -> dict[str, bytes]:
+    def summarize(self, zone: str, origins: Collection[Origin], now_ms: float) -> dict[str, bytes]:
         """Return a row for each zone that the edges of one place speak of, by key."""
-        of, words = self.settings, self.all.words(now_ms, origins)
-        about: dict[str, list[tuple[Origin, Heard, bool]]] = {}
+        of, words = self.settings, self.evidence.reports(now_ms, origins)
+        about: dict[str, list[tuple[Origin, ReceivedReport, bool]]] = {}
         for origin, mine in words.items():
             suspected = suspect(mine, of.fresh_ms)
             for name, heard in mine.items():
                 about.setdefault(name, []).append((origin, heard, suspected))
         found = {}
         for name, heards in sorted(about.items()):
-            mark = self.marks.setdefault(name, Mark())
-            plain, later = Tally(), Tally()
+            mark = self.marks.setdefault(name, ZoneMark())
+            plain, later = WitnessCounts(), WitnessCounts()
             accusers = asking = 0
             units = want = 0.0
             for origin, heard, suspected in heards:
                 count(of, plain, zone, heard, suspected, None)
-                count(of, later, zone, heard, suspected, mark.beats.get(origin, -1))
-                accusers += heard.said.word >= Word.SLOW and heard.told_ms <= of.fresh_ms
-                if heard.told_ms <= 3 * of.calm_ms:
-                    asking += heard.said.want > 0
-                    units += heard.said.units
-                    want += heard.said.want
-            state, part = mark.number_state
-            row = Row(
+                count(of, later, zone, heard, suspected, mark.intervals.get(origin, -1))
+                accusers += heard.report.health >= ZoneHealth.SLOW and heard.silent_ms <= of.fresh_ms
+                if heard.silent_ms <= 3 * of.calm_ms:
+                    asking += heard.report.demand > 0
+                    units += heard.report.load
+                    want += heard.report.demand
+            state, part = mark.state_and_share
+            row = SummaryRow(
                 _counts(plain, zone),
                 accusers,
                 asking,
@@ -292,72 +306,74 @@
                 max(0, part),
                 _counts(later, zone),
             )
-            found[PREFIX + name] = bytes((VERSION,)) + _encode(row)
+            found[REPORT_KEY_PREFIX + name] = bytes((VERSION,)) + _encode(row)
         return found
 
-    def down(self, rows: Mapping[str, Mapping[str, bytes]], now_ms: float) -> tuple[bool, bytes]:
+    def broadcast(self, rows: Mapping[str, Mapping[str, bytes]], now_ms: float) -> tuple[bool, bytes]:
         """Return whether anybody accuses a zone, and the zones' own work for all.  `rows`: by place, key."""
-        read = list(rows_of(self.settings, rows).values())
+        read = list(decode_summary_rows(self.settings, rows).values())
         loads: dict[str, float] = {}
         for mine in read:
             for zone, row in mine.items():
                 loads[zone] = loads.get(zone, 0.0) + row.units
         accused = any(row.accusers for mine in read for row in mine.values())
-        stirred = any(mark.number_state[0] > State.NEAR for mark in self.marks.values())
+        stirred = any(mark.state_and_share[0] > ZoneState.LOCAL for mark in self.marks.values())
         told = {zone: float(f"{units:.3g}") for zone, units in sorted(loads.items())}
-        return accused or stirred, bytes((VERSION,)) + _encode(Down(told))
+        return accused or stirred, bytes((VERSION,)) + _encode(ZoneLoads(told))
 
 
-def rows_of(of: Zones, parts: Mapping[str, Mapping[str, bytes]]) -> dict[str, dict[str, Row]]:
+def decode_summary_rows(
+    of: FailoverSettings, parts: Mapping[str, Mapping[str, bytes]]
+) -> dict[str, dict[str, SummaryRow]]:
     """Return the rows by place and zone spoken of; what cannot be read counts as not said."""
-    found: dict[str, dict[str, Row]] = {}
+    found: dict[str, dict[str, SummaryRow]] = {}
     for place, mine in parts.items():
         rows = found.setdefault(place, {})
         for key, value in mine.items():
-            zone = key.removeprefix(PREFIX)
-            if not key.startswith(PREFIX) or zone not in of.zones:
+            zone = key.removeprefix(REPORT_KEY_PREFIX)
+            if not key.startswith(REPORT_KEY_PREFIX) or zone not in of.zones:
                 continue
             try:
-                rows[zone] = read_row(value)
-            except ZonesError:
+                rows[zone] = decode_summary_row(value)
+            except FailoverError:
                 continue
     return found
 
 
-class Summed:
+class SummaryView:
     """The view of a seat that has collectors' sums."""
 
     def __init__(
         self,
-        of: Zones,
-        who: Iterable[Who],
+        of: FailoverSettings,
+        who: Iterable[ZoneMember],
         parts: Mapping[str, Mapping[str, bytes]],
         tellers: Mapping[str, int],
     ) -> None:
         """`parts`: rows' bytes by place and key; `tellers`: how many of a place are in its sums."""
         self.of = of
-        self.rows = rows_of(of, parts)
+        self.rows = decode_summary_rows(of, parts)
         there: dict[str, int] = {}
         for one in who:
-            if one.alive and one.edge:
-                there[one.place] = there.get(one.place, 0) + 1
+            if one.alive and one.is_edge:
+                there[one.zone] = there.get(one.zone, 0) + 1
         # Half: fewer may be a new collector that its tellers are only coming to.
         self._unheard = frozenset(p for p, n in there.items() if 2 * tellers.get(p, 0) < n)
 
-    def tally(self, zone: str, since: Mark | None) -> Tally:
+    def count_witnesses(self, zone: str, since: ZoneMark | None) -> WitnessCounts:
         """Count who says what of a zone."""
-        found = Tally()
+        found = WitnessCounts()
         for place, mine in sorted(self.rows.items()):
             row = mine.get(zone)
             if row is None:
                 continue
             if since is None:
                 _add(found, place, row.counts)
-            elif (row.state, row.part) == since.number_state:
+            elif (row.state, row.part) == since.state_and_share:
                 _add(found, place, row.later)
         return found
 
-    def asking(self, zone: str) -> int:
+    def remote_requesters(self, zone: str) -> int:
         """Return how many tellers elsewhere ask for a zone first."""
         return sum(mine[zone].asking for place, mine in self.rows.items() if zone in mine and place != zone)
 
@@ -365,12 +381,12 @@
         """Return the zone's own work."""
         return sum(mine[zone].units for mine in self.rows.values() if zone in mine)
 
-    def want(self, zone: str, places: Collection[str]) -> float:
+    def demand(self, zone: str, places: Collection[str]) -> float:
         """Return what clients ask of a zone first."""
         return sum(
             mine[zone].want for p, mine in self.rows.items() if zone in mine and (not places or p in places)
         )
 
-    def unheard(self) -> frozenset[str]:
+    def unheard_zones(self) -> frozenset[str]:
         """Return the places of which no sums, or sums of too few, are here."""
         return self._unheard
--- a/cressrock/fleet/rounds.py
+++ b/cressrock/gossip/anti_entropy.py
@@ -12,14 +12,14 @@
 from typing import Any, Protocol
 
 from cressrock.errors import CressrockError
-from cressrock.fleet import messages as m
-from cressrock.fleet.members import FOREVER, Members, ToSend
+from cressrock.membership import packets as m
+from cressrock.membership.membership import FOREVER, Membership, OutgoingMessage
 
 
-class SpreadState(Protocol):
+class GossipState(Protocol):
     """What is needed of the spread's state."""
 
-    def fresh(self, max_bytes: int) -> bytes:
+    def recent_changes(self, max_bytes: int) -> bytes:
         """Return the newest changes, empty where nothing waits."""
 
     def digest(self, max_bytes: int) -> bytes:
@@ -31,15 +31,15 @@
     def merge(self, data: bytes) -> None:
         """Merge a delta.  Raises a CressrockError where it is malformed."""
 
-    def full(self, after: Any, max_bytes: int) -> tuple[bytes, Any]:
+    def full_state(self, after: Any, max_bytes: int) -> tuple[bytes, Any]:
         """Return a piece of everything and where to go on, None at the end."""
 
-    def admit(self, origins: Collection[tuple[str, int]]) -> None:
+    def retain_origins(self, origins: Collection[tuple[str, int]]) -> None:
         """Take the lives whose state is kept."""
 
 
 @dataclass(frozen=True, slots=True)
-class RoundsSettings:
+class AntiEntropySettings:
     """Bounds of the spread's traffic for one process."""
 
     period_ms: float = 1000.0
@@ -49,14 +49,14 @@
     answers: int = 4  # datagrams for one digest: who lags catches up in fewer rounds
 
 
-class Rounds:
+class AntiEntropy:
     """One process's share of the spread's traffic."""
 
     def __init__(
         self,
-        members: Members,
-        spread: SpreadState,
-        settings: RoundsSettings,
+        members: Membership,
+        spread: GossipState,
+        settings: AntiEntropySettings,
         source: random.Random,
         now_ms: float,
     ) -> None:
@@ -69,41 +69,41 @@
         self._due = now_ms + settings.period_ms * source.random()
         self._left = float(settings.burst)
         self._at = now_ms
-        self._room = m.room(members.settings.max_datagram, members.settings.cluster, members.me.name)
+        self._room = m.room(members.settings.max_datagram_bytes, members.settings.cluster, members.local.name)
 
-    def next_due(self) -> float:
+    def next_tick_ms(self) -> float:
         """Return when `tick` has something to do."""
-        return self._due if self.members.next_due() < FOREVER else FOREVER
+        return self._due if self.members.next_tick_ms() < FOREVER else FOREVER
 
-    def tick(self, now_ms: float) -> list[ToSend]:
+    def tick(self, now_ms: float) -> list[OutgoingMessage]:
         """Return what goes out in this period."""
-        if now_ms < self._due or self.members.next_due() == FOREVER:
+        if now_ms < self._due or self.members.next_tick_ms() == FOREVER:
             return []
         self._due = now_ms + self.settings.period_ms
         if self._admitted != self.members.lives_changed:
             # Only then: it looks at everybody, and each round that alone is 3 % of a core at 4,800 members.
             self._admitted = self.members.lives_changed
-            self.spread.admit(self.members.lives())
-        sends: list[ToSend] = []
+            self.spread.retain_origins(self.members.process_ids())
+        sends: list[OutgoingMessage] = []
         for name, address in self.members.draw(self.settings.fan):
-            if data := self.spread.fresh(self._room):
-                sends.append(ToSend(name, address, m.Delta(data)))
+            if data := self.spread.recent_changes(self._room):
+                sends.append(OutgoingMessage(name, address, m.GossipDelta(data)))
         for name, address in self.members.draw(1):
             if data := self.spread.digest(self._room):
-                sends.append(ToSend(name, address, m.Digest(data)))
+                sends.append(OutgoingMessage(name, address, m.GossipDigest(data)))
         return sends
 
-    def receive(self, now_ms: float, letter: m.Letter) -> list[ToSend]:
+    def receive(self, now_ms: float, letter: m.Letter) -> list[OutgoingMessage]:
         """Take in a Digest or a Delta of a known member; returns the answer, as far as the budget goes."""
         address = self.members.address(letter.sender)
         if address is None:
             self._count("spread-unknown-sender")
             return []
         try:
-            if isinstance(letter.body, m.Delta):
+            if isinstance(letter.body, m.GossipDelta):
                 self.spread.merge(letter.body.data)
                 return []
-            if not isinstance(letter.body, m.Digest):
+            if not isinstance(letter.body, m.GossipDigest):
                 return []
             earned = (now_ms - self._at) * self.settings.bytes_s / 1000
             self._left, self._at = min(self._left + earned, float(self.settings.burst)), now_ms
@@ -116,9 +116,9 @@
             self._count(wrong.code)
             return []
         self._left -= sum(map(len, pieces))
-        return [ToSend(letter.sender, address, m.Delta(data)) for data in pieces]
+        return [OutgoingMessage(letter.sender, address, m.GossipDelta(data)) for data in pieces]
 
-    def take_piece(self, data: bytes) -> None:
+    def merge_full_state(self, data: bytes) -> None:
         """Merge the spread's part of an exchange."""
         try:
             self.spread.merge(data)
--- a/cressrock/fleet/spread.py
+++ b/cressrock/gossip/store.py
@@ -31,11 +31,11 @@
 
 import msgspec
 
-from cressrock.errors.spread import (
-    SpreadMalformed,
-    SpreadOriginFull,
-    SpreadTooLarge,
-    SpreadVersionUnknown,
+from cressrock.errors.gossip import (
+    EntryTooLargeError,
+    MalformedGossipError,
+    OriginFullError,
+    UnsupportedGossipFormatError,
 )
 
 FORMAT = 1
@@ -48,7 +48,7 @@
 Payload = bytes | int | None  # None: removed
 Cursor = tuple[str, int, int]
 
-ANYTHING: tuple[Origin, str] = (("", 0), "")
+EVERYTHING_CHANGED: tuple[Origin, str] = (("", 0), "")
 """In `changes()`: more changed than is remembered one by one; look at everything again."""
 
 _Number = Annotated[int, msgspec.Meta(ge=0, le=MOST)]
@@ -118,7 +118,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class SpreadSettings:
+class GossipStoreSettings:
     """Bounds; the same in all processes.  Defaults fit 4,806 members and datagrams of 1,200 bytes.
 
     An entry of the largest key, item and value still fits one datagram beside the envelope: what does not fit
@@ -126,7 +126,7 @@
     """
 
     max_key: int = 128  # bytes of a key or an item
-    max_value: int = 640  # bytes of a value
+    max_value_bytes: int = 640  # bytes of a value
     max_origin_bytes: int = 256 * 1024  # own entries; twice that is taken of another, which may lag behind
     max_origins: int = 8192  # as many as members: 4,806 at the coming size, and lives that are gone but kept
     max_total_bytes: int = 64 * 1024 * 1024  # of which max_origin_bytes are kept free for own entries
@@ -135,14 +135,14 @@
     max_rumours: int = 128  # changes on their way; past it the most told go: under load repeats fall away
     max_changes: int = 8192
     keep_removed: int = 128  # removals of one origin that are kept, so that who lags by less needs no sweep
-    rumour_factor: float = 2.0  # each process passes a change on this often times log2 of the members
-    calm_digest: int = 600  # bytes of a digest in calm; else what the caller allows
+    retransmit_factor: float = 2.0  # each process passes a change on this often times log2 of the members
+    idle_digest_bytes: int = 600  # bytes of a digest in calm; else what the caller allows
     lag_digests: int = 8  # so many digests after a delta brought something are not calm
     entry_bytes: int = 400  # what an entry is reckoned to cost beside its texts and value
 
     def __post_init__(self) -> None:
         """Raise ValueError where the bounds contradict each other."""
-        for name in ("max_key", "max_value", "max_origins", "max_ahead", "max_rumours", "keep_removed"):
+        for name in ("max_key", "max_value_bytes", "max_origins", "max_ahead", "max_rumours", "keep_removed"):
             if getattr(self, name) < 1:
                 raise ValueError(f"{name} is {getattr(self, name)}: at least 1")
         if self.max_total_bytes < 3 * self.max_origin_bytes:
@@ -240,22 +240,22 @@
         return found
 
 
-class Spread:
+class GossipStore:
     """One process's copy of what all processes told.
 
     Own writes raise SpreadTooLarge or SpreadOriginFull.  All else is O(log n) or O(what is handed over).
     """
 
-    def __init__(self, name: str, life: int, settings: SpreadSettings, source: random.Random) -> None:
+    def __init__(self, name: str, life: int, settings: GossipStoreSettings, source: random.Random) -> None:
         """`life` is greater than that of every earlier process of this name, or merging is not sound."""
-        self.me: Origin = (name, life)
+        self.local: Origin = (name, life)
         self.settings = settings
         self.refused = Refused()
         self.sweeps = 0  # sweeps that came to their end
         self._source = source
         self._mine = _State()
-        self._states: dict[Origin, _State] = {self.me: self._mine}
-        self._order: list[Origin] = [self.me]
+        self._states: dict[Origin, _State] = {self.local: self._mine}
+        self._order: list[Origin] = [self.local]
         self._lives: dict[str, int] = {name: life}  # the newest life of each name that is held or admitted
         self._strict = False
         self._bytes = 0
@@ -306,14 +306,14 @@
         seen = [o for found, o in self._live.get((DOT, map_key), ()) if found == item]
         for origin in seen:
             version = self._states[origin].entries[(DOT, map_key, item, "", 0)].version
-            if origin == self.me:
+            if origin == self.local:
                 self._erase_own((DOT, map_key, item, "", 0))
             elif not self._is_hidden(origin, map_key, item, version):
                 self._write((REMOVAL, map_key, item, *origin), version)
 
     # --- reading
 
-    def get(self, key: str) -> dict[Origin, bytes]:
+    def values(self, key: str) -> dict[Origin, bytes]:
         """Return the value that each origin has put under the key."""
         found: dict[Origin, bytes] = {}
         for _, origin in self._live.get((VALUE, key), ()):
@@ -322,7 +322,7 @@
             found[origin] = payload
         return found
 
-    def value(self, key: str, origin: Origin) -> bytes | None:
+    def value_of(self, key: str, origin: Origin) -> bytes | None:
         """Return the value that one origin has put under the key; unlike `get` it looks at nobody else."""
         state = self._states.get(origin)
         entry = state.entries.get((VALUE, key, "", "", 0)) if state is not None else None
@@ -359,21 +359,21 @@
                 found.setdefault(item, {})[origin] = entry.payload
         return found
 
-    def changes(self) -> list[tuple[Origin, str]]:
+    def drain_changes(self) -> list[tuple[Origin, str]]:
         """Return what merging and `admit` changed since the last call; ANYTHING where it was too much."""
         changed, self._changes = list(self._changes), {}
         return changed
 
-    def mark(self, origin: Origin) -> int:
+    def known_version(self, origin: Origin) -> int:
         """Return up to which version everything of an origin is here; 0 of one that is not held."""
         state = self._states.get(origin)
         return state.known if state is not None else 0
 
-    def size(self) -> int:
+    def size_bytes(self) -> int:
         """Return the bytes held, as reckoned: texts, values and `entry_bytes` for each entry."""
         return self._bytes
 
-    def held(self) -> dict[Origin, tuple[int, int, dict[Slot, tuple[int, Payload]]]]:
+    def snapshot(self) -> dict[Origin, tuple[int, int, dict[Slot, tuple[int, Payload]]]]:
         """Return of each origin its mark, floor and entries (version, payload), for a look inside."""
         return {
             origin: (s.known, s.floor, {slot: (e.version, e.payload) for slot, e in s.entries.items()})
@@ -382,9 +382,9 @@
 
     # --- what is told
 
-    def fresh(self, max_bytes: int) -> bytes:
+    def recent_changes(self, max_bytes: int) -> bytes:
         """Return the newest changes as a rumour of at most max_bytes, the least told first; b"" if none."""
-        most = self.tellings()
+        most = self.max_transmissions()
         room = max_bytes - 8
         told: dict[Origin, list[Any]] = {}
         picked: list[tuple[int, tuple[Origin, Slot]]] = []
@@ -436,9 +436,9 @@
     def _head_bytes(self, origin: Origin) -> int:
         return len(_encode((*origin, 0, 0, self._states[origin].floor, False))) + 6  # and two lists' heads
 
-    def tellings(self) -> int:
+    def max_transmissions(self) -> int:
         """Return how often this process passes one change on."""
-        return max(1, math.ceil(self.settings.rumour_factor * math.log2(len(self._lives) + 1)))
+        return max(1, math.ceil(self.settings.retransmit_factor * math.log2(len(self._lives) + 1)))
 
     def digest(self, max_bytes: int) -> bytes:
         """Return what is known of the next origins, in their order, and the range that this covers.
@@ -448,7 +448,7 @@
         320 bytes, so that one mark of the longest name always fits.
         """
         if self._lagging <= 0:
-            max_bytes = min(max_bytes, max(320, self.settings.calm_digest))
+            max_bytes = min(max_bytes, max(320, self.settings.idle_digest_bytes))
         self._lagging -= self._lagging > 0
         start = self._turn if self._turn is not None else ("", 0)
         at = bisect_left(self._order, start)
@@ -518,7 +518,7 @@
                 lacking[0] = (lacking[0][0], cursor[2])
         return made
 
-    def full(self, after: Cursor | None, max_bytes: int) -> tuple[bytes, Cursor | None]:
+    def full_state(self, after: Cursor | None, max_bytes: int) -> tuple[bytes, Cursor | None]:
         """Return a piece of everything after the cursor, and the next cursor (None: that was all)."""
         at = 0 if after is None else bisect_left(self._order, (after[0], after[1]))
         waiting = []
@@ -579,7 +579,7 @@
             self._lagging = self.settings.lag_digests
         self._settle()
 
-    def admit(self, origins: Collection[Origin]) -> None:
+    def retain_origins(self, origins: Collection[Origin]) -> None:
         """Say which lives there are: from now on no other is taken, and those held of others are dropped.
 
         Of a name only the newest life counts; one that was heard here before `origins` knows it stays.
@@ -587,7 +587,7 @@
         lives: dict[str, int] = {}
         for name, life in origins:
             lives[name] = max(life, lives.get(name, 0), self._lives.get(name, 0))
-        lives[self.me[0]] = self.me[1]
+        lives[self.local[0]] = self.local[1]
         self._lives, self._strict = lives, True
         for origin in [o for o in self._order if lives.get(o[0]) != o[1]]:
             self._drop(origin)
@@ -597,54 +597,56 @@
 
     def _check_head(self, data: bytes) -> int:
         if len(data) > self.settings.max_parcel:
-            raise SpreadMalformed(f"{len(data)} bytes; at most {self.settings.max_parcel} are looked at")
+            raise MalformedGossipError(f"{len(data)} bytes; at most {self.settings.max_parcel} are looked at")
         try:
             head = _read_head(data)
         except (msgspec.DecodeError, RecursionError) as wrong:
-            raise SpreadMalformed(f"no message of the spread: {str(wrong)[:200]}") from None
+            raise MalformedGossipError(f"no message of the spread: {str(wrong)[:200]}") from None
         if head.format != FORMAT:
-            raise SpreadVersionUnknown(f"format {head.format}; this program reads {FORMAT}")
+            raise UnsupportedGossipFormatError(f"format {head.format}; this program reads {FORMAT}")
         return head.what
 
     def _open(self, data: bytes) -> _Parcel:
         what = self._check_head(data)
         if what not in (DELTA, FRESH, FULL):
-            raise SpreadMalformed(f"message kind {what} is no parcel")
+            raise MalformedGossipError(f"message kind {what} is no parcel")
         try:
             parcel = _read_parcel(data)
         except (msgspec.DecodeError, RecursionError) as wrong:
-            raise SpreadMalformed(f"a parcel that cannot be read: {str(wrong)[:200]}") from None
+            raise MalformedGossipError(f"a parcel that cannot be read: {str(wrong)[:200]}") from None
         for piece in parcel.pieces:
             low, high = piece.after, piece.upto or MOST
             if high < low or (not piece.upto and piece.after):
-                raise SpreadMalformed(f"a piece from {piece.after} to {piece.upto}")
+                raise MalformedGossipError(f"a piece from {piece.after} to {piece.upto}")
             if piece.replaced and (piece.upto or len(piece.replaced) != len(piece.entries)):
-                raise SpreadMalformed(f"{len(piece.replaced)} counts of what {len(piece.entries)} replaced")
+                raise MalformedGossipError(
+                    f"{len(piece.replaced)} counts of what {len(piece.entries)} replaced"
+                )
             if any(n >= w.version for n, w in zip(piece.replaced, piece.entries, strict=False)):
-                raise SpreadMalformed("an entry that replaces what was before the first version")
+                raise MalformedGossipError("an entry that replaces what was before the first version")
             for wire in piece.entries:
                 if not low < wire.version <= high:
-                    raise SpreadMalformed(f"version {wire.version} after {low}, up to {high}")
+                    raise MalformedGossipError(f"version {wire.version} after {low}, up to {high}")
                 low = wire.version
                 _check_kind(wire)
         return parcel
 
     def _digest(self, data: bytes) -> _Digest:
         if self._check_head(data) != DIGEST:
-            raise SpreadMalformed("no digest")
+            raise MalformedGossipError("no digest")
         try:
             return _read_digest(data)
         except (msgspec.DecodeError, RecursionError) as wrong:
-            raise SpreadMalformed(f"a digest that cannot be read: {str(wrong)[:200]}") from None
+            raise MalformedGossipError(f"a digest that cannot be read: {str(wrong)[:200]}") from None
 
     # --- inside: merging
 
     def _welcome(self, origin: Origin, piece: _Piece) -> _State | None:
         """Return the state to merge into, or None where this origin is not taken."""
         name, life = origin
-        if name == self.me[0]:
+        if name == self.local[0]:
             last = piece.entries[-1].version if piece.entries else 0
-            if life > self.me[1] or (life == self.me[1] and max(piece.upto, last) > self._mine.known):
+            if life > self.local[1] or (life == self.local[1] and max(piece.upto, last) > self._mine.known):
                 self.refused.own += 1
             return None
         state = self._states.get(origin)
@@ -764,7 +766,7 @@
                 if mine is None or mine.payload is None:
                     try:
                         self._write(slot, upto)
-                    except SpreadOriginFull:
+                    except OriginFullError:
                         self.refused.full += 1  # stays hidden here by the note alone
 
     def _settle(self) -> None:
@@ -783,7 +785,7 @@
         most = self.settings.max_key
         if len(slot[1].encode()) > most or len(slot[2].encode()) > most:
             return True
-        return isinstance(payload, bytes) and len(payload) > self.settings.max_value
+        return isinstance(payload, bytes) and len(payload) > self.settings.max_value_bytes
 
     def _cost(self, slot: Slot, payload: Payload) -> int:
         size = len(payload) if isinstance(payload, bytes) else 0
@@ -792,24 +794,24 @@
     def _write(self, slot: Slot, payload: Payload) -> None:
         """Give an own entry the next version."""
         if not slot[1] or self._too_large(slot, payload):
-            raise SpreadTooLarge(f"entry {slot[1][:40]!r} {slot[2][:40]!r}: empty, or past the settings")
+            raise EntryTooLargeError(f"entry {slot[1][:40]!r} {slot[2][:40]!r}: empty, or past the settings")
         held = self._mine.entries.get(slot)
         more = self._cost(slot, payload) - (held.cost if held else 0)
         if payload is not None and self._mine.bytes + more > self.settings.max_origin_bytes:
             # Forgotten removals make room, at the price of a sweep for whoever is late.
             gone = sum(e.cost for s, e in self._mine.entries.items() if e.payload is None and s != slot)
             if self._mine.bytes + more - gone > self.settings.max_origin_bytes:
-                raise SpreadOriginFull(
+                raise OriginFullError(
                     f"{self._mine.bytes} bytes of own entries, {more} more for {slot[1][:40]!r};"
                     f" at most {self.settings.max_origin_bytes}"
                 )
-            self._raise_floor(self.me, self._mine, self._mine.known)
+            self._raise_floor(self.local, self._mine, self._mine.known)
         self._mine.known += 1
-        self._set(self.me, self._mine, slot, self._mine.known, payload)
-        self._rumour(self.me, slot)
+        self._set(self.local, self._mine, slot, self._mine.known, payload)
+        self._rumour(self.local, slot)
         if self._mine.removed > 2 * self.settings.keep_removed:
             versions = [e.version for _, e in self._mine.after(0) if e.payload is None]
-            self._raise_floor(self.me, self._mine, versions[-self.settings.keep_removed - 1])
+            self._raise_floor(self.local, self._mine, versions[-self.settings.keep_removed - 1])
 
     def _erase_own(self, slot: Slot) -> None:
         held = self._mine.entries.get(slot)
@@ -854,7 +856,7 @@
                 place.pop((item, origin), None)
                 if not place:
                     del self._live[(kind, key)]
-            if origin != self.me or self._settling:
+            if origin != self.local or self._settling:
                 self._changed(origin, key)
         if kind == DOT:
             dot = (origin, key, item)
@@ -871,13 +873,13 @@
         _, key, item, name, life = slot
         target = (name, life)
         dot = (target, key, item)
-        if origin != self.me:
+        if origin != self.local:
             self._changed(target, key)
         state = self._states.get(target)
         entry = state.entries.get((DOT, key, item, "", 0)) if state else None
         if now is not None and isinstance(now.payload, int):
             self._removals.setdefault(dot, {})[origin] = now.payload
-            if target == self.me and entry is not None and entry.payload is not None:
+            if target == self.local and entry is not None and entry.payload is not None:
                 if entry.version <= now.payload:
                     self._todo.append(((DOT, key, item, "", 0), entry.version))
             return
@@ -887,7 +889,7 @@
             if not records:
                 del self._removals[dot]
         # The remover is done, or lost, while the dot still stands here: it must not show again.
-        if before is not None and isinstance(before.payload, int) and target != self.me:
+        if before is not None and isinstance(before.payload, int) and target != self.local:
             if entry is not None and entry.payload is not None and entry.version <= before.payload:
                 self._hidden[dot] = max(before.payload, self._hidden.get(dot, 0))
 
@@ -898,11 +900,11 @@
         return any(upto >= version for upto in self._removals.get(dot, {}).values())
 
     def _changed(self, origin: Origin, key: str) -> None:
-        if ANYTHING in self._changes:
+        if EVERYTHING_CHANGED in self._changes:
             return
         self._changes[(origin, key)] = None
         if len(self._changes) > self.settings.max_changes:
-            self._changes = {ANYTHING: None}
+            self._changes = {EVERYTHING_CHANGED: None}
 
     def _rumour(self, origin: Origin, slot: Slot) -> None:
         rumour = (origin, slot)
@@ -934,18 +936,20 @@
         return
     texts = kind in (VALUE, DOT)
     if not wire.key or (payload is not None and isinstance(payload, bytes) != texts):
-        raise SpreadMalformed(f"an entry of kind {kind} without a key, or with a payload of another kind")
+        raise MalformedGossipError(
+            f"an entry of kind {kind} without a key, or with a payload of another kind"
+        )
     if kind in (VALUE, COUNT) and wire.item or kind != REMOVAL and (wire.name or wire.life):
-        raise SpreadMalformed(f"an entry of kind {kind} with parts of another kind")
+        raise MalformedGossipError(f"an entry of kind {kind} with parts of another kind")
     if kind == REMOVAL and not wire.name:
-        raise SpreadMalformed("a removal that names no origin")
+        raise MalformedGossipError("a removal that names no origin")
 
 
-def pieces(spread: Spread, max_bytes: int) -> Iterator[bytes]:
+def full_state_parts(spread: GossipStore, max_bytes: int) -> Iterator[bytes]:
     """Yield everything a spread holds in parcels, as the full exchange sends it."""
     cursor: Cursor | None = None
     while True:
-        data, following = spread.full(cursor, max_bytes)
+        data, following = spread.full_state(cursor, max_bytes)
         if data:
             yield data
         if following is None or following == cursor:
--- a/cressrock/http/channel.py
+++ b/cressrock/http/channel.py
@@ -41,11 +41,11 @@
         """Stop or go on taking bytes from the peer."""
 
 
-class Gone(Exception):
+class ConnectionLostError(Exception):
     """The peer closed or broke the stream before the message was complete."""
 
 
-class TooLarge(Exception):
+class MessageTooLargeError(Exception):
     """A message that has to be taken in whole is over its bound."""
 
 
@@ -135,7 +135,7 @@
             if self.ended:
                 if self.conn.their_state is h11.IDLE and not self.conn.trailing_data[0]:
                     return h11.ConnectionClosed()
-                raise Gone("the peer closed in mid-message")
+                raise ConnectionLostError("the peer closed in mid-message")
             self._news = anyio.Event()
             try:
                 await self._news.wait()
@@ -149,7 +149,7 @@
             if isinstance(event, h11.Response):
                 return event
             if not isinstance(event, h11.InformationalResponse):
-                raise Gone("the peer closed without an answer")
+                raise ConnectionLostError("the peer closed without an answer")
 
     async def rest(self, most: int) -> bytes:
         """Return a message's payload whole.  Raises TooLarge over so many bytes, and as `event`."""
@@ -160,12 +160,12 @@
             if isinstance(part, h11.Data):
                 size += len(part.data)
                 if size > most:
-                    raise TooLarge(f"an answer of over {most} bytes")
+                    raise MessageTooLargeError(f"an answer of over {most} bytes")
                 parts.append(part.data)
             elif isinstance(part, h11.EndOfMessage):
                 return b"".join(parts)
             else:
-                raise Gone("the peer closed in mid-answer")
+                raise ConnectionLostError("the peer closed in mid-answer")
 
     async def send(self, *events: h11.Event) -> None:
         """Write events in one piece where they are small; payloads over 16 KiB are not joined (no copy)."""
@@ -185,7 +185,7 @@
             if small:
                 await self.stream.send(b"".join(small))
         except BROKEN as broken:
-            raise Gone("the peer no longer reads") from broken
+            raise ConnectionLostError("the peer no longer reads") from broken
 
     def reusable(self) -> bool:
         """Whether the next message can follow on this connection."""
--- a/cressrock/http/server.py
+++ b/cressrock/http/server.py
@@ -13,7 +13,7 @@
 import h11
 from msgspec import Meta, Struct
 
-from cressrock.http.channel import Channel, Gone, Headers, PushStream, Stream
+from cressrock.http.channel import Channel, ConnectionLostError, Headers, PushStream, Stream
 
 FOREVER = float("inf")
 Clock = Callable[[], float]  # monotonic milliseconds
@@ -90,7 +90,7 @@
             if isinstance(event, h11.EndOfMessage):
                 self.read_all = True
                 return b""
-            raise Gone("the peer closed in mid-body")
+            raise ConnectionLostError("the peer closed in mid-body")
 
     async def respond(self, status: int, headers: Headers, body: bytes = b"") -> None:
         """Send a whole answer in one piece."""
@@ -217,7 +217,7 @@
         channel = watched.channel
         try:
             request = await self._head(watched)
-        except Gone:
+        except ConnectionLostError:
             return False
         except h11.RemoteProtocolError as wrong:
             await self._reject(channel, wrong.error_status_hint, str(wrong))
@@ -232,7 +232,7 @@
                 scope.cancel()
             try:
                 await self.handler(exchange)
-            except Gone:
+            except ConnectionLostError:
                 return False
             except h11.RemoteProtocolError as wrong:
                 if not exchange.started:
@@ -281,7 +281,7 @@
             if channel.conn.our_state is not h11.DONE or channel.conn.their_state is not h11.DONE:
                 return False
             channel.conn.start_next_cycle()
-        except (Gone, h11.ProtocolError):
+        except (ConnectionLostError, h11.ProtocolError):
             return False
         return not self.stopping
 
@@ -301,5 +301,5 @@
                         h11.Data(data=body),
                         h11.EndOfMessage(),
                     )
-        except (Gone, h11.LocalProtocolError):
+        except (ConnectionLostError, h11.LocalProtocolError):
             pass
--- a/cressrock/interface.py
+++ b/cressrock/interface.py
@@ -9,15 +9,15 @@
 from enum import Enum
 
 
-class Effect(Enum):
+class Idempotency(Enum):
     """How far a request of a class may be repeated."""
 
-    REPEATABLE = "repeatable"
+    ALWAYS = "repeatable"
     KEYED = "keyed"
-    UNSAFE = "unsafe"
+    NEVER = "unsafe"
 
 
-class Group(Enum):
+class DeduplicationScope(Enum):
     """Which nodes drop a repeat of a keyed request."""
 
     ALL = "all"
@@ -26,7 +26,7 @@
 
 
 class Outcome(Enum):
-    """How an attempt ended.  FULL, NO_CONNECTION and MOOT prove that it never ran."""
+    """How an attempt ended.  FULL, NO_CONNECTION and ABANDONED prove that it never ran."""
 
     OK = "ok"
     ERROR = "error"
@@ -35,7 +35,7 @@
     NO_CONNECTION = "no connection"
     RESET = "reset"
     CANCELLED = "cancelled"
-    MOOT = "moot"
+    ABANDONED = "moot"
 
 
 class NodeState(Enum):
@@ -70,19 +70,19 @@
 class RequestClass:
     """A class of requests: its aim, its deadline, its worth and what may be repeated."""
 
-    aim_ms: float
+    latency_objective_ms: float
     deadline_ms: float
-    worth: float = 1.0
-    late_worth: float = 0.0
-    effect: Effect = Effect.UNSAFE
-    group: Group = Group.SHARD
-    repeat_window_ms: float = 0.0
-    in_turn: bool = False
-    writes: bool = False
+    priority_weight: float = 1.0
+    late_priority_weight: float = 0.0
+    idempotency: Idempotency = Idempotency.NEVER
+    deduplication_scope: DeduplicationScope = DeduplicationScope.SHARD
+    deduplication_window_ms: float = 0.0
+    ordered: bool = False
+    is_write: bool = False
 
     def __post_init__(self) -> None:
         """Check the figures."""
-        _check(self, ("aim_ms", "deadline_ms"))
+        _check(self, ("latency_objective_ms", "deadline_ms"))
 
 
 @dataclass(frozen=True, slots=True)
@@ -144,12 +144,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Node:
-    """One line of the node list; up_since_ms 0 means long ago."""
+    """One line of the node list; started_at_ms 0 means long ago."""
 
     name: str
     shard: int
     zone: int = 0
-    up_since_ms: float = 0.0
+    started_at_ms: float = 0.0
     state: NodeState = NodeState.READY
 
 
@@ -166,8 +166,9 @@
     """A client's request; from now on one final answer is owed.  shard -1: any node may take it.
 
     `waited_ms` is how long its user has waited already; negative: nobody knows, and what `remaining_ms`
-    lacks of the longest seen of its class stands for it.  Of what another decider had before: `attempts` are
-    those made there, and `counted` says that its budget of further attempts has counted the request.
+    lacks of the longest seen of its class stands for it.  Of what another decider had before:
+    `earlier_attempts` are those made there, and `counted_in_budget` says that its budget of retries has
+    counted the request.
     """
 
     request: str
@@ -178,27 +179,27 @@
     plan: int = 0
     request_class: int = 0
     shard: int = -1
-    writers: int = 1
+    sharing_hosts: int = 1
     waited_ms: float = -1.0
-    attempts: int = 0
-    counted: bool = False
+    earlier_attempts: int = 0
+    counted_in_budget: bool = False
 
 
 @dataclass(frozen=True, slots=True)
-class Ended:
+class AttemptEnded:
     """An attempt's outcome; settled: the client has its final answer.
 
-    `reached`: whether a limit's store took the request's units, None where nobody can tell.
+    `charged`: whether a limit's store took the request's units, None where nobody can tell.
     """
 
     request: str
     attempt: int
     outcome: Outcome
     settled: bool
-    lag_ms: float
-    used: int = 0
-    elsewhere: float = 0.0
-    reached: bool | None = True
+    latency_ms: float
+    reported_usage: int = 0
+    units_elsewhere: float = 0.0
+    charged: bool | None = True
 
 
 @dataclass(frozen=True, slots=True)
@@ -209,47 +210,47 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Lent:
+class LimitLease:
     """Units of a volume's limit that may be spent until a time.  With `limits_lent` there are no others."""
 
     volume: str
     units: float
-    until_ms: float
+    expires_at_ms: float
 
 
 @dataclass(frozen=True, slots=True)
-class Counted:
+class RetryBudgetUsage:
     """When further attempts were made, and requests taken, that count in the budget and came by others."""
 
-    extra: tuple[float, ...]
-    taken: tuple[float, ...]
+    retried_at_ms: tuple[float, ...]
+    arrived_at_ms: tuple[float, ...]
 
 
 @dataclass(frozen=True, slots=True)
-class Wake:
+class TimerFired:
     """A timer that the module set is due."""
 
     token: int
 
 
-Event = NodeList | Arrival | Ended | ClientLeft | Lent | Counted | Wake
+Event = NodeList | Arrival | AttemptEnded | ClientLeft | LimitLease | RetryBudgetUsage | TimerFired
 
 
 @dataclass(frozen=True, slots=True)
 class Send:
-    """Start the next attempt of a request at a node; within_ms 0 means until the client gives up."""
+    """Start the next attempt of a request at a node; timeout_ms 0 means until the client gives up."""
 
     request: str
     node: str
-    within_ms: float = 0.0
+    timeout_ms: float = 0.0
 
 
 @dataclass(frozen=True, slots=True)
-class Refuse:
+class Reject:
     """Final answer: a new try is harmless."""
 
     request: str
-    stay_away_ms: float = 0.0
+    retry_after_ms: float = 0.0
 
 
 @dataclass(frozen=True, slots=True)
@@ -269,7 +270,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SetTimer:
-    """Ask for a Wake at a time."""
+    """Ask for a TimerFired at a time."""
 
     at_ms: float
     token: int
@@ -287,4 +288,4 @@
     text: str
 
 
-Action = Send | Refuse | Fail | Cancel | SetTimer | Subscribe | Log
+Action = Send | Reject | Fail | Cancel | SetTimer | Subscribe | Log
--- a/cressrock/lab/bound.py
+++ b/cressrock/lab/bound.py
@@ -25,7 +25,7 @@
 
 from cressrock.lab.service import Wish, wishes
 from cressrock.lab.trace import Row, Trace
-from cressrock.webdav.paths import BadPath, parse
+from cressrock.webdav.paths import InvalidPathError, parse
 from cressrock.webdav.placement import home
 
 SHORTEST_MS = 50.0  # of the grid's spans
@@ -86,7 +86,7 @@
         shards = tuple(facts["lies"].get(volume, ()))
         try:
             shard = home(parse(row.path).key, shards) if shards else -1
-        except BadPath:
+        except InvalidPathError:
             shard = -1
         work: dict[int, tuple[float, float]] = {}
         units = row.units or 1.0
--- a/cressrock/lab/capacity.py
+++ b/cressrock/lab/capacity.py
@@ -21,7 +21,7 @@
 
 import msgspec
 
-from cressrock.errors.lab import CapacityMalformed, CapacityUnfit
+from cressrock.errors.lab import MalformedMeasurementError, MissingMeasurementError
 
 SIZES = {"dispatchers": 4806, "servers": 10_000, "connections": 2700, "requests a second": 1770}
 """The coming size of each thing that `n` may count: 4,800 dispatchers and the six machines set aside."""
@@ -144,13 +144,15 @@
         try:
             one = _decode(text)
         except (msgspec.DecodeError, RecursionError, UnicodeError) as wrong:
-            raise CapacityMalformed(f"{place}, line {number}: {str(wrong)[:200]}") from None
+            raise MalformedMeasurementError(f"{place}, line {number}: {str(wrong)[:200]}") from None
         if one.of not in SIZES:
-            raise CapacityMalformed(f"{place}, line {number}: of is {one.of[:40]!r}, not one of {[*SIZES]}")
+            raise MalformedMeasurementError(
+                f"{place}, line {number}: of is {one.of[:40]!r}, not one of {[*SIZES]}"
+            )
         kind = (one.unit, one.role, one.scene, one.of)
         at, before = first.setdefault(one.row, (number, kind))
         if before != kind:
-            raise CapacityMalformed(
+            raise MalformedMeasurementError(
                 f"{place}, line {number}: {one.row} is {kind}, but {before} on line {at}: one meaning each"
             )
         found.append(one)
@@ -202,7 +204,7 @@
     """
     held = sorted(given)
     if not held:
-        raise CapacityUnfit("no point to fit: the row was not measured")
+        raise MissingMeasurementError("no point to fit: the row was not measured")
     sizes = sorted({(point.n, point.servers) for point in held})
     constant = _constant(held, sizes)
     if len(sizes) < 3:
@@ -271,7 +273,7 @@
     `measured` holds one row, as `rows` gives it.  Raises CapacityUnfit where it is empty.
     """
     if not measured:
-        raise CapacityUnfit("no measurement of this row")
+        raise MissingMeasurementError("no measurement of this row")
     n = SIZES[measured[0].of]
     there = [one.value for one in measured if abs(one.n - n) <= n / 100]
     low, high = min(one.n for one in measured), max(one.n for one in measured)
--- a/cressrock/lab/capacity_page.py
+++ b/cressrock/lab/capacity_page.py
@@ -13,13 +13,13 @@
 from collections.abc import Iterable, Mapping, Sequence
 from typing import NamedTuple
 
-from cressrock.council.decrees import MOST_TOPICS, Limits
-from cressrock.errors.lab import CapacityUnfit
-from cressrock.fleet.members import MembersSettings
-from cressrock.fleet.spread import SpreadSettings
+from cressrock.consensus.decisions import MAX_TOPICS, DecisionLimits
+from cressrock.errors.lab import MissingMeasurementError
+from cressrock.gossip.store import GossipStoreSettings
 from cressrock.lab import capacity, localcost_rows
 from cressrock.lab.capacity import Measurement
 from cressrock.lab.localcost_rows import BOUND, CARRIED, NOT
+from cressrock.membership.membership import MembershipSettings
 from cressrock.platform.serverlist import MOST_TOLD
 from cressrock.rollout.evidence import MAX_ORIGINS
 
@@ -257,13 +257,17 @@
 ALL = capacity.SIZES["dispatchers"]
 
 BOUNDS = (
-    Bound("`MembersSettings.max_members`", MembersSettings().max_members, ALL, "memory.members"),
-    Bound("`SpreadSettings.max_origins`", SpreadSettings().max_origins, ALL, "memory.spread"),
-    Bound("zones' evidence, as the spread's", SpreadSettings().max_origins, ALL, "memory.zones_evidence"),
+    Bound("`MembersSettings.max_members`", MembershipSettings().max_members, ALL, "memory.members"),
+    Bound("`SpreadSettings.max_origins`", GossipStoreSettings().max_origins, ALL, "memory.spread"),
+    Bound(
+        "zones' evidence, as the spread's", GossipStoreSettings().max_origins, ALL, "memory.zones_evidence"
+    ),
     Bound("`rollout.evidence.MAX_ORIGINS`: lives", MAX_ORIGINS, 3 * ALL, "memory.rollout_evidence"),
-    Bound("`Taker.most`, `Reader`, `Kept`: topics", MOST_TOPICS, SERVERS, "decrees.reader.held_bytes"),
+    Bound("`Taker.most`, `Reader`, `Kept`: topics", MAX_TOPICS, SERVERS, "decrees.reader.held_bytes"),
     Bound("`serverlist.MOST_TOLD`, `max_nodes`", MOST_TOLD, SERVERS, "serverlist.held_bytes"),
-    Bound("the council's `Limits.max_topics`", Limits().max_topics, SERVERS, "decrees.seat.held_bytes"),
+    Bound(
+        "the council's `Limits.max_topics`", DecisionLimits().max_topics, SERVERS, "decrees.seat.held_bytes"
+    ),
 )
 
 
@@ -298,7 +302,7 @@
 
     def one(found: re.Match[str]) -> str:
         if found[2] not in made:
-            raise CapacityUnfit(f"the page has a marker for {found[2]!r}; known are {sorted(made)}")
+            raise MissingMeasurementError(f"the page has a marker for {found[2]!r}; known are {sorted(made)}")
         return found[1] + made[found[2]]() + found[3]
 
     return _BLOCK.sub(one, text)
@@ -397,7 +401,7 @@
     """Return a cell with its figures, or that it was not measured."""
     try:
         return _NAMED.sub(lambda found: _sum(found[1].split("+"), rows), text)
-    except CapacityUnfit:
+    except MissingMeasurementError:
         return MISSING
 
 
@@ -415,7 +419,7 @@
         if size is not None:
             there = [one.value for one in measured if one.n == size]
             if not there:
-                raise CapacityUnfit(f"no measurement of {row} at {size}")
+                raise MissingMeasurementError(f"no measurement of {row} at {size}")
             total += statistics.fmean(there) * times
         else:
             estimate = capacity.at_size(measured)
--- a/cressrock/lab/client.py
+++ b/cressrock/lab/client.py
@@ -9,8 +9,8 @@
 import h11
 from anyio.abc import TaskGroup
 
-from cressrock.dispatch.nodeclient import Connect
-from cressrock.http.channel import BROKEN, Channel, Gone, Headers, header
+from cressrock.dispatch.node_client import Connect
+from cressrock.http.channel import BROKEN, Channel, ConnectionLostError, Headers, header
 from cressrock.lab.trace import Row
 
 
@@ -143,7 +143,7 @@
                     return Seen(found.status, "answered", found.headers, b"".join(parts))
                 elif isinstance(event, h11.ConnectionClosed):
                     return Seen(0, "cut", [])
-        except (Gone, h11.RemoteProtocolError, h11.LocalProtocolError):
+        except (ConnectionLostError, h11.RemoteProtocolError, h11.LocalProtocolError):
             return Seen(0, "cut", found.headers if found else [], b"".join(parts))
 
     def drop(self) -> None:
