--- a/cressrock/lab/collectsim.py
+++ b/cressrock/lab/collectsim.py
@@ -18,20 +18,20 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from cressrock.collect import words as w
-from cressrock.collect.collector import Collect, Peer
-from cressrock.collect.teller import Collector, Out, Teller, Times
-from cressrock.council import decrees as d
-from cressrock.council import news
-from cressrock.errors.collect import CollectError
-from cressrock.errors.zones import ZonesError
-from cressrock.fleet import messages as m
-from cressrock.fleet.spread import Spread, SpreadSettings
+from cressrock.aggregation import messages as w
+from cressrock.aggregation.collector import MemberInfo, ReportCollector
+from cressrock.aggregation.sender import AggregationTimings, CollectorId, OutgoingMessage, ReportSender
+from cressrock.consensus import decision_gossip
+from cressrock.consensus import decisions as d
+from cressrock.errors.aggregation import AggregationError
+from cressrock.errors.failover import FailoverError
+from cressrock.failover import decision
+from cressrock.failover.decision import FailoverDecision
+from cressrock.failover.evaluation import evaluate
+from cressrock.failover.summary import ReportSummarizer, SummaryView, ZoneMember, decode_zone_loads
+from cressrock.gossip.store import GossipStore, GossipStoreSettings
 from cressrock.lab.zonesim import PLACES, ROUND_MS, Edge, ZoneSim
-from cressrock.zones import terms
-from cressrock.zones.sums import Summed, Sums, Who, read_loads
-from cressrock.zones.terms import Verdict
-from cressrock.zones.verdict import weigh
+from cressrock.membership import packets as m
 
 CLUSTER = "cressrock"
 SIX = {"a1": "north", "a2": "north", "a3": "north", "b1": "south", "b2": "south", "b3": "south"}
@@ -47,8 +47,8 @@
     name: str
     region: str
     life: int
-    collect: Collect
-    sums: Sums
+    collect: ReportCollector
+    sums: ReportSummarizer
     up: bool = True
     stopped_until: float = 0.0
     waiting: list[tuple[str, int, bytes]] = field(default_factory=list)
@@ -90,7 +90,9 @@
         `cpu`: a clock in ms of processor time.
         """
         super().__init__(seed, edges=edges, capacity=capacity, load=load, places=places)
-        self.times = Times(beat_ms=self.settings.beat_ms, renew_ms=self.settings.calm_ms)
+        self.times = AggregationTimings(
+            min_update_interval_ms=self.settings.beat_ms, renewal_interval_ms=self.settings.calm_ms
+        )
         self.loss, self.rounds = loss, rounds
         self.cpu = cpu or (lambda: 0.0)
         self.net = random.Random(f"{seed} network")
@@ -101,13 +103,13 @@
         self.seats = [f"m{n}" for n in range(min(machines, SEATS))]
         self.lead_by = "m0"
         self.apart = False  # the regions cannot reach each other
-        self.tellers: dict[str, Teller] = {}
+        self.tellers: dict[str, ReportSender] = {}
         self.meters: dict[str, Meter] = {}
         self.by_name: dict[str, Edge] = {}
         for edge in self.edges:
             name = edge.origin[0]
             source = random.Random(self.net.getrandbits(60))
-            self.tellers[name] = Teller(edge.place, self.times, source, self.net.uniform(0, 500))
+            self.tellers[name] = ReportSender(edge.place, self.times, source, self.net.uniform(0, 500))
             self.meters[name] = Meter()
             self.by_name[name] = edge
         self.put_at: dict[tuple[str, str, int], float] = {}
@@ -115,7 +117,7 @@
         self.reached: dict[int, list[float]] = {}  # by decree: when each edge had it
         self.decided_at: dict[int, float] = {}
         self.teller_cpu_ms = 0.0
-        self.collectors: tuple[Collector, ...] = ()
+        self.collectors: tuple[CollectorId, ...] = ()
         self._dirty = True
         self._down: dict[bytes, dict[str, float]] = {}
         self._roster()
@@ -173,11 +175,11 @@
     # --- members
 
     def _machine(self, name: str, region: str, life: int) -> None:
-        sums = Sums(self.settings)
+        sums = ReportSummarizer(self.settings)
         self.machines[name] = Machine(
-            name, region, life, Collect((name, life), self.times, sums, self.now), sums
+            name, region, life, ReportCollector((name, life), self.times, sums, self.now), sums
         )
-        self.after(self.net.uniform(0, self.times.tell_ms), self._collect, name, life)
+        self.after(self.net.uniform(0, self.times.summary_interval_ms), self._collect, name, life)
 
     def _roster(self) -> None:
         """Take the members anew, at most once in a look: everybody's view, in one table."""
@@ -186,14 +188,14 @@
         self._dirty = False
         up = [mc for mc in self.machines.values() if mc.up or "gone" not in mc.cpu_ms]
         self.collectors = tuple(sorted((mc.name, mc.life) for mc in up))
-        peers = [Peer(*e.origin, e.place, True, True, True, False) for e in self.edges if e.seen]
-        peers += [Peer(mc.name, mc.life, mc.region, True, True, False, True) for mc in up]
+        peers = [MemberInfo(*e.origin, e.place, True, True, True, False) for e in self.edges if e.seen]
+        peers += [MemberInfo(mc.name, mc.life, mc.region, True, True, False, True) for mc in up]
         for machine in self.machines.values():
             if machine.up:
-                machine.collect.roster(peers, self.seats, self.now)
+                machine.collect.update_members(peers, self.seats, self.now)
         for edge in self.edges:
             if edge.alive:
-                self.tellers[edge.origin[0]].roster(self.collectors, self.now)
+                self.tellers[edge.origin[0]].update_collectors(self.collectors, self.now)
 
     # --- the network
 
@@ -201,19 +203,19 @@
         machine = self.machines.get(name)
         return machine.region if machine is not None else self.places[self.by_name[name].place]
 
-    def _send(self, name: str, life: int, sends: list[Out]) -> int:
+    def _send(self, name: str, life: int, sends: list[OutgoingMessage]) -> int:
         """Send datagrams; returns their bytes."""
         size = 0
         here = self._region(name)
         for out in sends:
-            data = m.encode(CLUSTER, name, life, m.Collect(w.encode(out.message)))
+            data = m.encode(CLUSTER, name, life, m.CollectorMessage(w.encode(out.message)))
             size += len(data)
-            there = self._region(out.name)
+            there = self._region(out.recipient)
             far = here != there
             if self.net.random() < self.loss or far and self.apart:
                 continue
             low, high = FAR_MS if far else NEAR_MS
-            self.after(self.net.uniform(low, high), self._hand, out.name, name, life, data)
+            self.after(self.net.uniform(low, high), self._hand, out.recipient, name, life, data)
         return size
 
     def _hand(self, to: str, sender: str, life: int, data: bytes) -> None:
@@ -229,7 +231,7 @@
         machine.received += len(data)
         began = self.cpu()
         body = m.decode(data, CLUSTER).body
-        assert isinstance(body, m.Collect)
+        assert isinstance(body, m.CollectorMessage)
         message = w.decode(body.data)
         answers = machine.collect.receive(self.now, sender, life, message)
         size = self._send(to, machine.life, answers)
@@ -238,12 +240,12 @@
         zone = edge.place if edge is not None else ""
         machine.cpu_ms[zone] = machine.cpu_ms.get(zone, 0.0) + spent
         if spent:
-            machine.collect.spent(1, spent)
+            machine.collect.record_cost(1, spent)
         machine.sent += size
         machine.datagrams += len(answers)
-        if isinstance(message, w.Tell) and answers:
+        if isinstance(message, w.Report) and answers:
             for entry in message.entries:
-                at = self.put_at.pop((sender, entry.key, entry.number), None)
+                at = self.put_at.pop((sender, entry.key, entry.version), None)
                 if at is not None:
                     machine.accepted.setdefault(zone, []).append(at)
 
@@ -254,9 +256,9 @@
         meter.received += len(data)
         began = self.cpu()
         body = m.decode(data, CLUSTER).body
-        assert isinstance(body, m.Collect)
+        assert isinstance(body, m.CollectorMessage)
         message = w.decode(body.data)
-        if isinstance(message, w.Got) and self.tellers[name].receive(self.now, sender, life, message):
+        if isinstance(message, w.ReportAck) and self.tellers[name].receive(self.now, sender, life, message):
             self._tick(edge)
         self.teller_cpu_ms += self.cpu() - began
 
@@ -270,15 +272,15 @@
         name = edge.origin[0]
         teller = self.tellers[name]
         began = self.cpu()
-        edge.choice.loads(self._loads_of(teller.down))
-        stir = edge.choice.stirred() or teller.stirred(self.now)
-        for change in edge.choice.own.tell(self.now, stir, teller.pace_ms()):
+        edge.choice.loads(self._loads_of(teller.broadcast))
+        stir = edge.choice.stirred() or teller.is_evidence_requested(self.now)
+        for change in edge.choice.own.tell(self.now, stir, teller.update_interval_ms()):
             try:
                 teller.put(change.key, change.value, self.now)
-            except CollectError:
+            except AggregationError:
                 continue
             self.tells += 1
-            self.put_at[name, change.key, teller._own[change.key].number] = self.now
+            self.put_at[name, change.key, teller._entries[change.key].number] = self.now
         self._tick(edge)
         self.teller_cpu_ms += self.cpu() - began
 
@@ -288,8 +290,8 @@
         found = self._down.get(down)
         if found is None:
             try:
-                found = read_loads(down)
-            except ZonesError:
+                found = decode_zone_loads(down)
+            except FailoverError:
                 found = {}
             if len(self._down) > 1000:
                 self._down.clear()
@@ -305,7 +307,7 @@
         if sends and not edge.cut:
             meter.datagrams += len(sends)
             meter.sent += self._send(name, edge.origin[1], sends)
-        due = teller.next_due()
+        due = teller.next_due_ms()
         if self.now < due < self.now + self.settings.beat_ms / 2:
             self.after(due - self.now + 0.01, self._tick, edge)
 
@@ -315,40 +317,40 @@
         machine = self.machines[name]
         if machine.life != life or not machine.up:
             return
-        self.after(self.times.tell_ms, self._collect, name, life)
+        self.after(self.times.summary_interval_ms, self._collect, name, life)
         if self.now < machine.stopped_until:
             return
         self._roster()
         began = self.cpu()
-        standing = terms.decode(self.standing.value) if self.standing is not None else None
-        machine.sums.stands(standing, self.now)
+        standing = decision.decode(self.standing.value) if self.standing is not None else None
+        machine.sums.apply_decision(standing, self.now)
         sends = machine.collect.tick(self.now)
         size = self._send(name, life, sends)
         machine.cpu_ms[""] = machine.cpu_ms.get("", 0.0) + self.cpu() - began
         machine.sent += size
         machine.datagrams += len(sends)
         for zone, words in machine.accepted.items():
-            taken = machine.collect.merged._taken.get((zone, (name, life)))
+            taken = machine.collect.summaries._summaries.get((zone, (name, life)))
             if words and taken is not None:
                 machine.summed.setdefault(zone, []).append((taken.summary.number, words))
         machine.accepted = {}
 
-    def _judge(self, members: list[Who], standing: Verdict | None) -> Verdict | None:
+    def _judge(self, members: list[ZoneMember], standing: FailoverDecision | None) -> FailoverDecision | None:
         machine = self.machines[self.lead_by]
         if not machine.up or self.now < machine.stopped_until:
             return None
-        chosen = machine.collect.merged.chosen(self.now)
+        chosen = machine.collect.summaries.current(self.now)
         for zone, taken in chosen.items():
-            by = self.machines[taken.by[0]]
+            by = self.machines[taken.collector[0]]
             waiting = by.summed.get(zone, [])
             while waiting and waiting[0][0] <= taken.summary.number:
                 for at in waiting.pop(0)[1]:
                     self.at_verdict.append((at, self.now - at))
-        parts = {zone: taken.summary.parts for zone, taken in chosen.items()}
-        tellers = {zone: taken.summary.tellers for zone, taken in chosen.items()}
+        parts = {zone: taken.summary.sums for zone, taken in chosen.items()}
+        tellers = {zone: taken.summary.senders for zone, taken in chosen.items()}
         began = self.cpu()
-        view = Summed(self.settings, members, parts, tellers)
-        found = weigh(self.settings, members, view, {}, standing, self.now, self.memory)
+        view = SummaryView(self.settings, members, parts, tellers)
+        found = evaluate(self.settings, members, view, {}, standing, self.now, self.memory)
         machine.cpu_ms["verdict"] = machine.cpu_ms.get("verdict", 0.0) + self.cpu() - began
         return found
 
@@ -359,16 +361,16 @@
             return super()._delay()
         return ROUND_MS * self.rounds[self.random.randrange(len(self.rounds))] * self.random.uniform(0.9, 1)
 
-    def _decree(self, verdict: Verdict, before: Verdict) -> None:
+    def _decree(self, verdict: FailoverDecision, before: FailoverDecision) -> None:
         if self.leader:
             self.decided_at[self.number + 1] = self.now
         super()._decree(verdict, before)
 
-    def _reach(self, edge: Edge, decree: d.Decree) -> None:
-        had = edge.heard.number if edge.heard is not None else 0
+    def _reach(self, edge: Edge, decree: d.Decision) -> None:
+        had = edge.heard.version if edge.heard is not None else 0
         super()._reach(edge, decree)
-        if edge.heard is not None and edge.heard.number > had and edge.alive:
-            for number in range(had + 1, edge.heard.number + 1):
+        if edge.heard is not None and edge.heard.version > had and edge.alive:
+            for number in range(had + 1, edge.heard.version + 1):
                 self.reached.setdefault(number, []).append(self.now)
 
     def in_force_ms(self) -> list[float]:
@@ -392,20 +394,20 @@
         """`topics`: decrees that stand; one is changed by `play`."""
         self.source = random.Random(f"{seed} descent")
         self.fan, self.loss = fan, loss
-        settings = SpreadSettings(max_origins=1 << 16)
+        settings = GossipStoreSettings(max_origins=1 << 16)
         self.spreads = [
-            Spread(f"p{n:04d}", 1_790_000_000_000 + n, settings, random.Random(seed * 1_000_000 + n))
+            GossipStore(f"p{n:04d}", 1_790_000_000_000 + n, settings, random.Random(seed * 1_000_000 + n))
             for n in range(members)
         ]
         self.seats = self.spreads[:SEATS]
-        self.tellings = max(1, math.ceil(settings.rumour_factor * math.log2(members + 1)))
+        self.tellings = max(1, math.ceil(settings.retransmit_factor * math.log2(members + 1)))
         for spread in self.spreads:
             # Who writes nothing needs no place in anybody's table; the count of members sets the tellings.
-            spread.admit([s.me for s in self.seats])
-            spread.tellings = lambda: self.tellings  # type: ignore[method-assign]
-        self.tellers = [news.Teller(settings.max_value - 32) for _ in self.seats]
+            spread.retain_origins([s.local for s in self.seats])
+            spread.max_transmissions = lambda: self.tellings  # type: ignore[method-assign]
+        self.tellers = [decision_gossip.DecisionPublisher(settings.max_value_bytes - 32) for _ in self.seats]
         self.standing = {
-            f"t{n}": d.Decree(f"t{n}", n + 1, b"v" * 200, 10000.0, "", 1 << 32) for n in range(topics)
+            f"t{n}": d.Decision(f"t{n}", n + 1, b"v" * 200, 10000.0, "", 1 << 32) for n in range(topics)
         }
         self.beat = 1 << 32
         self.bytes = 0
@@ -416,7 +418,7 @@
         """Let the seats tell what stands, and the leader a new beat."""
         self.beat += 1
         for number, (spread, teller) in enumerate(zip(self.seats, self.tellers, strict=True)):
-            for change in teller.tell(self.standing.values(), 0 if number else self.beat):
+            for change in teller.publish(self.standing.values(), 0 if number else self.beat):
                 if change.value is None:
                     spread.remove(change.key)
                 else:
@@ -432,7 +434,7 @@
         asked: list[tuple[int, int, bytes]] = []
         for number, spread in enumerate(self.spreads):
             for _ in range(self.fan):
-                data = spread.fresh(1100)
+                data = spread.recent_changes(1100)
                 if not data:
                     break
                 self.bytes += len(data)
@@ -467,11 +469,11 @@
         self.sent_bytes_s = self.bytes / len(self.spreads) / (calm * ROUND_MS / 1000)
         begun = self.rounds
         old = self.standing["t0"]
-        self.standing["t0"] = d.Decree("t0", 1000, b"w" * 200, old.hold_ms, "", self.beat)
-        key = f"{news.PREFIX}t0"
+        self.standing["t0"] = d.Decision("t0", 1000, b"w" * 200, old.lease_ms, "", self.beat)
+        key = f"{decision_gossip.DECISION_PREFIX}t0"
         # Told at once when decided, not with the next beat.
         for spread, teller in zip(self.seats, self.tellers, strict=True):
-            for change in teller.tell(self.standing.values(), 0):
+            for change in teller.publish(self.standing.values(), 0):
                 spread.put(change.key, change.value or b"")
         left, found = set(range(len(self.spreads))), []
         while left and self.rounds - begun < most:
@@ -483,9 +485,9 @@
         return found
 
     @staticmethod
-    def _has(spread: Spread, key: str) -> bool:
-        for value in spread.get(key).values():
-            if value and d.decode_decree(value).number == 1000:
+    def _has(spread: GossipStore, key: str) -> bool:
+        for value in spread.values(key).values():
+            if value and d.decode_decision(value).version == 1000:
                 return True
         return False
 
@@ -512,8 +514,8 @@
     gone = [
         (at, entry.zone)
         for at, verdict in sim.decrees
-        for entry in verdict.entries
-        if entry.state == terms.State.GONE
+        for entry in verdict.zones
+        if entry.state == decision.ZoneState.EVACUATED
     ]
     away = [at for at, zone in gone if zone == lost]
     lead = sim.machines[sim.lead_by]
@@ -543,7 +545,9 @@
     found: list[tuple[float, tuple[tuple[str, int, int, tuple[str, ...]], ...]]] = []
     for at, verdict in sim.decrees:
         entries = tuple(
-            (e.zone, e.state, e.part, tuple(e.blind)) for e in verdict.entries if e.state != terms.State.NEAR
+            (e.zone, e.state, e.share, tuple(e.blind_zones))
+            for e in verdict.zones
+            if e.state != decision.ZoneState.LOCAL
         )
         if not found or found[-1][1] != entries:
             found.append((at, entries))
--- a/cressrock/lab/common.py
+++ b/cressrock/lab/common.py
@@ -14,7 +14,7 @@
 import anyio
 
 from cressrock import net
-from cressrock.errors.lab import StepNotReached
+from cressrock.errors.lab import StepNotReachedError
 from cressrock.lab.drill import Drill
 
 PERIOD_MS = 200.0  # of the fleet's protocol; short, so that a drill is
@@ -81,7 +81,7 @@
     async def _steps(self) -> None:
         try:
             await self.story(self)
-        except StepNotReached as wrong:
+        except StepNotReachedError as wrong:
             self.findings.append(f"{self.clock() / 1000:.2f} s: {wrong}")
 
     def names(self) -> list[str]:
@@ -127,7 +127,7 @@
         begin = self.clock()
         while not await condition():
             if self.clock() - begin > most_ms:
-                raise StepNotReached(f"{what} did not come in {most_ms / 1000:g} s")
+                raise StepNotReachedError(f"{what} did not come in {most_ms / 1000:g} s")
             await anyio.sleep(0.05)
         self.marks.append((self.clock(), what))
 
--- a/cressrock/lab/copysim.py
+++ b/cressrock/lab/copysim.py
@@ -12,15 +12,15 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from cressrock.copies import model as m
-from cressrock.copies import repair as rp
-from cressrock.copies import sets
-from cressrock.copies import write as w
-from cressrock.copies.model import State, Sync
-from cressrock.errors.copies import NotAllowed, OnlyCopy
+from cressrock.errors.replication import OnlyReplicaError, TransitionNotAllowedError
 from cressrock.lab.copystore import CopyStore
 from cressrock.lab.histories import Operation, Verdict, judge
 from cressrock.lab.rack import Done, Rack, Task
+from cressrock.replication import in_sync_set as m
+from cressrock.replication import repair as rp
+from cressrock.replication import transitions
+from cressrock.replication import write as w
+from cressrock.replication.in_sync_set import InSyncSet, ReplicaState
 from cressrock.webdav.paths import parse
 
 
@@ -71,7 +71,7 @@
     verdicts: dict[str, Verdict]
     history: list[Operation]
     states: dict[str, dict[str, object]]
-    sync: Sync
+    sync: InSyncSet
     counts: dict[str, int] = field(default_factory=dict)
 
     @property
@@ -100,8 +100,8 @@
             self.racks[zone] = self._rack(index, f"{zone}0")
         self.down: set[str] = set()
         lives = {z: r.copies.life for z, r in self.racks.items()}
-        copies = tuple(m.Copy(z, State.IN, lives[z]) for z in plan.zones)
-        self.sync = Sync(1, plan.zones[0], copies)
+        copies = tuple(m.Replica(z, ReplicaState.IN_SYNC, lives[z]) for z in plan.zones)
+        self.sync = InSyncSet(1, plan.zones[0], copies)
         self.known = [self.sync] * plan.edges
         self.cut: set[tuple[int, str]] = set()  # (edge, zone): cannot reach
         self.history: list[Operation] = []
@@ -134,12 +134,12 @@
 
     # --- the council
 
-    def decide(self, old: Sync, new: Sync) -> bool:
+    def decide(self, old: InSyncSet, new: InSyncSet) -> bool:
         """Compare and set; every edge is told of the new set some time later."""
         if self.sync != old:
             return False
         self.sync = new
-        for zone in set(old.reads) - set(new.reads):
+        for zone in set(old.read_zones) - set(new.read_zones):
             self.out_at[zone] = self.now
         self._say("decrees")
         for edge in range(self.plan.edges):
@@ -147,26 +147,33 @@
             self.at(self.some(60.0) * late, lambda edge=edge, new=new: self.learn(edge, new))  # type: ignore[misc]
         return True
 
-    def learn(self, edge: int, sync: Sync) -> None:
+    def learn(self, edge: int, sync: InSyncSet) -> None:
         """Take a decree that is newer than what is known."""
         if sync.epoch > self.known[edge].epoch:
             self.known[edge] = sync
 
     # --- nodes
 
-    def do(self, who: int, op: w.Op, path: str, method: str, then: Callable[[w.Got], None]) -> None:
+    def do(
+        self,
+        who: int,
+        op: w.ReplicaOperation,
+        path: str,
+        method: str,
+        then: Callable[[w.ReplicaResult], None],
+    ) -> None:
         """Send one operation; it may be lost on its way there, or its answer on its way back."""
         draw = self.random
         answered = [False]
 
-        def answer(got: w.Got) -> None:
+        def answer(got: w.ReplicaResult) -> None:
             if not answered[0]:
                 answered[0] = True
                 then(got)
 
         def arrive() -> None:
             if op.zone in self.down or (who, op.zone) in self.cut:
-                self.at(self.some(), lambda: answer(w.Got(gone=True)))
+                self.at(self.some(), lambda: answer(w.ReplicaResult(unreachable=True)))
                 return
             got = self.execute(op, path, method)
             if not self.mended and draw.random() < self.plan.lost:
@@ -179,29 +186,29 @@
                 self.at(self.some() + 200.0, arrive)
         else:
             self.at(self.some(), arrive)
-        self.at(150.0, lambda: answer(w.Got(ran=True)))
+        self.at(150.0, lambda: answer(w.ReplicaResult(may_have_run=True)))
 
-    def execute(self, op: w.Op, path: str, method: str) -> w.Got:
+    def execute(self, op: w.ReplicaOperation, path: str, method: str) -> w.ReplicaResult:
         """Run an operation at the rack, by the headers of docs/copies.md."""
         record = op.record
-        life = op.life if self.plan.store_fence else ""
+        life = op.store_id if self.plan.store_fence else ""
         headers = {"x-cressrock-epoch": str(op.epoch), "x-cressrock-copy": f"{op.role};{life}"}
         body: Any = None
-        if op.kind is w.Kind.APPLY:
+        if op.kind is w.OperationKind.APPLY:
             assert record is not None
             path = record.path
             method = {"file": "PUT", "collection": "MKCOL"}.get(record.kind, "DELETE")
-            headers["x-cressrock-version"] = str(record.at)
-            headers["x-cressrock-cleared"] = str(record.cleared)
-            if record.sure:
-                headers["x-cressrock-sure"] = str(record.at)
+            headers["x-cressrock-version"] = str(record.version)
+            headers["x-cressrock-cleared"] = str(record.cleared_version)
+            if record.committed:
+                headers["x-cressrock-sure"] = str(record.version)
             body = op.payload
-        elif op.kind is w.Kind.LOOK:
+        elif op.kind is w.OperationKind.INSPECT:
             method, path = "HEAD", record.path if record is not None else "/v"
         elif method == "PUT":
             body = op.payload
         done = self.racks[op.zone].execute(Task(method, parse(path), headers, body, b"", self.now))
-        if op.zone not in self.sync.reads and op.zone in self.out_at:
+        if op.zone not in self.sync.read_zones and op.zone in self.out_at:
             self.behind[id(done)] = (done, self.out_at[op.zone])
         return got_of(done, path)
 
@@ -225,29 +232,29 @@
     def ask(self, edge: int, asked: Any, path: str, method: str, go: Callable[[Any], None]) -> None:
         """Do what a machine asks for."""
         match asked:
-            case w.Do(ops):
-                gots: list[w.Got | None] = [None] * len(ops)
+            case w.PerformOperations(ops):
+                gots: list[w.ReplicaResult | None] = [None] * len(ops)
 
-                def one(index: int, got: w.Got) -> None:
+                def one(index: int, got: w.ReplicaResult) -> None:
                     gots[index] = got
                     if all(g is not None for g in gots):
                         go(list(gots))
 
                 for index, op in enumerate(ops):
                     self.do(edge, op, path, method, lambda got, i=index: one(i, got))  # type: ignore[misc]
-            case w.Fetch(op):
+            case w.FetchRecord(op):
                 assert op.record is not None
 
-                def fetched(got: w.Got) -> None:
+                def fetched(got: w.ReplicaResult) -> None:
                     if got.reply is None or got.reply.status != 200 or got.record is None:
                         go(None)
                     else:
                         go((got.record, got.reply.payload[0].body))
 
                 self.do(edge, op, op.record.path, "GET", fetched)
-            case w.PutOut(zones, old):
+            case w.EvictReplicas(zones, old):
                 self.at(self.some(20.0), lambda: go(self.put_out(edge, zones, old)))
-            case w.Refresh(epoch):
+            case w.RefreshSet(epoch):
 
                 def refresh() -> None:
                     if self.sync.epoch > self.known[edge].epoch and self.random.random() < 0.8:
@@ -256,24 +263,24 @@
                     go(found if found.epoch >= epoch else None)
 
                 self.at(self.some(20.0), refresh)
-            case w.Sure(_, at):
+            case w.MarkCommitted(_, at):
                 for rack in self.racks.values():
                     if self.random.random() < 0.5:
                         fence = rack.copies.fences.get("v")
                         # As told along with an operation under the edge's set, where that is let through.
-                        if fence is not None and asked.sync.epoch >= fence.epoch:
-                            copy = asked.sync.copy(self._zone(rack))
-                            if copy is not None and copy.life == rack.copies.life:
-                                rack.copies._sure(fence, at, asked.sync.epoch)
+                        if fence is not None and asked.in_sync_set.epoch >= fence.epoch:
+                            copy = asked.in_sync_set.replica(self._zone(rack))
+                            if copy is not None and copy.store_id == rack.copies.life:
+                                rack.copies._sure(fence, at, asked.in_sync_set.epoch)
                 go(None)
-            case rp.Look(op):
+            case rp.InspectStore(op):
 
                 def look() -> None:
                     lost = op.zone in self.down
                     go(None if lost else self.racks[op.zone].copies.life)
 
                 self.at(self.some(), look)
-            case rp.List(op, since, after):
+            case rp.ListMissing(op, since, after):
 
                 def listed() -> None:
                     if op.zone in self.down:
@@ -281,7 +288,7 @@
                         return
                     headers = {
                         "x-cressrock-epoch": str(op.epoch),
-                        "x-cressrock-copy": f"{op.role};{op.life}",
+                        "x-cressrock-copy": f"{op.role};{op.store_id}",
                         "x-cressrock-owed": str(since),
                         "x-cressrock-after": after.encode().hex(),
                     }
@@ -289,19 +296,19 @@
                     go(m.decode_page(done.content) if done.status == 200 else None)
 
                 self.at(self.some(), listed)
-            case rp.Decide(old, new):
+            case rp.ProposeSet(old, new):
                 self.at(self.some(20.0), lambda: go(self.decide(old, new)))
 
     def _zone(self, rack: Rack) -> str:
         return next(z for z, r in self.racks.items() if r is rack)
 
-    def put_out(self, edge: int, zones: tuple[str, ...], old: Sync) -> Sync | None:
+    def put_out(self, edge: int, zones: tuple[str, ...], old: InSyncSet) -> InSyncSet | None:
         """Propose the set without these; answer what stands."""
         try:
             new = old
             for zone in zones:
-                new = sets.put_out(new, zone)
-        except NotAllowed:
+                new = transitions.evict(new, zone)
+        except TransitionNotAllowedError:
             new = old
         if self.decide(old, new) and new is not old:
             self._say("put out")
@@ -321,27 +328,27 @@
         value = f"{number}.{left}"
         kind = "read" if draw.random() < 0.5 else "write"
         gone = kind == "write" and draw.random() < self.plan.deletes
-        rules = w.Rules(self.plan.decree_first, self.plan.settle)
+        rules = w.SafetyRules(self.plan.decree_first, self.plan.settle)
 
-        def over(outcome: w.Outcome) -> None:
-            self._say(f"{kind} {outcome.end.value}")
-            done = outcome.end is w.End.ANSWER
-            status = outcome.got.reply.status if done and outcome.got is not None else 0
+        def over(outcome: w.OperationOutcome) -> None:
+            self._say(f"{kind} {outcome.disposition.value}")
+            done = outcome.disposition is w.Disposition.ANSWER
+            status = outcome.result.reply.status if done and outcome.result is not None else 0
             if kind == "read":
                 if status in (200, 404):
-                    assert outcome.got is not None
-                    payload = outcome.got.reply.payload
+                    assert outcome.result is not None
+                    payload = outcome.result.reply.payload
                     found = payload[0].body.value if payload is not None else None
                     # Read at a copy that had been put out, by an edge that had not heard of it: bounded
                     # staleness, what it tells was current at some moment since then.
-                    put_out = self.behind.get(id(outcome.got.reply), (None, called))[1]
+                    put_out = self.behind.get(id(outcome.result.reply), (None, called))[1]
                     self.counts["stale"] = self.counts.get("stale", 0) + (put_out < called)
                     self.note(path, "read", min(called, put_out), result=found)
             elif gone and status == 404:
-                assert outcome.got is not None
-                since = self.behind.get(id(outcome.got.reply), (None, called))[1]
+                assert outcome.result is not None
+                since = self.behind.get(id(outcome.result.reply), (None, called))[1]
                 self.note(path, "read", min(called, since), result=None)
-            elif outcome.end is not w.End.REFUSED:
+            elif outcome.disposition is not w.Disposition.REJECTED:
                 known = status in (201, 204)
                 self.history.append(
                     Operation(
@@ -352,13 +359,13 @@
 
         sync = self.known[edge]
         if kind == "read":
-            order = list(sync.reads)
+            order = list(sync.read_zones)
             draw.shuffle(order)
-            self.run(edge, w.read(sync, order, rules=rules), path, "GET", over)
+            self.run(edge, w.read_replicated(sync, order, rules=rules), path, "GET", over)
         else:
             method = "DELETE" if gone else "PUT"
             body = None if gone else Text(value)
-            self.run(edge, w.write(sync, body, rules), path, method, over)
+            self.run(edge, w.write_replicated(sync, body, rules), path, method, over)
 
     def note(self, key: str, kind: str, called: float, result: object) -> None:
         """Enter a read."""
@@ -393,7 +400,7 @@
 
             def back() -> None:
                 self.up(zone)
-                if self.sync.reads == (zone,):
+                if self.sync.read_zones == (zone,):
                     self._say("only copy kept")  # the operator's case: it comes back as it was
                     return
                 self.present[zone] = self.racks[zone]
@@ -425,38 +432,45 @@
         """Move the first copy where it is lost, bring back what is owed; one thing at a time."""
         sync = self.sync
 
-        def again(report: rp.Report | None = None) -> None:
-            if report is not None and report.back:
+        def again(report: rp.RepairReport | None = None) -> None:
+            if report is not None and report.rejoined:
                 self._say("back")
             self.at(self.some(40.0), self.planner)
 
-        well = all(c.state is State.IN and c.life == self.racks[c.zone].copies.life for c in sync.copies)
+        well = all(
+            c.state is ReplicaState.IN_SYNC and c.store_id == self.racks[c.zone].copies.life
+            for c in sync.replicas
+        )
         if not self.open and not self.troubles and well:
             return
-        first = self.racks[sync.first].copies.life
-        known = sync.copy(sync.first)
-        lost = sync.first in self.down or (
-            self.plan.store_fence and known is not None and known.life != first
+        first = self.racks[sync.primary].copies.life
+        known = sync.replica(sync.primary)
+        lost = sync.primary in self.down or (
+            self.plan.store_fence and known is not None and known.store_id != first
         )
         if lost:
             try:
-                if self.decide(sync, sets.first_lost(sync, sync.first)):
+                if self.decide(sync, transitions.replace_primary(sync, sync.primary)):
                     self._say("moved")
-            except OnlyCopy:
+            except OnlyReplicaError:
                 self._say("only copy")
-                if sync.first in self.present and sync.first not in self.down:
+                if sync.primary in self.present and sync.primary not in self.down:
                     # The operator's way without a loss: the disk as it was is found again.
-                    self.racks[sync.first] = self.present.pop(sync.first)
+                    self.racks[sync.primary] = self.present.pop(sync.primary)
             again()
             return
-        for copy in sync.copies:
+        for copy in sync.replicas:
             there = self.racks[copy.zone].copies.life
-            if copy.state is not State.OWED and copy.life != there and self.plan.store_fence:
-                self.decide(sync, sets.put_out(sync, copy.zone))
+            if (
+                copy.state is not ReplicaState.OUT_OF_SYNC
+                and copy.store_id != there
+                and self.plan.store_fence
+            ):
+                self.decide(sync, transitions.evict(sync, copy.zone))
                 again()
                 return
-            if copy.state is not State.IN and copy.zone not in self.down:
-                plan = rp.repair(sync, copy.zone, early=not self.plan.last_pass)
+            if copy.state is not ReplicaState.IN_SYNC and copy.zone not in self.down:
+                plan = rp.repair_replica(sync, copy.zone, skip_last_pass=not self.plan.last_pass)
                 self.run(-1, plan, "/v", "GET", again)
                 return
         again()
@@ -480,26 +494,26 @@
             act()
         self.counts["steps"] = steps
         self._read_all()
-        states = {z: self.state(z) for z in self.sync.reads}
+        states = {z: self.state(z) for z in self.sync.read_zones}
         return Run(judge(self.history, 200_000), self.history, states, self.sync, self.counts)
 
     def _read_all(self) -> None:
         """Read every path from every copy that is in, in turn, by the same machine as ever."""
         for path in self.plan.paths:
-            for zone in self.sync.reads:
+            for zone in self.sync.read_zones:
                 for edge in range(self.plan.edges):
                     self.known[edge] = self.sync
                 called = self.now = self.now + 1
-                found: list[w.Outcome] = []
-                rules = w.Rules(self.plan.decree_first, self.plan.settle)
-                self.run(0, w.read(self.sync, [zone], rules=rules), path, "GET", found.append)
+                found: list[w.OperationOutcome] = []
+                rules = w.SafetyRules(self.plan.decree_first, self.plan.settle)
+                self.run(0, w.read_replicated(self.sync, [zone], rules=rules), path, "GET", found.append)
                 while self.queue and not found:
                     self.queue.sort(key=lambda q: q[:2])
                     self.now, _, act = self.queue.pop(0)
                     act()
                 (outcome,) = found
-                if outcome.end is w.End.ANSWER and outcome.got is not None:
-                    payload = outcome.got.reply.payload
+                if outcome.disposition is w.Disposition.ANSWER and outcome.result is not None:
+                    payload = outcome.result.reply.payload
                     value = payload[0].body.value if payload is not None else None
                     self.now += 1
                     self.note(path, "read", called, result=value)
@@ -513,7 +527,7 @@
         return {k: (r.at, r.kind) for k, r in records.items() if k in self.plan.paths}
 
 
-def got_of(done: Done, path: str) -> w.Got:
+def got_of(done: Done, path: str) -> w.ReplicaResult:
     """Read a rack's answer as machines see it."""
     fields = {k.decode(): v.decode() for k, v in done.headers}
     refused = fields.get("x-cressrock-refused")
@@ -522,15 +536,15 @@
         key = fields.get("x-cressrock-path")
         record = w.Record(
             bytes.fromhex(key).decode() if key else path,
-            m.version(fields["x-cressrock-version"]),
+            m.parse_version(fields["x-cressrock-version"]),
             fields.get("x-cressrock-kind", "gone"),
-            m.version(fields.get("x-cressrock-cleared", "0.0")),
+            m.parse_version(fields.get("x-cressrock-cleared", "0.0")),
             fields.get("x-cressrock-sure") == "yes",
         )
-    return w.Got(
+    return w.ReplicaResult(
         done,
         failed=done.status >= 500,
-        refused=m.Refusal(refused) if refused else None,
+        rejection=m.Rejection(refused) if refused else None,
         epoch=int(fields.get("x-cressrock-epoch", "0")),
         record=record,
     )
--- a/cressrock/lab/copystore.py
+++ b/cressrock/lab/copystore.py
@@ -11,10 +11,10 @@
 from dataclasses import dataclass, field, replace
 from typing import TYPE_CHECKING
 
-from cressrock.copies import model as m
-from cressrock.copies.model import NONE, Refusal, State, Version
-from cressrock.errors.copies import BadSet
+from cressrock.errors.replication import InvalidSetError
 from cressrock.http.channel import Headers
+from cressrock.replication import in_sync_set as m
+from cressrock.replication.in_sync_set import NO_VERSION, Rejection, ReplicaState, Version
 from cressrock.webdav.paths import Path
 
 if TYPE_CHECKING:
@@ -33,7 +33,7 @@
 
     at: Version
     kind: str = "gone"
-    cleared: Version = NONE
+    cleared: Version = NO_VERSION
     sure: bool = False
     touched: int = 0
 
@@ -44,7 +44,7 @@
 
     epoch: int = 0
     role: str = ""
-    last: Version = NONE
+    last: Version = NO_VERSION
     records: dict[str, Record] = field(default_factory=dict)
     unsure: dict[Version, str] = field(default_factory=dict)
 
@@ -73,18 +73,20 @@
 
         fence = self.fences.setdefault(task.path.volume, Fence())
         try:
-            epoch = int(task.headers[m.EPOCH.decode()])
-            role, _, life = task.headers.get(m.COPY.decode(), "").partition(";")
-            wanted = task.headers.get(m.AT.decode())
-            at = m.version(wanted) if wanted else None
-            marks = [m.version(v) for v in task.headers.get(m.SURE.decode(), "").split()]
-        except (ValueError, BadSet) as wrong:
+            epoch = int(task.headers[m.EPOCH_HEADER.decode()])
+            role, _, life = task.headers.get(m.REPLICA_HEADER.decode(), "").partition(";")
+            wanted = task.headers.get(m.VERSION_HEADER.decode())
+            at = m.parse_version(wanted) if wanted else None
+            marks = [m.parse_version(v) for v in task.headers.get(m.COMMITTED_HEADER.decode(), "").split()]
+        except (ValueError, InvalidSetError) as wrong:
             return Done(400, content=str(wrong).encode())
-        reads = task.method in ("GET", "HEAD", "PROPFIND") and m.OWED.decode() not in task.headers
+        reads = (
+            task.method in ("GET", "HEAD", "PROPFIND") and m.MISSING_SINCE_HEADER.decode() not in task.headers
+        )
         refusal = self._fence(fence, epoch, role, life, reads)
         if refusal is not None:
-            return Done(409, [(m.REFUSED, refusal.encode()), *self._told(fence)])
-        if m.OWED.decode() in task.headers:
+            return Done(409, [(m.REJECTED_HEADER, refusal.encode()), *self._told(fence)])
+        if m.MISSING_SINCE_HEADER.decode() in task.headers:
             done = self._list(fence, task)
         elif reads:
             done = self._read(fence, task)
@@ -99,18 +101,18 @@
         return replace(done, headers=[*done.headers, *self._told(fence)])
 
     def _told(self, fence: Fence) -> Headers:
-        return [(m.EPOCH, str(fence.epoch).encode()), (m.LIFE, self.life.encode())]
+        return [(m.EPOCH_HEADER, str(fence.epoch).encode()), (m.STORE_HEADER, self.life.encode())]
 
-    def _fence(self, fence: Fence, epoch: int, role: str, life: str, reads: bool) -> Refusal | None:
+    def _fence(self, fence: Fence, epoch: int, role: str, life: str, reads: bool) -> Rejection | None:
         if life and life != self.life:
-            return Refusal.STORE
+            return Rejection.OTHER_STORE
         if epoch > fence.epoch:
             fence.epoch, fence.role = epoch, role
         elif epoch < fence.epoch and self.fenced:
             if not reads:
-                return Refusal.OLDER
-            if fence.role in (State.JOINING, State.OWED):
-                return Refusal.BEHIND
+                return Rejection.OLDER_EPOCH
+            if fence.role in (ReplicaState.JOINING, ReplicaState.OUT_OF_SYNC):
+                return Rejection.NOT_IN_SYNC
         return None
 
     def _sure(self, fence: Fence, at: Version, epoch: int) -> None:
@@ -142,23 +144,23 @@
 
     def _of(self, key: str, record: Record) -> Headers:
         found: Headers = [
-            (m.PATH, key.encode().hex().encode()),
-            (m.AT, str(record.at).encode()),
-            (m.KIND, record.kind.encode()),
-            (m.CLEARED, str(record.cleared).encode()),
-            (m.SURE, b"yes" if record.sure else b"no"),
+            (m.PATH_HEADER, key.encode().hex().encode()),
+            (m.VERSION_HEADER, str(record.at).encode()),
+            (m.KIND_HEADER, record.kind.encode()),
+            (m.CLEARED_HEADER, str(record.cleared).encode()),
+            (m.COMMITTED_HEADER, b"yes" if record.sure else b"no"),
         ]
         resource = self.rack.resources.get(key)
         if resource is not None:
-            found.append((m.TIMES, f"{resource.created_ms:.0f} {resource.modified_ms:.0f}".encode()))
+            found.append((m.TIMES_HEADER, f"{resource.created_ms:.0f} {resource.modified_ms:.0f}".encode()))
         return found
 
     def _list(self, fence: Fence, task: Task) -> Done:
         """List what a copy may lack that had everything of epoch `since`, by path."""
         from cressrock.lab.rack import Done
 
-        since = int(task.headers[m.OWED.decode()])
-        after = task.headers.get(m.AFTER.decode(), "")
+        since = int(task.headers[m.MISSING_SINCE_HEADER.decode()])
+        after = task.headers.get(m.AFTER_HEADER.decode(), "")
         after = bytes.fromhex(after).decode() if after else ""
         keys = sorted(
             key
@@ -168,8 +170,8 @@
         entries = []
         for key in keys[:PAGE]:
             r = fence.records[key]
-            entries.append(m.Entry(key, str(r.at), r.kind, str(r.cleared), r.sure))
-        page = m.Page(tuple(entries), len(keys) > PAGE)
+            entries.append(m.RecordEntry(key, str(r.at), r.kind, str(r.cleared), r.sure))
+        page = m.RecordPage(tuple(entries), len(keys) > PAGE)
         return Done(200, [(b"content-type", b"application/vnd.msgpack")], m.encode_page(page))
 
     # --- writing
@@ -183,7 +185,7 @@
         at, key = fence.last, task.path.key
         kind = _KINDS.get(task.method, "gone")
         record = fence.records.get(key)
-        cleared = at if kind != "collection" else record.cleared if record is not None else NONE
+        cleared = at if kind != "collection" else record.cleared if record is not None else NO_VERSION
         self._note(fence, key, at, kind, cleared, epoch)
         headers = [(k, v) for k, v in done.headers if k != b"etag"]
         if kind == "file":
@@ -197,11 +199,17 @@
 
         key = task.path.key
         kind = _KINDS.get(task.method, "gone")
-        cleared = at if kind != "collection" else m.version(task.headers.get(m.CLEARED.decode(), "0.0"))
+        cleared = (
+            at
+            if kind != "collection"
+            else m.parse_version(task.headers.get(m.CLEARED_HEADER.decode(), "0.0"))
+        )
         fence.last = max(fence.last, at)
         record = fence.records.get(key)
         if any((r := fence.records.get(a)) is not None and r.cleared > at for a in _above(task.path)):
-            return Done(204, [(m.AT, str(at).encode())])  # a newer deletion above has taken it with it
+            return Done(
+                204, [(m.VERSION_HEADER, str(at).encode())]
+            )  # a newer deletion above has taken it with it
         if record is None or record.at < at:
             self._replace(task, kind, at)
         self._note(fence, key, at, kind, cleared, epoch)
@@ -210,7 +218,7 @@
     def _replace(self, task: Task, kind: str, at: Version) -> None:
         rack, key = self.rack, task.path.key
         there = rack.resources.get(key)
-        times = task.headers.get(m.TIMES.decode(), "").split()
+        times = task.headers.get(m.TIMES_HEADER.decode(), "").split()
         created, modified = (float(t) for t in times) if len(times) == 2 else (task.now_ms, task.now_ms)
         if kind == "collection":
             if there is not None and not there.collection:
@@ -231,7 +239,7 @@
         """Enter a record, and take out what lay below it under versions older than `cleared`."""
         record = fence.records.get(key)
         if record is None:
-            record = fence.records[key] = Record(NONE)
+            record = fence.records[key] = Record(NO_VERSION)
         if cleared > record.cleared:
             record.cleared = cleared
             begin = key + "/"
--- a/cressrock/lab/councilsim.py
+++ b/cressrock/lab/councilsim.py
@@ -17,13 +17,18 @@
 
 import msgspec
 
-from cressrock.council import messages as m
-from cressrock.council.messages import Entry
-from cressrock.council.raft import Ready, Role, Seat, Stored, Timing, first
-from cressrock.errors.council import CouncilBusy, CouncilDiverged, NotLeader, SeatsRefused
+from cressrock.consensus.raft import messages as m
+from cressrock.consensus.raft.messages import LogEntry
+from cressrock.consensus.raft.node import RaftNode, RaftSettings, Ready, Role, StoredState, initial_state
+from cressrock.errors.consensus import (
+    ConsensusBusyError,
+    LogDivergedError,
+    MembershipChangeRefusedError,
+    NotLeaderError,
+)
 from cressrock.lab.explorer import MakeSeat
 from cressrock.lab.histories import FOREVER, Operation, Verdict, judge
-from cressrock.lab.seatstore import SeatStore
+from cressrock.lab.replica_store import InMemoryReplicaStore
 
 CLUSTER = "sim"
 KEYS = ("x", "y", "z")
@@ -49,7 +54,7 @@
 )
 
 
-class Broken(Exception):
+class InvariantBrokenError(Exception):
     """What must never be was seen; the text says what, and the seed is in the result."""
 
 
@@ -103,14 +108,14 @@
     seats: int = 3
     faults: int = 200
     clients: int = 4
-    timing: Timing = Timing(election_ms=300.0, heartbeat_ms=50.0, snapshot_piece=200)
+    timing: RaftSettings = RaftSettings(election_ms=300.0, heartbeat_ms=50.0, snapshot_chunk_bytes=200)
     net_ms: float = 2.0  # mean delay of a message
     disk_ms: float = 1.0  # mean time of a write
     drift: float = 0.1  # clocks run up to this share too fast or too slow
     calm_ms: float = 0.0  # without faults: run so long
     compact_at: int = 60  # entries held before the registers' snapshot replaces them
     think_ms: float = 40.0
-    make: MakeSeat = Seat
+    make: MakeSeat = RaftNode
     kinds: tuple[str, ...] = FAULTS  # the faults drawn from
     rest: float = 0.0  # election periods between two faults, beside 1.5 on average
     lasts: tuple[float, float] = (0.2, 6.0)  # election periods
@@ -144,14 +149,16 @@
 @dataclass
 class _Process:
     name: str
-    store: SeatStore
+    store: InMemoryReplicaStore
     rate: float
     origin: float
-    seat: Seat | None = None
+    seat: RaftNode | None = None
     life: int = 0
     stopped: bool = False
     inbox: list[tuple[Any, ...]] = field(default_factory=list)
-    past: deque[Stored] = field(default_factory=lambda: deque(maxlen=8))  # what was kept before each write
+    past: deque[StoredState] = field(
+        default_factory=lambda: deque(maxlen=8)
+    )  # what was kept before each write
     writing: Ready | None = None
     write_due: bool = False  # a stopped process's write that is over
     registers: Registers = field(default_factory=Registers)
@@ -200,7 +207,7 @@
         names = tuple(f"s{number}" for number in range(1, plan.seats + 1))
         self.processes: dict[str, _Process] = {}
         for name in names:
-            self._process(name, first(names))
+            self._process(name, initial_state(names))
         self.clients = {f"c{number}": _Client(f"c{number}") for number in range(plan.clients)}
         for name in self.clients:
             self._at(self.source.random() * 100, "think", name)
@@ -225,11 +232,13 @@
             limit = healed + 60 * self.plan.timing.election_ms
             self._run_until(lambda: self._settled(wanted) or self.now > limit)
             if not self._settled(wanted):
-                raise Broken(f"no decision within 60 election periods after the healing: {self._states()}")
+                raise InvariantBrokenError(
+                    f"no decision within 60 election periods after the healing: {self._states()}"
+                )
             first_after = min(one.returned for one in self.history if one.returned > healed)
             self.result.recovery_ms = first_after - healed
             self._judge_end()
-        except (Broken, CouncilDiverged) as error:
+        except (InvariantBrokenError, LogDivergedError) as error:
             self.result.broken = str(error)
         self._count()
         return self.result
@@ -256,9 +265,9 @@
 
     # Processes
 
-    def _process(self, name: str, stored: Stored) -> None:
+    def _process(self, name: str, stored: StoredState) -> None:
         rate = 1.0 + self.source.uniform(-self.plan.drift, self.plan.drift)
-        self.processes[name] = _Process(name, SeatStore(stored), rate, self.source.uniform(0, 1e6))
+        self.processes[name] = _Process(name, InMemoryReplicaStore(stored), rate, self.source.uniform(0, 1e6))
         self._start(name)
 
     def _local(self, process: _Process) -> float:
@@ -288,9 +297,9 @@
                 if self.source.random() < 0.3:
                     self._send(name, to, message)
         if process.seat is not None:
-            self.result.dropped.update(process.seat.counts)
+            self.result.dropped.update(process.seat.drop_counts)
         if self.plan.lying_disk and len(process.past) >= self.plan.lying_disk:
-            process.store = SeatStore(process.past[-self.plan.lying_disk])
+            process.store = InMemoryReplicaStore(process.past[-self.plan.lying_disk])
             process.past.clear()
         process.seat, process.writing, process.stopped = None, None, False
 
@@ -368,16 +377,18 @@
         assert seat is not None
         for to, message in ready.messages:
             self._send(process.name, to, message)
-        if ready.restore:
+        if ready.restore_snapshot:
             assert ready.snapshot is not None
             self.result.restores += 1
             process.registers, process.index = Registers.load(ready.snapshot.data), ready.snapshot.index
         for entry in ready.committed:
             self._apply(process, entry)
-        for read in ready.reads:
+        for read in ready.confirmed_reads:
             client, request, key = process.reads.pop(int(read.token))
             if process.index < read.index:
-                raise Broken(f"{process.name} answers a read of {read.index} with {process.index} applied")
+                raise InvariantBrokenError(
+                    f"{process.name} answers a read of {read.index} with {process.index} applied"
+                )
             self._answer(client, request, process.registers.values.get(key), "")
         for token in ready.lost_reads:
             process.reads.pop(int(token), None)
@@ -385,14 +396,14 @@
             seat.compact(process.index, process.registers.dump())
         seat.advance(ready)
 
-    def _apply(self, process: _Process, entry: Entry) -> None:
+    def _apply(self, process: _Process, entry: LogEntry) -> None:
         if entry.index != process.index + 1:
-            raise Broken(f"{process.name} applies {entry.index} after {process.index}")
+            raise InvariantBrokenError(f"{process.name} applies {entry.index} after {process.index}")
         process.index = entry.index
         what = msgspec.msgpack.encode(entry)
         if self.applied.setdefault(entry.index, what) != what:
             was = self.applied[entry.index]
-            raise Broken(f"entry {entry.index} is {what!r} at {process.name}, was {was!r}")
+            raise InvariantBrokenError(f"entry {entry.index} is {what!r} at {process.name}, was {was!r}")
         if entry.kind != "command":
             return
         command = msgspec.msgpack.decode(entry.data, type=Command)
@@ -406,24 +417,24 @@
         seat = process.seat
         assert seat is not None
         if seat.role is Role.LEADER and self.led.setdefault(seat.term, process.name) != process.name:
-            raise Broken(f"{process.name} and {self.led[seat.term]} lead term {seat.term}")
+            raise InvariantBrokenError(f"{process.name} and {self.led[seat.term]} lead term {seat.term}")
         while process.writing is None and seat.has_ready():
             ready = seat.ready()
-            if ready.to_keep:
+            if ready.must_persist:
                 process.writing = ready
                 slow = self.slow_disk.get(process.name, 1.0)
                 delay = self.source.expovariate(1.0) * self.plan.disk_ms * slow
                 self._at(delay, "written", process.name, process.life)
             else:
                 self._after_write(process, ready)
-        due = seat.next_due()
+        due = seat.next_deadline_ms()
         if due < FOREVER:
             at = max(self.now, (due - process.origin) / process.rate) + 1e-6
             if at < process.tick_at or process.tick_at < self.now:
                 process.tick_at = at
                 self._at(at - self.now, "tick", process.name, process.life)
 
-    def _send(self, sender: str, to: str, message: m.SeatMessage) -> None:
+    def _send(self, sender: str, to: str, message: m.RaftMessage) -> None:
         self.result.messages += 1
         if (sender, to) in self.cut or self.source.random() < self.loss:
             return
@@ -489,9 +500,9 @@
                 self.tokens += 1
                 process.seat.read_index(now, self.tokens)
                 process.reads[self.tokens] = (name, command.request, command.key)
-        except NotLeader as error:
-            self._answer(name, command.request, None, error.hint or "?")
-        except CouncilBusy:
+        except NotLeaderError as error:
+            self._answer(name, command.request, None, error.leader_hint or "?")
+        except ConsensusBusyError:
             pass
         self._pump(process)
 
@@ -593,8 +604,8 @@
                 process = self.processes[self._leader()]
                 if process.seat is not None and not process.stopped:
                     try:
-                        process.seat.transfer(self._local(process), self.source.choice(names))
-                    except (NotLeader, SeatsRefused):
+                        process.seat.transfer_leadership(self._local(process), self.source.choice(names))
+                    except (NotLeaderError, MembershipChangeRefusedError):
                         pass
                     self._pump(process)
         self._at((self.plan.rest + self.source.expovariate(1.0) * 1.5) * election, "fault", left - 1)
@@ -620,7 +631,7 @@
         del self.processes[name]
         new = f"s{self.next_name}"
         self.next_name += 1
-        self._process(new, Stored())
+        self._process(new, StoredState())
         self.replacing = (name, new, self.source.random() < 0.5)
         self._at(10.0, "operate")
 
@@ -632,13 +643,13 @@
         if process is not None and process.seat is not None and not process.stopped:
             seat = process.seat
             try:
-                if seat.role is Role.LEADER and seat.log.seats_index <= seat.commit:
-                    done = old not in seat.seats and new in seat.seats
-                    if old in seat.seats and (old_first or new in seat.seats):
-                        seat.change_seats(self._local(process), remove=old)
-                    elif new not in seat.seats:
-                        seat.change_seats(self._local(process), add=new)
-            except (NotLeader, SeatsRefused):
+                if seat.role is Role.LEADER and seat.log.voters_index <= seat.commit:
+                    done = old not in seat.voters and new in seat.voters
+                    if old in seat.voters and (old_first or new in seat.voters):
+                        seat.change_voters(self._local(process), remove=old)
+                    elif new not in seat.voters:
+                        seat.change_voters(self._local(process), add=new)
+            except (NotLeaderError, MembershipChangeRefusedError):
                 pass
             self._pump(process)
         if done:
@@ -664,7 +675,7 @@
     def _states(self) -> str:
         return "; ".join(
             f"{name} {process.seat.role.value} term {process.seat.term} commit {process.seat.commit} "
-            f"of {process.seat.log.last} seats {process.seat.seats}"
+            f"of {process.seat.log.last_index} seats {process.seat.voters}"
             for name, process in sorted(self.processes.items())
             if process.seat is not None
         )
@@ -673,9 +684,11 @@
         """All that was ever applied anywhere is in what the leader has; histories are linearizable."""
         leader = self.processes[self._leader()]
         if leader.index < max(self.applied):
-            raise Broken(f"{leader.name} leads with {leader.index} applied, {max(self.applied)} was")
+            raise InvariantBrokenError(
+                f"{leader.name} leads with {leader.index} applied, {max(self.applied)} was"
+            )
         if sorted(self.applied) != list(range(1, len(self.applied) + 1)):
-            raise Broken("an index was left out")
+            raise InvariantBrokenError("an index was left out")
         pending = [
             Operation(
                 one.command.key,
@@ -693,7 +706,7 @@
         verdicts = self.result.verdicts.items()
         wrong = {key: one.value for key, one in verdicts if one is not Verdict.LINEARIZABLE}
         if wrong:
-            raise Broken(f"histories: {wrong}")
+            raise InvariantBrokenError(f"histories: {wrong}")
 
     def _count(self) -> None:
         result, election = self.result, self.plan.timing.election_ms
@@ -704,7 +717,7 @@
         result.served_share = len(self.windows) / max(1, int(until / election))
         for process in self.processes.values():
             if process.seat is not None:
-                result.dropped.update(process.seat.counts)
+                result.dropped.update(process.seat.drop_counts)
 
 
 def simulate(plan: Plan) -> Result:
--- a/cressrock/lab/day.py
+++ b/cressrock/lab/day.py
@@ -19,8 +19,7 @@
 from anyio.abc import TaskGroup
 
 from cressrock import net
-from cressrock.dispatch.spool import Spool, Store, whole
-from cressrock.gateway import Gateway, Parts, World
+from cressrock.dispatch.spool import PayloadStore, Spool, complete_spool
 from cressrock.http.channel import Headers, Stream
 from cressrock.lab.client import Client, Seen, retry_after
 from cressrock.lab.hall import Close, Hall, Serve
@@ -31,7 +30,8 @@
 from cressrock.lab.simnet import SimNet, SimSockets
 from cressrock.lab.site import Site, usual
 from cressrock.lab.trace import Row, Trace
-from cressrock.plan import PlannerProgram
+from cressrock.programs.gateway import Components, Environment, Gateway
+from cressrock.programs.planner import PlannerProgram
 from cressrock.settings.load import convert
 from cressrock.settings.types import Class
 from cressrock.settings.types import Gateway as Settings
@@ -115,11 +115,11 @@
 class Day:
     """One day being played."""
 
-    def __init__(self, script: Script, *, parts: Parts | None = None, log: Any = None) -> None:
+    def __init__(self, script: Script, *, parts: Components | None = None, log: Any = None) -> None:
         """`parts` are what each dispatcher is made of; a test may break one on purpose."""
         self.script = script
         self.site = script.site
-        self.parts = parts or Parts()
+        self.parts = parts or Components()
         self.log = log
         self.random = random.Random(script.seed)
         self.events: list[str] = []
@@ -383,7 +383,7 @@
 
     async def _open_hall(self, tasks: TaskGroup) -> None:
         script = self.script
-        store = Store(memory_bytes=1 << 28, spill_bytes=1 << 20)
+        store = PayloadStore(memory_bytes=1 << 28, spill_bytes=1 << 20)
         site = self.site
         self.listing = Listing(
             clock=self.clock, seed=script.seed + 5, late_ms=site.list_late_ms, record=self._record
@@ -411,7 +411,7 @@
         self.hall.publish()
         self.list_address, _ = await self._open("list:9000", self.listing.serve)
 
-    def _fill(self, store: Store) -> None:
+    def _fill(self, store: PayloadStore) -> None:
         """Put objects where the day's readers look for them, and the collections they stand in."""
         for volume in self.volumes:
             for shard in volume.shards:
@@ -424,7 +424,7 @@
                 rack = self.hall.racks[home(path.key, tuple(volume.shards))]
                 span = use.object_most_bytes - use.object_least_bytes
                 size = use.object_least_bytes + (index * 37) % max(1, span)
-                body: Spool = whole(store, b"s" * size)
+                body: Spool = complete_spool(store, b"s" * size)
                 rack.execute(Task("PUT", path, {}, body, b"", self._wall()))
 
     async def _start(self, dispatcher: _Dispatcher) -> None:
@@ -442,12 +442,12 @@
         planner.program = PlannerProgram(self.settings(planner.name, []), world, parts=self.parts)
         await self._live(planner, planner.program)
 
-    def _world(self, one: _Dispatcher | _Planner, seed: int) -> World:
+    def _world(self, one: _Dispatcher | _Planner, seed: int) -> Environment:
         """Begin a life: what it is told of the world, with a seed of its own."""
         one.lives += 1
         if self.sim is None:
-            return World(self._connect, self._wall, seed + one.lives, self.log or _Silent())
-        return World(
+            return Environment(self._connect, self._wall, seed + one.lives, self.log or _Silent())
+        return Environment(
             self._connect, self._wall, seed + one.lives, self.log or _Silent(), SimSockets(self.sim), False
         )
 
@@ -498,9 +498,9 @@
         driver = dispatcher.gateway.driver if dispatcher.gateway is not None else None
         if driver is None:
             return
-        for fence, number in driver.ledger.trips.items():
+        for fence, number in driver.ledger.fence_trips.items():
             self.fences[fence.value] = self.fences.get(fence.value, 0) + number
-        for verdict, number in driver.ledger.answers.items():
+        for verdict, number in driver.ledger.answer_counts.items():
             self.answers[verdict.value] = self.answers.get(verdict.value, 0) + number
 
     # --- clients
@@ -784,7 +784,7 @@
         return lambda *args, **fields: None
 
 
-def play(script: Script, *, parts: Parts | None = None, log: Any = None) -> Result:
+def play(script: Script, *, parts: Components | None = None, log: Any = None) -> Result:
     """Play a day: in simulated time on trio's mock clock, or for real on loopback sockets."""
     day = Day(script, parts=parts, log=log)
     if script.real:
--- a/cressrock/lab/drill.py
+++ b/cressrock/lab/drill.py
@@ -34,7 +34,7 @@
 from anyio.abc import TaskGroup
 
 from cressrock.errors import CressrockError
-from cressrock.errors.lab import ProcessUnknown, StepNotReached
+from cressrock.errors.lab import StepNotReachedError, UnknownProcessError
 from cressrock.lab import steps as st
 from cressrock.lab.day import Day, Result, Script, _Dispatcher, _Planner
 from cressrock.lab.judge import Judgement, judge
@@ -311,14 +311,14 @@
         for one in everybody:
             if one.name == name:
                 return one
-        raise ProcessUnknown(f"{name} is not part of this drill")
+        raise UnknownProcessError(f"{name} is not part of this drill")
 
     async def _until(self, wanted: st.Until) -> None:
         """Wait for a condition.  Raises StepNotReached."""
         begin, over = self.clock(), self.over
         while not self._reached(wanted, over):
             if self.clock() - begin > wanted.most_ms:
-                raise StepNotReached(f"{wanted.what} did not come in {wanted.most_ms / 1000:g} s")
+                raise StepNotReachedError(f"{wanted.what} did not come in {wanted.most_ms / 1000:g} s")
             await anyio.sleep(POLL_S)
 
     def _reached(self, wanted: st.Until, over: int) -> bool:
--- a/cressrock/lab/explored.py
+++ b/cressrock/lab/explored.py
@@ -7,12 +7,12 @@
 
 from dataclasses import replace
 
-from cressrock.council.core import Role
-from cressrock.council.raft import HardState, Ready, Seat
+from cressrock.consensus.raft.core import Role
+from cressrock.consensus.raft.node import HardState, RaftNode, Ready
 from cressrock.lab.explorer import Action, Bounds, Scenario
 
 
-class ForgetsVote(Seat):
+class ForgetsVote(RaftNode):
     """Keeps its term and not its vote: after a restart it votes again in the same term."""
 
     __slots__ = ()
@@ -20,12 +20,17 @@
     def ready(self) -> Ready:
         """Hand out a batch whose vote is missing."""
         batch = super().ready()
-        if batch.hard is None:
+        if batch.hard_state is None:
             return batch
-        return replace(batch, hard=HardState(batch.hard.term, "", batch.hard.commit, batch.hard.generation))
+        return replace(
+            batch,
+            hard_state=HardState(
+                batch.hard_state.term, "", batch.hard_state.commit, batch.hard_state.generation
+            ),
+        )
 
 
-class SpeaksFirst(Seat):
+class SpeaksFirst(RaftNode):
     """Hands out what it says at once and what is to be kept a batch later."""
 
     __slots__ = ("late",)
@@ -37,12 +42,14 @@
         late = getattr(self, "late", Ready())
         self.late = batch
         cut = late.truncate_from
-        return replace(batch, hard=late.hard, entries=late.entries, truncate_from=cut, snapshot=None)
+        return replace(
+            batch, hard_state=late.hard_state, entries=late.entries, truncate_from=cut, snapshot=None
+        )
 
     def key(self) -> tuple[object, ...]:
         """Return what decides, with what is still to be kept."""
         late = getattr(self, "late", Ready())
-        return (*super().key(), late.hard, late.entries, late.truncate_from)
+        return (*super().key(), late.hard_state, late.entries, late.truncate_from)
 
     def clone(self) -> SpeaksFirst:
         """Return a seat of its own in the same state."""
@@ -51,7 +58,7 @@
         return other
 
 
-class CommitsByCount(Seat):
+class CommitsByCount(RaftNode):
     """Commits an entry of a former term as soon as a majority has it (figure 3.7 of the dissertation)."""
 
     __slots__ = ()
@@ -60,7 +67,7 @@
         return True
 
 
-class ChangesEarly(Seat):
+class ChangesEarly(RaftNode):
     """Changes seats before an entry of its own term is committed (Ongaro's correction of 2015)."""
 
     __slots__ = ()
@@ -69,13 +76,17 @@
         return True
 
 
-class ReadsAtOnce(Seat):
+class ReadsAtOnce(RaftNode):
     """Confirms reads without asking whether it still leads."""
 
     __slots__ = ()
 
     def _read_due(self) -> bool:
-        return bool(self.reads) and self.state is Role.LEADER and self.reads[0][1] <= self.applied
+        return (
+            bool(self.pending_reads)
+            and self.state is Role.LEADER
+            and self.pending_reads[0][1] <= self.applied
+        )
 
 
 # a led term 2 and has an entry of it that nobody else has; c the same in term 3; a leads again in term 4.
@@ -184,7 +195,7 @@
 VOTES = Scenario("votes", Bounds(max_term=2, wire=4, stands=2, proposals=0, crashes=1))
 
 # Each with the invariant and the scenario that shows it.
-BROKEN: tuple[tuple[type[Seat], str, Scenario], ...] = (
+BROKEN: tuple[tuple[type[RaftNode], str, Scenario], ...] = (
     (ForgetsVote, "said, not kept", VOTES),
     (ForgetsVote, "election safety", replace(VOTES, check_kept=False)),
     (SpeaksFirst, "said, not kept", VOTES),
--- a/cressrock/lab/explorer.py
+++ b/cressrock/lab/explorer.py
@@ -25,20 +25,20 @@
 
 import msgspec
 
-from cressrock.council import messages as m
-from cressrock.council.messages import Entry, SeatMessage
-from cressrock.council.raft import Role, Seat, Stored, Timing, first
+from cressrock.consensus.raft import messages as m
+from cressrock.consensus.raft.messages import LogEntry, RaftMessage
+from cressrock.consensus.raft.node import RaftNode, RaftSettings, Role, StoredState, initial_state
 from cressrock.errors import CressrockError
-from cressrock.lab.seatstore import SeatStore
+from cressrock.lab.replica_store import InMemoryReplicaStore
 
 Action = tuple[Any, ...]
 T = TypeVar("T")
-MakeSeat = Callable[[str, Stored, Timing, random.Random, float], Seat]
+MakeSeat = Callable[[str, StoredState, RaftSettings, random.Random, float], RaftNode]
 
-_entries = msgspec.msgpack.Decoder(tuple[Entry, ...])
+_entries = msgspec.msgpack.Decoder(tuple[LogEntry, ...])
 
 
-class Violation(Exception):
+class PropertyViolatedError(Exception):
     """An invariant does not hold; `trace` are the actions that lead there."""
 
     def __init__(self, text: str) -> None:
@@ -77,7 +77,7 @@
     pre_vote: bool = False
     max_entries: int = 4
     prefix: tuple[Action, ...] = ()
-    make: MakeSeat = Seat
+    make: MakeSeat = RaftNode
     check_kept: bool = True  # whether what is said is compared with what is kept
 
 
@@ -94,7 +94,7 @@
     complete: bool = False  # all states within the bounds were seen
     leaders: int = 0  # states with a leader in them
     committed: int = 0  # the longest committed log seen
-    violation: Violation | None = None
+    violation: PropertyViolatedError | None = None
 
     def row(self) -> str:
         """Return one line of a table."""
@@ -111,7 +111,7 @@
     leads: bool
     term: int
     log: int  # number of the whole log
-    entries: tuple[Entry, ...]
+    entries: tuple[LogEntry, ...]
     committed: int
 
 
@@ -131,7 +131,7 @@
     """What happened on the way: who led which term, and each committed entry with the term it was in."""
 
     leaders: tuple[tuple[int, str], ...]
-    committed: tuple[tuple[Entry, int], ...]
+    committed: tuple[tuple[LogEntry, int], ...]
 
 
 class _State(NamedTuple):
@@ -176,29 +176,32 @@
         self.found = Found(s.name)
         self.names = (*s.seats, *s.others)
         self.place = {name: number for number, name in enumerate(self.names)}
-        self.timing = Timing(
+        self.timing = RaftSettings(
             election_ms=1.0,
             heartbeat_ms=0.5,
-            stick_ms=0.0,
-            lease_ms=float("inf"),
+            leader_stickiness_ms=0.0,
+            leader_lease_ms=float("inf"),
             pre_vote=s.pre_vote,
-            max_entries=s.max_entries,
-            max_inflight=4,
+            max_append_entries=s.max_entries,
+            max_inflight_appends=4,
         )
         self.source = random.Random(0)
-        self.seats: _Numbers[Seat] = _Numbers()
-        self.stores: _Numbers[SeatStore] = _Numbers()
-        self.messages: _Numbers[tuple[str, str, SeatMessage]] = _Numbers()
+        self.seats: _Numbers[RaftNode] = _Numbers()
+        self.stores: _Numbers[InMemoryReplicaStore] = _Numbers()
+        self.messages: _Numbers[tuple[str, str, RaftMessage]] = _Numbers()
         self.histories: _Numbers[_History] = _Numbers()
-        self.logs: _Numbers[tuple[Entry, ...]] = _Numbers()
+        self.logs: _Numbers[tuple[LogEntry, ...]] = _Numbers()
         self.views: dict[int, _View] = {}
         self.memo: dict[tuple[int, int, Action], _Outcome | None] = {}
         self.dead: dict[tuple[int, int], bool] = {}
         self.matching: dict[tuple[int, int], bool] = {}
         b = s.bounds
         self.most = tuple(getattr(b, kind) for kind in _KINDS)
-        start = first(s.seats)
-        stores = tuple(self._store(SeatStore(start if name in s.seats else Stored())) for name in self.names)
+        start = initial_state(s.seats)
+        stores = tuple(
+            self._store(InMemoryReplicaStore(start if name in s.seats else StoredState()))
+            for name in self.names
+        )
         seats = tuple(self._restart(name, stores[self.place[name]]) for name in self.names)
         spent = (0,) * (len(_KINDS) + len(b.changes))
         history = self._history(_History((), ((start.entries[0], 1),)))
@@ -206,11 +209,11 @@
 
     # Numbers for things
 
-    def _store(self, store: SeatStore) -> int:
+    def _store(self, store: InMemoryReplicaStore) -> int:
         return self.stores.of((store.hard, store.snapshot, store.entries), store)
 
-    def _seat(self, seat: Seat) -> int:
-        number = self.seats.of((seat.me, seat.key()), seat)
+    def _seat(self, seat: RaftNode) -> int:
+        number = self.seats.of((seat.name, seat.key()), seat)
         if number not in self.views:
             before = _entries.decode(seat.snapshot.data) if seat.snapshot else ()
             whole = (*before, *seat.log.entries)
@@ -246,7 +249,7 @@
                 return None
         except CressrockError as error:
             if given[0] == "take":
-                return _Outcome(seat_number, store_number, (), 0, 0, (), f"{seat.me}: {error.text}")
+                return _Outcome(seat_number, store_number, (), 0, 0, (), f"{seat.name}: {error.text}")
             if given[0] != "seats" or not seat.has_ready():  # a change refused may begin to teach a seat
                 return None
         sent: list[int] = []
@@ -257,9 +260,9 @@
             store.write(ready)
             for to, message in ready.messages:
                 if self.scenario.check_kept:
-                    error_text = error_text or self._unkept(seat.me, store, to, message)
-                sent.append(self.messages.of((seat.me, to, message), (seat.me, to, message)))
-            reads += [(int(read.token), read.index) for read in ready.reads]
+                    error_text = error_text or self._unkept(seat.name, store, to, message)
+                sent.append(self.messages.of((seat.name, to, message), (seat.name, to, message)))
+            reads += [(int(read.token), read.index) for read in ready.confirmed_reads]
             seat.advance(ready)
         written = self._store(store)
         number = self._seat(seat)
@@ -267,13 +270,13 @@
             number,
             written,
             tuple(sent),
-            self._restart(seat.me, store_number),
-            self._restart(seat.me, written),
+            self._restart(seat.name, store_number),
+            self._restart(seat.name, written),
             tuple(reads),
             error_text,
         )
 
-    def _give(self, seat: Seat, given: Action) -> bool:
+    def _give(self, seat: RaftNode, given: Action) -> bool:
         """Give a seat one input; return whether it was one for it."""
         match given:
             case ("take", number):
@@ -288,42 +291,42 @@
             case ("beat",):
                 if seat.role is not Role.LEADER:
                     return False
-                seat.beat()
+                seat.broadcast_heartbeat()
             case ("read", committed):
                 seat.read_index(0.0, committed)
             case ("transfer", to):
                 if seat.term >= self.scenario.bounds.max_term:
                     return False
-                seat.transfer(0.0, to)
+                seat.transfer_leadership(0.0, to)
             case ("compact",):
-                if seat.applied <= seat.log.base:
+                if seat.applied <= seat.log.snapshot_index:
                     return False
                 before = _entries.decode(seat.snapshot.data) if seat.snapshot else ()
-                whole = (*before, *seat.log.between(seat.log.base + 1, seat.applied))
+                whole = (*before, *seat.log.entries_between(seat.log.snapshot_index + 1, seat.applied))
                 seat.compact(seat.applied, msgspec.msgpack.encode(whole))
             case ("seats", add, remove):
-                seat.change_seats(0.0, add=add, remove=remove)
+                seat.change_voters(0.0, add=add, remove=remove)
         return True
 
     @staticmethod
-    def _unkept(me: str, store: SeatStore, to: str, message: SeatMessage) -> str:
+    def _unkept(me: str, store: InMemoryReplicaStore, to: str, message: RaftMessage) -> str:
         """Return what a message says that the store does not have, "" if nothing."""
         hard = store.hard
         kept = True
         if message.term > hard.term:
             return f"said, not kept: {me} speaks of term {message.term}, kept is {hard.term}"
         match message:
-            case m.Vote():
+            case m.RequestVote():
                 kept = message.term < hard.term or hard.voted_for == me
-            case m.VoteReply(granted=True):
+            case m.RequestVoteReply(granted=True):
                 kept = message.term < hard.term or hard.voted_for == to
-            case m.AppendReply(accepted=True):
-                kept = message.term < hard.term or store.last >= message.match
+            case m.AppendEntriesReply(accepted=True):
+                kept = message.term < hard.term or store.last_index >= message.match
             case m.InstallSnapshotReply(done=True):
-                kept = message.term < hard.term or store.last >= message.index
-            case m.Append(entries=entries) if entries and message.term == hard.term:
+                kept = message.term < hard.term or store.last_index >= message.index
+            case m.AppendEntries(entries=entries) if entries and message.term == hard.term:
                 kept = all(store.term_at(entry.index) in (entry.term, None) for entry in entries)
-                kept = kept and store.last >= entries[-1].index
+                kept = kept and store.last_index >= entries[-1].index
         return "" if kept else f"said, not kept: {me} to {to}: {message}"
 
     # Invariants
@@ -336,7 +339,9 @@
         leaders, committed = history
         for number, (entry, _) in enumerate(committed[: view.committed]):
             if view.entries[number] != entry:
-                raise Violation(f"state machine safety: {name} has {view.entries[number]} for {entry}")
+                raise PropertyViolatedError(
+                    f"state machine safety: {name} has {view.entries[number]} for {entry}"
+                )
         if view.committed > len(committed):
             more = view.entries[len(committed) : view.committed]
             committed += tuple((entry, view.term) for entry in more)
@@ -347,15 +352,17 @@
                 for number, (entry, term) in enumerate(committed):
                     has = view.entries[number] if number < len(view.entries) else None
                     if term < view.term and has != entry:
-                        raise Violation(f"leader completeness: {name} leads term {view.term} without {entry}")
+                        raise PropertyViolatedError(
+                            f"leader completeness: {name} leads term {view.term} without {entry}"
+                        )
             elif led != name:
-                raise Violation(f"election safety: {led} and {name} lead term {view.term}")
+                raise PropertyViolatedError(f"election safety: {led} and {name} lead term {view.term}")
         for other, seat in enumerate(state.seats):
             if other != place and not self._match(view.log, self.views[seat].log):
-                raise Violation(f"log matching: {name} and {self.names[other]}")
+                raise PropertyViolatedError(f"log matching: {name} and {self.names[other]}")
         for asked, index in reads:
             if index < asked:
-                raise Violation(f"read: {name} confirmed {index}, committed was {asked}")
+                raise PropertyViolatedError(f"read: {name} confirmed {index}, committed was {asked}")
         self.found.committed = max(self.found.committed, len(committed))
         if leaders is history.leaders and committed is history.committed:
             return state.history
@@ -392,7 +399,7 @@
         if outcome is None:
             return None
         if outcome.error:
-            raise Violation(outcome.error)
+            raise PropertyViolatedError(outcome.error)
         seat, store, reads = outcome.seat, outcome.store, outcome.reads
         if crash == "before":
             seat, store, reads = outcome.before, state.stores[place], ()
@@ -417,11 +424,11 @@
             match message:
                 case m.PreVoteReply():
                     found = message.next_term <= seat.term and message.term <= seat.term
-                case m.VoteReply():
+                case m.RequestVoteReply():
                     found = message.term < seat.term or (
                         message.term == seat.term and seat.state is not Role.CANDIDATE
                     )
-                case m.AppendReply() | m.InstallSnapshotReply():
+                case m.AppendEntriesReply() | m.InstallSnapshotReply():
                     found = message.term < seat.term or (
                         message.term == seat.term and seat.state not in (Role.CANDIDATE, Role.LEADER)
                     )
@@ -503,7 +510,7 @@
             for state in frontier:
                 try:
                     steps = self._next(state)
-                except Violation as violation:
+                except PropertyViolatedError as violation:
                     found.violation = violation
                     violation.trace = (*self._trace(came, hash(state)), *self._last(state))
                     return found
--- a/cressrock/lab/fleetsim.py
+++ b/cressrock/lab/fleetsim.py
@@ -10,10 +10,10 @@
 from collections.abc import Callable
 from typing import Any
 
-from cressrock.errors.fleet import DatagramError
-from cressrock.fleet import messages as m
-from cressrock.fleet.members import Event, Fenced, Identity, Members, MembersSettings
-from cressrock.fleet.messages import State
+from cressrock.errors.membership import DatagramError
+from cressrock.membership import packets as m
+from cressrock.membership.membership import Event, Fenced, Identity, Membership, MembershipSettings
+from cressrock.membership.packets import MemberState
 
 QUEUE = 512  # datagrams that wait at a stopped process, as a socket's buffer would hold
 
@@ -21,7 +21,7 @@
 class Host:
     """One process: its members, and whether it runs."""
 
-    def __init__(self, name: str, address: str, members: Members) -> None:
+    def __init__(self, name: str, address: str, members: Membership) -> None:
         """Stand at an address."""
         self.name = name
         self.address = address
@@ -40,14 +40,14 @@
     def __init__(
         self,
         seed: int,
-        settings: MembersSettings | None = None,
+        settings: MembershipSettings | None = None,
         *,
         loss: float = 0.0,
         delay_ms: tuple[float, float] = (0.2, 3.0),
     ) -> None:
         """`loss` is the chance of each datagram to vanish, one way."""
         self.random = random.Random(seed)
-        self.settings = settings or MembersSettings()
+        self.settings = settings or MembershipSettings()
         self.loss = loss
         self.delay_ms = delay_ms
         self.now = 0.0
@@ -68,7 +68,7 @@
         address = address or f"{name}:1"
         me = Identity(name, life, address, **told)
         source = random.Random(self.random.getrandbits(64))
-        host = Host(name, address, Members(me, self.settings, seeds, source, self.now))
+        host = Host(name, address, Membership(me, self.settings, seeds, source, self.now))
         self.hosts[address] = host
         self._plan(host)
         return host
@@ -80,9 +80,9 @@
         if joined:
             claims = [host.members._mine(full=True) for host in hosts]
             for host in hosts:
-                host.members.take_piece(self.now, "", claims)
-                host.members.exchange_ended(self.now, True)
-                host.members.take_events()
+                host.members.merge_remote_state(self.now, "", claims)
+                host.members.record_exchange_result(self.now, True)
+                host.members.drain_events()
                 for name in list(host.members._queue.of):
                     host.members._queue.drop(name)
         return hosts
@@ -118,14 +118,16 @@
 
     def one_view(self) -> bool:
         """Return whether every running process holds exactly the running ones alive."""
-        running = {(host.name, host.members.me.life) for host in self.hosts.values() if host.up}
+        running = {
+            (host.name, host.members.local.process_incarnation) for host in self.hosts.values() if host.up
+        }
         for host in self.hosts.values():
             members = host.members
             if len(members._live) + 1 != len(running):
                 return False
             for name in members._live.names:
                 record = members._records[name]
-                if record.state is not State.ALIVE or (name, record.life) not in running:
+                if record.state is not MemberState.ALIVE or (name, record.life) not in running:
                     return False
         return True
 
@@ -140,7 +142,7 @@
         self._tick(host, host.due)
 
     def _plan(self, host: Host) -> None:
-        due = host.members.next_due()
+        due = host.members.next_tick_ms()
         if due != host.due and due != float("inf"):
             host.due = due
             self._number += 1
@@ -154,7 +156,7 @@
 
     def _hand(self, host: Host, sender: str, data: bytes) -> None:
         try:
-            letter = m.decode(data, self.settings.cluster, self.settings.max_datagram)
+            letter = m.decode(data, self.settings.cluster, self.settings.max_datagram_bytes)
         except DatagramError as wrong:
             self.refused[wrong.code] = self.refused.get(wrong.code, 0) + 1
             return
@@ -163,16 +165,16 @@
 
     def _after(self, host: Host) -> None:
         members = host.members
-        for sent in members.take_sends():
-            data = m.encode(self.settings.cluster, host.name, members.me.life, sent.message)
+        for sent in members.drain_messages():
+            data = m.encode(self.settings.cluster, host.name, members.local.process_incarnation, sent.message)
             host.bytes += len(data) + 28  # with the headers of UDP and IPv4
             host.datagrams += 1
             self.datagram(host, sent.address, data)
-        for event in members.take_events():
+        for event in members.drain_events():
             self.events.append((self.now, host.name, event))
             if isinstance(event, Fenced):
                 self.kill(host)
-        for wanted in members.take_exchanges():
+        for wanted in members.drain_exchanges():
             self.after(3 * self._delay(), self._exchange, host, wanted.address)
         self._plan(host)
 
@@ -204,19 +206,21 @@
         peer = self.hosts.get(address)
         reached = peer is not None and self.open(host.name, peer.name) and self.open(peer.name, host.name)
         if peer is None or not reached or peer.stopped_until > self.now:
-            host.members.exchange_ended(self.now, False)
+            host.members.record_exchange_result(self.now, False)
             return
         self.exchanges += 1
-        ours, theirs = host.members.pieces(), peer.members.pieces()
+        ours, theirs = host.members.state_batches(), peer.members.state_batches()
         for one, other, pieces in ((peer, host, ours), (host, peer, theirs)):
             for piece in pieces:
-                body = m.Piece(piece)
-                data = m.encode(self.settings.cluster, other.name, other.members.me.life, body)
+                body = m.ExchangePart(piece)
+                data = m.encode(
+                    self.settings.cluster, other.name, other.members.local.process_incarnation, body
+                )
                 other.bytes += len(data)
-                letter = m.decode(data, self.settings.cluster, m.MAX_FRAME)
-                assert isinstance(letter.body, m.Piece)
-                one.members.take_piece(self.now, other.name, letter.body.claims)
-        host.members.exchange_ended(self.now, True)
+                letter = m.decode(data, self.settings.cluster, m.MAX_FRAME_BYTES)
+                assert isinstance(letter.body, m.ExchangePart)
+                one.members.merge_remote_state(self.now, other.name, letter.body.updates)
+        host.members.record_exchange_result(self.now, True)
         self._after(peer)
         if host.up:
             self._after(host)
--- a/cressrock/lab/fragile.py
+++ b/cressrock/lab/fragile.py
@@ -12,16 +12,16 @@
 
 def main() -> None:
     """Break the decision module, then be the program."""
-    from cressrock.brain import Brain
     from cressrock.interface import Settings
+    from cressrock.scheduler.scheduler import Scheduler
 
-    def widen(self: Brain, settings: Settings) -> None:
-        if any(cls.aim_ms == DEADLY_MS for cls in settings.classes):
+    def widen(self: Scheduler, settings: Settings) -> None:
+        if any(cls.latency_objective_ms == DEADLY_MS for cls in settings.classes):
             os._exit(9)
         sound(self, settings)
 
-    sound = Brain.widen
-    Brain.widen = widen  # type: ignore[method-assign]
+    sound = Scheduler.widen
+    Scheduler.widen = widen  # type: ignore[method-assign]
     runpy.run_module("cressrock", run_name="__main__")
 
 
--- a/cressrock/lab/fuzz.py
+++ b/cressrock/lab/fuzz.py
@@ -14,10 +14,9 @@
 
 import anyio
 
-from cressrock.dispatch.answers import load_of
-from cressrock.dispatch.nodelist import ListError, ListState
-from cressrock.dispatch.spool import Store
-from cressrock.gateway import Gateway, World
+from cressrock.dispatch.node_list import NodeListError, NodeListState
+from cressrock.dispatch.node_response import reported_load
+from cressrock.dispatch.spool import PayloadStore
 from cressrock.http.channel import BROKEN, Stream
 from cressrock.lab.day import EPOCH_MS, simulate
 from cressrock.lab.hall import Close, Hall, Serve
@@ -26,9 +25,10 @@
 from cressrock.lab.node import Rates
 from cressrock.lab.serve import lab_settings
 from cressrock.lab.simnet import SimNet
+from cressrock.programs.gateway import Environment, Gateway
 from cressrock.settings.load import convert
 from cressrock.webdav import conditions, xml
-from cressrock.webdav.paths import BadPath, parse, parse_url
+from cressrock.webdav.paths import InvalidPathError, parse, parse_url
 
 METHODS = b"GET HEAD PUT DELETE MKCOL COPY MOVE PROPFIND PROPPATCH LOCK UNLOCK OPTIONS BREW".split()
 PATHS = (
@@ -156,7 +156,7 @@
 
             return address, close
 
-        store = Store(memory_bytes=1 << 26, spill_bytes=1 << 20)
+        store = PayloadStore(memory_bytes=1 << 26, spill_bytes=1 << 20)
         listing = Listing(clock=clock, seed=seed)
         hall = Hall(
             tasks, opened, clock, wall, seed, [None], 10000.0, Meter(1000.0, 0.0), Rates(), store, listing
@@ -166,7 +166,7 @@
         hall.publish()
         net.listen("list:9000", listing.serve)
         settings = convert("fuzz", lab_settings("list:9000", "127.0.0.1:0", 3))
-        gateway = Gateway(settings, World(net.connect, wall, seed, _Log(found)))
+        gateway = Gateway(settings, Environment(net.connect, wall, seed, _Log(found)))
         await tasks.start(gateway.run)
         net.listen("gw:80", gateway.serve)
         await anyio.sleep(1)
@@ -208,9 +208,9 @@
     assert gateway.driver is not None and gateway.front is not None and gateway.server is not None
     left = {
         "operations": len(gateway.driver.ledger.entries),
-        "attempts": len(gateway.driver.out),
+        "attempts": len(gateway.driver.in_flight),
         "requests": gateway.front.open,
-        "payload bytes": gateway.store.held,
+        "payload bytes": gateway.payload_store.memory_used_bytes,
         "connections": gateway.server.connections,
     }
     for name, count in left.items():
@@ -242,7 +242,7 @@
 def fuzz_parsers(seed: int, inputs: int) -> Found:
     """Hand drawn bytes to each parser of untrusted bytes; only its own error may come out."""
     draw, found = random.Random(seed), Found()
-    state = ListState("storage", max_nodes=100)
+    state = NodeListState("storage", max_nodes=100)
     values = [one.split(b": ", 1)[-1] for one in FIELDS]
     pool = [
         *FIELDS,
@@ -252,18 +252,18 @@
         b'{"version_info": "1", "resources": [{"cluster_name": "storage"}]}',
     ]
     parsers: list[tuple[str, Callable[[bytes], Any], type[Exception]]] = [
-        ("path", lambda b: parse(b.decode("latin-1")), BadPath),
-        ("url", lambda b: parse_url(b.decode("latin-1"), "gw"), BadPath),
-        ("if", lambda b: conditions.parse_if(b.decode("latin-1")), conditions.BadHeader),
-        ("etags", lambda b: conditions.etags(b.decode("latin-1")), conditions.BadHeader),
+        ("path", lambda b: parse(b.decode("latin-1")), InvalidPathError),
+        ("url", lambda b: parse_url(b.decode("latin-1"), "gw"), InvalidPathError),
+        ("if", lambda b: conditions.parse_if(b.decode("latin-1")), conditions.InvalidHeaderError),
+        ("etags", lambda b: conditions.etags(b.decode("latin-1")), conditions.InvalidHeaderError),
         ("range", lambda b: conditions.byte_range(b.decode("latin-1"), 100), ValueError),
         ("date", lambda b: conditions.http_date(b.decode("latin-1")), ValueError),
-        ("propfind", xml.propfind, xml.BadXML),
-        ("proppatch", xml.proppatch, xml.BadXML),
-        ("lockinfo", xml.lockinfo, xml.BadXML),
-        ("multistatus", xml.read_multistatus, xml.BadXML),
-        ("list", lambda b: state.receive(b, 0, 0), ListError),
-        ("load", lambda b: load_of([(b"endpoint-load-metrics", b)]), ValueError),
+        ("propfind", xml.propfind, xml.InvalidXMLError),
+        ("proppatch", xml.proppatch, xml.InvalidXMLError),
+        ("lockinfo", xml.lockinfo, xml.InvalidXMLError),
+        ("multistatus", xml.read_multistatus, xml.InvalidXMLError),
+        ("list", lambda b: state.receive(b, 0, 0), NodeListError),
+        ("load", lambda b: reported_load([(b"endpoint-load-metrics", b)]), ValueError),
     ]
     for _ in range(inputs):
         data = draw.choice(pool)
--- a/cressrock/lab/hall.py
+++ b/cressrock/lab/hall.py
@@ -8,7 +8,7 @@
 
 from anyio.abc import TaskGroup
 
-from cressrock.dispatch.spool import Store
+from cressrock.dispatch.spool import PayloadStore
 from cressrock.http.channel import Stream
 from cressrock.lab.listing import Listed, Listing
 from cressrock.lab.model import Machine, Meter, Performance
@@ -41,7 +41,7 @@
     window_ms: float
     meter: Meter
     rates: Rates
-    store: Store
+    store: PayloadStore
     listing: Listing
     record: Callable[[Row], None] | None = None
     zones: dict[int, str] = field(default_factory=dict)  # of shards; "hall" where nothing is said
--- a/cressrock/lab/hollow.py
+++ b/cressrock/lab/hollow.py
@@ -14,24 +14,31 @@
 from dataclasses import dataclass
 from typing import Any
 
-from cressrock.council.decrees import Decree
-from cressrock.council.news import BEAT, PREFIX, Taker
-from cressrock.errors.fleet import DatagramError
-from cressrock.fleet import messages as m
-from cressrock.fleet.members import Event, Fenced, Identity, Members, MembersSettings, ToSend
-from cressrock.fleet.rounds import Rounds, RoundsSettings
-from cressrock.fleet.spread import Origin, Spread, SpreadSettings
+from cressrock.consensus.decision_gossip import DECISION_PREFIX, RENEWAL_PREFIX, DecisionSubscriber
+from cressrock.consensus.decisions import Decision
+from cressrock.errors.membership import DatagramError
+from cressrock.gossip.anti_entropy import AntiEntropy, AntiEntropySettings
+from cressrock.gossip.store import GossipStore, GossipStoreSettings, Origin
 from cressrock.lab.fleetsim import FleetSim, Host
 from cressrock.lab.hollow_shared import Pool, SharedMembers, SharedSpread, acquaint, fill
+from cressrock.membership import packets as m
+from cressrock.membership.membership import (
+    Event,
+    Fenced,
+    Identity,
+    Membership,
+    MembershipSettings,
+    OutgoingMessage,
+)
 
 FIRST_LIFE = 1_790_000_000_000  # as long on the wire as a clock's milliseconds
 HEADERS = 28  # bytes of UDP and IPv4
 REGIONS = 2
 ZONES = 6
 KINDS: dict[type, str] = {
-    m.Digest: "digest",
-    m.Delta: "delta",
-    m.Rumours: "rumours",
+    m.GossipDigest: "digest",
+    m.GossipDelta: "delta",
+    m.Updates: "rumours",
     m.Ping: "ping",
     m.Ack: "ack",
 }
@@ -52,20 +59,20 @@
 class Hollow(Host):
     """One process: its members, and with a spread its rounds and its decrees' reader."""
 
-    def __init__(self, name: str, address: str, members: Members) -> None:
+    def __init__(self, name: str, address: str, members: Membership) -> None:
         """Stand at an address."""
         super().__init__(name, address, members)
-        self.rounds: Rounds | None = None
-        self.spread: Spread | None = None
-        self.taker = Taker()
-        self.zone = members.me.zone
-        self.region = members.me.region
+        self.rounds: AntiEntropy | None = None
+        self.spread: GossipStore | None = None
+        self.taker = DecisionSubscriber()
+        self.zone = members.local.zone
+        self.region = members.local.region
         self.greatest = 0  # bytes of a datagram
 
     def next_due(self) -> float:
         """Return when it is to be ticked next."""
-        due = self.members.next_due()
-        return due if self.rounds is None else min(due, self.rounds.next_due())
+        due = self.members.next_tick_ms()
+        return due if self.rounds is None else min(due, self.rounds.next_tick_ms())
 
 
 class HollowFleet(FleetSim):
@@ -75,24 +82,26 @@
         self,
         size: Size,
         *,
-        members: MembersSettings | None = None,
-        rounds: RoundsSettings | None = None,
-        spread: SpreadSettings | None = None,
-        make_spread: Callable[[str, int, SpreadSettings, random.Random], Spread] | None = None,
+        members: MembershipSettings | None = None,
+        rounds: AntiEntropySettings | None = None,
+        spread: GossipStoreSettings | None = None,
+        make_spread: Callable[[str, int, GossipStoreSettings, random.Random], GossipStore] | None = None,
     ) -> None:
         """`make_spread` puts another class in the place of `Spread`, which then is not shared."""
         room = max(4 * size.n, 64)
-        super().__init__(size.seed, members or MembersSettings(max_members=max(room, 4096)), loss=size.loss)
+        super().__init__(
+            size.seed, members or MembershipSettings(max_members=max(room, 4096)), loss=size.loss
+        )
         self.size = size
-        self.rounds_settings = rounds or RoundsSettings(period_ms=self.settings.period_ms / 5)
-        self.spread_settings = spread or SpreadSettings(max_origins=room)
+        self.rounds_settings = rounds or AntiEntropySettings(period_ms=self.settings.protocol_period_ms / 5)
+        self.spread_settings = spread or GossipStoreSettings(max_origins=room)
         self.make_spread = make_spread
         self.common: dict[str, Any] = {}
         self.pool: Pool = {}
         self.by_kind: dict[str, list[int]] = {}  # bytes and datagrams since the last `mark`
         self.heard: Callable[[Hollow, Origin, str], None] = lambda host, origin, key: None
         self.told: Callable[[Hollow, Event], None] = self._note
-        self.took: Callable[[Hollow, Decree], None] = lambda host, decree: None
+        self.took: Callable[[Hollow, Decision], None] = lambda host, decree: None
         self.members: list[Hollow] = []
         self._marked_at = 0.0
         self._marked: dict[Hollow, tuple[int, int]] = {}
@@ -100,7 +109,7 @@
         self.members = [self._make(number, FIRST_LIFE + number, seeds) for number in range(size.n)]
         acquaint([host.members for host in self.members], self.now, share=size.share)
         for host in self.members:
-            host.members.take_events()
+            host.members.drain_events()
             self._plan(host)
 
     # --- who
@@ -109,22 +118,22 @@
         name, place = f"edge-{number:04d}", number % ZONES
         me = Identity(name, life, address(number), "edge", f"zone-{place}", f"region-{place % REGIONS}")
         source = random.Random(self.random.getrandbits(64))
-        members: Members
+        members: Membership
         if self.size.share:
             members = SharedMembers(me, self.settings, seeds, source, self.now, self.common)
         else:
-            members = Members(me, self.settings, seeds, source, self.now)
+            members = Membership(me, self.settings, seeds, source, self.now)
         host = Hollow(name, me.address, members)
         if self.size.spread:
-            made: Spread
+            made: GossipStore
             if self.make_spread is not None:
                 made = self.make_spread(name, life, self.spread_settings, source)
             elif self.size.share:
                 made = SharedSpread(name, life, self.spread_settings, source, self.pool)
             else:
-                made = Spread(name, life, self.spread_settings, source)
+                made = GossipStore(name, life, self.spread_settings, source)
             host.spread = made
-            host.rounds = Rounds(members, made, self.rounds_settings, source, self.now)
+            host.rounds = AntiEntropy(members, made, self.rounds_settings, source, self.now)
         self.hosts[host.address] = host
         return host
 
@@ -144,7 +153,7 @@
     def _again(self, host: Hollow) -> None:
         number = int(host.name[5:])
         seeds = tuple(one.address for one in self.members[:4] if one.name != host.name)
-        new = self._make(number, host.members.me.life + 1_000_000, seeds)
+        new = self._make(number, host.members.local.process_incarnation + 1_000_000, seeds)
         self.members[number] = new
         self._plan(new)
 
@@ -185,7 +194,7 @@
         if not host.up or host.stopped_until > self.now or due != host.due:
             return
         assert isinstance(host, Hollow)
-        if host.members.next_due() <= self.now:
+        if host.members.next_tick_ms() <= self.now:
             host.members.tick(self.now)
         if host.rounds is not None:
             self._put(host, host.rounds.tick(self.now))
@@ -194,34 +203,36 @@
     def _hand(self, host: Host, sender: str, data: bytes) -> None:
         assert isinstance(host, Hollow)
         try:
-            letter = m.decode(data, self.settings.cluster, self.settings.max_datagram)
+            letter = m.decode(data, self.settings.cluster, self.settings.max_datagram_bytes)
         except DatagramError as wrong:
             self.refused[wrong.code] = self.refused.get(wrong.code, 0) + 1
             return
         host.members.receive(self.now, sender, letter)
-        if host.rounds is not None and isinstance(letter.body, m.Digest | m.Delta):
+        if host.rounds is not None and isinstance(letter.body, m.GossipDigest | m.GossipDelta):
             self._put(host, host.rounds.receive(self.now, letter))
-            if isinstance(letter.body, m.Delta):
+            if isinstance(letter.body, m.GossipDelta):
                 self._merged(host)
         self._after(host)
 
-    def _put(self, host: Hollow, sends: list[ToSend]) -> None:
+    def _put(self, host: Hollow, sends: list[OutgoingMessage]) -> None:
         for sent in sends:
-            data = m.encode(self.settings.cluster, host.name, host.members.me.life, sent.message)
+            data = m.encode(
+                self.settings.cluster, host.name, host.members.local.process_incarnation, sent.message
+            )
             self.count(host, sent.message, len(data) + HEADERS)
             self.datagram(host, sent.address, data)
 
     def _after(self, host: Host) -> None:
         assert isinstance(host, Hollow)
         members = host.members
-        if sends := members.take_sends():
+        if sends := members.drain_messages():
             self._put(host, sends)
-        for event in members.take_events():
+        for event in members.drain_events():
             self.told(host, event)
             if isinstance(event, Fenced):
                 self.kill(host)
-        for wanted in members.take_exchanges():
-            self.after(3 * self._delay(), self._meet, host, wanted.address, wanted.whole)
+        for wanted in members.drain_exchanges():
+            self.after(3 * self._delay(), self._meet, host, wanted.address, wanted.with_gossip_state)
         self._plan(host)
 
     def count(self, host: Hollow, message: Any, size: int) -> None:
@@ -238,11 +249,11 @@
         """Look at what a merge changed, as `Ground` does after each."""
         spread = host.spread
         assert spread is not None
-        for origin, key in spread.changes():
-            if key.startswith((PREFIX, BEAT)):
-                value = spread.value(key, origin)
+        for origin, key in spread.drain_changes():
+            if key.startswith((DECISION_PREFIX, RENEWAL_PREFIX)):
+                value = spread.value_of(key, origin)
                 if value is not None:
-                    for decree in host.taker.take(key, value)[0]:
+                    for decree in host.taker.receive_entry(key, value)[0]:
                         self.took(host, decree)
             self.heard(host, origin, key)
 
@@ -258,10 +269,10 @@
                 continue
             cursor: Any = None
             while True:
-                data, cursor = one.spread.full(cursor, m.MAX_FRAME // 2)
+                data, cursor = one.spread.full_state(cursor, m.MAX_FRAME_BYTES // 2)
                 one.bytes += len(data)
                 if data:
-                    other.rounds.take_piece(data)
+                    other.rounds.merge_full_state(data)
                     self._merged(other)
                 if cursor is None:
                     break
--- a/cressrock/lab/hollow_scenes.py
+++ b/cressrock/lab/hollow_scenes.py
@@ -13,11 +13,11 @@
 import statistics
 from collections.abc import Callable, Iterable
 
-from cressrock.council.decrees import Decree
-from cressrock.council.news import Teller
-from cressrock.fleet.members import Event, Gone
-from cressrock.fleet.spread import Origin
+from cressrock.consensus.decision_gossip import DecisionPublisher
+from cressrock.consensus.decisions import Decision
+from cressrock.gossip.store import Origin
 from cressrock.lab.hollow import ZONES, Hollow, HollowFleet, Size
+from cressrock.membership.membership import Event, MemberDead
 
 Clock = Callable[[], float]  # seconds of processor time
 Figures = dict[str, tuple[float, str]]
@@ -90,7 +90,7 @@
 
     def told(self, host: Hollow, event: Event) -> None:
         """Take an observer's event."""
-        if isinstance(event, Gone):
+        if isinstance(event, MemberDead):
             if event.name in self.lost:
                 self.waits.append(self.fleet.now - self.at)
             else:
@@ -147,7 +147,9 @@
             return
         host.members.leave(fleet.now)
         fleet._after(host)
-        fleet.after(fleet.settings.period_ms, lambda: fleet.restart(host, 1500.0) if host.up else None)
+        fleet.after(
+            fleet.settings.protocol_period_ms, lambda: fleet.restart(host, 1500.0) if host.up else None
+        )
 
     one()
     fleet.run(warm_ms)
@@ -205,14 +207,14 @@
         self.lags: list[int] = []
         for host in fleet.members:
             assert host.spread is not None
-            self.written[host.spread.me] = []
-            self.begun[host.spread.me] = host.spread.mark(host.spread.me)
+            self.written[host.spread.local] = []
+            self.begun[host.spread.local] = host.spread.known_version(host.spread.local)
 
     def write(self, host: Hollow) -> None:
         """Let a process write its next word."""
         assert host.spread is not None
         host.spread.put(WORD[1], self.fleet.random.randbytes(WORD_BYTES))
-        self.written[host.spread.me].append(self.fleet.now)
+        self.written[host.spread.local].append(self.fleet.now)
 
     def look(self, readers: Iterable[Hollow]) -> None:
         """Count how far these are behind each writer."""
@@ -235,7 +237,7 @@
         self.fleet = fleet
         step = max(1, fleet.size.n // seats)
         self.seats = [fleet.members[number * step] for number in range(seats)]
-        self.tellers = [Teller(640 - 32) for _ in self.seats]
+        self.tellers = [DecisionPublisher(640 - 32) for _ in self.seats]
         self.value = fleet.random.randbytes(DECREE_BYTES)
         self.number = 1_790_000_000_000
         topics = [f"sync/shard-{at:04d}" for at in range(standing)]
@@ -246,15 +248,15 @@
         self._tell(range(len(self.seats)), 0)
         fleet.took = self.took
 
-    def _decree(self, topic: str) -> Decree:
+    def _decree(self, topic: str) -> Decision:
         self.number += 1
-        return Decree(topic, self.number, self.value, 10_000.0)
+        return Decision(topic, self.number, self.value, 10_000.0)
 
     def _tell(self, seats: Iterable[int], beat: int) -> None:
         for seat in seats:
             spread = self.seats[seat].spread
             assert spread is not None
-            for change in self.tellers[seat].tell(self.standing.values(), beat):
+            for change in self.tellers[seat].publish(self.standing.values(), beat):
                 if change.value is None:
                     spread.remove(change.key)
                 else:
@@ -270,15 +272,15 @@
         """Let another decree stand: each seat tells it once it has applied it."""
         topic = self.fleet.random.choice(sorted(self.standing))
         decree = self.standing[topic] = self._decree(topic)
-        self.at[decree.number], self.waits[decree.number] = self.fleet.now, {}
+        self.at[decree.version], self.waits[decree.version] = self.fleet.now, {}
         for seat in range(len(self.seats)):
             self.fleet.after(self.fleet.random.uniform(5, 50), self._tell, [seat], 0)
 
-    def took(self, host: Hollow, decree: Decree) -> None:
+    def took(self, host: Hollow, decree: Decision) -> None:
         """Note when a process first took a decree."""
-        begun = self.at.get(decree.number)
+        begun = self.at.get(decree.version)
         if begun is not None:
-            self.waits[decree.number].setdefault(host.name, self.fleet.now - begun)
+            self.waits[decree.version].setdefault(host.name, self.fleet.now - begun)
 
     def figures(self) -> Figures:
         """Return delays over pairs of decree and process; who never took one counts as missing."""
--- a/cressrock/lab/hollow_shared.py
+++ b/cressrock/lab/hollow_shared.py
@@ -16,10 +16,10 @@
 from collections.abc import Sequence
 from typing import Any
 
-from cressrock.fleet import spread as s
-from cressrock.fleet.members import Identity, Members, MembersSettings, _Record
-from cressrock.fleet.messages import Claim, State
-from cressrock.fleet.spread import Origin, Spread, SpreadSettings
+from cressrock.gossip import store as s
+from cressrock.gossip.store import GossipStore, GossipStoreSettings, Origin
+from cressrock.membership.membership import Identity, Membership, MembershipSettings, _Record
+from cressrock.membership.packets import MemberState, MemberUpdate
 
 
 def copied(record: _Record) -> _Record:
@@ -39,13 +39,13 @@
     )
 
 
-class SharedMembers(Members):
+class SharedMembers(Membership):
     """Members whose records are those of `common` until they differ."""
 
     def __init__(
         self,
         me: Identity,
-        settings: MembersSettings,
+        settings: MembershipSettings,
         seeds: tuple[str, ...],
         source: random.Random,
         now_ms: float,
@@ -60,14 +60,16 @@
         if held is not None and held is self.common.get(name):
             self._records[name] = copied(held)
 
-    def _take(self, now: float, claim: Claim, sender: str, exchange: bool = False) -> Claim | None:
+    def _take(
+        self, now: float, claim: MemberUpdate, sender: str, exchange: bool = False
+    ) -> MemberUpdate | None:
         held = self._records.get(claim.name)
         if held is not None and held is self.common.get(claim.name):
             if (
-                claim.state is State.ALIVE is held.state
-                and claim.life == held.life
+                claim.state is MemberState.ALIVE is held.state
+                and claim.process_incarnation == held.life
                 and claim.incarnation == held.incarnation
-                and (claim.about is None or claim.about == held.about)
+                and (claim.info is None or claim.info == held.about)
             ):
                 return None  # changes nothing: not worth a copy
             self._records[claim.name] = copied(held)
@@ -80,13 +82,20 @@
         super()._due_resolve(now, key)
 
 
-def acquaint(all_of: Sequence[Members], now_ms: float, *, share: bool, only: int | None = None) -> None:
+def acquaint(all_of: Sequence[Membership], now_ms: float, *, share: bool, only: int | None = None) -> None:
     """Let members know one another as after long calm; with `share` by the records of their `common`.
 
     What probes come first is drawn by each one's own source.  `only` the first so many know the others.
     """
     records = {
-        members.me.name: _Record(members.me.name, members.me.life, 0, State.ALIVE, members._about, now_ms)
+        members.local.name: _Record(
+            members.local.name,
+            members.local.process_incarnation,
+            0,
+            MemberState.ALIVE,
+            members._about,
+            now_ms,
+        )
         for members in all_of
     }
     names = list(records)
@@ -98,12 +107,12 @@
     for at, members in enumerate(all_of[:only]):
         others = names[:at] + names[at + 1 :]
         held = dict(records)
-        del held[members.me.name]
+        del held[members.local.name]
         members._records = held if share else {name: copied(record) for name, record in held.items()}
         members._live.names = others
         members._live.place = {name: place for place, name in enumerate(others)}
         members._round = list(others)
-        members.source.shuffle(members._round)
+        members.rng.shuffle(members._round)
         members.joined = True
         members._exchanged = now_ms
         # All hold the same view, so the sum over it is the same; at 4,800 it takes some ms for each.
@@ -130,11 +139,11 @@
     )
 
 
-class SharedSpread(Spread):
+class SharedSpread(GossipStore):
     """A spread whose states of other origins are those of `pool`, by value."""
 
     def __init__(
-        self, name: str, life: int, settings: SpreadSettings, source: random.Random, pool: Pool
+        self, name: str, life: int, settings: GossipStoreSettings, source: random.Random, pool: Pool
     ) -> None:
         """`pool` is the same for all processes; what is in it is never changed."""
         super().__init__(name, life, settings, source)
@@ -154,7 +163,7 @@
 
     def _drop(self, origin: Origin) -> None:
         state = self._states.get(origin)
-        if state is not None and origin != self.me:
+        if state is not None and origin != self.local:
             self._states[origin] = _copied(state)
         super()._drop(origin)
 
@@ -171,22 +180,22 @@
     return pool.setdefault(key, state)
 
 
-def fill(spreads: Sequence[Spread], pool: Pool, *, share: bool, only: int | None = None) -> None:
+def fill(spreads: Sequence[GossipStore], pool: Pool, *, share: bool, only: int | None = None) -> None:
     """Let each spread hold what all have written so far, as after long calm; nothing waits to be told.
 
     With `only` the first so many do.
     """
-    states = {spread.me: pooled(pool, spread.me, _copied(spread._mine)) for spread in spreads}
+    states = {spread.local: pooled(pool, spread.local, _copied(spread._mine)) for spread in spreads}
     order = sorted(states)
     lives = dict(order)
     live: dict[tuple[int, str], dict[tuple[str, Origin], None]] = {}
     for spread in spreads:
         for slot in spread._mine.entries:
-            live.setdefault((slot[0], slot[1]), {})[(slot[2], spread.me)] = None
+            live.setdefault((slot[0], slot[1]), {})[(slot[2], spread.local)] = None
     total = sum(state.bytes for state in states.values())
     for spread in spreads[:only]:
         held = dict(states) if share else {origin: _copied(state) for origin, state in states.items()}
-        held[spread.me] = spread._mine
+        held[spread.local] = spread._mine
         spread._states, spread._order, spread._lives = held, list(order), dict(lives)
         spread._live = {key: dict(places) for key, places in live.items()}
         spread._bytes, spread._strict = total, True
--- a/cressrock/lab/listing.py
+++ b/cressrock/lab/listing.py
@@ -13,7 +13,7 @@
 import anyio
 import msgspec
 
-from cressrock.dispatch.nodelist import TYPE_URL
+from cressrock.dispatch.node_list import TYPE_URL
 from cressrock.http.channel import Stream
 from cressrock.http.server import Exchange, Server, ServerBounds
 from cressrock.lab.trace import Row
--- a/cressrock/lab/localcost_fleet.py
+++ b/cressrock/lab/localcost_fleet.py
@@ -23,15 +23,15 @@
 import anyio
 from anyio.abc import TaskGroup
 
-from cressrock.fleet.members import Identity, Members
-from cressrock.fleet.rounds import Rounds
-from cressrock.fleet.spread import Spread
+from cressrock.gossip.anti_entropy import AntiEntropy
+from cressrock.gossip.store import GossipStore
 from cressrock.lab.common import Common, Told
 from cressrock.lab.day import Day, Script
 from cressrock.lab.faults import Way
 from cressrock.lab.hollow import HEADERS, Hollow, HollowFleet, Size, address
 from cressrock.lab.localcost import EDGE, PLANNER, Figure, Usage, usage
 from cressrock.lab.relays import HOST, Relays, _socket
+from cressrock.membership.membership import Identity, Membership
 
 SEATS = 3
 SETTLE_S = 10.0
@@ -370,9 +370,9 @@
         name = f"p{number}" if number < SEATS else f"d{number - SEATS}"
         me = Identity(name, life, address(number), role, f"z{number % 3}", "north")
         source = random.Random(self.random.getrandbits(64))
-        host = Hollow(name, me.address, Members(me, self.settings, seeds, source, self.now))
-        host.spread = Spread(name, life, self.spread_settings, source)
-        host.rounds = Rounds(host.members, host.spread, self.rounds_settings, source, self.now)
+        host = Hollow(name, me.address, Membership(me, self.settings, seeds, source, self.now))
+        host.spread = GossipStore(name, life, self.spread_settings, source)
+        host.rounds = AntiEntropy(host.members, host.spread, self.rounds_settings, source, self.now)
         self.hosts[host.address] = host
         return host
 
--- a/cressrock/lab/localcost_lists.py
+++ b/cressrock/lab/localcost_lists.py
@@ -11,12 +11,12 @@
 from collections.abc import Callable, Iterator
 from typing import Any
 
-from cressrock.brain import Brain
 from cressrock.dispatch.ledger import Ledger
-from cressrock.dispatch.nodelist import TYPE_URL, ListState
+from cressrock.dispatch.node_list import TYPE_URL, NodeListState
 from cressrock.interface import NodeList, Plan, RequestClass, Settings
 from cressrock.lab.localcost import EDGE, Figure, cpu_ms, fresh_cpu_ms, held_bytes, lines
 from cressrock.platform.serverlist import ServerList
+from cressrock.scheduler.scheduler import Scheduler
 
 ZONES = tuple(f"z{index}" for index in range(6))
 SETTINGS = Settings(
@@ -63,13 +63,13 @@
         """Begin without a server.  `most_nodes` is the ledger's bound."""
         self.servers = ServerList(ZONES)
         self.ledger = Ledger(drain_grace_ms=250.0, answer_slack_ms=50.0, max_open=4096, max_nodes=most_nodes)
-        self.brain = Brain(SETTINGS, 1, 0.0)
+        self.brain = Scheduler(SETTINGS, 1, 0.0)
         self.now = 1.0
 
     def take(self, body: bytes) -> NodeList:
         """Take an answer of discovery through all its parts."""
         report = self.servers.receive(json.loads(body), self.now, LONG_AGO + 2e9)
-        self.ledger.news(report.nodes, self.now, complete=report.kind.value != "changes")
+        self.ledger.update_nodes(report.nodes, self.now, complete=report.kind.value != "changes")
         self.now += 1.0
         self.brain.act(self.now, [report])
         return report
@@ -144,7 +144,7 @@
 
     found = {"json": measure(lambda: json.loads(body)), "receive": measure(receive)}
     report = reports[0]
-    found["ledger"] = measure(lambda: one.ledger.news(report.nodes, one.now, complete=False))
+    found["ledger"] = measure(lambda: one.ledger.update_nodes(report.nodes, one.now, complete=False))
     one.now += 1.0
     found["act"] = measure(lambda: one.brain.act(one.now, [report]))
     return found
@@ -183,8 +183,8 @@
     """Measure an edge's list of n servers: a new version, and a poll that brings the present one."""
     bodies = [assignment(n, seed, version) for version in (1, 2)]
 
-    def known() -> ListState:
-        state = ListState("storage", max_nodes=1 << 20)
+    def known() -> NodeListState:
+        state = NodeListState("storage", max_nodes=1 << 20)
         state.receive(bodies[0], 1.0, LONG_AGO + 2e9)
         return state
 
--- a/cressrock/lab/localcost_requests.py
+++ b/cressrock/lab/localcost_requests.py
@@ -14,14 +14,14 @@
 from dataclasses import dataclass, replace
 from typing import Any, cast
 
-from cressrock.brain import Brain
 from cressrock.dispatch.driver import Driver
 from cressrock.dispatch.ledger import Ledger
-from cressrock.dispatch.transport import Ending
+from cressrock.dispatch.transport import AttemptResult
 from cressrock.interface import ListKind, Node, NodeList, Outcome
 from cressrock.lab.localcost import Figure, held_bytes, lines
 from cressrock.lab.localcost_lists import SETTINGS
 from cressrock.resp.nodes import PoolBounds, RespTransport
+from cressrock.scheduler.scheduler import Scheduler
 
 LAG_MS = 4.0
 GAP_MS = 1000 / 1770  # between two requests of a dispatcher at the size to come
@@ -44,14 +44,14 @@
 class _Silent:
     """An observer of nothing."""
 
-    def tripped(self, trip: Any) -> None:
+    def fence_tripped(self, trip: Any) -> None:
         raise AssertionError(trip)
 
     def attempt_ended(self, *given: Any) -> None: ...
 
     def answered(self, *given: Any) -> None: ...
 
-    def woke(self, *given: Any) -> None: ...
+    def batch_processed(self, *given: Any) -> None: ...
 
     def line(self, text: str) -> None: ...
 
@@ -67,12 +67,12 @@
         self.held_back = False  # no attempt is answered
         self.served = self.denied = self.count = 0
         settings = replace(SETTINGS, must_ask=False)
-        self.brain = Brain(settings, seed, 0.0)
+        self.brain = Scheduler(settings, seed, 0.0)
         ledger = Ledger(drain_grace_ms=250.0, answer_slack_ms=50.0, max_open=8192, max_nodes=2 * servers + 64)
         self.driver = Driver(self.brain, ledger, self, settings.classes, _Silent(), clock=lambda: self.now)
         nodes = tuple(Node(f"s{index}", index, index % 6, 0.0) for index in range(servers))
-        self.driver.listed(NodeList(ListKind.COMPLETE, nodes))
-        self.driver.turn()
+        self.driver.receive_node_list(NodeList(ListKind.COMPLETE, nodes))
+        self.driver.process_batch()
 
     # --- the transport
 
@@ -93,8 +93,8 @@
         """Take one request, and the turn that it asks for."""
         self.count += 1
         name = f"{self.count:x}"
-        self.driver.take(name, name, Work(f"{volume:016x}", shard), self.now + 5000.0, self._answer)
-        self.driver.turn()
+        self.driver.submit(name, name, Work(f"{volume:016x}", shard), self.now + 5000.0, self._answer)
+        self.driver.process_batch()
 
     def _answer(self, result: Any) -> None:
         if result is self:
@@ -106,8 +106,8 @@
         """Let what is due be answered, a turn for each."""
         while self.out and self.out[0][0] <= self.now and not self.held_back:
             _, call = self.out.popleft()
-            call.end(Ending(Outcome.OK, LAG_MS, self, 2, 0.0))
-            self.driver.turn()
+            call.end(AttemptResult(Outcome.OK, LAG_MS, self, 2, 0.0))
+            self.driver.process_batch()
 
     def play(self, requests: int, volumes: int, servers: int, *, each: int = 0) -> float:
         """Play requests of random volumes to random servers; returns processor time in ms.
@@ -246,5 +246,5 @@
     core.take(99, shard)
     assert len(core.out) == before + 1, "the well server was not asked"
     _, call = core.out.pop()
-    call.end(Ending(Outcome.OK, LAG_MS, core, 2, 0.0))
-    core.driver.turn()
+    call.end(AttemptResult(Outcome.OK, LAG_MS, core, 2, 0.0))
+    core.driver.process_batch()
--- a/cressrock/lab/localcost_rows.py
+++ b/cressrock/lab/localcost_rows.py
@@ -12,7 +12,7 @@
 from collections.abc import Mapping, Sequence
 from typing import NamedTuple
 
-from cressrock.errors.lab import CapacityUnfit
+from cressrock.errors.lab import MissingMeasurementError
 from cressrock.lab import capacity
 from cressrock.lab.capacity import Measurement
 
@@ -49,7 +49,7 @@
     Line(
         "server list, whole",
         "dispatcher",
-        "`platform/serverlist`, ledger, `Brain._assign`; one answer, taken in whole",
+        "`platform/serverlist`, ledger, `Scheduler._assign`; one answer, taken in whole",
         BOUND,
         "A whole list is {serverlist.whole.bytes} bytes and {serverlist.whole.cpu_ms} ms of "
         "processor time (JSON {serverlist.whole.json.cpu_ms}, `receive` "
@@ -62,7 +62,7 @@
     Line(
         "server list, one change",
         "dispatcher",
-        "discovery's changes by version; `Brain._assign` goes through all servers",
+        "discovery's changes by version; `Scheduler._assign` goes through all servers",
         BOUND,
         "A change of one server is {serverlist.change.bytes} bytes and flat on the wire and "
         "in the list ({serverlist.change.receive.steps} lines), but "
@@ -274,11 +274,11 @@
     def one(found: re.Match[str]) -> str:
         measured = rows.get(found[1])
         if not measured:
-            raise CapacityUnfit(f"no measurement of {found[1]}")
+            raise MissingMeasurementError(f"no measurement of {found[1]}")
         if found[2]:
             there = [m.value for m in measured if m.n == int(found[2])]
             if not there:
-                raise CapacityUnfit(f"no measurement of {found[1]} at {found[2]}")
+                raise MissingMeasurementError(f"no measurement of {found[1]} at {found[2]}")
             return capacity.number(statistics.fmean(there))
         value = capacity.at_size(list(measured)).value
         if found[3]:
@@ -298,7 +298,7 @@
     for line in LINES:
         try:
             verdict, text = line.verdict, filled(line.sentence, rows)
-        except CapacityUnfit as wrong:
+        except MissingMeasurementError as wrong:
             verdict, text = "not measured", str(wrong)
         said.append(f"| {line.thing} | {line.role} | {line.mechanism} | {verdict} | {text} |")
     said += ["", "Not measured: " + "; ".join(UNMEASURED) + "."]
--- a/cressrock/lab/localcost_state.py
+++ b/cressrock/lab/localcost_state.py
@@ -11,21 +11,21 @@
 from pathlib import Path
 from typing import Any
 
-from cressrock.brain import Brain
-from cressrock.copies import model, sets
-from cressrock.council import decrees as d
-from cressrock.council.log import HardState, Log, Snapshot
-from cressrock.council.messages import Entry
-from cressrock.council.news import Taker, Teller
-from cressrock.council.store import Store
-from cressrock.dispatch.keys import KeyMemory
+from cressrock.consensus import decisions as d
+from cressrock.consensus.decision_gossip import DecisionPublisher, DecisionSubscriber
+from cressrock.consensus.raft.log import HardState, RaftLog, Snapshot
+from cressrock.consensus.raft.messages import LogEntry
+from cressrock.consensus.store import ReplicaStore
+from cressrock.dispatch.idempotency import IdempotencyKeys
 from cressrock.dispatch.ledger import Ledger
-from cressrock.dispatch.lending import Lending
+from cressrock.dispatch.quota import EdgeQuota
 from cressrock.interface import ListKind, Node, NodeList, Outcome, Plan, RequestClass, Settings
 from cressrock.lab.localcost import EDGE, PLANNER, SEAT, Figure, cpu_ms, held_bytes, lines
 from cressrock.link import messages as link
-from cressrock.planner.core import Bounds, Planner
-from cressrock.presence.rooms import Rooms, RoomsSettings
+from cressrock.planner.planner import Planner, PlannerLimits
+from cressrock.presence.rooms import Rooms, RoomSettings
+from cressrock.replication import in_sync_set, transitions
+from cressrock.scheduler.scheduler import Scheduler
 
 CLASS = RequestClass(1000.0, 5000.0)
 PLAN = Plan(limit_rate=60.0, limit_burst=60.0, limit_slack=8.0)
@@ -52,9 +52,9 @@
 
 def _ledger(n: int) -> Ledger:
     ledger = Ledger(drain_grace_ms=250.0, answer_slack_ms=50.0, max_open=MOST)
-    ledger.news([Node("s0", 0)], 0.0, complete=True)
+    ledger.update_nodes([Node("s0", 0)], 0.0, complete=True)
     for index in range(n):
-        ledger.take(f"o{index}", "x", CLASS, 5000.0 + index, 0.0)
+        ledger.accept(f"o{index}", "x", CLASS, 5000.0 + index, 0.0)
         ledger.send(f"o{index}", "s0", 0.0)
     return ledger
 
@@ -65,19 +65,19 @@
 
     def one(index: int) -> None:
         name = f"n{index}"
-        ledger.take(name, "x", CLASS, 4000.0, 0.0)
+        ledger.accept(name, "x", CLASS, 4000.0, 0.0)
         ledger.send(name, "s0", 0.0)
-        ledger.ended(name, 0, Outcome.OK)
-        ledger.next_due()
+        ledger.record_outcome(name, 0, Outcome.OK)
+        ledger.next_overdue_ms()
 
     yield Figure("ledger.operation.cpu_us", _each(one), "us")
     yield Figure("ledger.held_bytes", held_bytes(lambda: _ledger(n))[0], "bytes")
 
 
-def _keys(n: int) -> KeyMemory:
-    keys = KeyMemory(keep_ms=60000.0, most=MOST)
+def _keys(n: int) -> IdempotencyKeys:
+    keys = IdempotencyKeys(keep_ms=60000.0, max_keys=MOST)
     for index in range(n):
-        keys.sent(f"{index:016x}", index / 1000)
+        keys.record_sent(f"{index:016x}", index / 1000)
     return keys
 
 
@@ -86,17 +86,17 @@
     keys = _keys(n)
 
     def one(index: int) -> None:
-        keys.first(f"{index:016x}", 200.0)
-        keys.sent(f"{index:016x}", 200.0)
+        keys.first_sent_ms(f"{index:016x}", 200.0)
+        keys.record_sent(f"{index:016x}", 200.0)
 
     yield Figure("keys.operation.cpu_us", _each(one, begin=n), "us", EDGE)
     yield Figure("keys.held_bytes", held_bytes(lambda: _keys(n))[0], "bytes", EDGE)
 
 
-def _lending(n: int) -> Lending:
-    lending = Lending((PLAN,), lambda volume: 8, 2000.0, 0.0)
+def _lending(n: int) -> EdgeQuota:
+    lending = EdgeQuota((PLAN,), lambda volume: 8, 2000.0, 0.0)
     for index in range(n):
-        lending.lend(f"v{index}", 0, 1.0, 1000.0)
+        lending.lease(f"v{index}", 0, 1.0, 1000.0)
     return lending
 
 
@@ -106,9 +106,9 @@
 
     def one(index: int) -> None:
         volume, now = f"v{index % n}", 2000.0 + index
-        lending.lend(volume, 0, 1.0, now)
-        lending.sent(volume, 0, 1.0, now)
-        lending.over(volume, 0, 1.0, now)
+        lending.lease(volume, 0, 1.0, now)
+        lending.record_sent(volume, 0, 1.0, now)
+        lending.record_outcome(volume, 0, 1.0, now)
 
     yield Figure("lending.operation.cpu_us", _each(one), "us", EDGE)
     yield Figure("lending.held_bytes", held_bytes(lambda: _lending(n))[0], "bytes", EDGE)
@@ -123,11 +123,11 @@
     def __init__(self, n: int, seed: int) -> None:
         """Start with 64 storage servers and every edge joined."""
         settings = Settings(classes=(CLASS,), plans=(Plan(),), hosts=6, max_attempts=3)
-        brain = Brain(settings, seed, 0.0)
-        self.planner = Planner(brain, settings.classes, 1, Bounds(max_edges=MOST))
+        brain = Scheduler(settings, seed, 0.0)
+        self.planner = Planner(brain, settings.classes, 1, PlannerLimits(max_edges=MOST))
         self.sessions = [self.planner.join(f"d{index}", "life") or 0 for index in range(n)]
         nodes = tuple(Node(f"s{index}", index) for index in range(64))
-        self.planner.listed(NodeList(ListKind.COMPLETE, nodes))
+        self.planner.receive_node_list(NodeList(ListKind.COMPLETE, nodes))
         self.now, self.sequence = 1.0, 0
         self.planner.step(self.now)
 
@@ -141,13 +141,13 @@
         asked = link.Request(
             self.sequence, self.now, f"o{index}", volume, "k", 2.0, until, 0, 0, index % 64, 6
         )
-        self.planner.event(name, session, asked, self.now)
+        self.planner.receive_event(name, session, asked, self.now)
         orders = self.planner.step(self.now).orders
         assert orders, "no grant"
         self.sequence += 1
         self.now += 4.0
-        ended = link.Ended(self.sequence, self.now, f"o{index}", 0, "ok", True, 4.0)
-        self.planner.event(name, session, ended, self.now)
+        ended = link.AttemptEnded(self.sequence, self.now, f"o{index}", 0, "ok", True, 4.0)
+        self.planner.receive_event(name, session, ended, self.now)
         self.planner.step(self.now)
 
 
@@ -165,21 +165,23 @@
 
 def set_of(index: int) -> bytes:
     """Return the set of a shard's three copies, as a decree's value."""
-    sync = sets.founded("z0", {f"z{zone}": f"life-{index:08x}-{zone}" for zone in range(3)})
-    return model.encode(sets.joined(sync, "z1", f"life-{index:08x}-1"))
+    sync = transitions.initial_set("z0", {f"z{zone}": f"life-{index:08x}-{zone}" for zone in range(3)})
+    return in_sync_set.encode_set(transitions.begin_joining(sync, "z1", f"life-{index:08x}-1"))
 
 
 def _decide(index: int, applied: int) -> bytes:
     return d.encode(
-        d.Decide(model.topic("v", index), set_of(index), 10000.0, "p0", f"r{index}.{applied}", applied)
+        d.Decide(
+            in_sync_set.set_topic("v", index), set_of(index), 10000.0, "p0", f"r{index}.{applied}", applied
+        )
     )
 
 
-def _decrees(n: int) -> d.Decrees:
+def _decrees(n: int) -> d.DecisionState:
     """Return a seat's state with n sets of copies decided; bounds are put aside."""
-    state = d.Decrees()
-    limits = d.Limits(max_topics=MOST, max_bytes=1 << 26)
-    state.apply(1, d.encode(d.Ground(FOUNDED_MS, limits)))
+    state = d.DecisionState()
+    limits = d.DecisionLimits(max_topics=MOST, max_total_bytes=1 << 26)
+    state.apply(1, d.encode(d.SetVersionBase(FOUNDED_MS, limits)))
     for index in range(n):
         state.apply(state.applied + 1, _decide(index, state.applied))
     return state
@@ -197,25 +199,31 @@
     yield Figure("decrees.seat.held_bytes", held_bytes(lambda: _decrees(n))[0], "bytes", SEAT)
     yield Figure("decrees.snapshot.bytes", len(state.snapshot()), "bytes", SEAT)
     yield Figure("decrees.snapshot.cpu_ms", cpu_ms(state.snapshot), "ms", SEAT)
-    teller = Teller(1024)
-    standing = state.all()
-    first = teller.tell(standing, 1)
-    again = teller.tell(standing, 2)
+    teller = DecisionPublisher(1024)
+    standing = state.all_decisions()
+    first = teller.publish(standing, 1)
+    again = teller.publish(standing, 2)
     yield Figure("decrees.told_once.bytes", _size(first), "bytes", SEAT)
     yield Figure("decrees.renewal.bytes", _size(again), "bytes", SEAT)
-    yield Figure("decrees.renewal.cpu_ms", cpu_ms(lambda: teller.tell(state.all(), 3)), "ms", SEAT)
+    yield Figure(
+        "decrees.renewal.cpu_ms", cpu_ms(lambda: teller.publish(state.all_decisions(), 3)), "ms", SEAT
+    )
 
 
 def _size(changes: list[Any]) -> int:
     return sum(len(change.key) + len(change.value or b"") for change in changes)
 
 
-def _reader(n: int) -> tuple[d.Reader, Taker, Teller, tuple[d.Decree, ...]]:
-    standing = _decrees(n).all()
-    reader, taker, teller = d.Reader(max_topics=MOST), Taker(MOST), Teller(1024)
-    for change in teller.tell(standing, 1):
-        for decree in taker.take(change.key, change.value or b"")[0]:
-            reader.take(decree, 1.0)
+def _reader(n: int) -> tuple[d.DecisionReader, DecisionSubscriber, DecisionPublisher, tuple[d.Decision, ...]]:
+    standing = _decrees(n).all_decisions()
+    reader, taker, teller = (
+        d.DecisionReader(max_topics=MOST),
+        DecisionSubscriber(MOST),
+        DecisionPublisher(1024),
+    )
+    for change in teller.publish(standing, 1):
+        for decree in taker.receive_entry(change.key, change.value or b"")[0]:
+            reader.receive(decree, 1.0)
     return reader, taker, teller, standing
 
 
@@ -227,22 +235,24 @@
     def renew() -> None:
         nonlocal beat
         beat += 1
-        for change in teller.tell(standing, beat):
-            for decree in taker.take(change.key, change.value or b"")[0]:
-                reader.take(decree, float(beat))
+        for change in teller.publish(standing, beat):
+            for decree in taker.receive_entry(change.key, change.value or b"")[0]:
+                reader.receive(decree, float(beat))
 
     taken = cpu_ms(renew)
     yield Figure("decrees.reader.renewal.cpu_ms", taken, "ms", EDGE)
-    number = max(decree.number for decree in standing)
+    number = max(decree.version for decree in standing)
 
     def one(index: int) -> None:
-        decree = d.Decree(standing[0].topic, number + 1 + index, standing[0].value, 10000.0, "p0", beat)
-        for found in taker.take(d.spread_key(decree.topic), d.encode(decree))[0]:
-            reader.take(found, float(beat))
+        decree = d.Decision(standing[0].topic, number + 1 + index, standing[0].value, 10000.0, "p0", beat)
+        for found in taker.receive_entry(d.gossip_key(decree.topic), d.encode(decree))[0]:
+            reader.receive(found, float(beat))
 
     yield Figure("decrees.reader.change.cpu_us", _each(one), "us", EDGE)
-    yield Figure("decrees.reader.next_end.cpu_us", _each(lambda index: reader.next_end(1.0), 20), "us", EDGE)
-    yield Figure("decrees.reader.seen_bytes", len(reader.seen()), "bytes", EDGE)
+    yield Figure(
+        "decrees.reader.next_end.cpu_us", _each(lambda index: reader.next_expiry_ms(1.0), 20), "us", EDGE
+    )
+    yield Figure("decrees.reader.seen_bytes", len(reader.to_bytes()), "bytes", EDGE)
     held = held_bytes(lambda: _reader(n)[:2])[0]
     yield Figure("decrees.reader.held_bytes", held, "bytes", EDGE)
 
@@ -250,11 +260,11 @@
 def change_of_decree_steps(n: int) -> int:
     """Count the lines that a change of one decree runs at a reader of n."""
     reader, taker, _, standing = _reader(n)
-    decree = d.Decree(standing[0].topic, FOUNDED_MS * 2, standing[0].value, 10000.0, "p0", 2)
+    decree = d.Decision(standing[0].topic, FOUNDED_MS * 2, standing[0].value, 10000.0, "p0", 2)
 
     def one() -> None:
-        for found in taker.take(d.spread_key(decree.topic), d.encode(decree))[0]:
-            reader.take(found, 2.0)
+        for found in taker.receive_entry(d.gossip_key(decree.topic), d.encode(decree))[0]:
+            reader.receive(found, 2.0)
 
     return lines(one)
 
@@ -262,17 +272,17 @@
 def log_probe(n: int, seed: int) -> Iterator[Figure]:
     """Measure the council's log with n entries of 200 bytes: one more in memory, and one more on disk."""
 
-    def entry(index: int) -> Entry:
-        return Entry(1, index, "command", bytes(200))
+    def entry(index: int) -> LogEntry:
+        return LogEntry(1, index, "command", bytes(200))
 
-    def whole() -> Log:
-        return Log(None, tuple(entry(index) for index in range(1, n + 1)))
+    def whole() -> RaftLog:
+        return RaftLog(None, tuple(entry(index) for index in range(1, n + 1)))
 
     log = whole()
-    yield Figure("log.append.cpu_us", _each(lambda index: log.append(entry(log.last + 1))), "us", SEAT)
+    yield Figure("log.append.cpu_us", _each(lambda index: log.append(entry(log.last_index + 1))), "us", SEAT)
     yield Figure("log.held_bytes", held_bytes(whole)[0], "bytes", SEAT)
     with tempfile.TemporaryDirectory() as folder:
-        store = Store(Path(folder) / "seat", cluster="c", seat="p0")
+        store = ReplicaStore(Path(folder) / "seat", cluster="c", replica="p0")
         store.write(HardState(1, "", 0, 1), None, tuple(entry(index) for index in range(1, n + 1)))
         last = n
 
@@ -295,7 +305,7 @@
 
 
 def _room(n: int) -> Rooms:
-    rooms = Rooms(("d0", 1), RoomsSettings(max_members=MOST, max_room=MOST), b"key")
+    rooms = Rooms(("d0", 1), RoomSettings(max_members=MOST, max_room=MOST), b"key")
     for _ in range(n):
         rooms.join(0.0, "room", b"d" * 32)
     return rooms
--- a/cressrock/lab/member.py
+++ b/cressrock/lab/member.py
@@ -18,17 +18,17 @@
 import uvloop
 
 from cressrock import net
-from cressrock.errors.fleet import Fenced
-from cressrock.fleet.carrier import Fleet, FleetSettings, World
-from cressrock.fleet.members import Event, Identity, MembersSettings
-from cressrock.fleet.rounds import RoundsSettings
+from cressrock.errors.membership import FencedError
+from cressrock.gossip.anti_entropy import AntiEntropySettings
+from cressrock.gossip.transport import ClusterTransport, ClusterTransportSettings, TransportEnvironment
 from cressrock.http.channel import Stream
+from cressrock.membership.membership import Event, Identity, MembershipSettings
 
 
 class NoSpread:
     """A spread that holds nothing."""
 
-    def fresh(self, max_bytes: int) -> bytes:
+    def recent_changes(self, max_bytes: int) -> bytes:
         """Return nothing."""
         return b""
 
@@ -43,11 +43,11 @@
     def merge(self, data: bytes) -> None:
         """Take nothing."""
 
-    def full(self, after: Any, max_bytes: int) -> tuple[bytes, Any]:
+    def full_state(self, after: Any, max_bytes: int) -> tuple[bytes, Any]:
         """Return nothing, and that it is all."""
         return b"", None
 
-    def admit(self, origins: Collection[tuple[str, int]]) -> None:
+    def retain_origins(self, origins: Collection[tuple[str, int]]) -> None:
         """Keep nothing."""
 
 
@@ -64,7 +64,7 @@
 
 async def run(given: argparse.Namespace) -> int:
     """Be a member until SIGTERM or a fence; returns the exit status."""
-    fleet: Fleet
+    fleet: ClusterTransport
 
     async def serve(stream: Stream) -> None:
         await fleet.serve(stream)
@@ -74,26 +74,35 @@
         clock = net.clock()
         life = given.life or int(net.wall_ms())
         identity = Identity(given.name, life, bound, given.role, given.zone)
-        settings = FleetSettings(
+        settings = ClusterTransportSettings(
             seeds=tuple(given.seed),
-            members=MembersSettings(
+            membership=MembershipSettings(
                 cluster=given.cluster,
-                period_ms=given.period_ms,
-                gossip_ms=given.period_ms / 5,
-                ride_out_ms=given.period_ms * 2,
-                exchange_ms=given.period_ms * 30,
+                protocol_period_ms=given.period_ms,
+                gossip_interval_ms=given.period_ms / 5,
+                tolerated_pause_ms=given.period_ms * 2,
+                exchange_interval_ms=given.period_ms * 30,
             ),
-            rounds=RoundsSettings(period_ms=given.period_ms),
+            anti_entropy=AntiEntropySettings(period_ms=given.period_ms),
         )
         source = random.Random(given.random)
-        fleet = Fleet(settings, identity, World(datagrams, net.connect, clock), NoSpread(), source, _Quiet())
+        fleet = ClusterTransport(
+            settings,
+            identity,
+            TransportEnvironment(datagrams, net.connect, clock),
+            NoSpread(),
+            source,
+            _Quiet(),
+        )
 
         def told(event: Event) -> None:
             say(event=type(event).__name__, member=event.name, life=getattr(event, "life", None))
-            seen = {v.name: [v.life, v.state.name.lower()] for v in fleet.members.view(clock())}
-            say(view=seen, dropped=fleet.dropped)
+            seen = {
+                v.name: [v.process_incarnation, v.state.name.lower()] for v in fleet.membership.view(clock())
+            }
+            say(view=seen, dropped=fleet.drop_counts)
 
-        fleet.listeners.append(told)
+        fleet.event_listeners.append(told)
         say(address=bound, name=given.name, life=life)
         ended = anyio.Event()
         asyncio.get_running_loop().add_signal_handler(signal.SIGTERM, ended.set)
@@ -103,7 +112,7 @@
             nonlocal status
             try:
                 await fleet.run()
-            except Fenced as wrong:
+            except FencedError as wrong:
                 say(**wrong.fields())
                 status = 3
                 ended.set()
--- a/cressrock/lab/node.py
+++ b/cressrock/lab/node.py
@@ -14,16 +14,16 @@
 import msgspec
 from anyio.abc import TaskGroup
 
-from cressrock.copies.model import REFUSED
-from cressrock.dispatch.answers import ELSEWHERE, USED
+from cressrock.dispatch.node_response import ELSEWHERE_METRIC, USED_METRIC
 from cressrock.dispatch.operation import Body
-from cressrock.dispatch.spool import Spool, Store
+from cressrock.dispatch.spool import PayloadStore, Spool
 from cressrock.http.channel import Headers, Stream, header
 from cressrock.http.server import Exchange, Server, ServerBounds
 from cressrock.lab.model import Meter, Performance
 from cressrock.lab.rack import Done, Rack, Shared, Task, hold
 from cressrock.lab.trace import Row
-from cressrock.webdav.paths import BadPath, parse
+from cressrock.replication.in_sync_set import REJECTED_HEADER
+from cressrock.webdav.paths import InvalidPathError, parse
 
 WRITES = frozenset({"PUT", "DELETE", "MKCOL", "COPY", "MOVE", "PROPPATCH", "LOCK", "UNLOCK"})
 
@@ -60,7 +60,7 @@
         performance: Performance | None,
         meter: Meter,
         rates: Rates,
-        store: Store,
+        store: PayloadStore,
         tasks: TaskGroup,
         *,
         clock: Callable[[], float],
@@ -175,7 +175,7 @@
             return True
         try:
             path = parse(base.path)
-        except BadPath as wrong:
+        except InvalidPathError as wrong:
             await exchange.respond(400, [], str(wrong).encode())
             return True
         task = Task(
@@ -257,7 +257,7 @@
 
     def _run(self, base: Row, task: Task, finished: _Finished) -> None:
         done = self.rack.execute(task)
-        refused = any(name == REFUSED for name, _ in done.headers)
+        refused = any(name == REJECTED_HEADER for name, _ in done.headers)
         if not refused:
             self._row("ran", base, done.status)
         if base.key and refused:
@@ -341,8 +341,8 @@
         value = {
             "cpu_utilization": report.get("cpu_utilization", 0.0),
             "named_metrics": {
-                USED: used,
-                ELSEWHERE: elsewhere - told,
+                USED_METRIC: used,
+                ELSEWHERE_METRIC: elsewhere - told,
                 "inflight": report.get("inflight", 0.0),
             },
         }
--- a/cressrock/lab/presence_crowd.py
+++ b/cressrock/lab/presence_crowd.py
@@ -11,7 +11,13 @@
 
 import anyio
 
-from cressrock.errors.presence import NameHeld, NotAgreed, NotNear, PresenceError, Unreachable
+from cressrock.errors.presence import (
+    GatewayUnreachableError,
+    MajorityNotReachedError,
+    NameHeldError,
+    NameNotDecidedError,
+    PresenceError,
+)
 from cressrock.lab.presence_check import Act, Claimed, Told, Watched, state
 from cressrock.presence import Event, Presence, Room
 
@@ -129,7 +135,7 @@
                 joined = await presence.join(
                     room, meaning=meaning, data=b"%d" % number, wait_ms=self.patience_ms
                 )
-        except NotNear:
+        except MajorityNotReachedError:
             self._count("not near")
             return
         act.member, act.end = joined.member, self.clock()
@@ -165,7 +171,7 @@
         try:
             with anyio.fail_after(2 * self.patience_ms / 1000):
                 found = await held.agreed("editor", take=self.source.random() < 0.4, wait_ms=self.patience_ms)
-        except (NameHeld, NotAgreed) as wrong:
+        except (NameHeldError, NameNotDecidedError) as wrong:
             self._count(type(wrong).__name__)
             return
         except (PresenceError, TimeoutError):
@@ -183,7 +189,7 @@
                 act.end = self.clock()
                 self.acts.append(act)
                 return held, gateway
-            except (Unreachable, TimeoutError):
+            except (GatewayUnreachableError, TimeoutError):
                 pass
             except PresenceError as wrong:
                 return await self._lost(held, wrong)
@@ -202,7 +208,7 @@
                 self._count("resumed")
                 self.present[found.member] = (held.path, other)
                 return found, other
-            except (Unreachable, TimeoutError):
+            except (GatewayUnreachableError, TimeoutError):
                 continue
             except PresenceError as wrong:
                 if type(wrong).__name__ == "SessionElsewhere":
--- a/cressrock/lab/presencesim.py
+++ b/cressrock/lab/presencesim.py
@@ -18,9 +18,18 @@
 from typing import Any
 
 from cressrock.lab.presence_check import Told, Watched
-from cressrock.presence.rooms import Beat, Changes, Origin, Rooms, RoomsSettings, Session, View, frame
+from cressrock.presence.rooms import (
+    ChangeBatch,
+    Heartbeat,
+    Origin,
+    Rooms,
+    RoomSettings,
+    RoomView,
+    Session,
+    encode_frame,
+)
 
-BEAT = len(frame(Beat()))
+BEAT = len(encode_frame(Heartbeat()))
 
 
 @dataclass(slots=True)
@@ -43,7 +52,7 @@
         self,
         gateways: int,
         seed: int,
-        settings: RoomsSettings,
+        settings: RoomSettings,
         *,
         way_ms: tuple[float, float] = (2.0, 40.0),
         spread_ms: tuple[float, float] = (200.0, 1500.0),
@@ -139,9 +148,9 @@
         del self._conns[(conn.one, conn.other)], self._from[conn.one][conn.other]
         self._by_number.pop(conn.number, None)
         if conn.up and self.alive[conn.one]:
-            self.cores[conn.one].unlinked(self.now, self._origin(conn))
+            self.cores[conn.one].source_disconnected(self.now, self._origin(conn))
         if conn.up and self.alive[conn.other] and self.lives[conn.other] == conn.life:
-            self.cores[conn.other].closed(conn.number)
+            self.cores[conn.other].subscriber_disconnected(conn.number)
 
     def _origin(self, conn: _Conn) -> Origin:
         return (f"g{conn.other:03d}", conn.life)
@@ -154,7 +163,7 @@
             return
         core = self.cores[number]
         core.tick(self.now)
-        for origin in list(core.wanted()):
+        for origin in list(core.desired_sources()):
             other = int(origin[0][1:])
             if (number, other) not in self._conns and self.reaches(number, other):
                 if self.lives[other] == origin[1]:
@@ -165,7 +174,7 @@
             # Both sides say that they are there; half of it is counted at each tick.
             share = self.tick_ms / (self.settings.silent_ms / 3)
             self.bytes["beats"] += round(2 * BEAT * share)
-            core.heard(self.now, self._origin(conn))
+            core.record_contact(self.now, self._origin(conn))
         self.pump(number)
 
     def _dial(self, one: int, other: int) -> None:
@@ -179,14 +188,14 @@
         if conn.broken or self._conns.get((conn.one, conn.other)) is not conn:
             return
         conn.up = True
-        self.cores[conn.other].opened(conn.number, self.cores[conn.one].me)
-        self.cores[conn.one].linked(self.now, self._origin(conn))
+        self.cores[conn.other].subscriber_connected(conn.number, self.cores[conn.one].origin)
+        self.cores[conn.one].source_connected(self.now, self._origin(conn))
         self.pump(conn.one)
 
     def pump(self, number: int) -> None:
         """Carry what a gateway wants sent, and what it tells the spread and its watchers."""
         core = self.cores[number]
-        for to, body in core.take_out():
+        for to, body in core.drain_outgoing():
             if isinstance(to, int):
                 conn = self._by_number.get(to)
                 back = 1
@@ -195,7 +204,7 @@
                 back = 0
             if conn is None or conn.broken or not conn.up:
                 continue
-            size = len(frame(body))
+            size = len(encode_frame(body))
             self.bytes["streams"] += size
             self.by_gateway[number] += size
             self.frames += 1
@@ -203,7 +212,7 @@
             conn.due[back] = due
             self.at(due - self.now, lambda c=conn, b=back, m=body: self._arrive(c, b, m))  # type: ignore[misc]
         self._flush_soon(number)
-        changed = core.own_buckets()
+        changed = core.drain_directory_updates()
         if changed:
             for key, value in changed:
                 version, _ = self._spread[number].get(key, (0, None))
@@ -212,7 +221,7 @@
                 members = len(self.cores)
                 self.bytes["spread"] += round(size * members * 2 * math.log2(members + 1))
             self._spread_from(number)
-        if core.news:
+        if core.changed_rooms:
             self._look(number)
 
     def _flush_soon(self, number: int) -> None:
@@ -224,7 +233,7 @@
         def flush() -> None:
             self._flushing[number] = False
             if self.alive[number] and self.lives[number] == life:
-                self.cores[number].flush(self.now)
+                self.cores[number].publish_changes(self.now)
                 self.pump(number)
 
         self.at(self.tell_ms, flush)
@@ -233,20 +242,20 @@
         if conn.broken or self._conns.get((conn.one, conn.other)) is not conn:
             return
         if back:
-            self.cores[conn.one].take(self.now, self._origin(conn), body)
-            if self.begun and isinstance(body, Changes):
+            self.cores[conn.one].receive_update(self.now, self._origin(conn), body)
+            if self.begun and isinstance(body, ChangeBatch):
                 self._measure(conn, body)
             self.pump(conn.one)
         else:
-            self.cores[conn.other].asked(self.now, conn.number, body)
+            self.cores[conn.other].receive_request(self.now, conn.number, body)
             self.pump(conn.other)
 
-    def _measure(self, conn: _Conn, body: Changes) -> None:
+    def _measure(self, conn: _Conn, body: ChangeBatch) -> None:
         view = self.cores[conn.one].views.get(body.room)
         for change in body.changes:
-            begun = self.begun.get(change.id)
+            begun = self.begun.get(change.member_id)
             if begun is not None and change.entry is not None and view is not None:
-                if change.id in view.holders:
+                if change.member_id in view.holders:
                     self.delays.append(self.now - begun)
 
     def _spread_from(self, one: int) -> None:
@@ -269,7 +278,7 @@
             if not self.reaches(one, other):
                 have.pop((one, key), None)
             elif have.get((one, key)) == (life, version):  # else a newer one is on its way
-                self.cores[other].told(self.now, (f"g{one:03d}", life), key, value)
+                self.cores[other].receive_directory_entry(self.now, (f"g{one:03d}", life), key, value)
         self.pump(other)
 
     # --- clients
@@ -289,16 +298,16 @@
         """Let somebody watch a room at a gateway, by snapshot and then events."""
         found = Watched(f"w{len(self.watched)}@g{number:03d}", room)
         self.watched.append((number, found, [0, 0]))
-        view = self.cores[number].interest(self.now, room)
+        view = self.cores[number].open_view(self.now, room)
         view.watchers += 1
         self.pump(number)
         self._ask(number, view, found, self.watched[-1][2])
         return found
 
-    def _ask(self, number: int, view: View, watched: Watched, cursor: list[int]) -> None:
+    def _ask(self, number: int, view: RoomView, watched: Watched, cursor: list[int]) -> None:
         core = self.cores[number]
-        events = core.after(view, *cursor) if watched.told else None
-        unheard = tuple(sorted(core.unsure(view, self.now)))
+        events = core.events_after(view, *cursor) if watched.told else None
+        unheard = tuple(sorted(core.unsure_gateways(view, self.now)))
         if events is None:
             members = {one.entry.id: "sure" if one.sure else "unsure" for one in core.members(view)}
             watched.told.append(Told(self.now, members, [], unheard, bool(watched.told), self.now))
@@ -308,12 +317,12 @@
                 for e in events
             ]
             watched.told.append(Told(self.now, None, plain, unheard, False, self.now))
-        cursor[:] = [view.epoch, view.seq]
+        cursor[:] = [view.epoch, view.last_seq]
 
     def _look(self, number: int) -> None:
         core = self.cores[number]
-        news, core.news = core.news, set()
+        news, core.changed_rooms = core.changed_rooms, set()
         for at, watched, cursor in self.watched:
             if at == number and watched.room in news:
-                view = core.interest(self.now, watched.room)
+                view = core.open_view(self.now, watched.room)
                 self._ask(number, view, watched, cursor)
--- a/cressrock/lab/processes.py
+++ b/cressrock/lab/processes.py
@@ -22,7 +22,7 @@
 
 import anyio
 
-from cressrock.errors.lab import ProcessNotReady, ProcessUnknown
+from cressrock.errors.lab import ProcessNotReadyError, UnknownProcessError
 
 LAUNCHER = str(Path(__file__).with_name("child.py"))
 ROOT = str(Path(__file__).parent.parent.parent)  # processes run the code that the drill runs
@@ -134,14 +134,14 @@
         """Return the life that runs under a name.  Raises ProcessUnknown."""
         lives = self.lives.get(name)
         if not lives or lives[-1].code is not None:
-            raise ProcessUnknown(f"{name} does not run")
+            raise UnknownProcessError(f"{name} does not run")
         return lives[-1]
 
     async def start(self, name: str, command: list[str], word: str, *, ready_s: float = READY_S) -> Life:
         """Start a command and wait until it logs the event `word`.  Raises ProcessNotReady."""
         lives = self.lives.setdefault(name, [])
         if lives and lives[-1].code is None:
-            raise ProcessUnknown(f"{name} runs already")
+            raise UnknownProcessError(f"{name} runs already")
         number = len(lives) + 1
         process = subprocess.Popen(
             # In a session of its own: an interrupt at the terminal reaches the drill alone, which ends it.
@@ -158,7 +158,7 @@
         life.reader.start()
         try:
             await self.heard(life, word, ready_s)
-        except ProcessNotReady:
+        except ProcessNotReadyError:
             self._kill(life)
             raise
         life.ready_ms = self.clock()
@@ -173,12 +173,12 @@
                 break
             await anyio.sleep(POLL_S)
         else:
-            raise ProcessNotReady(f"{life.name} did not log {word!r} in {bound_s:g} s: {life.tail()}")
+            raise ProcessNotReadyError(f"{life.name} did not log {word!r} in {bound_s:g} s: {life.tail()}")
         if life.reader is not None:
             life.reader.join(5)
         if word in life.last:
             return life.last[word][1]
-        raise ProcessNotReady(f"{life.name} ended with {life.code} before {word!r}: {life.tail()}")
+        raise ProcessNotReadyError(f"{life.name} ended with {life.code} before {word!r}: {life.tail()}")
 
     # --- harm
 
--- a/cressrock/lab/rack.py
+++ b/cressrock/lab/rack.py
@@ -19,7 +19,7 @@
 from cressrock.lab.copystore import CopyStore
 from cressrock.webdav import conditions, xml
 from cressrock.webdav.conditions import State
-from cressrock.webdav.paths import BadPath, Path, parse, parse_url
+from cressrock.webdav.paths import InvalidPathError, Path, parse, parse_url
 from cressrock.webdav.xml import D, Response
 
 
@@ -130,7 +130,7 @@
             del self.locks[token]
         try:
             ifs = conditions.parse_if(task.headers["if"]) if "if" in task.headers else ()
-        except conditions.BadHeader as wrong:
+        except conditions.InvalidHeaderError as wrong:
             return Done(400, content=str(wrong).encode())
         if ifs and task.method != "LOCK" and not self._holds(ifs, task.path):
             return Done(412)
@@ -146,7 +146,7 @@
                 return Done(status, [(b"etag", etag.encode())] if status == 304 else [])
         try:
             return self._methods[task.method](self, task, found, tokens)
-        except xml.BadXML as wrong:
+        except xml.InvalidXMLError as wrong:
             return Done(400, content=str(wrong).encode())
 
     def _find(self, path: Path) -> Resource | None:
@@ -159,7 +159,7 @@
         for one in ifs:
             try:
                 target = path if one.resource is None else parse_url(one.resource, _host(one.resource))
-            except BadPath:
+            except InvalidPathError:
                 target = None
             if target is None:
                 states[one.resource] = State("", frozenset())
@@ -352,7 +352,7 @@
         """Copy or move a plain resource within the rack; collections are the dispatcher's to compose."""
         try:
             target = parse(task.headers.get("destination", ""))
-        except BadPath as wrong:
+        except InvalidPathError as wrong:
             return Done(400, content=str(wrong).encode())
         if found is None:
             return Done(404)
@@ -549,7 +549,7 @@
     def _unlock(self, task: Task, found: Resource | None, tokens: frozenset[str]) -> Done:
         try:
             token = conditions.coded_url(task.headers.get("lock-token", ""), "Lock-Token")
-        except conditions.BadHeader as wrong:
+        except conditions.InvalidHeaderError as wrong:
             return Done(400, content=str(wrong).encode())
         lock = self.locks.get(token)
         if lock is None or lock not in self._covering(task.path):
--- a/cressrock/lab/seatstore.py
+++ b/cressrock/lab/replica_store.py
@@ -2,34 +2,34 @@
 
 from __future__ import annotations
 
-from cressrock.council.log import HardState, Snapshot, Stored
-from cressrock.council.messages import Entry
-from cressrock.council.raft import Ready
+from cressrock.consensus.raft.log import HardState, Snapshot, StoredState
+from cressrock.consensus.raft.messages import LogEntry
+from cressrock.consensus.raft.node import Ready
 
 
-class SeatStore:
+class InMemoryReplicaStore:
     """Keeps what a seat hands out; what was kept is never changed in place, so copies share it."""
 
     __slots__ = ("hard", "snapshot", "entries")
 
-    def __init__(self, stored: Stored) -> None:
+    def __init__(self, stored: StoredState) -> None:
         """Begin with `stored`."""
-        self.hard: HardState = stored.hard
+        self.hard: HardState = stored.hard_state
         self.snapshot: Snapshot | None = stored.snapshot
-        self.entries: tuple[Entry, ...] = stored.entries
+        self.entries: tuple[LogEntry, ...] = stored.entries
 
-    def clone(self) -> SeatStore:
+    def clone(self) -> InMemoryReplicaStore:
         """Return one of its own with the same content."""
-        return SeatStore(self.load())
+        return InMemoryReplicaStore(self.load())
 
-    def load(self) -> Stored:
+    def load(self) -> StoredState:
         """Return what a seat starts from."""
-        return Stored(self.hard, self.snapshot, self.entries)
+        return StoredState(self.hard, self.snapshot, self.entries)
 
     def write(self, ready: Ready) -> None:
         """Keep a batch, all of it; a gap in the log is a fault (ValueError)."""
-        if ready.hard is not None:
-            self.hard = ready.hard
+        if ready.hard_state is not None:
+            self.hard = ready.hard_state
         entries = self.entries
         if ready.snapshot is not None:
             self.snapshot = ready.snapshot
@@ -44,14 +44,14 @@
         self.entries = entries
 
     @property
-    def last(self) -> int:
+    def last_index(self) -> int:
         """The last index kept."""
         return self.entries[-1].index if self.entries else self.snapshot.index if self.snapshot else 0
 
     def term_at(self, index: int) -> int | None:
         """Return the term kept at an index, None if it is not here."""
         base = self.snapshot.index if self.snapshot else 0
-        if base < index <= self.last:
+        if base < index <= self.last_index:
             return self.entries[index - base - 1].term
         if index == base:
             return self.snapshot.term if self.snapshot else 0
--- a/cressrock/lab/rolloutsim.py
+++ b/cressrock/lab/rolloutsim.py
@@ -18,12 +18,12 @@
 
 import numpy as np
 
-from cressrock.council import decrees as d
+from cressrock.consensus import decisions as d
 from cressrock.rollout import evidence as e
-from cressrock.rollout import stages as s
+from cressrock.rollout import lifecycle as s
 from cressrock.rollout import verdict as v
 
-REFUSED, FAILED, LEFT, LATE, SLOW = range(len(e.MARKS))
+REFUSED, FAILED, LEFT, LATE, SLOW = range(len(e.FAULT_KINDS))
 LOST_S = (20, 90)  # how long a zone is lost
 SICK_S = (20, 200)
 BURST_S = (1, 4)
@@ -43,15 +43,23 @@
     tell_s: int = 2  # counts come to the leader so often; a second more on the way
 
 
-def course(levels: s.Levels | None = None, *, least_s: float = 60.0) -> s.Course:
+def course(levels: s.Thresholds | None = None, *, least_s: float = 60.0) -> s.RolloutPlan:
     """Return the stages of the benchmark: 5 % of the volumes, one zone, all."""
-    return s.Course(
+    return s.RolloutPlan(
         stages=[
-            s.Stage(part=0.05, beside=0.5, least_ms=least_s * 1000, least=2000),
-            s.Stage(part=0.3, zones=["z0"], beside=0.5, least_ms=least_s * 1000, least=2000),
-            s.Stage(beside=0.1, least_ms=least_s * 1000, least=2000),
+            s.Stage(
+                volume_fraction=0.05, control_fraction=0.5, min_duration_ms=least_s * 1000, min_answers=2000
+            ),
+            s.Stage(
+                volume_fraction=0.3,
+                zones=["z0"],
+                control_fraction=0.5,
+                min_duration_ms=least_s * 1000,
+                min_answers=2000,
+            ),
+            s.Stage(control_fraction=0.1, min_duration_ms=least_s * 1000, min_answers=2000),
         ],
-        levels=levels or s.Levels(),
+        thresholds=levels or s.Thresholds(),
     )
 
 
@@ -74,7 +82,7 @@
     def __init__(
         self,
         shape: Shape,
-        plan: s.Course,
+        plan: s.RolloutPlan,
         seed: int,
         *,
         worse: dict[int, float] | None = None,
@@ -90,13 +98,13 @@
         self.shape, self.plan = shape, plan
         self.rng = np.random.default_rng(seed)
         self.draw = random.Random(seed)
-        self.state = s.start(None, b"candidate %d" % seed)
+        self.state = s.start_rollout(None, b"candidate %d" % seed)
         self.worse = worse or {}
         self.base = base or shape.base
         p, c = shape.processes, len(shape.classes)
         self.zone = np.arange(p) % shape.zones
         # [stage, process, class, kind, side]; side 0 is the candidate's.
-        self.marks = np.zeros((len(plan.stages), p, c, len(e.MARKS), 2))
+        self.marks = np.zeros((len(plan.stages), p, c, len(e.FAULT_KINDS), 2))
         self.trials = np.zeros((len(plan.stages), p, c, 2))
         # Some volumes are always refused a part of what they ask: over their limit, for good.
         weights = np.exp(self.rng.normal(0, 1.0, shape.volumes))
@@ -134,7 +142,7 @@
         """Draw a second's trials and their ends."""
         shape, stage, index = self.shape, self.plan.stages[self.state.stage], self.state.stage
         if index not in self.inside:
-            drawn = [s.in_part(self.state.digest, name, stage.part) for name in self.names]
+            drawn = [s.selects_volume(self.state.digest, name, stage.volume_fraction) for name in self.names]
             self.inside[index] = np.array(drawn)
         inside = self.inside[index]
         part = float(self.weights[inside].sum())
@@ -145,8 +153,8 @@
         here &= ~self.back
         mean = shape.rate * part * np.outer(here, np.array(shape.classes))
         came = self.rng.poisson(mean)
-        tried = self.rng.binomial(came, 1 - stage.beside)
-        chance = np.zeros((shape.processes, len(e.MARKS))) + np.array(self.base)
+        tried = self.rng.binomial(came, 1 - stage.control_fraction)
+        chance = np.zeros((shape.processes, len(e.FAULT_KINDS))) + np.array(self.base)
         chance[:, REFUSED] += chronic
         for _, begin, end, which, added in self.faults:
             if begin <= now < end:
@@ -165,26 +173,26 @@
                     mine[:, kind] = odds * mine[:, kind] / (odds * mine[:, kind] + 1 - mine[:, kind])
                 mine[:, FAILED] = np.maximum(mine[:, FAILED], self.by_it)
             self.trials[index, :, :, side] += count
-            for kind in range(len(e.MARKS)):
+            for kind in range(len(e.FAULT_KINDS)):
                 self.marks[index, :, :, kind, side] += self.rng.binomial(count, mine[:, kind : kind + 1])
 
     def _chronic(self, inside: Any, side: int) -> float:
         """Return the part that is always refused of those volumes that have one side's version."""
         name_of = self.state.digest + "half"
-        half = np.array([s.in_part(name_of, name, 0.5) == (side == 0) for name in self.names])
+        half = np.array([s.selects_volume(name_of, name, 0.5) == (side == 0) for name in self.names])
         weights = self.weights * (inside & half)
         return float((weights * self.chronic).sum() / max(weights.sum(), 1e-12))
 
     def judged(self, marks: Any) -> list[tuple[int, int]]:
         """Return (class, kind) of what the candidate is accused of: `verdict.judge` on arrays."""
-        levels, classes = self.plan.levels, len(self.shape.classes)
-        wanted = v.needed(levels, classes)
-        logs = np.zeros((*marks.shape[1:4], len(v.ODDS)))
+        levels, classes = self.plan.thresholds, len(self.shape.classes)
+        wanted = v.accusation_threshold(levels, classes)
+        logs = np.zeros((*marks.shape[1:4], len(v.ODDS_RATIOS)))
         for index, stage in enumerate(self.plan.stages[: self.state.stage + 1]):
-            one = v.bets(_unit(0), 0, stage.beside, levels.tolerate)
-            other = v.bets(_unit(1), 0, stage.beside, levels.tolerate)
+            one = v.log_wealths(_unit(0), 0, stage.control_fraction, levels.tolerated_odds_ratio)
+            other = v.log_wealths(_unit(1), 0, stage.control_fraction, levels.tolerated_odds_ratio)
             logs += marks[index, ..., 0:1] * np.array(one) + marks[index, ..., 1:2] * np.array(other)
-        greatest = np.sort(np.maximum(logs, 0), axis=0)[len(logs) - levels.accusers + 1 :]
+        greatest = np.sort(np.maximum(logs, 0), axis=0)[len(logs) - levels.min_accusers + 1 :]
         wealth = logs.sum(axis=0) - greatest.sum(axis=0)  # [class, kind, odds]
         high = wealth.max(axis=-1)
         mixed = high + np.log(np.exp(wealth - high[..., None]).mean(axis=-1))
@@ -192,31 +200,33 @@
 
     def _far_worse(self) -> None:
         """Let processes go back alone, by `verdict.far_worse` on arrays."""
-        levels, classes = self.plan.levels, len(self.shape.classes)
-        logs = np.zeros((*self.marks.shape[1:4], len(v.ODDS)))
-        far = max(levels.far, levels.tolerate)
+        levels, classes = self.plan.thresholds, len(self.shape.classes)
+        logs = np.zeros((*self.marks.shape[1:4], len(v.ODDS_RATIOS)))
+        far = max(levels.rollback_odds_ratio, levels.tolerated_odds_ratio)
         for index, stage in enumerate(self.plan.stages[: self.state.stage + 1]):
-            one, other = (v.bets(_unit(side), 0, stage.beside, far) for side in (0, 1))
+            one, other = (v.log_wealths(_unit(side), 0, stage.control_fraction, far) for side in (0, 1))
             logs += self.marks[index, ..., 0:1] * np.array(one)
             logs += self.marks[index, ..., 1:2] * np.array(other)
         high = logs.max(axis=-1)
         mixed = high + np.log(np.exp(logs - high[..., None]).mean(axis=-1))
-        self.back |= (mixed >= v.needed(levels, classes)).any(axis=(1, 2))
+        self.back |= (mixed >= v.accusation_threshold(levels, classes)).any(axis=(1, 2))
 
-    def heard(self, marks: Any, trials: Any) -> e.Heard:
+    def heard(self, marks: Any, trials: Any) -> e.FleetCounts:
         """Return the arrays as what a leader would have heard."""
-        heard, digest = e.Heard(self.state.digest), bytes.fromhex(self.state.digest)
+        heard, digest = e.FleetCounts(self.state.digest), bytes.fromhex(self.state.digest)
         for index, p, cls in np.argwhere(trials.sum(axis=-1) > 0):
-            tally = e.Tally(
+            tally = e.OutcomeCounts(
                 [int(n) for n in trials[index, p, cls]],
                 [[int(n) for n in kind] for kind in marks[index, p, cls]],
             )
-            heard.take((f"e{p}", 1), e.key_of(int(cls), int(index)), e.encode(e.Piece(digest, tally)))
+            heard.merge(
+                (f"e{p}", 1), e.counts_key(int(cls), int(index)), e.encode(e.CountsEntry(digest, tally))
+            )
         return heard
 
     def play(self, most_s: int = 3600, *, check: bool = False) -> Played:
         """Play to the rollout's end.  Raises AssertionError where the arrays and the pure test differ."""
-        pace, number = s.Pace(), 1
+        pace, number = s.StagePacer(), 1
         marks, trials = self.marks.copy(), self.trials.copy()
         for now in range(most_s):
             self._second(now)
@@ -227,19 +237,21 @@
             figures: dict[str, float] = {}
             answered = int(trials[self.state.stage, ..., 0].sum())
             names = [f"c{c}" for c in range(len(self.shape.classes))]
-            why = f"{names[accused[0][0]]}: {e.MARKS[accused[0][1]]}" if accused else ""
-            found = s.Findings(answered, why, int(self.back.sum()), figures)
-            wanted = pace.look(now * 1000.0, number, self.state, self.plan, found)
+            why = f"{names[accused[0][0]]}: {e.FAULT_KINDS[accused[0][1]]}" if accused else ""
+            found = s.LeaderFindings(answered, why, int(self.back.sum()), figures)
+            wanted = pace.next_state(now * 1000.0, number, self.state, self.plan, found)
             if wanted is not None:
                 self.state, number = wanted, number + 1
                 if not self.state.running:
                     break
         if check:
-            pure = v.judge(self.heard(marks, trials), self.plan, len(self.shape.classes))
-            assert sorted((a.cls, e.MARKS.index(a.kind)) for a in pure) == sorted(accused)
+            pure = v.accusations_from_counts(self.heard(marks, trials), self.plan, len(self.shape.classes))
+            assert sorted((a.request_class, e.FAULT_KINDS.index(a.fault_kind)) for a in pure) == sorted(
+                accused
+            )
         return Played(
-            self.state.state,
-            self.state.why,
+            self.state.status,
+            self.state.reason,
             now + 1,
             int(self.trials.sum()),
             self.state.stage,
@@ -248,10 +260,10 @@
         )
 
 
-def _unit(side: int) -> e.Tally:
+def _unit(side: int) -> e.OutcomeCounts:
     """Return counts with one mark of the first kind on one side."""
-    tally = e.Tally.empty()
-    tally.marks[0][side] = 1
+    tally = e.OutcomeCounts.empty()
+    tally.faults[0][side] = 1
     return tally
 
 
@@ -277,19 +289,19 @@
     reads (`stages.Sure`); without, on what is told alone.  Clocks run apart by up to a thousandth.
     """
     draw = random.Random(seed)
-    state = s.start(None, b"bad")
-    plan = s.Course(stages=[s.Stage()])
-    readers = [d.Reader() for _ in range(processes)]
-    sure = [s.Sure() for _ in range(processes)]
+    state = s.start_rollout(None, b"bad")
+    plan = s.RolloutPlan(stages=[s.Stage()])
+    readers = [d.DecisionReader() for _ in range(processes)]
+    sure = [s.ReadLease() for _ in range(processes)]
     drift = [draw.uniform(0.999, 1.001) for _ in range(processes)]
     halt_at = draw.uniform(8000, 20000)
     cut_at = halt_at - draw.uniform(0, 5000)
     heal_at = halt_at + draw.uniform(5000, 30000)
     group = [draw.choice((0, 0, 1, 2)) for _ in range(processes)]  # 0 is with the leader
-    events: list[tuple[float, int, int, d.Decree | float]] = []
+    events: list[tuple[float, int, int, d.Decision | float]] = []
     count, beat, end = 0, 0, 60000.0
 
-    def at(when: float, who: int, what: d.Decree | float) -> None:
+    def at(when: float, who: int, what: d.Decision | float) -> None:
         nonlocal count
         count += 1
         heapq.heappush(events, (when, count, who, what))
@@ -301,8 +313,8 @@
     while now < end:
         beat += 1
         over = now >= halt_at
-        value = s.encode(s.end(state, "halted", "worse", {}) if over else state)
-        decree = d.Decree(s.TOPIC, 2 if over else 1, value, hold_ms, "", beat)
+        value = s.encode(s.end_rollout(state, "halted", "worse", {}) if over else state)
+        decree = d.Decision(s.ROLLOUT_TOPIC, 2 if over else 1, value, hold_ms, "", beat)
         for who in range(processes):
             when = now + draw.uniform(1, 1500)
             at(heal_at + draw.uniform(0, 2000) if cut(who, when) else when, who, decree)
@@ -320,17 +332,17 @@
     while now < end:
         while events and events[0][0] <= now:
             when, _, who, what = heapq.heappop(events)
-            if isinstance(what, d.Decree):
-                readers[who].take(what, when * drift[who])
+            if isinstance(what, d.Decision):
+                readers[who].receive(what, when * drift[who])
             elif not cut(who, what) and not cut(who, what + 500):
                 # Its answer stood at some moment between its beginning and its end; the worst is the former.
-                sure[who].read(2 if what >= halt_at else 1, what * drift[who], hold_ms)
+                sure[who].record_read(2 if what >= halt_at else 1, what * drift[who], hold_ms)
         for who, reader in enumerate(readers):
             mine = now * drift[who]
-            found = reader.get(s.TOPIC, mine)
-            if not isinstance(found, d.Decree) or (reads and not sure[who].counts(found.number, mine)):
+            found = reader.get(s.ROLLOUT_TOPIC, mine)
+            if not isinstance(found, d.Decision) or (reads and not sure[who].is_valid(found.version, mine)):
                 continue
-            if s.eligible(s.decode(found.value), plan, "v", "") is not None:
+            if s.eligible_stage(s.decode(found.value), plan, "v", "") is not None:
                 chosen += 1
                 after = max(after, now - halt_at)
         now += 100.0
--- a/cressrock/lab/seat.py
+++ b/cressrock/lab/seat.py
@@ -16,9 +16,9 @@
 import anyio.to_thread
 
 from cressrock import net
-from cressrock.council import decrees as d
-from cressrock.council.carrier import CouncilSeat, SeatSettings, World
-from cressrock.council.raft import Timing
+from cressrock.consensus import decisions as d
+from cressrock.consensus.raft.node import RaftSettings
+from cressrock.consensus.replica import ConsensusReplica, Environment, ReplicaSettings
 
 
 def say(line: dict[str, Any]) -> None:
@@ -29,31 +29,31 @@
 
 async def run(given: argparse.Namespace) -> None:
     """Sit until standard input ends."""
-    settings = SeatSettings(
+    settings = ReplicaSettings(
         name=given.name,
         cluster=given.cluster,
-        seats=json.loads(given.seats),
+        replicas=json.loads(given.seats),
         store=given.store,
         start=given.start,
-        timing=Timing(election_ms=given.election_ms, heartbeat_ms=given.heartbeat_ms),
-        renew_ms=given.renew_ms,
-        max_log=given.max_log,
+        timing=RaftSettings(election_ms=given.election_ms, heartbeat_ms=given.heartbeat_ms),
+        renewal_interval_ms=given.renew_ms,
+        max_log_entries=given.max_log_entries,
     )
-    world = World(net.clock(), net.wall_ms, net.connect, random.Random())
+    world = Environment(net.clock(), net.wall_ms, net.connect, random.Random())
 
     def applied(index: int, command: d.Command, outcome: d.Outcome) -> None:
         line: dict[str, Any] = {"applied": index, "kind": type(command).__name__.lower()}
-        if not isinstance(command, d.Ground):
-            line |= {"topic": command.topic, "request": command.request}
+        if not isinstance(command, d.SetVersionBase):
+            line |= {"topic": command.topic, "request": command.request_id}
         done = type(outcome).__name__.lower()
-        number = None if isinstance(outcome, d.Refused) else outcome.number
+        number = None if isinstance(outcome, d.Rejected) else outcome.version
         say(line | {"outcome": done, "number": number})
 
-    seat = CouncilSeat(
+    seat = ConsensusReplica(
         world,
         settings,
-        changed=lambda status: say({"status": status}),
-        applied=applied,
+        on_status_change=lambda status: say({"status": status}),
+        on_applied=applied,
         max_pages=given.max_pages,
     )
     async with anyio.create_task_group() as tasks:
--- a/cressrock/lab/serve.py
+++ b/cressrock/lab/serve.py
@@ -9,13 +9,13 @@
 import anyio
 
 from cressrock import net
-from cressrock.dispatch.spool import Store
-from cressrock.gateway import Gateway, World
+from cressrock.dispatch.spool import PayloadStore
 from cressrock.http.server import Server
 from cressrock.lab.hall import Close, Hall, Serve
 from cressrock.lab.listing import Listing
 from cressrock.lab.model import Machine, Meter
 from cressrock.lab.node import Rates
+from cressrock.programs.gateway import Environment, Gateway
 from cressrock.settings.load import convert, evaluate_text
 
 SETTINGS = """
@@ -68,12 +68,12 @@
         value = settings or lab_settings(listing_address, listen, shards)
         value["node_list"]["address"] = listing_address
         checked = convert("lab settings", value)
-        gateway = Gateway(checked, World(net.connect, net.wall_ms, seed, log))
+        gateway = Gateway(checked, Environment(net.connect, net.wall_ms, seed, log))
         await tasks.start(gateway.run)
         address, _ = await net.listen(listen, gateway.serve, tasks, setting="--listen", log=log)
         admin_server = Server(gateway.admin, checked.front.bounds, max_connections=64, failed=_failed(log))
         admin_address, _ = await net.listen(admin, admin_server.serve, tasks, setting="--admin", log=log)
-        while gateway.ready():
+        while gateway.not_ready_reasons():
             await anyio.sleep(0.01)
         ready(
             {
@@ -99,7 +99,7 @@
         return await net.listen(address, serve, tasks, setting="a stand-in")
 
     machine = Machine() if modelled else None
-    store = Store(memory_bytes=1 << 28, spill_bytes=1 << 20)
+    store = PayloadStore(memory_bytes=1 << 28, spill_bytes=1 << 20)
     listing = Listing(clock=clock, seed=seed)
     hall = Hall(
         tasks,
--- a/cressrock/lab/service.py
+++ b/cressrock/lab/service.py
@@ -14,7 +14,7 @@
 from typing import Any
 
 from cressrock.lab.trace import Row, Trace
-from cressrock.webdav.paths import BadPath, parse
+from cressrock.webdav.paths import InvalidPathError, parse
 from cressrock.webdav.placement import home
 
 Span = tuple[float, float]
@@ -231,7 +231,7 @@
         why, idle, shard = Hindrance.COMPOSED, 0.0, -1
         try:
             shard = home(parse(asked.path).key, shards) if shards else -1
-        except BadPath:
+        except InvalidPathError:
             pass
         if any((c.request, c.operation, c.attempt) in self.seen for c in self.came[asked.request]):
             why = Hindrance.RAN
--- a/cressrock/lab/simnet.py
+++ b/cressrock/lab/simnet.py
@@ -239,7 +239,7 @@
 
 
 class SimSockets:
-    """The net's sockets as a program's common ground takes them (`cressrock.ground.Sockets`)."""
+    """The net's sockets as a program's common ground takes them (`cressrock.runtime.Sockets`)."""
 
     def __init__(self, net: SimNet) -> None:
         """Open them at one net."""
@@ -262,7 +262,7 @@
 
         return address, close
 
-    async def listen_both(
+    async def listen_tcp_and_udp(
         self,
         address: str,
         serve: Callable[[Any], Coroutine[Any, Any, None]],
--- a/cressrock/lab/spreadsim.py
+++ b/cressrock/lab/spreadsim.py
@@ -10,7 +10,7 @@
 import random
 from collections.abc import Callable
 
-from cressrock.fleet.spread import Origin, Spread, SpreadSettings, pieces
+from cressrock.gossip.store import GossipStore, GossipStoreSettings, Origin, full_state_parts
 
 FIRST_LIFE = 1_790_000_000_000  # as long on the wire as a clock's milliseconds
 
@@ -26,7 +26,7 @@
         loss: float = 0.05,
         max_bytes: int = 1200,
         digest_bytes: int = 1200,
-        settings: SpreadSettings | None = None,
+        settings: GossipStoreSettings | None = None,
         answers: int = 4,
     ) -> None:
         """`answers`: datagrams of a delta at most; 0: rumours alone, without anti-entropy."""
@@ -34,14 +34,16 @@
         self.loss = loss
         self.max_bytes, self.digest_bytes = max_bytes, digest_bytes
         self.answers = answers
-        self.settings = settings or SpreadSettings()
+        self.settings = settings or GossipStoreSettings()
         self.spreads = [
-            Spread(f"edge-{number:04d}", FIRST_LIFE + number, self.settings, random.Random(seed + number))
+            GossipStore(
+                f"edge-{number:04d}", FIRST_LIFE + number, self.settings, random.Random(seed + number)
+            )
             for number in range(members)
         ]
-        self.known = [s.me for s in self.spreads]
+        self.known = [s.local for s in self.spreads]
         for spread in self.spreads:
-            spread.admit(self.known)
+            spread.retain_origins(self.known)
         self.bytes: dict[str, int] = {"fresh": 0, "digest": 0, "delta": 0}
         self.lost = 0
         self.joined: Callable[[int, int], bool] = lambda _one, _other: True
@@ -51,14 +53,14 @@
         for number, spread in enumerate(self.spreads):
             for key in range(entries):
                 spread.put(f"key/{key}", number.to_bytes(4, "big") * (size // 4))
-        whole = [list(pieces(spread, 60_000)) for spread in self.spreads]
+        whole = [list(full_state_parts(spread, 60_000)) for spread in self.spreads]
         for spread in self.spreads:
             for parcels in whole:
                 for parcel in parcels:
                     spread.merge(parcel)
-            while spread.fresh(60_000):
+            while spread.recent_changes(60_000):
                 pass
-            spread.changes()
+            spread.drain_changes()
 
     def round(self) -> None:
         """Carry one protocol period."""
@@ -67,7 +69,7 @@
         for number, spread in enumerate(self.spreads):
             peer = self.source.randrange(len(self.spreads) - 1)
             peer += peer >= number
-            rumour = spread.fresh(self.max_bytes)
+            rumour = spread.recent_changes(self.max_bytes)
             digest = spread.digest(self.digest_bytes) if self.answers else b""
             self.bytes["fresh"] += len(rumour)
             self.bytes["digest"] += len(digest)
@@ -96,9 +98,9 @@
 
     def have(self, key: str, origin: Origin, value: bytes) -> int:
         """Return how many members read that value."""
-        return sum(spread.get(key).get(origin) == value for spread in self.spreads)
+        return sum(spread.values(key).get(origin) == value for spread in self.spreads)
 
     def behind(self) -> int:
         """Return how many members lack something that an origin has written."""
-        own = [(spread.me, spread.mark(spread.me)) for spread in self.spreads]
-        return sum(any(spread.mark(me) < mark for me, mark in own) for spread in self.spreads)
+        own = [(spread.local, spread.known_version(spread.local)) for spread in self.spreads]
+        return sum(any(spread.known_version(me) < mark for me, mark in own) for spread in self.spreads)
