--- a/cressrock/lab/zonesim.py
+++ b/cressrock/lab/zonesim.py
@@ -17,14 +17,14 @@
 from itertools import accumulate, pairwise
 from typing import Any, Protocol
 
-from cressrock.council.decrees import Decree, Expired
+from cressrock.consensus.decisions import Decision, Expired
+from cressrock.failover import decision
+from cressrock.failover.decision import FailoverDecision, FailoverSettings, ZoneSettings, ZoneState
+from cressrock.failover.evaluation import EvaluationMemory, evaluate_reports, record_decision
+from cressrock.failover.evidence import FleetEvidence, Origin
+from cressrock.failover.routing import Route, Shed, ZoneRouter
+from cressrock.failover.summary import ZoneMember
 from cressrock.interface import Outcome
-from cressrock.zones import terms
-from cressrock.zones.evidence import All, Origin
-from cressrock.zones.spill import Choice, Go, Stay
-from cressrock.zones.sums import Who
-from cressrock.zones.terms import State, Verdict, Zone, Zones
-from cressrock.zones.verdict import Memory, decided, judge
 
 PLACES = {"a1": "north", "a2": "north", "b1": "south"}
 LOOK_MS = 250.0  # how often the leader looks
@@ -54,12 +54,12 @@
     over: float = 0.0  # most in any second over what cold nodes bear
     full: int = 0
 
-    def bears(self, now: float, of: Zones) -> float:
+    def bears(self, now: float, of: FailoverSettings) -> float:
         """Return units a second that the nodes bear."""
         grown = of.safe_start + (1 - of.safe_start) * min(1.0, (now - self.cold_at) / of.warm_ms)
         return self.capacity * (1 - self.dead) * grown
 
-    def take(self, now: float, of: Zones) -> bool:
+    def take(self, now: float, of: FailoverSettings) -> bool:
         """Take one unit; False: more than they bear."""
         bears = self.bears(now, of)
         if self.cold_at > 0 and now - self.cold_at < of.warm_ms:
@@ -79,12 +79,14 @@
 class Chooser(Protocol):
     """What an edge asks where a read goes."""
 
-    def read(
+    def route(
         self, zones: Sequence[str], units: float, reserved: bool, now_ms: float, home: str = ""
-    ) -> Go | Stay:
+    ) -> Route | Shed:
         """Say where a read goes."""
 
-    def ended(self, zone: str, units: float, outcome: Outcome, now_ms: float, lag_ms: float = 0.0) -> None:
+    def record_attempt(
+        self, zone: str, units: float, outcome: Outcome, now_ms: float, lag_ms: float = 0.0
+    ) -> None:
         """Hear what came of it."""
 
 
@@ -95,13 +97,15 @@
         """Stand in a zone."""
         self.here = here
 
-    def read(
+    def route(
         self, zones: Sequence[str], units: float, reserved: bool, now_ms: float, home: str = ""
-    ) -> Go | Stay:
+    ) -> Route | Shed:
         """Go near, or nowhere."""
-        return Go(home, 0) if home in zones else Stay(1000.0, "no-copy")
+        return Route(home, 0) if home in zones else Shed(1000.0, "no-copy")
 
-    def ended(self, zone: str, units: float, outcome: Outcome, now_ms: float, lag_ms: float = 0.0) -> None:
+    def record_attempt(
+        self, zone: str, units: float, outcome: Outcome, now_ms: float, lag_ms: float = 0.0
+    ) -> None:
         """Learn nothing."""
 
 
@@ -114,17 +118,19 @@
         self.failed: dict[str, int] = {}
         self.until: dict[str, float] = {}
 
-    def read(
+    def route(
         self, zones: Sequence[str], units: float, reserved: bool, now_ms: float, home: str = ""
-    ) -> Go | Stay:
+    ) -> Route | Shed:
         """Go to the nearest zone that is not left, whatever it bears."""
         near = sorted(zones, key=lambda z: (z != home, self.places[z] != self.places[self.here], z))
         for zone in near:
             if now_ms >= self.until.get(zone, 0.0):
-                return Go(zone, int(zone != home))
-        return Go(near[0], int(near[0] != home))
+                return Route(zone, int(zone != home))
+        return Route(near[0], int(near[0] != home))
 
-    def ended(self, zone: str, units: float, outcome: Outcome, now_ms: float, lag_ms: float = 0.0) -> None:
+    def record_attempt(
+        self, zone: str, units: float, outcome: Outcome, now_ms: float, lag_ms: float = 0.0
+    ) -> None:
         """Leave a zone that fails; come back in full after a second."""
         if outcome in (Outcome.NO_CONNECTION, Outcome.TIMEOUT, Outcome.RESET):
             self.failed[zone] = self.failed.get(zone, 0) + 1
@@ -148,7 +154,7 @@
     blind: set[str] = field(default_factory=set)  # zones that it cannot reach
     bad: float = 0.0  # of its attempts that fail, wherever they go
     cut: bool = False  # from council and spread
-    heard: Decree | None = None
+    heard: Decision | None = None
     heard_at: float = 0.0
     expired: bool = False
 
@@ -183,20 +189,20 @@
         self.random = random.Random(f"{seed} zones")
         self.clients = self.random  # draws what clients ask; one of its own where two runs are compared
         self.policy, self.hold_ms = policy, hold_ms
-        self.settings = Zones(
-            zones={name: Zone(region=region, capacity=capacity) for name, region in places.items()},
+        self.settings = FailoverSettings(
+            zones={name: ZoneSettings(region=region, capacity=capacity) for name, region in places.items()},
             edges=edges,
         )
         self.now = 0.0
         self.sites = {name: Site(capacity) for name in places}
         self.edges = [self._edge(number) for number in range(edges)]
         self.rate = load * capacity * len(places)  # reads a second
-        self.all = All(self.settings)
-        self.memory = Memory()
+        self.all = FleetEvidence(self.settings)
+        self.memory = EvaluationMemory()
         self.leader = True
-        self.standing: Decree | None = None
+        self.standing: Decision | None = None
         self.number = 0
-        self.decrees: list[tuple[float, Verdict]] = []
+        self.decrees: list[tuple[float, FailoverDecision]] = []
         self.switches = 0
         self.tells = 0
         self._heap: list[tuple[float, int, Callable[..., None], tuple[Any, ...]]] = []
@@ -215,7 +221,7 @@
         source = random.Random(self.random.getrandbits(60))
         choice: Any
         if self.policy == "decided":
-            choice = Choice(place, self.places, self.settings, self.random.uniform(-500, 0), source)
+            choice = ZoneRouter(place, self.places, self.settings, self.random.uniform(-500, 0), source)
         elif self.policy == "none":
             choice = NoSpill(place)
         else:
@@ -247,7 +253,7 @@
     def lead(self, on: bool) -> None:
         """Let the leader die, or another be elected, who remembers nothing."""
         self.leader = on
-        self.memory = Memory()
+        self.memory = EvaluationMemory()
 
     def cut(self, one: str, other: str, on: bool = True) -> None:
         """Cut the edges of two zones from the nodes of the other."""
@@ -312,7 +318,7 @@
         if not edge.alive:
             return
         found = edge.choice.read(zones, 1.0, reserved, self.now, home)
-        if isinstance(found, Stay):
+        if isinstance(found, Shed):
             return
         site = self.sites[found.zone]
         outcome, lag = Outcome.OK, site.lag_ms * self.random.uniform(0.5, 1.5)
@@ -327,7 +333,7 @@
     def _ended(
         self,
         edge: Edge,
-        found: Go,
+        found: Route,
         outcome: Outcome,
         lag: float,
         zones: list[str],
@@ -361,8 +367,8 @@
             return
         self._lapse(edge)
         if not edge.cut and self.now >= self._sums_at:
-            self._sums_at, self._loads = self.now + 1000, self.all.loads(self.now)
-            self._accused = self.all.accused(self.now)
+            self._sums_at, self._loads = self.now + 1000, self.all.zone_loads(self.now)
+            self._accused = self.all.is_any_zone_accused(self.now)
         edge.choice.loads(self._loads)
         stir = edge.choice.stirred() or (self._accused and not edge.cut)
         for change in edge.choice.own.tell(self.now, stir):
@@ -373,36 +379,36 @@
     def _lapse(self, edge: Edge) -> None:
         if edge.heard is not None and not edge.expired and self.now >= edge.heard_at + self.hold_ms:
             edge.expired = True
-            edge.choice.decreed(terms.TOPIC, Expired(edge.heard, self.now), self.now)
+            edge.choice.apply_decision(decision.TOPIC, Expired(edge.heard, self.now), self.now)
 
     def _heard(self, origin: Origin, key: str, value: bytes | None) -> None:
-        self.all.take(origin, key, value, self.now)
+        self.all.receive(origin, key, value, self.now)
 
     def _look(self) -> None:
         self.after(LOOK_MS, self._look)
         if not self.leader:
             return
-        members = [Who(e.origin, e.place, e.seen, True) for e in self.edges]
-        self.all.keep({e.origin for e in self.edges if e.seen})
-        standing = terms.decode(self.standing.value) if self.standing is not None else None
+        members = [ZoneMember(e.origin, e.place, e.seen, True) for e in self.edges]
+        self.all.retain({e.origin for e in self.edges if e.seen})
+        standing = decision.decode(self.standing.value) if self.standing is not None else None
         wanted = self._judge(members, standing)
         if wanted is not None:
-            decided(self.memory, self.now)
-            self.after(self.random.uniform(5, 50), self._decree, wanted, standing or Verdict())
+            record_decision(self.memory, self.now)
+            self.after(self.random.uniform(5, 50), self._decree, wanted, standing or FailoverDecision())
 
-    def _judge(self, members: list[Who], standing: Verdict | None) -> Verdict | None:
-        words, beats = self.all.words(self.now), self.all.beats()
-        return judge(self.settings, members, words, beats, standing, self.now, self.memory)
+    def _judge(self, members: list[ZoneMember], standing: FailoverDecision | None) -> FailoverDecision | None:
+        words, beats = self.all.reports(self.now), self.all.latest_intervals()
+        return evaluate_reports(self.settings, members, words, beats, standing, self.now, self.memory)
 
-    def _decree(self, verdict: Verdict, before: Verdict) -> None:
+    def _decree(self, verdict: FailoverDecision, before: FailoverDecision) -> None:
         if not self.leader:
             return
         self.number += 1
-        self.standing = Decree(terms.TOPIC, self.number, terms.encode(verdict), self.hold_ms)
+        self.standing = Decision(decision.TOPIC, self.number, decision.encode(verdict), self.hold_ms)
         self.decrees.append((self.now, verdict))
-        for entry in verdict.entries:
-            was = before.of(entry.zone).state
-            lost = (State.GONE, State.SPLIT)
+        for entry in verdict.zones:
+            was = before.for_zone(entry.zone).state
+            lost = (ZoneState.EVACUATED, ZoneState.PARTITIONED)
             if entry.state in lost and was not in lost:
                 self.switches += 1
         self._publish(self.standing)
@@ -412,18 +418,18 @@
         if self.leader and self.standing is not None:
             self._publish(self.standing)
 
-    def _publish(self, decree: Decree) -> None:
+    def _publish(self, decree: Decision) -> None:
         for edge in self.edges:
             if edge.alive and not edge.cut:
                 self.after(self._delay(), self._reach, edge, decree)
 
-    def _reach(self, edge: Edge, decree: Decree) -> None:
-        if edge.cut or edge.heard is not None and decree.number < edge.heard.number:
+    def _reach(self, edge: Edge, decree: Decision) -> None:
+        if edge.cut or edge.heard is not None and decree.version < edge.heard.version:
             return
-        news = edge.heard is None or decree.number > edge.heard.number or edge.expired
+        news = edge.heard is None or decree.version > edge.heard.version or edge.expired
         edge.heard, edge.heard_at, edge.expired = decree, self.now, False
         if news:
-            edge.choice.decreed(terms.TOPIC, decree, self.now)
+            edge.choice.apply_decision(decision.TOPIC, decree, self.now)
 
     # --- what came of it
 
--- a/cressrock/link/messages.py
+++ b/cressrock/link/messages.py
@@ -82,12 +82,14 @@
     waited_ms: Annotated[float, Meta(ge=-1, le=1e15)] = -1.0  # at the event's time; negative: unknown
     attempts: Count = 0  # made before this offer, by another decider
     counted: bool = False  # another decider's budget of further attempts has counted it
-    lent: Annotated[float, Meta(ge=0, le=1e9)] = 0.0  # units of the volume's limit that come with it
+    leased_units: Annotated[float, Meta(ge=0, le=1e9)] = 0.0  # units of the volume's limit that come with it
     stamp: Count = 0  # the planner's newest that the edge had when it lent
-    rules: Annotated[str, Meta(max_length=64)] = ""  # the version that decides it; "": the settings' own
+    rule_version: Annotated[str, Meta(max_length=64)] = (
+        ""  # the version that decides it; "": the settings' own
+    )
 
 
-class Ended(Message, frozen=True, tag="ended"):
+class AttemptEnded(Message, frozen=True, tag="ended"):
     """An attempt's outcome."""
 
     sequence: Count
@@ -126,7 +128,7 @@
     taken_ms: Annotated[list[Annotated[int, Meta(ge=0, le=10**9)]], Meta(max_length=8192)]
 
 
-class Lend(Message, frozen=True, tag="lend"):
+class LimitLease(Message, frozen=True, tag="lend"):
     """Units of a volume's limit for what waits; they count from when the planner gave that stamp."""
 
     sequence: Count
@@ -173,20 +175,20 @@
     attempt: Count
 
 
-class Stamp(Message, frozen=True, tag="stamp"):
+class ClockStamp(Message, frozen=True, tag="stamp"):
     """A moment on the planner's clock, named: what is lent after it was read was lent after that moment."""
 
     number: Count
 
 
-class Rules(Message, frozen=True, tag="rules"):
+class RuleVersions(Message, frozen=True, tag="rules"):
     """The versions of rules that this planner holds; told to edges which agreed to hear of them."""
 
     versions: Annotated[list[Name], Meta(max_length=64)]
 
 
-Event = Request | Ended | Left | Barred | Lend | Counted | Tick
-Order = Grant | Answer | CallOff | Stamp | Rules
+Event = Request | AttemptEnded | Left | Barred | LimitLease | Counted | Tick
+Order = Grant | Answer | CallOff | ClockStamp | RuleVersions
 Any = Hello | Welcome | Parting | Ping | Pong | Credit | Event | Order
 
 _ENCODE = msgspec.msgpack.Encoder()
--- a/cressrock/link/protocol.py
+++ b/cressrock/link/protocol.py
@@ -17,7 +17,7 @@
 # Version 2 tells what another decider had of an operation.  A planner of version 1 would not count it, and
 # break the budget: the two part, and the edge goes on as without a planner.
 VERSIONS = (2,)
-RULES = "versions of rules"  # the planner tells which it holds, requests name theirs
+RULE_VERSIONS = "versions of rules"  # the planner tells which it holds, requests name theirs
 LENDING = "lends limits"  # edges hold the limits' parts, planners borrow of them: both do, or neither
 FRAME = 4
 FOREVER = float("inf")
@@ -47,7 +47,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Bounds:
+class LinkLimits:
     """Bounds of one link; times in milliseconds."""
 
     max_frame: int = 65536
@@ -88,20 +88,20 @@
         name: str,
         now_ms: float,
         *,
-        life: str = "-",
+        incarnation: str = "-",
         epoch: int = 0,
         capabilities: tuple[str, ...] = (),
         versions: tuple[int, ...] = VERSIONS,
-        bounds: Bounds | None = None,
+        bounds: LinkLimits | None = None,
     ) -> None:
         """An edge's first bytes are ready at once in `take_bytes`."""
         self.role = role
         self.name = name
-        self.life = life
+        self.life = incarnation
         self.epoch = epoch
         self.capabilities = capabilities
         self.versions = versions
-        self.bounds = bounds or Bounds()
+        self.bounds = bounds or LinkLimits()
         self.state = State.GREETING
         self.began = self.heard = now_ms
         self.asked: float | None = None  # when the present Ping was sent
@@ -113,7 +113,7 @@
         self._out: deque[bytes] = deque()
         if role is Role.EDGE:
             self.given = self.bounds.credit
-            hello = m.Hello(list(versions), name, life, list(capabilities), self.bounds.credit)
+            hello = m.Hello(list(versions), name, incarnation, list(capabilities), self.bounds.credit)
             self._out.append(m.encode(hello))
 
     # --- bytes
--- a/cressrock/fleet/members.py
+++ b/cressrock/membership/membership.py
@@ -26,8 +26,8 @@
 from dataclasses import dataclass, field
 from typing import NamedTuple
 
-from cressrock.fleet import messages as m
-from cressrock.fleet.messages import About, Claim, State
+from cressrock.membership import packets as m
+from cressrock.membership.packets import About, MemberState, MemberUpdate
 
 FOREVER = float("inf")
 NOT_FENCED = -1
@@ -38,7 +38,7 @@
     """One process: its name in the settings, its life, and what it tells of itself."""
 
     name: str
-    life: int
+    process_incarnation: int
     address: str
     role: str = "edge"
     zone: str = ""
@@ -47,27 +47,31 @@
 
 
 @dataclass(frozen=True, slots=True)
-class MembersSettings:
+class MembershipSettings:
     """Bounds and times; milliseconds.  Period, probes and suspicion are chosen together: docs/members.md."""
 
     cluster: str = "cressrock"
-    period_ms: float = 1000.0
-    probes: int = 4  # members probed in a period: a death is first met after 1/probes periods, not after one
+    protocol_period_ms: float = 1000.0
+    probes_per_period: int = (
+        4  # members probed in a period: a death is first met after 1/probes periods, not after one
+    )
     ping_fraction: float = 0.3  # of a period, until helpers are asked
     helpers: int = 3
-    gossip_ms: float = 200.0
+    gossip_interval_ms: float = 200.0
     gossip_fan: int = 3
     repeat: float = 4.0  # a rumour rides repeat * log10(n + 1) times
     suspicion: float = 1.4  # periods for each log10(n), at the shortest
     suspicion_longest: float = 6.0  # times the shortest, with a single accuser
     confirmations: int = 2  # further accusers that bring suspicion down to the shortest
-    ride_out_ms: float = 2000.0  # a process stopped for so long is not declared gone
+    tolerated_pause_ms: float = 2000.0  # a process stopped for so long is not declared gone
     health_worst: int = 8
-    max_datagram: int = m.MAX_DATAGRAM
+    max_datagram_bytes: int = m.MAX_DATAGRAM_BYTES
     max_members: int = 8192  # 4,806 at the coming size, and names that are gone but kept; 0.9 KB each
     keep_ms: float = 3_600_000.0  # the gone and the left are remembered, so that no late rumour revives them
     lost_contacts: float = 2.0  # a gone member is contacted so often in a period by the whole fleet
-    exchange_ms: float = 120_000.0  # full exchange with one member drawn, in a fleet of up to `exchange_size`
+    exchange_interval_ms: float = (
+        120_000.0  # full exchange with one member drawn, in a fleet of up to `exchange_size`
+    )
     exchange_size: int = 64  # beyond it so much less often that the bytes a second stay
     replies: int = 128  # answers to the unknown in a period
     retry_worst_ms: float = 30_000.0  # between attempts to join
@@ -78,59 +82,59 @@
     """One line of the view; `since_ms` is when this process came to believe the state."""
 
     name: str
-    life: int
+    process_incarnation: int
     role: str
     zone: str
     region: str
     address: str
-    state: State
-    since_ms: float
+    state: MemberState
+    state_since_ms: float
     extra: bytes
 
 
 @dataclass(frozen=True, slots=True)
-class Joined:
+class MemberJoined:
     """A process not known before."""
 
     name: str
-    life: int
+    process_incarnation: int
 
 
 @dataclass(frozen=True, slots=True)
-class Unsure:
+class MemberSuspected:
     """A process is suspected, since a time on this process's clock."""
 
     name: str
-    life: int
+    process_incarnation: int
     since_ms: float
 
 
 @dataclass(frozen=True, slots=True)
-class Alive:
+class MemberRecovered:
     """A process that was unsure or gone is heard of again, in the same life."""
 
     name: str
-    life: int
+    process_incarnation: int
 
 
 @dataclass(frozen=True, slots=True)
-class Left:
+class MemberLeft:
     """A process left in order: its own word."""
 
     name: str
-    life: int
+    process_incarnation: int
 
 
 @dataclass(frozen=True, slots=True)
-class Gone:
+class MemberDead:
     """A process stayed silent for the whole time of suspicion."""
 
     name: str
-    life: int
+    process_incarnation: int
 
 
 @dataclass(frozen=True, slots=True)
-class NewLife:
+class MemberRestarted:
     """A name is back in a new life; the old one is over, whatever was believed of it."""
 
     name: str
@@ -147,19 +151,28 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Twin:
+class DuplicateIdentity:
     """An older life of this process's own name still speaks; it is told to stop."""
 
     name: str
-    life: int
+    process_incarnation: int
     address: str
 
 
-Event = Joined | Unsure | Alive | Left | Gone | NewLife | Fenced | Twin
+Event = (
+    MemberJoined
+    | MemberSuspected
+    | MemberRecovered
+    | MemberLeft
+    | MemberDead
+    | MemberRestarted
+    | Fenced
+    | DuplicateIdentity
+)
 
 
 @dataclass(frozen=True, slots=True)
-class ToSend:
+class OutgoingMessage:
     """A message for the wire; the address is what the member said, a route of the settings goes before it."""
 
     name: str | None
@@ -173,7 +186,7 @@
 
     name: str
     address: str
-    whole: bool
+    with_gossip_state: bool
 
 
 class Timer(NamedTuple):
@@ -190,7 +203,7 @@
     name: str
     life: int
     incarnation: int
-    state: State
+    state: MemberState
     about: About | None
     since: float
     suspected: float = 0.0
@@ -251,14 +264,14 @@
 
     def __init__(self) -> None:
         # Ordered, as a plain dict's front gets slow where much is taken from it.
-        self.levels: list[OrderedDict[tuple[str, str], tuple[Claim, int]]] = [OrderedDict()]
+        self.levels: list[OrderedDict[tuple[str, str], tuple[MemberUpdate, int]]] = [OrderedDict()]
         self.of: dict[str, list[tuple[str, str]]] = {}
 
-    def put(self, claim: Claim, *, alone: bool) -> None:
+    def put(self, claim: MemberUpdate, *, alone: bool) -> None:
         """Queue a claim; `alone` drops what was queued of its name."""
         if alone:
             self.drop(claim.name)
-        key = (claim.name, claim.by if claim.state is State.UNSURE else "")
+        key = (claim.name, claim.by if claim.state is MemberState.SUSPECT else "")
         held = self.of.setdefault(claim.name, [])
         if key in held:
             return
@@ -274,9 +287,9 @@
     def __bool__(self) -> bool:
         return bool(self.of)
 
-    def take(self, room: int, most: int) -> list[Claim]:
+    def take(self, room: int, most: int) -> list[MemberUpdate]:
         """Return what fits into `room` bytes; what has ridden `most` times is dropped."""
-        claims: list[Claim] = []
+        claims: list[MemberUpdate] = []
         moved: list[tuple[int, tuple[str, str]]] = []
         for at, level in enumerate(self.levels):
             for key, (claim, size) in level.items():
@@ -302,22 +315,22 @@
         return claims
 
 
-class Members:
+class Membership:
     """One process's view of all, and what it has to say to them."""
 
     def __init__(
         self,
         me: Identity,
-        settings: MembersSettings,
+        settings: MembershipSettings,
         seeds: tuple[str, ...],
         source: random.Random,
         now_ms: float,
     ) -> None:
         """`seeds` are addresses; one's own among them is passed over."""
-        self.me = me
+        self.local = me
         self.settings = settings
         self.seeds = tuple(seed for seed in seeds if seed != me.address)
-        self.source = source
+        self.rng = source
         self.incarnation = 0
         self.health = 0  # Lifeguard's local health score: 0 is well
         self.fenced_by = NOT_FENCED
@@ -341,20 +354,20 @@
         self._timed = 0
         self._called = now_ms
         self._calm_from = now_ms  # before it no accusation: oneself was late
-        self._sends: list[ToSend] = []
+        self._sends: list[OutgoingMessage] = []
         self._events: list[Event] = []
         self._exchanges: list[Exchange] = []
         self._exchanged = -FOREVER
-        self._retry = settings.period_ms / 2
+        self._retry = settings.protocol_period_ms / 2
         self._replies = settings.replies
         self._twins: set[int] = set()
-        self._calls = 2 * settings.ping_fraction * settings.period_ms
-        self._room = m.room(settings.max_datagram, settings.cluster, me.name)
+        self._calls = 2 * settings.ping_fraction * settings.protocol_period_ms
+        self._room = m.room(settings.max_datagram_bytes, settings.cluster, me.name)
         for kind, wait in (
-            ("probe", settings.period_ms / settings.probes),
-            ("gossip", settings.gossip_ms),
-            ("period", settings.period_ms),
-            ("exchange", settings.exchange_ms),
+            ("probe", settings.protocol_period_ms / settings.probes_per_period),
+            ("gossip", settings.gossip_interval_ms),
+            ("period", settings.protocol_period_ms),
+            ("exchange", settings.exchange_interval_ms),
         ):
             # Drawn at the start: processes started together must not go on in step.
             self._at(now_ms + wait * source.random(), kind)
@@ -368,8 +381,8 @@
         if self.fenced_by != NOT_FENCED:
             return
         self._wake(now_ms)
-        if letter.sender == self.me.name:
-            if letter.life != self.me.life:
+        if letter.sender == self.local.name:
+            if letter.life != self.local.process_incarnation:
                 self._namesake(letter.life, sender_address)
             return
         record = self._records.get(letter.sender)
@@ -377,14 +390,16 @@
             # An older life speaks: it is told who has its name now, and nothing that it says is believed.
             self._count("older-life")
             if self._reply():
-                self._sends.append(ToSend(None, sender_address, m.Rumours([self._claim(record, full=True)])))
+                self._sends.append(
+                    OutgoingMessage(None, sender_address, m.Updates([self._claim(record, full=True)]))
+                )
             return
         body = letter.body
         if isinstance(body, m.Hello):
             self._hello(now_ms, letter, body)
             return
-        better: list[Claim] = []
-        if isinstance(body, m.Ping | m.Ack | m.Ask | m.Nack | m.Rumours | m.Welcome):
+        better: list[MemberUpdate] = []
+        if isinstance(body, m.Ping | m.Ack | m.Ask | m.Nack | m.Updates | m.Welcome):
             records = self._records
             for claim in body.claims:
                 held = records.get(claim.name)
@@ -392,9 +407,9 @@
                     held is not None
                     and claim.state is held.state
                     and claim.incarnation == held.incarnation
-                    and claim.life == held.life
-                    and claim.about is None
-                    and (held.state is not State.UNSURE or held.full or claim.by in held.accusers)
+                    and claim.process_incarnation == held.life
+                    and claim.info is None
+                    and (held.state is not MemberState.SUSPECT or held.full or claim.by in held.accusers)
                 ):
                     continue  # most claims are heard before
                 known = self._take(now_ms, claim, letter.sender)
@@ -404,17 +419,17 @@
         if record is None or record.life < letter.life:
             if self._reply():
                 self._count("unknown-sender")
-                self._sends.append(ToSend(letter.sender, sender_address, m.Who()))
+                self._sends.append(OutgoingMessage(letter.sender, sender_address, m.Who()))
             address = sender_address
         else:
             address = record.about.address if record.about else sender_address
-            if record.state is State.GONE:
+            if record.state is MemberState.DEAD:
                 # It speaks, so it lives: it is told what is held of it, and refutes.
                 better.insert(0, self._claim(record))
         match body:
             case m.Ping(number, to, _, view):
                 self._compare(now_ms, letter.sender, view)
-                if to == self.me.name:
+                if to == self.local.name:
                     self._send(letter.sender, address, m.Ack, number, better)
                     better = []
             case m.Ack(number, _, view):
@@ -426,11 +441,13 @@
             case m.Ask(number, target, target_address):
                 self._ask(now_ms, letter.sender, number, target, target_address)
             case m.Who():
-                self._sends.append(ToSend(letter.sender, address, m.Rumours([self._mine(full=True)])))
+                self._sends.append(
+                    OutgoingMessage(letter.sender, address, m.Updates([self._mine(full=True)]))
+                )
             case m.Welcome():
                 self._welcomed(now_ms, letter.sender, address)
         if better and self._reply():
-            self._send(letter.sender, address, m.Rumours, None, better)
+            self._send(letter.sender, address, m.Updates, None, better)
 
     def tick(self, now_ms: float) -> None:
         """Do all that has fallen due."""
@@ -441,47 +458,51 @@
             timer = heapq.heappop(self._timers)
             getattr(self, f"_due_{timer.kind}")(now_ms, timer.key)
 
-    def next_due(self) -> float:
+    def next_tick_ms(self) -> float:
         """Return when `tick` is to be called next; infinity once fenced."""
         if self.fenced_by != NOT_FENCED or not self._timers:
             return FOREVER
         return self._timers[0].at
 
-    def take_sends(self) -> list[ToSend]:
+    def drain_messages(self) -> list[OutgoingMessage]:
         """Return, once, what goes on the wire."""
         sends, self._sends = self._sends, []
         return sends
 
-    def take_events(self) -> list[Event]:
+    def drain_events(self) -> list[Event]:
         """Return, once, what has changed, in order."""
         events, self._events = self._events, []
         return events
 
-    def take_exchanges(self) -> list[Exchange]:
+    def drain_exchanges(self) -> list[Exchange]:
         """Return, once, the members to make a full exchange with."""
         exchanges, self._exchanges = self._exchanges, []
         return exchanges
 
     def view(self, now_ms: float) -> tuple[Member, ...]:
         """Return every member known, oneself among them, by name."""
-        state = State.LEFT if self.leaving else State.ALIVE
-        seen = [self._member(self.me.name, self.me.life, self._about, state, self._since)]
+        state = MemberState.LEFT if self.leaving else MemberState.ALIVE
+        seen = [
+            self._member(self.local.name, self.local.process_incarnation, self._about, state, self._since)
+        ]
         for record in self._records.values():
             about = record.about or About("", "")
             seen.append(self._member(record.name, record.life, about, record.state, record.since))
         return tuple(sorted(seen, key=lambda member: member.name))
 
-    def live(self) -> tuple[str, ...]:
+    def live_names(self) -> tuple[str, ...]:
         """Return the names of members that are alive or unsure, without oneself; unordered."""
         return tuple(self._live.names)
 
-    def lives(self) -> set[tuple[str, int]]:
+    def process_ids(self) -> set[tuple[str, int]]:
         """Return every (name, life) known, the gone and the left that are still kept among them."""
-        return {(r.name, r.life) for r in self._records.values()} | {(self.me.name, self.me.life)}
+        return {(r.name, r.life) for r in self._records.values()} | {
+            (self.local.name, self.local.process_incarnation)
+        }
 
     def draw(self, count: int) -> list[tuple[str, str]]:
         """Draw live members: (name, address) each."""
-        return [(name, self._address(name)) for name in self._live.draw(self.source, count)]
+        return [(name, self._address(name)) for name in self._live.draw(self.rng, count)]
 
     def address(self, name: str) -> str | None:
         """Return the address a member told, if it is known."""
@@ -494,9 +515,9 @@
         self._queue.put(self._mine(), alone=True)
         self._push(self.settings.gossip_fan * 2)
 
-    def pieces(self, max_bytes: int = m.MAX_FRAME // 2) -> list[list[Claim]]:
+    def state_batches(self, max_bytes: int = m.MAX_FRAME_BYTES // 2) -> list[list[MemberUpdate]]:
         """Return everything known in pieces of at most so many bytes, for the exchange."""
-        pieces: list[list[Claim]] = [[]]
+        pieces: list[list[MemberUpdate]] = [[]]
         left = max_bytes
         for claim in [self._mine(full=True), *(self._claim(r, full=True) for r in self._records.values())]:
             size = m.size(claim)
@@ -507,7 +528,7 @@
             pieces[-1].append(claim)
         return pieces
 
-    def take_piece(self, now_ms: float, sender: str, claims: list[Claim]) -> None:
+    def merge_remote_state(self, now_ms: float, sender: str, claims: list[MemberUpdate]) -> None:
         """Take in one piece of an exchange with `sender`."""
         if self.fenced_by != NOT_FENCED:
             return
@@ -515,7 +536,7 @@
         for claim in claims:
             self._take(now_ms, claim, sender, exchange=True)
 
-    def exchange_ended(self, now_ms: float, done: bool) -> None:
+    def record_exchange_result(self, now_ms: float, done: bool) -> None:
         """Say how an exchange that this process began went; one that failed is tried again at the next."""
         if done:
             self._exchanged = now_ms
@@ -535,25 +556,29 @@
         `ride_out_ms` (suspected at the earliest one period after it stopped) could not be heard by all.
         """
         s, n = self.settings, self.size()
-        spread = s.gossip_ms * (math.ceil(math.log(max(n, 2), s.gossip_fan + 1)) + 2)
-        by_log = s.suspicion * math.log10(max(n, 10)) * s.period_ms
-        return max(by_log, s.ride_out_ms + spread - s.period_ms)
+        spread = s.gossip_interval_ms * (math.ceil(math.log(max(n, 2), s.gossip_fan + 1)) + 2)
+        by_log = s.suspicion * math.log10(max(n, 10)) * s.protocol_period_ms
+        return max(by_log, s.tolerated_pause_ms + spread - s.protocol_period_ms)
 
     # --- who
 
-    def _mine(self, full: bool = False) -> Claim:
-        state = State.LEFT if self.leaving else State.ALIVE
+    def _mine(self, full: bool = False) -> MemberUpdate:
+        state = MemberState.LEFT if self.leaving else MemberState.ALIVE
         about = self._about if full or self.incarnation == 0 else None
-        return Claim(self.me.name, self.me.life, self.incarnation, state, "", about)
+        return MemberUpdate(
+            self.local.name, self.local.process_incarnation, self.incarnation, state, "", about
+        )
 
     @staticmethod
-    def _claim(record: _Record, full: bool = False) -> Claim:
+    def _claim(record: _Record, full: bool = False) -> MemberUpdate:
         # A known (name, life) needs its description only once, with its first rumour; a refutation is short.
-        about = record.about if full or (record.state is State.ALIVE and record.incarnation == 0) else None
-        return Claim(record.name, record.life, record.incarnation, record.state, record.by, about)
+        about = (
+            record.about if full or (record.state is MemberState.ALIVE and record.incarnation == 0) else None
+        )
+        return MemberUpdate(record.name, record.life, record.incarnation, record.state, record.by, about)
 
     @staticmethod
-    def _member(name: str, life: int, about: About, state: State, since: float) -> Member:
+    def _member(name: str, life: int, about: About, state: MemberState, since: float) -> Member:
         a = about
         return Member(name, life, a.role, a.zone, a.region, a.address, state, since, a.extra)
 
@@ -562,146 +587,157 @@
         return about.address if about is not None else ""
 
     def _namesake(self, life: int, address: str) -> None:
-        if life > self.me.life:
+        if life > self.local.process_incarnation:
             self._fence(life)
             return
         if life not in self._twins and len(self._twins) < 64:
             self._twins.add(life)
-            self._events.append(Twin(self.me.name, life, address))
+            self._events.append(DuplicateIdentity(self.local.name, life, address))
         if self._reply():
-            self._sends.append(ToSend(None, address, m.Rumours([self._mine(full=True)])))
+            self._sends.append(OutgoingMessage(None, address, m.Updates([self._mine(full=True)])))
 
     def _fence(self, life: int) -> None:
         self.fenced_by = life
         self._sends.clear()
         self._exchanges.clear()
-        self._events.append(Fenced(self.me.name, life))
+        self._events.append(Fenced(self.local.name, life))
 
     # --- claims
 
-    def _take(self, now: float, claim: Claim, sender: str, exchange: bool = False) -> Claim | None:
+    def _take(
+        self, now: float, claim: MemberUpdate, sender: str, exchange: bool = False
+    ) -> MemberUpdate | None:
         """Merge a claim; returns what is known better, if the claim is behind it."""
-        if claim.name == self.me.name:
+        if claim.name == self.local.name:
             return self._of_me(claim)
         record = self._records.get(claim.name)
         if record is None:
             self._new(now, claim)
             return None
-        known, told = record.about, claim.about
+        known, told = record.about, claim.info
         elsewhere = known is not None and told is not None and known.address != told.address
-        if claim.life != record.life or elsewhere:
+        if claim.process_incarnation != record.life or elsewhere:
             # Two starts within one millisecond: the greater address is the newer, for all alike.
             here = (record.life, known.address if known and told else "")
-            there = (claim.life, told.address if known and told else "")
+            there = (claim.process_incarnation, told.address if known and told else "")
             if there < here:
                 return self._claim(record, full=True)
             self._newer(now, record, claim)
             return None
-        if record.about is None and claim.about is not None:
-            record.about = claim.about
-        if record.state is State.LEFT:
+        if record.about is None and claim.info is not None:
+            record.about = claim.info
+        if record.state is MemberState.LEFT:
             return None
-        if claim.state is State.LEFT:
-            self._become(now, record, State.LEFT, claim.incarnation, "")
+        if claim.state is MemberState.LEFT:
+            self._become(now, record, MemberState.LEFT, claim.incarnation, "")
             return None
         if claim.incarnation < record.incarnation:
-            return self._claim(record) if claim.state is not State.ALIVE or exchange else None
+            return self._claim(record) if claim.state is not MemberState.ALIVE or exchange else None
         newer = claim.incarnation > record.incarnation
         match claim.state:
-            case State.ALIVE:
+            case MemberState.ALIVE:
                 if newer:
-                    was_lost = record.state is State.GONE and now - record.since > 3 * self.settings.period_ms
-                    self._become(now, record, State.ALIVE, claim.incarnation, "")
+                    was_lost = (
+                        record.state is MemberState.DEAD
+                        and now - record.since > 3 * self.settings.protocol_period_ms
+                    )
+                    self._become(now, record, MemberState.ALIVE, claim.incarnation, "")
                     if was_lost and sender == claim.name:
-                        self._exchange_with(now, sender, 5 * self.settings.period_ms, whole=True)
-                elif record.state is State.GONE:
-                    if not exchange or now - record.since <= 3 * self.settings.period_ms:
+                        self._exchange_with(now, sender, 5 * self.settings.protocol_period_ms, whole=True)
+                elif record.state is MemberState.DEAD:
+                    if not exchange or now - record.since <= 3 * self.settings.protocol_period_ms:
                         return self._claim(record)
                     # Long gone here and alive there: a cut lay between.  Only the one concerned can say;
                     # nobody accuses, so that many such meetings do not count as many accusers.
-                    self._become(now, record, State.UNSURE, record.incarnation, "")
-                elif record.state is State.UNSURE:
+                    self._become(now, record, MemberState.SUSPECT, record.incarnation, "")
+                elif record.state is MemberState.SUSPECT:
                     return self._claim(record)
-            case State.UNSURE:
-                if newer or record.state is State.ALIVE:
+            case MemberState.SUSPECT:
+                if newer or record.state is MemberState.ALIVE:
                     self._suspect(now, record, claim.incarnation, claim.by)
-                elif record.state is State.UNSURE:
+                elif record.state is MemberState.SUSPECT:
                     self._confirm(now, record, claim.by)
-            case State.GONE:
-                if record.state is State.ALIVE:
+            case MemberState.DEAD:
+                if record.state is MemberState.ALIVE:
                     # Not taken on one word: who was held alive is suspected first, and can answer.
                     self._suspect(now, record, claim.incarnation, "" if exchange else claim.by)
-                elif record.state is State.UNSURE and not exchange:
-                    self._become(now, record, State.GONE, claim.incarnation, claim.by)
+                elif record.state is MemberState.SUSPECT and not exchange:
+                    self._become(now, record, MemberState.DEAD, claim.incarnation, claim.by)
                 elif newer:
                     record.incarnation = claim.incarnation
         return None
 
-    def _of_me(self, claim: Claim) -> Claim | None:
-        if claim.life > self.me.life:
-            self._fence(claim.life)
+    def _of_me(self, claim: MemberUpdate) -> MemberUpdate | None:
+        if claim.process_incarnation > self.local.process_incarnation:
+            self._fence(claim.process_incarnation)
             return None
-        if claim.life < self.me.life:
+        if claim.process_incarnation < self.local.process_incarnation:
             return self._mine(full=True)
-        if claim.about is not None and claim.about.address != self.me.address:
-            if claim.about.address > self.me.address:
-                self._fence(claim.life)
+        if claim.info is not None and claim.info.address != self.local.address:
+            if claim.info.address > self.local.address:
+                self._fence(claim.process_incarnation)
                 return None
             return self._mine(full=True)
-        if self.leaving or claim.state is State.LEFT:
+        if self.leaving or claim.state is MemberState.LEFT:
             return None
         if claim.incarnation < self.incarnation:
-            return self._mine() if claim.state is not State.ALIVE else None
-        if claim.state is State.ALIVE and claim.incarnation == self.incarnation:
+            return self._mine() if claim.state is not MemberState.ALIVE else None
+        if claim.state is MemberState.ALIVE and claim.incarnation == self.incarnation:
             return None
         # Lifeguard: whoever has to refute was slow itself, as far as it can tell.
-        if claim.state is State.UNSURE:
+        if claim.state is MemberState.SUSPECT:
             self._feel(1)
         self.incarnation = claim.incarnation + 1
         self._queue.put(self._mine(), alone=True)
         self._push(self.settings.gossip_fan)
         return self._mine()
 
-    def _new(self, now: float, claim: Claim) -> None:
-        if claim.state in (State.ALIVE, State.UNSURE) and claim.about is None:
+    def _new(self, now: float, claim: MemberUpdate) -> None:
+        if claim.state in (MemberState.ALIVE, MemberState.SUSPECT) and claim.info is None:
             return
         if len(self._records) >= self.settings.max_members - 1 and not self._forget_one():
             self._count("members-full")
             return
-        record = _Record(claim.name, claim.life, claim.incarnation, claim.state, claim.about, now)
+        record = _Record(
+            claim.name, claim.process_incarnation, claim.incarnation, claim.state, claim.info, now
+        )
         self._records[claim.name] = record
         self.lives_changed += 1
-        if claim.state in (State.GONE, State.LEFT):
-            if claim.state is State.GONE:
+        if claim.state in (MemberState.DEAD, MemberState.LEFT):
+            if claim.state is MemberState.DEAD:
                 self._lost.add(claim.name)
             return
         self._enter(record)
-        self._events.append(Joined(claim.name, claim.life))
-        record.state = State.ALIVE
-        if claim.state is State.UNSURE:
+        self._events.append(MemberJoined(claim.name, claim.process_incarnation))
+        record.state = MemberState.ALIVE
+        if claim.state is MemberState.SUSPECT:
             self._suspect(now, record, claim.incarnation, claim.by)
         else:
             self._queue.put(self._claim(record, full=True), alone=True)
 
-    def _newer(self, now: float, record: _Record, claim: Claim) -> None:
-        if claim.state in (State.ALIVE, State.UNSURE) and claim.about is None:
+    def _newer(self, now: float, record: _Record, claim: MemberUpdate) -> None:
+        if claim.state in (MemberState.ALIVE, MemberState.SUSPECT) and claim.info is None:
             return  # without an address there is nobody to speak to yet; the full claim follows
         old = record.life
-        self._events.append(NewLife(record.name, old, claim.life))
+        self._events.append(MemberRestarted(record.name, old, claim.process_incarnation))
         self._summed = None
         self.lives_changed += 1
         self._live.remove(record.name)
         self._lost.remove(record.name)
-        record.life, record.incarnation, record.about = claim.life, claim.incarnation, claim.about
-        record.state, record.since, record.by = State.ALIVE, now, ""
+        record.life, record.incarnation, record.about = (
+            claim.process_incarnation,
+            claim.incarnation,
+            claim.info,
+        )
+        record.state, record.since, record.by = MemberState.ALIVE, now, ""
         record.accusers.clear()
         record.full = False
         self._queue.drop(record.name)
         match claim.state:
-            case State.ALIVE:
+            case MemberState.ALIVE:
                 self._enter(record)
                 self._queue.put(self._claim(record, full=True), alone=True)
-            case State.UNSURE:
+            case MemberState.SUSPECT:
                 self._enter(record)
                 self._suspect(now, record, claim.incarnation, claim.by)
             case _:
@@ -713,9 +749,9 @@
         if record.name not in self._live.place:
             self._live.add(record.name)
             # SWIM: a new member comes in at a drawn place of the round, so that probing stays even.
-            self._round.insert(self.source.randrange(len(self._round) + 1), record.name)
+            self._round.insert(self.rng.randrange(len(self._round) + 1), record.name)
 
-    def _become(self, now: float, record: _Record, state: State, incarnation: int, by: str) -> None:
+    def _become(self, now: float, record: _Record, state: MemberState, incarnation: int, by: str) -> None:
         was, record.state, record.incarnation, record.by = record.state, state, incarnation, by
         self._summed = None
         record.accusers.clear()
@@ -723,24 +759,24 @@
         if was is not state:
             record.since = now
         match state:
-            case State.ALIVE:
+            case MemberState.ALIVE:
                 self._enter(record)
-                if was is not State.ALIVE:
-                    self._events.append(Alive(record.name, record.life))
-            case State.UNSURE:
+                if was is not MemberState.ALIVE:
+                    self._events.append(MemberRecovered(record.name, record.life))
+            case MemberState.SUSPECT:
                 self._enter(record)
                 record.suspected = now
-                if was is not State.UNSURE:
-                    self._events.append(Unsure(record.name, record.life, now))
+                if was is not MemberState.SUSPECT:
+                    self._events.append(MemberSuspected(record.name, record.life, now))
                 self._at(now + self._patience(record) - self._calls, "suspect", record.name)
-            case State.GONE:
+            case MemberState.DEAD:
                 self._live.remove(record.name)
                 self._lost.add(record.name)
-                self._events.append(Gone(record.name, record.life))
-            case State.LEFT:
+                self._events.append(MemberDead(record.name, record.life))
+            case MemberState.LEFT:
                 self._live.remove(record.name)
                 self._lost.remove(record.name)
-                self._events.append(Left(record.name, record.life))
+                self._events.append(MemberLeft(record.name, record.life))
         self._queue.put(self._claim(record), alone=True)
 
     # --- one view
@@ -753,7 +789,7 @@
         if self._queue:
             return 0
         if self._summed is None:
-            words = [f"{self.me.name} {self.me.life} 0"]
+            words = [f"{self.local.name} {self.local.process_incarnation} 0"]
             for name in self._live.names:
                 record = self._records[name]
                 words.append(f"{name} {record.life} {record.state:d}")
@@ -771,15 +807,15 @@
         if len(self._differ) >= min(2, len(self._live)):
             self._differ.clear()
             scale = max(self.size() / self.settings.exchange_size / 4, 1.0)
-            self._exchange_with(now, sender, 2 * self.settings.period_ms * scale)
+            self._exchange_with(now, sender, 2 * self.settings.protocol_period_ms * scale)
 
     # --- suspicion
 
     def _suspect(self, now: float, record: _Record, incarnation: int, by: str) -> None:
-        if record.state is State.GONE:
+        if record.state is MemberState.DEAD:
             return
         record.accusers.clear()
-        self._become(now, record, State.UNSURE, incarnation, by)
+        self._become(now, record, MemberState.SUSPECT, incarnation, by)
         if by:
             record.accusers.add(by)
 
@@ -788,7 +824,7 @@
             return
         record.accusers.add(by)
         record.full = len(record.accusers) > self.settings.confirmations
-        claim = Claim(record.name, record.life, record.incarnation, State.UNSURE, by)
+        claim = MemberUpdate(record.name, record.life, record.incarnation, MemberState.SUSPECT, by)
         self._queue.put(claim, alone=False)
         due = record.suspected + self._patience(record) - self._calls
         self._at(max(now, due), "suspect", record.name)
@@ -809,11 +845,11 @@
 
     def _due_suspect(self, now: float, key: str | int) -> None:
         record = self._records.get(str(key))
-        if record is None or record.state is not State.UNSURE:
+        if record is None or record.state is not MemberState.SUSPECT:
             return
         due = max(record.suspected + self._patience(record), self._calm_from)
         if due <= now:
-            self._become(now, record, State.GONE, record.incarnation, self.me.name)
+            self._become(now, record, MemberState.DEAD, record.incarnation, self.local.name)
         elif due - now > self._calls + 1:
             self._at(due - self._calls, "suspect", record.name)
         elif now >= record.called:
@@ -826,17 +862,17 @@
 
     def _wake(self, now: float) -> None:
         gap, self._called = now - self._called, max(now, self._called)
-        if gap <= self.settings.period_ms / 2:
+        if gap <= self.settings.protocol_period_ms / 2:
             return
         # This process did not run.  What others did meanwhile it could not see: nothing that fell due in the
         # gap is held against them, open probes are dropped, and for a period it accuses nobody.
         self._count("late")
-        self._feel(2 if gap > self.settings.period_ms else 1)
+        self._feel(2 if gap > self.settings.protocol_period_ms else 1)
         self._probes.clear()
         self._helped.clear()
-        self._calm_from = now + self.settings.period_ms
+        self._calm_from = now + self.settings.protocol_period_ms
         for record in self._records.values():
-            if record.state is State.UNSURE:
+            if record.state is MemberState.SUSPECT:
                 record.suspected += gap
 
     def _feel(self, change: int) -> None:
@@ -846,11 +882,11 @@
 
     def _due_probe(self, now: float, key: str | int) -> None:
         s = self.settings
-        self._at(now + s.period_ms / s.probes * (1 + self.health), "probe")
+        self._at(now + s.protocol_period_ms / s.probes_per_period * (1 + self.health), "probe")
         for _ in range(len(self._round) + len(self._live) + 1):
             if not self._round:
                 self._round = list(self._live.names)
-                self.source.shuffle(self._round)
+                self.rng.shuffle(self._round)
                 if not self._round:
                     return
             name = self._round.pop()
@@ -863,8 +899,8 @@
         number, record = self._number(), self._records[name]
         self._probes[number] = _Probe(name, record.life, record.incarnation)
         self._send(name, self._address(name), m.Ping, number)
-        self._at(now + s.period_ms * s.ping_fraction * (1 + self.health), "stage", number)
-        self._at(now + s.period_ms * (1 + self.health), "resolve", number)
+        self._at(now + s.protocol_period_ms * s.ping_fraction * (1 + self.health), "stage", number)
+        self._at(now + s.protocol_period_ms * (1 + self.health), "resolve", number)
 
     def _due_stage(self, now: float, key: str | int) -> None:
         probe = self._probes.get(int(key))
@@ -873,8 +909,8 @@
         address = self._address(probe.name)
         self._send(probe.name, address, m.Ping, int(key))  # once more itself: one lost datagram is no sign
         # Of the unsure no answer is expected: a cut must not read as one's own bad health for long.
-        drawn = self._live.draw(self.source, self.settings.helpers * 3, (probe.name,))
-        sure = [name for name in drawn if self._records[name].state is State.ALIVE]
+        drawn = self._live.draw(self.rng, self.settings.helpers * 3, (probe.name,))
+        sure = [name for name in drawn if self._records[name].state is MemberState.ALIVE]
         helpers = sure[: self.settings.helpers]
         for helper in helpers:
             self._send(helper, self._address(helper), m.Ask, int(key), (), (probe.name, address))
@@ -891,10 +927,10 @@
             return
         if record.incarnation != probe.incarnation:
             return  # it has refuted since: what was asked before that is no evidence any more
-        if record.state is State.ALIVE:
-            self._suspect(now, record, record.incarnation, self.me.name)
-        elif record.state is State.UNSURE:
-            self._confirm(now, record, self.me.name)
+        if record.state is MemberState.ALIVE:
+            self._suspect(now, record, record.incarnation, self.local.name)
+        elif record.state is MemberState.SUSPECT:
+            self._confirm(now, record, self.local.name)
 
     def _ack(self, number: int) -> None:
         if self._probes.pop(number, None) is not None:
@@ -907,12 +943,12 @@
     def _ask(self, now: float, asker: str, number: int, target: str, address: str) -> None:
         if len(self._helped) >= self.settings.max_members or asker not in self._records:
             return
-        if target == self.me.name:
+        if target == self.local.name:
             return
         ours = self._number()
         self._helped[ours] = (asker, number)
         self._send(target, self.address(target) or address, m.Ping, ours)
-        self._at(now + self.settings.period_ms * self.settings.ping_fraction, "helped", ours)
+        self._at(now + self.settings.protocol_period_ms * self.settings.ping_fraction, "helped", ours)
 
     def _due_helped(self, now: float, key: str | int) -> None:
         asked = self._helped.get(int(key))
@@ -922,7 +958,7 @@
         if asker in self._records:
             self._send(asker, self._address(asker), m.Nack, theirs)
         # A late answer is still passed on: kept for one period more.
-        self._at(now + self.settings.period_ms, "unhelped", int(key))
+        self._at(now + self.settings.protocol_period_ms, "unhelped", int(key))
 
     def _due_unhelped(self, now: float, key: str | int) -> None:
         self._helped.pop(int(key), None)
@@ -930,28 +966,28 @@
     # --- rumours
 
     def _due_gossip(self, now: float, key: str | int) -> None:
-        self._at(now + self.settings.gossip_ms, "gossip")
+        self._at(now + self.settings.gossip_interval_ms, "gossip")
         if self._queue:
             self._push(self.settings.gossip_fan)
 
     def _push(self, count: int) -> None:
-        for name in self._live.draw(self.source, count):
-            self._send(name, self._address(name), m.Rumours)
+        for name in self._live.draw(self.rng, count):
+            self._send(name, self._address(name), m.Updates)
 
     def _send(
         self,
         name: str,
         address: str,
-        kind: type[m.Ping] | type[m.Ack] | type[m.Ask] | type[m.Nack] | type[m.Rumours],
+        kind: type[m.Ping] | type[m.Ack] | type[m.Ask] | type[m.Nack] | type[m.Updates],
         number: int | None = None,
-        first: tuple[Claim, ...] | list[Claim] = (),
+        first: tuple[MemberUpdate, ...] | list[MemberUpdate] = (),
         rest: tuple[str, ...] = (),
     ) -> None:
         claims = list(first)
         record = self._records.get(name)
         if (
             record is not None
-            and record.state in (State.UNSURE, State.GONE)
+            and record.state in (MemberState.SUSPECT, MemberState.DEAD)
             and not any(claim.name == name for claim in claims)
         ):
             claims.insert(0, self._claim(record))  # the buddy system: the accused is the first to hear of it
@@ -960,17 +996,17 @@
             room += m.size(claims.pop())
         most = math.ceil(self.settings.repeat * math.log10(self.size() + 1))
         claims += self._queue.take(room, max(most, 2))
-        if kind is m.Rumours:
+        if kind is m.Updates:
             if claims:
-                self._sends.append(ToSend(name, address, m.Rumours(claims)))
+                self._sends.append(OutgoingMessage(name, address, m.Updates(claims)))
         elif kind is m.Ask:
-            self._sends.append(ToSend(name, address, m.Ask(number or 0, rest[0], rest[1], claims)))
+            self._sends.append(OutgoingMessage(name, address, m.Ask(number or 0, rest[0], rest[1], claims)))
         elif kind is m.Ping:
-            self._sends.append(ToSend(name, address, m.Ping(number or 0, name, claims, self._sum())))
+            self._sends.append(OutgoingMessage(name, address, m.Ping(number or 0, name, claims, self._sum())))
         elif kind is m.Ack:
-            self._sends.append(ToSend(name, address, m.Ack(number or 0, claims, self._sum())))
+            self._sends.append(OutgoingMessage(name, address, m.Ack(number or 0, claims, self._sum())))
         else:
-            self._sends.append(ToSend(name, address, m.Nack(number or 0, claims)))
+            self._sends.append(OutgoingMessage(name, address, m.Nack(number or 0, claims)))
 
     # --- joining, the gone, forgetting
 
@@ -981,23 +1017,23 @@
         if self.joined and self._live:
             # Joined: a seed that is not among the live is still greeted now and then, so that fleets which
             # forgot each other over a long cut meet again.
-            self._retry = s.period_ms
-            wait = 10 * s.period_ms * (0.5 + self.source.random())
+            self._retry = s.protocol_period_ms
+            wait = 10 * s.protocol_period_ms * (0.5 + self.rng.random())
             wanted = missing[: s.max_members]
             count = 1
         else:
-            wait = self._retry * (1 + self.source.random())
+            wait = self._retry * (1 + self.rng.random())
             self._retry = min(self._retry * 2, s.retry_worst_ms)
             wanted, count = list(self.seeds), 3
         self._at(now + wait, "seed")
-        for address in self.source.sample(wanted, min(count, len(wanted))):
-            self._sends.append(ToSend(None, address, m.Hello(self._mine(full=True))))
+        for address in self.rng.sample(wanted, min(count, len(wanted))):
+            self._sends.append(OutgoingMessage(None, address, m.Hello(self._mine(full=True))))
         if not self.joined and self._live:
-            name = self._live.draw(self.source, 1)[0]
-            self._exchange_with(now, name, s.period_ms, whole=True)
+            name = self._live.draw(self.rng, 1)[0]
+            self._exchange_with(now, name, s.protocol_period_ms, whole=True)
 
     def _hello(self, now: float, letter: m.Letter, body: m.Hello) -> None:
-        if body.me.name != letter.sender or body.me.about is None:
+        if body.me.name != letter.sender or body.me.info is None:
             self._count("hello-of-another")
             return
         self._take(now, body.me, letter.sender)
@@ -1005,23 +1041,23 @@
             return
         claims = [self._mine(full=True)]
         record = self._records.get(letter.sender)
-        if record is not None and record.state is not State.ALIVE:
+        if record is not None and record.state is not MemberState.ALIVE:
             claims.append(self._claim(record))
         room = self._room - sum(map(m.size, claims))
-        for name in self._live.draw(self.source, 8, (letter.sender,)):
+        for name in self._live.draw(self.rng, 8, (letter.sender,)):
             claim = self._claim(self._records[name], full=True)
             room -= m.size(claim)
             if room < 0:
                 break
             claims.append(claim)
-        self._sends.append(ToSend(letter.sender, body.me.about.address, m.Welcome(claims)))
+        self._sends.append(OutgoingMessage(letter.sender, body.me.info.address, m.Welcome(claims)))
 
     def _welcomed(self, now: float, sender: str, address: str) -> None:
         if self.joined:
             return
         # One of those who were named: a seed that everybody knows must not send its list to everybody.
-        names = self._live.draw(self.source, 1)
-        self._exchange_with(now, names[0] if names else sender, self.settings.period_ms, whole=True)
+        names = self._live.draw(self.rng, 1)
+        self._exchange_with(now, names[0] if names else sender, self.settings.protocol_period_ms, whole=True)
 
     def _exchange_with(self, now: float, name: str, gap: float, whole: bool = False) -> None:
         if now - self._exchanged < gap or name not in self._records:
@@ -1031,27 +1067,27 @@
 
     def _due_exchange(self, now: float, key: str | int) -> None:
         s = self.settings
-        self._at(now + s.exchange_ms * (0.5 + self.source.random()), "exchange")
-        if self.source.random() * self.size() >= s.exchange_size:
+        self._at(now + s.exchange_interval_ms * (0.5 + self.rng.random()), "exchange")
+        if self.rng.random() * self.size() >= s.exchange_size:
             return
-        for name in self._live.draw(self.source, 1):
-            self._exchange_with(now, name, self.settings.period_ms)
+        for name in self._live.draw(self.rng, 1):
+            self._exchange_with(now, name, self.settings.protocol_period_ms)
 
     def _due_period(self, now: float, key: str | int) -> None:
         s = self.settings
-        self._at(now + s.period_ms, "period")
+        self._at(now + s.protocol_period_ms, "period")
         self._replies = s.replies
         if self._lost:
             # The whole fleet together contacts each gone member `lost_contacts` times in a period.
-            if self.source.random() < s.lost_contacts * len(self._lost) / self.size():
-                name = self._lost.draw(self.source, 1)[0]
+            if self.rng.random() < s.lost_contacts * len(self._lost) / self.size():
+                name = self._lost.draw(self.rng, 1)[0]
                 if address := self._address(name):
                     self._send(name, address, m.Ping, self._number())
         if len(self._records) > len(self._live):
             ended = [
                 r.name
                 for r in self._records.values()
-                if r.state in (State.GONE, State.LEFT) and now - r.since > s.keep_ms
+                if r.state in (MemberState.DEAD, MemberState.LEFT) and now - r.since > s.keep_ms
             ]
             for name in ended:
                 self._forget(name)
@@ -1064,7 +1100,7 @@
 
     def _forget_one(self) -> bool:
         """Make room: of the gone and the left the longest so goes first; the live are never pushed out."""
-        ended = [r for r in self._records.values() if r.state in (State.GONE, State.LEFT)]
+        ended = [r for r in self._records.values() if r.state in (MemberState.DEAD, MemberState.LEFT)]
         if not ended:
             return False
         self._forget(min(ended, key=lambda r: (r.since, r.name)).name)
--- a/cressrock/fleet/messages.py
+++ b/cressrock/membership/packets.py
@@ -14,25 +14,32 @@
 import msgspec
 from msgspec import Meta, Struct
 
-from cressrock.errors.fleet import ForeignCluster, Malformed, OtherVersion, TooLarge
+from cressrock.errors.membership import (
+    ForeignClusterError,
+    MalformedPacketError,
+    PacketTooLargeError,
+    UnsupportedPacketVersionError,
+)
 
 VERSION = 1
-MAX_DATAGRAM = 1200  # bytes; below what every path of IPv6 (1280) carries whole, with headers and a tunnel
-MAX_FRAME = 65536  # bytes of one frame of the exchange
+MAX_DATAGRAM_BYTES = (
+    1200  # bytes; below what every path of IPv6 (1280) carries whole, with headers and a tunnel
+)
+MAX_FRAME_BYTES = 65536  # bytes of one frame of the exchange
 
 Name = Annotated[str, Meta(min_length=1, max_length=64, pattern=r"^[A-Za-z0-9][A-Za-z0-9._-]*\Z")]
 Place = Annotated[str, Meta(max_length=64)]
 Address = Annotated[str, Meta(max_length=128)]
 Count = Annotated[int, Meta(ge=0, le=2**53)]
-Payload = Annotated[bytes, Meta(max_length=MAX_FRAME)]
+Payload = Annotated[bytes, Meta(max_length=MAX_FRAME_BYTES)]
 
 
-class State(IntEnum):
+class MemberState(IntEnum):
     """What is believed of a member; of two claims with one incarnation the greater number counts."""
 
     ALIVE = 0
-    UNSURE = 1
-    GONE = 2
+    SUSPECT = 1
+    DEAD = 2
     LEFT = 3  # its own word, and final for its life
 
 
@@ -46,18 +53,18 @@
     extra: Annotated[bytes, Meta(max_length=128)] = b""
 
 
-class Claim(Struct, frozen=True, array_like=True):
+class MemberUpdate(Struct, frozen=True, array_like=True):
     """One rumour of one member: a state of (name, life) at an incarnation, and who accuses, if one does."""
 
     name: Name
-    life: Count
+    process_incarnation: Count
     incarnation: Count
-    state: State
+    state: MemberState
     by: Annotated[str, Meta(max_length=64)] = ""
-    about: About | None = None
+    info: About | None = None
 
 
-Claims = Annotated[list[Claim], Meta(max_length=1024)]
+Claims = Annotated[list[MemberUpdate], Meta(max_length=1024)]
 
 
 class Body(Struct, frozen=True, array_like=True, tag_field="t"):
@@ -97,7 +104,7 @@
     claims: Claims = []
 
 
-class Rumours(Body, frozen=True, tag=5):
+class Updates(Body, frozen=True, tag=5):
     """Claims and nothing else."""
 
     claims: Claims = []
@@ -106,7 +113,7 @@
 class Hello(Body, frozen=True, tag=6):
     """Sent to a seed by a process that wants in."""
 
-    me: Claim
+    me: MemberUpdate
 
 
 class Welcome(Body, frozen=True, tag=7):
@@ -119,34 +126,47 @@
     """The sender of a datagram is not known here: asks it to say who it is."""
 
 
-class Digest(Body, frozen=True, tag=9):
+class GossipDigest(Body, frozen=True, tag=9):
     """Opaque bytes of the spread: a slice of what the sender has."""
 
     data: Payload
 
 
-class Delta(Body, frozen=True, tag=10):
+class GossipDelta(Body, frozen=True, tag=10):
     """Opaque bytes of the spread: changes."""
 
     data: Payload
 
 
-class Piece(Body, frozen=True, tag=11):
+class ExchangePart(Body, frozen=True, tag=11):
     """One frame of the exchange: claims in full, a part of the spread, and whether it is the last."""
 
-    claims: Claims = []
+    updates: Claims = []
     spread: Payload = b""
     last: bool = False
     whole: bool = False  # the spread's state is wanted and sent as well
 
 
-class Collect(Body, frozen=True, tag=12):
+class CollectorMessage(Body, frozen=True, tag=12):
     """Opaque bytes of the collectors (`cressrock/collect`); who does not know it drops it as malformed."""
 
     data: Payload
 
 
-Any = Ping | Ack | Ask | Nack | Rumours | Hello | Welcome | Who | Digest | Delta | Piece | Collect
+Any = (
+    Ping
+    | Ack
+    | Ask
+    | Nack
+    | Updates
+    | Hello
+    | Welcome
+    | Who
+    | GossipDigest
+    | GossipDelta
+    | ExchangePart
+    | CollectorMessage
+)
 
 
 class _Envelope(Struct, frozen=True, array_like=True):
@@ -176,7 +196,7 @@
 _BODY = msgspec.msgpack.Decoder(Any)
 
 
-def size(claim: Claim) -> int:
+def size(claim: MemberUpdate) -> int:
     """Return a claim's bytes on the wire."""
     return len(_ENCODE.encode(claim))
 
@@ -192,21 +212,21 @@
     return _ENCODE.encode(_Envelope(VERSION, cluster, sender, life, raw))
 
 
-def decode(data: bytes, cluster: str, max_bytes: int = MAX_DATAGRAM) -> Letter:
+def decode(data: bytes, cluster: str, max_bytes: int = MAX_DATAGRAM_BYTES) -> Letter:
     """Read a datagram.  Raises TooLarge, OtherVersion, ForeignCluster or Malformed."""
     if len(data) > max_bytes:
-        raise TooLarge(f"{len(data)} bytes; at most {max_bytes} are taken")
+        raise PacketTooLargeError(f"{len(data)} bytes; at most {max_bytes} are taken")
     try:
         # Version and cluster first: of a foreign message nothing more than these is read.
         head = _HEAD.decode(data)
         if head.version != VERSION:
-            raise OtherVersion(f"version {head.version}; spoken here is {VERSION}")
+            raise UnsupportedPacketVersionError(f"version {head.version}; spoken here is {VERSION}")
         if head.cluster != cluster:
-            raise ForeignCluster(f"cluster {head.cluster[:64]!r}")
+            raise ForeignClusterError(f"cluster {head.cluster[:64]!r}")
         envelope = _ENVELOPE.decode(data)
         return Letter(envelope.sender, envelope.life, _BODY.decode(envelope.body))
     except (msgspec.DecodeError, RecursionError, UnicodeDecodeError) as wrong:
-        raise Malformed(str(wrong)[:200]) from None
+        raise MalformedPacketError(str(wrong)[:200]) from None
 
 
 def frame(data: bytes) -> bytes:
--- a/cressrock/observe/metrics.py
+++ b/cressrock/observe/metrics.py
@@ -6,7 +6,7 @@
 
 from prometheus_client import CollectorRegistry, Counter, Gauge, Histogram, generate_latest
 
-from cressrock.dispatch.ledger import Attempt, Tripped, Verdict
+from cressrock.dispatch.ledger import Attempt, FenceTrip, Verdict
 from cressrock.dispatch.reasons import Fence, Reason
 from cressrock.interface import Outcome
 
@@ -88,7 +88,7 @@
 
     # --- the driver's observer
 
-    def tripped(self, trip: Tripped) -> None:
+    def fence_tripped(self, trip: FenceTrip) -> None:
         """Count and log a fence; each is a defect of what gave the order."""
         self.fences.labels(trip.fence.value).inc()
         self.log.error("fence", fence=trip.fence.value, operation=trip.operation, detail=trip.detail)
@@ -106,7 +106,7 @@
         self.child(self.answers, name, verdict.value, reason.value if reason else "").inc()
         self.child(self.seconds, name).observe(ms / 1000)
 
-    def woke(self, events: int, late_ms: float, act_ms: float) -> None:
+    def batch_processed(self, events: int, late_ms: float, act_ms: float) -> None:
         """Measure a batch."""
         self.events.inc(events)
         self.late.observe(late_ms / 1000)
--- a/cressrock/planner/epochs.py
+++ b/cressrock/planner/epochs.py
@@ -16,7 +16,7 @@
     return max((kept or 0) + 1, int(wall_ms), seen + 1)
 
 
-class Store:
+class EpochStore:
     """Keeps the newest epoch in a file, written whole and flushed before the epoch is used."""
 
     def __init__(self, path: str | None) -> None:
--- a/cressrock/planner/core.py
+++ b/cressrock/planner/planner.py
@@ -11,8 +11,8 @@
 from typing import Protocol
 
 from cressrock import interface as i
-from cressrock.dispatch.lending import life_ms
-from cressrock.dispatch.transport import reached
+from cressrock.dispatch.quota import lease_duration_ms
+from cressrock.dispatch.transport import reached_node
 from cressrock.link import messages as m
 
 STAMPS = 8  # within a loan's longest life: how far a loan's beginning is put before it was made
@@ -26,13 +26,13 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Bounds:
+class PlannerLimits:
     """Bounds of one planner; times in milliseconds."""
 
     grant_ms: float = 400.0  # from the newest event of an edge, how long a grant for it is valid
     max_inside: int = 2000  # operations handed to the module and not yet over; the rest waits at the edges
     max_edges: int = 1024
-    lend_ms: float = 0.0  # edges lend units of limits, which count so long at most; 0: the module makes them
+    lease_ms: float = 0.0  # edges lend units of limits, which count so long at most; 0: the module makes them
 
 
 @dataclass(slots=True)
@@ -77,7 +77,7 @@
         decisions: Decisions,
         classes: tuple[i.RequestClass, ...],
         epoch: int,
-        bounds: Bounds,
+        bounds: PlannerLimits,
         plans: tuple[i.Plan, ...] = (),
     ) -> None:
         """Start with no edge."""
@@ -99,7 +99,7 @@
         self._lines: dict[str, i.Node] = {}
         self._timers: dict[int, float] = {}
 
-    def widen(
+    def set_rule_versions(
         self,
         classes: tuple[i.RequestClass, ...],
         plans: tuple[i.Plan, ...],
@@ -132,7 +132,7 @@
         for inner, held in [(k, h) for k, h in self.inside.items() if h.edge is edge]:
             # The module must not count on a slot or a turn that nobody will give back.
             if held.out:
-                ended = i.Ended(inner, held.attempts - 1, i.Outcome.RESET, True, 0.0, reached=None)
+                ended = i.AttemptEnded(inner, held.attempts - 1, i.Outcome.RESET, True, 0.0, charged=None)
                 self._events.append(ended)
             else:
                 self._events.append(i.ClientLeft(inner))
@@ -141,7 +141,7 @@
 
     # --- events
 
-    def listed(self, report: i.NodeList) -> None:
+    def receive_node_list(self, report: i.NodeList) -> None:
         """Take in news of the node list."""
         if report.kind in (i.ListKind.COMPLETE, i.ListKind.CACHED):
             self._lines.clear()
@@ -158,7 +158,7 @@
             line = self._lines[node] = replace(line, state=i.NodeState.DRAINING)
             self._events.append(i.NodeList(i.ListKind.CHANGES, (line,)))
 
-    def event(self, name: str, session: int, event: m.Event, now_ms: float = 0.0) -> bool:
+    def receive_event(self, name: str, session: int, event: m.Event, now_ms: float = 0.0) -> bool:
         """Take in an edge's event.  False where it is not of the present session or is out of order."""
         edge = self.edges.get(name)
         if edge is None or edge.number != session:
@@ -172,18 +172,18 @@
         match event:
             case m.Request():
                 edge.waiting.append((self.steps, event))
-                self._lent(edge, event.volume, event.plan, event.lent, event.stamp)
-            case m.Ended():
+                self._lent(edge, event.volume, event.plan, event.leased_units, event.stamp)
+            case m.AttemptEnded():
                 self._ended(edge, event)
             case m.Left():
                 self._left(edge, event)
             case m.Barred(_, _, node):
                 self._barred(node)
-            case m.Lend(_, _, volume, plan, units, stamp):
+            case m.LimitLease(_, _, volume, plan, units, stamp):
                 self._lent(edge, volume, plan, units, stamp)
             case m.Counted(_, _, extra, taken):
                 times = (tuple(now_ms - age for age in ages) for ages in (extra, taken))
-                self._events.append(i.Counted(*times))
+                self._events.append(i.RetryBudgetUsage(*times))
         return True
 
     def _lent(self, edge: _Edge, volume: str, plan: int, units: float, stamp: int) -> None:
@@ -191,26 +191,28 @@
 
         Danger: a loan that lay on the way while its edge took itself for alone, and has filled up since.
         """
-        if not units or not self.bounds.lend_ms or plan >= len(self.plans):
+        if not units or not self.bounds.lease_ms or plan >= len(self.plans):
             return
         given = next((at for number, at in edge.stamps if number == stamp), None)
         if given is None:
             self.dropped["loan without a stamp"] += 1
             return
-        self._events.append(i.Lent(volume, units, given + life_ms(self.plans[plan], self.bounds.lend_ms)))
+        self._events.append(
+            i.LimitLease(volume, units, given + lease_duration_ms(self.plans[plan], self.bounds.lease_ms))
+        )
 
-    def _stamp(self, edge: _Edge, now: float) -> m.Stamp | None:
+    def _stamp(self, edge: _Edge, now: float) -> m.ClockStamp | None:
         """Return a new stamp for an edge that holds work, a few within a loan's life."""
-        if not self.bounds.lend_ms or not (edge.held or edge.waiting):
+        if not self.bounds.lease_ms or not (edge.held or edge.waiting):
             return None
-        if now < edge.stamps[-1][1] + self.bounds.lend_ms / STAMPS:
+        if now < edge.stamps[-1][1] + self.bounds.lease_ms / STAMPS:
             return None
         edge.stamps.append((edge.stamps[-1][0] + 1, now))
         while len(edge.stamps) > 2 * STAMPS:
             edge.stamps.popleft()
-        return m.Stamp(edge.stamps[-1][0])
+        return m.ClockStamp(edge.stamps[-1][0])
 
-    def _ended(self, edge: _Edge, event: m.Ended) -> None:
+    def _ended(self, edge: _Edge, event: m.AttemptEnded) -> None:
         held = edge.held.get(event.operation)
         if held is None or not held.out or event.attempt != held.attempts - 1:
             self.dropped["unknown attempt"] += 1
@@ -222,7 +224,7 @@
             outcome = i.Outcome.RESET  # the cautious reading: it may have run
         held.out = False
         inner = self._inner(edge, event.operation)
-        ended = i.Ended(
+        ended = i.AttemptEnded(
             inner,
             event.attempt,
             outcome,
@@ -230,7 +232,7 @@
             event.lag_ms,
             event.used,
             event.elsewhere,
-            reached(outcome),
+            reached_node(outcome),
         )
         self._events.append(ended)
         if event.settled:
@@ -264,7 +266,7 @@
         for token, at in sorted(self._timers.items()):
             if at <= now_ms:
                 del self._timers[token]
-                self._events.append(i.Wake(token))
+                self._events.append(i.TimerFired(token))
         events, self._events = self._events, []
         orders: dict[str, list[m.Order]] = {}
         lines: list[str] = []
@@ -310,7 +312,7 @@
             self.dropped["unusable request"] += 1
             return
         # A version that is not held here was not told to any edge as held: it has just left.
-        classes_at, plans_at = self.places.get(request.rules, (0, 0))
+        classes_at, plans_at = self.places.get(request.rule_version, (0, 0))
         held = edge.held[request.operation] = _Held(edge, request.operation, request.attempts)
         inner = self._inner(edge, request.operation)
         self.inside[inner] = held
@@ -325,14 +327,14 @@
                 plan=request.plan + plans_at,
                 request_class=request.request_class + classes_at,
                 shard=request.shard,
-                writers=request.writers,
+                sharing_hosts=request.writers,
                 waited_ms=(
                     request.waited_ms + max(0.0, edge.clock_ms - request.at_ms)
                     if request.waited_ms >= 0
                     else -1.0
                 ),
-                attempts=request.attempts,
-                counted=counted,
+                earlier_attempts=request.attempts,
+                counted_in_budget=counted,
             )
         )
 
@@ -353,7 +355,7 @@
                 )
                 held.attempts += 1
                 held.out = True
-            case i.Refuse(_, stay_away_ms):
+            case i.Reject(_, stay_away_ms):
                 out.append(m.Answer(self.epoch, held.operation, True, stay_away_ms))
                 self._over(held)
             case i.Fail():
--- a/cressrock/planner/carrier.py
+++ b/cressrock/planner/server.py
@@ -12,9 +12,18 @@
 from cressrock.http.channel import Stream
 from cressrock.interface import NodeList
 from cressrock.link import messages as m
-from cressrock.link.carrier import LinkCarrier
-from cressrock.link.protocol import LENDING, RULES, Bounds, Closed, Link, Opened, OutOfCredit, Role
-from cressrock.planner.core import Planner
+from cressrock.link.connection import LinkCarrier
+from cressrock.link.protocol import (
+    LENDING,
+    RULE_VERSIONS,
+    Closed,
+    Link,
+    LinkLimits,
+    Opened,
+    OutOfCredit,
+    Role,
+)
+from cressrock.planner.planner import Planner
 
 FOREVER = float("inf")
 
@@ -35,33 +44,33 @@
     """Serves edges' links.  `step` runs in one task, one step for all that came."""
 
     def __init__(
-        self, planner: Planner, name: str, *, clock: Callable[[], float], bounds: Bounds, log: Any
+        self, planner: Planner, name: str, *, clock: Callable[[], float], limits: LinkLimits, log: Any
     ) -> None:
         """`clock` gives monotonic milliseconds."""
         self.planner = planner
         self.name = name
         self.clock = clock
-        self.bounds = bounds
+        self.bounds = limits
         self.log = log
         self.sessions: dict[str, _Session] = {}
-        self.subscribe: Callable[[], None] = lambda: None
+        self.subscribe_to_node_list: Callable[[], None] = lambda: None
         self.rules: tuple[str, ...] = ()  # versions held beside the settings' own
-        self.versioned = False  # whether this process knows of versions at all
+        self.knows_versions = False  # whether this process knows of versions at all
         self._news = anyio.Event()
 
-    def listed(self, report: NodeList) -> None:
+    def receive_node_list(self, report: NodeList) -> None:
         """Take in news of the node list."""
-        self.planner.listed(report)
+        self.planner.receive_node_list(report)
         self._news.set()
 
-    def tell_rules(self, versions: tuple[str, ...]) -> None:
+    def announce_rule_versions(self, versions: tuple[str, ...]) -> None:
         """Tell all edges which versions of the rules are held here from now on."""
         if versions == self.rules:
             return
         self.rules = versions
         for session in self.sessions.values():
             if session.hears_rules:
-                session.waiting.append(m.Rules(list(versions)))
+                session.waiting.append(m.RuleVersions(list(versions)))
                 if session.carrier is not None:
                     session.carrier.wake()
 
@@ -77,7 +86,7 @@
             outcome = self.planner.step(self.clock())
             wake = outcome.wake_at_ms
             if outcome.subscribe:
-                self.subscribe()
+                self.subscribe_to_node_list()
             for line in outcome.lines:
                 self.log.warning("scheduler", text=line)
             for name, orders in outcome.orders.items():
@@ -94,8 +103,8 @@
             self.name,
             self.clock(),
             epoch=self.planner.epoch,
-            capabilities=((LENDING,) if self.planner.bounds.lend_ms else ())
-            + ((RULES,) if self.versioned else ()),
+            capabilities=((LENDING,) if self.planner.bounds.lease_ms else ())
+            + ((RULE_VERSIONS,) if self.knows_versions else ()),
             bounds=self.bounds,
         )
         session = _Session(link)
@@ -121,7 +130,7 @@
             match one:
                 case Opened():
                     lends = LENDING in one.capabilities
-                    if lends != bool(self.planner.bounds.lend_ms):
+                    if lends != bool(self.planner.bounds.lease_ms):
                         # Danger: one makes units of the limits and the other lends them: twice the limit.
                         session.link.close("pair.edges: set it at this edge and its planner, or at neither")
                         return "no agreement on who holds the limits"
@@ -130,15 +139,15 @@
                         session.link.close("no more edges are taken")
                         return "too many edges"
                     session.edge, session.number = one.peer, number
-                    session.hears_rules = RULES in one.capabilities
+                    session.hears_rules = RULE_VERSIONS in one.capabilities
                     if session.hears_rules:
-                        session.waiting.append(m.Rules(list(self.rules)))
+                        session.waiting.append(m.RuleVersions(list(self.rules)))
                     self.sessions[one.peer] = session
                     self.log.info("edge joined", edge=one.peer, life=one.life)
                 case Closed(reason):
                     return reason
                 case _:
-                    if not self.planner.event(session.edge, session.number, one, self.clock()) and (
+                    if not self.planner.receive_event(session.edge, session.number, one, self.clock()) and (
                         self.sessions.get(session.edge) is not session
                     ):
                         session.link.close("this edge has joined by another connection")
--- a/cressrock/platform/config.py
+++ b/cressrock/platform/config.py
@@ -8,7 +8,16 @@
 from dataclasses import dataclass, replace
 from typing import Any
 
-from cressrock.config import CLASS_FIGURES, FIGURES, PLAN_FIGURES, entries, number, part, settings_from, shown
+from cressrock.config import (
+    CLASS_FIELDS,
+    PLAN_FIELDS,
+    SETTINGS_FIELDS,
+    checked_number,
+    describe_value,
+    parse_settings,
+    section,
+    section_list,
+)
 from cressrock.interface import Settings
 
 LEAST_MB = 16  # the program alone takes about so much
@@ -56,14 +65,14 @@
     try:
         random = int(seed, 16)
     except ValueError:
-        raise ConfigError(f"seed: {shown(seed)} is not a hexadecimal number") from None
+        raise ConfigError(f"seed: {describe_value(seed)} is not a hexadecimal number") from None
     try:
-        settings = settings_from(raw)
+        settings = parse_settings(raw)
         classes, plans = _names(raw, "profiles"), _names(raw, "policies")
         _strict(raw, len(classes))
         settings, idle_close_ms = _completed(raw, settings)
         zones = _zones(raw)
-        shards = _whole(part(raw, "family_info", dict), "n_shards", "family_info.")
+        shards = _whole(section(raw, "family_info", dict), "n_shards", "family_info.")
     except ValueError as wrong:
         raise ConfigError(f"settings.{wrong}") from None
     try:
@@ -97,7 +106,7 @@
     good = good and host.isascii() and host.isprintable() and " " not in host
     labels = host.removesuffix(".").split(".")
     if not good or not all(0 < len(label) < 64 for label in labels):
-        raise ConfigError(f"{place}: {shown(text)} is not host:port")
+        raise ConfigError(f"{place}: {describe_value(text)} is not host:port")
     return host, int(port)
 
 
@@ -112,7 +121,7 @@
     for place in [*here, *(place for place in there if place not in here)]:
         old, new = here.get(place), there.get(place)
         if old != new:
-            return f"{place}: {shown(new)}, this dispatcher has {shown(old)}"
+            return f"{place}: {describe_value(new)}, this dispatcher has {describe_value(old)}"
     # Danger: a figure that is not among the places above must not slip through.
     same = replace(
         found,
@@ -132,22 +141,22 @@
     for index, name in enumerate(config.classes):
         cls, place = config.settings.classes[index], f"settings.profiles[{index}]."
         yield f"{place}name", name
-        for theirs, ours in CLASS_FIGURES.items():
+        for theirs, ours in CLASS_FIELDS.items():
             yield f"{place}{theirs}", getattr(cls, ours)
-        yield f"{place}semantics", cls.effect.value
-        yield f"{place}key_scope", cls.group.value
-        yield f"{place}in_turn", cls.in_turn
-        yield f"settings.family_info.writes[{index}]", cls.writes
+        yield f"{place}semantics", cls.idempotency.value
+        yield f"{place}key_scope", cls.deduplication_scope.value
+        yield f"{place}in_turn", cls.ordered
+        yield f"settings.family_info.writes[{index}]", cls.is_write
     for index, name in enumerate(config.plans):
         place = f"settings.policies[{index}]."
         yield f"{place}name", name
-        for theirs, ours in PLAN_FIGURES.items():
+        for theirs, ours in PLAN_FIELDS.items():
             yield f"{place}{theirs}", getattr(config.settings.plans[index], ours)
     for index, name in enumerate(config.zones):
         yield f"settings.zones[{index}]", name
-    for section, names in FIGURES.items():
+    for part, names in SETTINGS_FIELDS.items():
         for theirs, ours in names.items():
-            yield f"settings.{section}{'.' if section else ''}{theirs}", getattr(config.settings, ours)
+            yield f"settings.{part}{'.' if part else ''}{theirs}", getattr(config.settings, ours)
     yield "settings.membership_mode", "ask" if config.settings.must_ask else "push"
     yield "settings.caps.cancel", config.settings.may_cancel
     yield "settings.caps.idle_close_ms", config.idle_close_ms
@@ -165,13 +174,13 @@
     if raw.get("balancers") is None:
         raise ValueError("balancers: missing")
     _whole(raw, "balancers")
-    caps, family = part(raw, "caps", dict), part(raw, "family_info", dict)
+    caps, family = section(raw, "caps", dict), section(raw, "family_info", dict)
     _whole(caps, "max_attempts", "caps.")
     _flag(caps.get("cancel"), "caps.cancel")
     _flag(family.get("counts_others"), "family_info.counts_others")
-    for index, profile in enumerate(entries(raw, "profiles")):
+    for index, profile in enumerate(section_list(raw, "profiles")):
         _flag(profile.get("in_turn"), f"profiles[{index}].in_turn")
-    writes = part(family, "writes", list, "family_info.")
+    writes = section(family, "writes", list, "family_info.")
     # One for each class, in their order.  Danger: with one too few, nobody knows which class it lacks.
     # Without the list no class writes, and a write is refused at the door.
     if writes and len(writes) != classes:
@@ -187,16 +196,16 @@
     second attempt, no repeat of a keyed class, no time in a refusal, lists asked for each second, nothing
     for a server that is cold; or the feature itself is absent, such as a limit or a budget.
     """
-    caps, safety = part(raw, "caps", dict), part(raw, "safety", dict)
-    least_aim = min(cls.aim_ms for cls in settings.classes)
+    caps, safety = section(raw, "caps", dict), section(raw, "safety", dict)
+    least_aim = min(cls.latency_objective_ms for cls in settings.classes)
     changes: dict[str, Any] = {
         # A connection that is not up within the least aim cannot serve it.
         "connect_timeout_ms": settings.connect_timeout_ms or least_aim,
     }
     # Danger: a repeat in the wrong group runs twice.  With no group named a keyed class is never repeated.
     changes["classes"] = tuple(
-        cls if profile.get("key_scope") is not None else replace(cls, repeat_window_ms=0.0)
-        for cls, profile in zip(settings.classes, entries(raw, "profiles"), strict=True)
+        cls if profile.get("key_scope") is not None else replace(cls, deduplication_window_ms=0.0)
+        for cls, profile in zip(settings.classes, section_list(raw, "profiles"), strict=True)
     )
     # Danger: a bound for cold servers, and no time in which they warm up, must not mean that they are warm.
     # Nothing says that the bound ever grows or ends.
@@ -206,12 +215,12 @@
     if (settings.budget_free or settings.budget_share) and not settings.budget_window_ms:
         changes["max_attempts"] = 1
     # Danger: the interface's default for the largest request would turn away all that are larger than one.
-    if part(raw, "family_info", dict).get("most_units") is None:
+    if section(raw, "family_info", dict).get("most_units") is None:
         changes["most_units"] = MOST_UNITS
     # A connection that idles longer than its server allows is reset under the next request.  Not told how
     # long, connections are used on only where requests follow each other at once: the price is handshakes.
     idle = caps.get("idle_close_ms")
-    idle_close_ms = least_aim if idle is None else float(number(idle, "caps.idle_close_ms"))
+    idle_close_ms = least_aim if idle is None else float(checked_number(idle, "caps.idle_close_ms"))
     return replace(settings, **changes), idle_close_ms
 
 
@@ -223,9 +232,9 @@
 
 
 def _limit(limits: dict[str, Any], name: str, least: float) -> float:
-    found = number(limits.get(name), name, least)
+    found = checked_number(limits.get(name), name, least)
     if found > MOST:
-        raise ValueError(f"{name}: at most {MOST:g} was expected, not {shown(found)}")
+        raise ValueError(f"{name}: at most {MOST:g} was expected, not {describe_value(found)}")
     return float(found)
 
 
@@ -234,15 +243,15 @@
     found = owner.get(name)
     if found is None:
         return 0
-    if number(found, f"{place}{name}") != int(found):
-        raise ValueError(f"{place}{name}: a whole number was expected, not {shown(found)}")
+    if checked_number(found, f"{place}{name}") != int(found):
+        raise ValueError(f"{place}{name}: a whole number was expected, not {describe_value(found)}")
     return int(found)
 
 
 def _flag(found: Any, place: str) -> None:
     # Danger: the text "false" is true to Python.
     if found is not None and not (isinstance(found, (bool, int)) and found in (0, 1)):
-        raise ValueError(f"{place}: true or false was expected, not {shown(found)}")
+        raise ValueError(f"{place}: true or false was expected, not {describe_value(found)}")
 
 
 def _text(found: Any, place: str) -> str:
@@ -251,18 +260,18 @@
             return found
     except UnicodeEncodeError:  # half a surrogate pair, which no client can send
         pass
-    raise ValueError(f"{place}: a name was expected, not {shown(found)}")
+    raise ValueError(f"{place}: a name was expected, not {describe_value(found)}")
 
 
 def _names(raw: dict[str, Any], place: str) -> tuple[str, ...]:
     """Read the names of classes or plans.  Raises ValueError."""
     names: list[str] = []
-    for index, entry in enumerate(entries(raw, place)):
+    for index, entry in enumerate(section_list(raw, place)):
         here = f"{place}[{index}].name"
         name = _text(entry.get("name"), here)
         # Danger: of two under one name the first would be served by the other's rules.
         if name in names:
-            raise ValueError(f"{here}: {shown(name)} is there already")
+            raise ValueError(f"{here}: {describe_value(name)} is there already")
         names.append(name)
     if not names:
         raise ValueError(f"{place}: at least one was expected")
@@ -271,5 +280,5 @@
 
 def _zones(raw: dict[str, Any]) -> tuple[str, ...]:
     """Read the zones' names; the same one twice is one zone.  Raises ValueError."""
-    found = part(raw, "zones", list)
+    found = section(raw, "zones", list)
     return tuple(dict.fromkeys(_text(name, f"zones[{index}]") for index, name in enumerate(found)))
--- a/cressrock/platform/program.py
+++ b/cressrock/platform/program.py
@@ -18,9 +18,8 @@
 import anyio
 
 from cressrock import net
-from cressrock.brain import Brain
 from cressrock.dispatch.driver import Driver
-from cressrock.dispatch.ledger import Attempt, Ledger, Tripped, Verdict
+from cressrock.dispatch.ledger import Attempt, FenceTrip, Ledger, Verdict
 from cressrock.dispatch.reasons import Reason
 from cressrock.interface import NodeList, Outcome
 from cressrock.platform import watchclock
@@ -36,6 +35,7 @@
 from cressrock.resp.nodes import PoolBounds, RespTransport
 from cressrock.resp.request import Reader
 from cressrock.resp.room import accepted_at_once
+from cressrock.scheduler.scheduler import Scheduler
 
 # Descriptors beside those that are counted as connections to clients and servers: the process's own (the
 # listener, two for discovery, three each for the event loop and the standard streams, one for a file, two
@@ -105,7 +105,7 @@
         self.longest_act_ms = 0.0
         self.late_ms = 0.0
 
-    def tripped(self, trip: Tripped) -> None:
+    def fence_tripped(self, trip: FenceTrip) -> None:
         """Log a fence; each is a defect of what gave the order."""
         self.log(f"{trip.fence.value} {trip.operation}: {trip.detail}", "fence")
 
@@ -119,7 +119,7 @@
         """Count a final answer."""
         self.answers[f"{request_class}:{verdict.value}"] += 1
 
-    def woke(self, events: int, late_ms: float, act_ms: float) -> None:
+    def batch_processed(self, events: int, late_ms: float, act_ms: float) -> None:
         """Measure a batch."""
         self.events += events
         self.act_ms += act_ms
@@ -151,12 +151,12 @@
                 connect_timeout_ms=settings.connect_timeout_ms,
                 idle_close_ms=config.idle_close_ms,
                 max_answer=int(config.memory_mb * ANSWER * (1 << 20)),
-                stall_ms=STALL * min(cls.aim_ms for cls in settings.classes),
+                stall_ms=STALL * min(cls.latency_objective_ms for cls in settings.classes),
             ),
             clock,
             self.servers.dials.get,
         )
-        self.brain = Brain(settings, source.getrandbits(62), clock())
+        self.brain = Scheduler(settings, source.getrandbits(62), clock())
         self.driver = Driver(
             self.brain,
             Ledger(
@@ -202,7 +202,7 @@
         self.address: tuple[str, int] | None = None  # where clients are served, once they are
 
     def _listed(self, report: NodeList) -> None:
-        self.driver.listed(report)
+        self.driver.receive_node_list(report)
         for name in self.servers.moved:
             self.transport.forget(name)
         self.servers.moved = []
@@ -265,7 +265,7 @@
             await asyncio.sleep(STEP_S)
         # Danger: what came before SIGTERM with more patience than the platform has is lost unanswered.
         self.log(f"stopped, {self.front.owes()} owed")
-        self.driver.stop()
+        self.driver.abort_pending()
         if self.turns is not None:
             self.turns.end()
         self.front.finish()
--- a/cressrock/platform/turns.py
+++ b/cressrock/platform/turns.py
@@ -19,7 +19,7 @@
         self._ended = False
         self._timer: asyncio.TimerHandle | None = None
         self._rings_at = FOREVER
-        driver.wake = self.wake
+        driver.request_wakeup = self.wake
 
     def wake(self) -> None:
         """Ask for a turn once this round's sockets have been heard."""
@@ -39,9 +39,9 @@
             return
         self.turns += 1
         try:
-            self.driver.turn()
+            self.driver.process_batch()
         finally:
-            due = self.driver.due()
+            due = self.driver.next_batch_ms()
             if due < self._rings_at:
                 if self._timer is not None:
                     self._timer.cancel()
--- a/cressrock/platform/watch.py
+++ b/cressrock/platform/watch.py
@@ -9,7 +9,7 @@
 import h11
 
 from cressrock import net
-from cressrock.http.channel import BROKEN, Channel, Gone, TooLarge
+from cressrock.http.channel import BROKEN, Channel, ConnectionLostError, MessageTooLargeError
 from cressrock.interface import ListKind, NodeList
 from cressrock.platform.serverlist import ListError, ServerList
 from cressrock.platform.watchclock import Call, WatchClock
@@ -105,7 +105,7 @@
                     if channel is None:
                         channel = await self._connect(address)
                     self._answer(call, channel, await self._get(channel, call, address))
-        except (Gone, TooLarge, h11.RemoteProtocolError, *BROKEN) as failed:
+        except (ConnectionLostError, MessageTooLargeError, h11.RemoteProtocolError, *BROKEN) as failed:
             self._failed(call, address, str(failed) or type(failed).__name__)
         except (ValueError, ListError, RecursionError) as failed:
             self._failed(call, address, f"unusable answer: {failed}")
@@ -154,5 +154,5 @@
         event = await channel.response()
         body = await channel.rest(MAX_LIST)
         if event.status_code != 200:
-            raise Gone(f"status {event.status_code}")
+            raise ConnectionLostError(f"status {event.status_code}")
         return body
--- a/cressrock/presence/__init__.py
+++ b/cressrock/presence/__init__.py
@@ -23,8 +23,8 @@
 
 from cressrock import net
 from cressrock.errors import known
-from cressrock.errors.presence import PresenceError, SessionOver, Unreachable
-from cressrock.http.channel import BROKEN, Channel, Gone, Stream, TooLarge
+from cressrock.errors.presence import GatewayUnreachableError, PresenceError, SessionEndedError
+from cressrock.http.channel import BROKEN, Channel, ConnectionLostError, MessageTooLargeError, Stream
 
 __all__ = ["Agreed", "Event", "Member", "NotHeard", "Presence", "Room"]
 
@@ -159,7 +159,7 @@
 
     async def _post(self, what: str, **more: Any) -> _Answer:
         if not self.token:
-            raise SessionOver("this room is only watched, it has no session")
+            raise SessionEndedError("this room is only watched, it has no session")
         wait_ms = float(more.get("wait_ms", 0.0))
         body = {"token": self.token, **more}
         return await self.presence.ask(self.address, "POST", f"/v1/presence/{what}", body, wait_ms)
@@ -273,7 +273,7 @@
         for address in self.addresses:
             try:
                 return address, await self._request(address, method, target, body, wait_ms)
-            except Unreachable as found:
+            except GatewayUnreachableError as found:
                 wrong = found
         assert wrong is not None
         raise wrong
@@ -297,10 +297,10 @@
                     await channel.send(request, h11.Data(data=data), h11.EndOfMessage())
                     head = await channel.response()
                     found = await channel.rest(MAX_ANSWER)
-                except (Gone, h11.RemoteProtocolError, TooLarge) as broken:
+                except (ConnectionLostError, h11.RemoteProtocolError, MessageTooLargeError) as broken:
                     await channel.close()
                     if fresh:
-                        raise Unreachable(f"{address}: {broken}") from None
+                        raise GatewayUnreachableError(f"{address}: {broken}") from None
                     continue
                 except BaseException:
                     await channel.close()
@@ -313,7 +313,7 @@
                 if head.status_code >= 400:
                     raise _error(address, head.status_code, found)
                 return found
-        raise Unreachable(f"{address}: no answer within {wait_ms + ANSWER_MS:g} ms")
+        raise GatewayUnreachableError(f"{address}: no answer within {wait_ms + ANSWER_MS:g} ms")
 
     async def _channel(self, address: str, fresh: bool) -> Channel | None:
         if not fresh:
@@ -328,7 +328,7 @@
         try:
             stream = await self.dial(host, int(port))
         except (OSError, ValueError, *BROKEN) as wrong:
-            raise Unreachable(f"{address}: {wrong}") from None
+            raise GatewayUnreachableError(f"{address}: {wrong}") from None
         assert self._tasks is not None
         channel = Channel(stream, h11.CLIENT, max_head=65536, read_ahead=1 << 20)
         self._tasks.start_soon(channel.run_reader)
@@ -339,7 +339,7 @@
     try:
         return msgspec.json.decode(data, type=_Answer)
     except msgspec.MsgspecError as wrong:
-        raise Unreachable(f"an answer that this library does not read: {wrong}") from None
+        raise GatewayUnreachableError(f"an answer that this library does not read: {wrong}") from None
 
 
 def _error(address: str, status: int, data: bytes) -> PresenceError:
@@ -348,4 +348,4 @@
         kinds = {kind.code: kind for kind in known() if issubclass(kind, PresenceError)}
         return kinds[said["error"]](f"{address}: {said['text']}")
     except (msgspec.MsgspecError, KeyError, TypeError):
-        return Unreachable(f"{address}: status {status}, which is none of presence's answers")
+        return GatewayUnreachableError(f"{address}: status {status}, which is none of presence's answers")
--- a/cressrock/presence/names.py
+++ b/cressrock/presence/agreed_names.py
@@ -14,7 +14,7 @@
 
 import msgspec
 
-from cressrock.errors.presence import FrameRefused
+from cressrock.errors.presence import PresenceFrameError
 
 FORMAT = 1
 BEGIN = "presence/"
@@ -50,9 +50,9 @@
     try:
         found = _decode(value)
     except msgspec.MsgspecError as wrong:
-        raise FrameRefused(f"the value of a decree on a name: {wrong}") from None
+        raise PresenceFrameError(f"the value of a decree on a name: {wrong}") from None
     if found.format != FORMAT:
-        raise FrameRefused(f"a decree on a name of format {found.format}, this process reads {FORMAT}")
+        raise PresenceFrameError(f"a decree on a name of format {found.format}, this process reads {FORMAT}")
     return found
 
 
--- a/cressrock/presence/rooms.py
+++ b/cressrock/presence/rooms.py
@@ -33,8 +33,14 @@
 
 import msgspec
 
-from cressrock.errors.presence import BadRequest, FrameRefused, RoomFull, SessionElsewhere, SessionOver
-from cressrock.presence.words import Said, Word, said
+from cressrock.errors.presence import (
+    PresenceFrameError,
+    PresenceLimitError,
+    PresenceRequestError,
+    SessionEndedError,
+    SessionUnavailableError,
+)
+from cressrock.presence.liveness import Said, Word, said
 
 FORMAT = 1
 BUCKETS = 64
@@ -71,7 +77,7 @@
     """One change of a gateway's members in a room; `seen` is what it follows, as (gateway, life, version)."""
 
     version: _Number
-    id: _Id
+    member_id: _Id
     entry: Entry | None
     why: _Name = ""
     seen: Annotated[list[_Seen], msgspec.Meta(max_length=4096)] = []
@@ -110,14 +116,14 @@
     seen: list[_Seen] = []
 
 
-class Changes(msgspec.Struct, frozen=True, array_like=True, tag=4):
+class ChangeBatch(msgspec.Struct, frozen=True, array_like=True, tag=4):
     """Changes in order; with none of them: nothing changed since what was asked for."""
 
     room: _Text
     changes: list[Change]
 
 
-class Beat(msgspec.Struct, frozen=True, array_like=True, tag=5):
+class Heartbeat(msgspec.Struct, frozen=True, array_like=True, tag=5):
     """This side is there and has nothing to say."""
 
 
@@ -165,12 +171,12 @@
     life: _Number = 0
 
 
-Body = Hello | Watch | Unwatch | Page | Changes | Beat | Keep | Move | Taken | Find | Answer
+Body = Hello | Watch | Unwatch | Page | ChangeBatch | Heartbeat | Keep | Move | Taken | Find | Answer
 _encode = msgspec.msgpack.Encoder().encode
 _decode: msgspec.msgpack.Decoder[Body] = msgspec.msgpack.Decoder(Body)
 
 
-def frame(body: Body) -> bytes:
+def encode_frame(body: Body) -> bytes:
     """Return a message with its length before it."""
     data = _encode(body)
     return len(data).to_bytes(4, "big") + data
@@ -182,7 +188,7 @@
         return None
     size = int.from_bytes(held[:4], "big")
     if size > MAX_FRAME:
-        raise FrameRefused(f"a frame of {size} bytes; at most {MAX_FRAME} are taken")
+        raise PresenceFrameError(f"a frame of {size} bytes; at most {MAX_FRAME} are taken")
     if len(held) < 4 + size:
         return None
     data = bytes(held[4 : 4 + size])
@@ -190,7 +196,7 @@
     try:
         return _decode.decode(data)
     except msgspec.MsgspecError as wrong:
-        raise FrameRefused(f"a frame that is no message: {wrong}") from None
+        raise PresenceFrameError(f"a frame that is no message: {wrong}") from None
 
 
 def room_hash(room: str) -> bytes:
@@ -203,7 +209,7 @@
     return hashlib.blake2b(secret, digest_size=HASH).digest()
 
 
-class RoomsSettings(msgspec.Struct, frozen=True, kw_only=True):
+class RoomSettings(msgspec.Struct, frozen=True, kw_only=True):
     """Bounds and times of rooms; the settings file's `presence` gives them."""
 
     max_members: int = 200_000  # own, over all rooms
@@ -231,7 +237,7 @@
 
     room: str
     entry: Entry
-    contact_ms: float
+    last_contact_ms: float
     frozen_ms: float = 0.0  # until then it is being handed over
     names: dict[str, int] | None = None
 
@@ -280,7 +286,7 @@
 
 
 @dataclass(slots=True)
-class View:
+class RoomView:
     """A room as this gateway shows it, and the feed of what changed."""
 
     room: str
@@ -289,7 +295,7 @@
     holders: dict[str, dict[Origin, Entry]] = field(default_factory=dict)
     moving: set[str] = field(default_factory=set)
     feed: deque[Event] = field(default_factory=deque)
-    seq: int = 0
+    last_seq: int = 0
     epoch: int = 1
     waiting: set[Origin] = field(default_factory=set)  # have changes that wait for causes
     debt: dict[Origin, int] = field(default_factory=dict)
@@ -325,19 +331,19 @@
 class Rooms:
     """One gateway's rooms.  Errors: RoomFull, BadRequest, SessionOver, SessionElsewhere as named."""
 
-    def __init__(self, me: Origin, settings: RoomsSettings, key: bytes) -> None:
+    def __init__(self, me: Origin, settings: RoomSettings, key: bytes) -> None:
         """`key` makes the sessions' secrets; it is this life's own and random."""
-        self.me, self.settings = me, settings
+        self.origin, self.settings = me, settings
         self.version = 0
         self.sessions: dict[str, Session] = {}
         self.rooms: dict[str, _Room] = {}
-        self.views: dict[str, View] = {}
+        self.views: dict[str, RoomView] = {}
         self.links: dict[Origin, _Link] = {}
         self.out: list[Out] = []
         self.kept: list[tuple[int, int]] = []  # Keep of a stream that is fulfilled
         self.ended: list[tuple[str, str, int]] = []  # room, agreed name, number of a session that is over
-        self.news: set[str] = set()  # rooms whose feed grew, since the carrier looked last
-        self.forced = 0  # changes shown before a cause that could not be had
+        self.changed_rooms: set[str] = set()  # rooms whose feed grew, since the carrier looked last
+        self.forced_releases = 0  # changes shown before a cause that could not be had
         self.resyncs = 0
         self._key = key
         self._count = 0
@@ -367,14 +373,14 @@
         held = len(own.members) if own else 0
         view = self.views.get(room)
         if max(held, len(view.holders) if view else 0) >= most.max_room:
-            raise RoomFull(f"room {room!r}: {most.max_room} members (presence.max_room)")
+            raise PresenceLimitError(f"room {room!r}: {most.max_room} members (presence.max_room)")
         if len(self.sessions) >= most.max_members:
-            raise RoomFull(f"{most.max_members} members at this gateway (presence.max_members)")
+            raise PresenceLimitError(f"{most.max_members} members at this gateway (presence.max_members)")
         wanted = list(locks)
         self._check(data, wanted)
         self._room(room)
         self._count += 1
-        id = f"{self.me[0]}.{self.me[1]:x}.{self._count:x}"
+        id = f"{self.origin[0]}.{self.origin[1]:x}.{self._count:x}"
         return self._begin(now, room, Entry(id, 0, data, wanted, digest(self.secret(id, 0))))
 
     def _begin(self, now: float, room: str, entry: Entry) -> Session:
@@ -389,11 +395,11 @@
 
     def _check(self, data: bytes, locks: list[str]) -> None:
         if len(data) > self.settings.max_data:
-            raise BadRequest(
+            raise PresenceRequestError(
                 f"data of {len(data)} bytes; at most {self.settings.max_data} (presence.max_data)"
             )
         if len(locks) > self.settings.max_locks or any(len(lock) > 256 for lock in locks):
-            raise BadRequest(f"locks: at most {self.settings.max_locks} of at most 256 bytes each")
+            raise PresenceRequestError(f"locks: at most {self.settings.max_locks} of at most 256 bytes each")
 
     def session(self, id: str, secret: bytes) -> Session | None:
         """Return an own session by its id and secret; None if it is not here.  Raises SessionOver."""
@@ -401,7 +407,7 @@
         if session is None:
             return None
         if digest(secret) != session.entry.check:
-            raise SessionOver(f"session {id}: the token is not the one it was given last")
+            raise SessionEndedError(f"session {id}: the token is not the one it was given last")
         return session
 
     def touch(
@@ -411,12 +417,12 @@
         BadRequest.
         """
         if session.frozen_ms > now:
-            raise SessionElsewhere(f"session {session.entry.id} is being handed over")
+            raise SessionUnavailableError(f"session {session.entry.id} is being handed over")
         entry = session.entry
         data = entry.data if data is None else data
         wanted = entry.locks if locks is None else list(locks)
         self._check(data, wanted)
-        session.contact_ms = now
+        session.last_contact_ms = now
         if data != entry.data or wanted != entry.locks:
             session.entry = msgspec.structs.replace(entry, data=data, locks=wanted)
             self._change(now, session.room, entry.id, session.entry, "")
@@ -452,12 +458,12 @@
         """Return a session's entry for another gateway that takes it, and hold it still meanwhile."""
         try:
             session = self.session(ask.id, ask.secret)
-        except SessionOver:
+        except SessionEndedError:
             return None
         if session is None or session.room != ask.room:
             return None
         session.frozen_ms = now + self.settings.silent_ms
-        session.contact_ms = now
+        session.last_contact_ms = now
         return session.entry
 
     def taken(self, now: float, word: Taken, by: Origin) -> None:
@@ -472,7 +478,9 @@
     def take_over(self, now: float, room: str, entry: Entry) -> Session:
         """Go on here with a session that another gateway had.  Raises RoomFull."""
         if len(self.sessions) >= self.settings.max_members:
-            raise RoomFull(f"{self.settings.max_members} members at this gateway (presence.max_members)")
+            raise PresenceLimitError(
+                f"{self.settings.max_members} members at this gateway (presence.max_members)"
+            )
         self._room(room)
         hop = entry.hop + 1
         check = digest(self.secret(entry.id, hop))
@@ -501,7 +509,9 @@
         own = self.rooms.get(room)
         if own is None:
             if len(self.rooms) >= self.settings.max_rooms:
-                raise RoomFull(f"{self.settings.max_rooms} rooms at this gateway (presence.max_rooms)")
+                raise PresenceLimitError(
+                    f"{self.settings.max_rooms} rooms at this gateway (presence.max_rooms)"
+                )
             own = self.rooms[room] = _Room(self.version)
         return own
 
@@ -536,8 +546,8 @@
         if own.followers:
             self._dirty.add(room)
         if view is not None:
-            part = view.parts[self.me]
-            self._show(view, self.me, part, change)
+            part = view.parts[self.origin]
+            self._show(view, self.origin, part, change)
             self._release(view, now)
 
     def _hold_bucket(self, room: str, by: int) -> None:
@@ -552,7 +562,7 @@
         if not before or mark not in held:
             self._changed_buckets.add(bucket)
 
-    def own_buckets(self, most: int = 600) -> list[tuple[str, bytes | None]]:
+    def drain_directory_updates(self, most: int = 600) -> list[tuple[str, bytes | None]]:
         """Return the entries of the spread that changed since the last call; None: to be removed.
 
         The first byte is the format, the second 1 where there are more rooms than `most` bytes name: then any
@@ -572,13 +582,13 @@
 
     # --- where others have members
 
-    def told(self, now: float, origin: Origin, key: str, value: bytes | None) -> None:
+    def receive_directory_entry(self, now: float, origin: Origin, key: str, value: bytes | None) -> None:
         """Take in a bucket of another gateway from the spread; None: it has no room there any more."""
         try:
             bucket = int(key.removeprefix(PREFIX), 16)
         except ValueError:
             return
-        if origin == self.me or not 0 <= bucket < BUCKETS:
+        if origin == self.origin or not 0 <= bucket < BUCKETS:
             return
         buckets = self._told.setdefault(origin, {})
         if value is None:
@@ -600,7 +610,7 @@
         """The spread no longer holds this life; its members become unsure by themselves."""
         self._told.pop(origin, None)
 
-    def _look(self, now: float, view: View, origin: Origin) -> None:
+    def _look(self, now: float, view: RoomView, origin: Origin) -> None:
         mark = room_hash(view.room)
         buckets = self._told.get(origin, {})
         bucket = mark[0] % BUCKETS
@@ -610,7 +620,7 @@
         if marks is None or mark in marks:
             self._follow(now, view, origin)
 
-    def _follow(self, now: float, view: View, origin: Origin) -> _Part:
+    def _follow(self, now: float, view: RoomView, origin: Origin) -> _Part:
         part = view.parts.get(origin)
         if part is None:
             part = view.parts[origin] = _Part(heard_ms=now)
@@ -621,7 +631,7 @@
                 self.out.append((origin, Watch(view.room, 0)))
         return part
 
-    def interest(self, now: float, room: str) -> View:
+    def open_view(self, now: float, room: str) -> RoomView:
         """Follow a room for a while, for whoever asks here.  Raises RoomFull."""
         view = self._view(now, room)
         view.until_ms = now + self.settings.linger_ms
@@ -632,31 +642,31 @@
             self._look(now, view, origin)
         return view
 
-    def _view(self, now: float, room: str) -> View:
+    def _view(self, now: float, room: str) -> RoomView:
         view = self.views.get(room)
         if view is not None:
             return view
         if len(self.views) >= self.settings.max_views:
-            raise RoomFull(f"{self.settings.max_views} rooms followed here (presence.max_views)")
-        view = self.views[room] = View(room, now)
+            raise PresenceLimitError(f"{self.settings.max_views} rooms followed here (presence.max_views)")
+        view = self.views[room] = RoomView(room, now)
         # The feed's numbers do not begin anew: an old cursor must not fit a later view by chance.
         self._count += 1
         view.epoch = self._count
         own = self.rooms.get(room)
-        part = view.parts[self.me] = _Part(synced=True, version=self.version)
+        part = view.parts[self.origin] = _Part(synced=True, version=self.version)
         for id, entry in (own.members if own else {}).items():
             part.members[id] = entry
-            view.holders.setdefault(id, {})[self.me] = entry
+            view.holders.setdefault(id, {})[self.origin] = entry
             if entry.moved is not None:
                 view.moving.add(id)
         self._by_bucket.setdefault(room_hash(room)[0] % BUCKETS, set()).add(room)
         return view
 
-    def wanted(self) -> Iterator[Origin]:
+    def desired_sources(self) -> Iterator[Origin]:
         """Yield the origins that a stream is wanted to."""
         return (origin for origin, link in self.links.items() if link.rooms)
 
-    def _unfollow(self, view: View, origin: Origin) -> None:
+    def _unfollow(self, view: RoomView, origin: Origin) -> None:
         view.parts.pop(origin, None)
         self._doubt.pop((view.room, origin), None)
         view.waiting.discard(origin)
@@ -670,9 +680,9 @@
             if not link.rooms and not link.up:
                 del self.links[origin]
 
-    def _drop_view(self, view: View) -> None:
+    def _drop_view(self, view: RoomView) -> None:
         for origin in list(view.parts):
-            if origin != self.me:
+            if origin != self.origin:
                 self._unfollow(view, origin)
         self.views.pop(view.room, None)
         self._waiting.pop(view.room, None)
@@ -680,7 +690,7 @@
 
     # --- streams to others
 
-    def linked(self, now: float, origin: Origin) -> None:
+    def source_connected(self, now: float, origin: Origin) -> None:
         """A stream to an origin stands: ask for what is wanted from where it stopped."""
         link = self.links.setdefault(origin, _Link())
         link.up, link.quiet, link.heard_ms = True, False, now
@@ -689,7 +699,7 @@
             part.paging = None
             self.out.append((origin, Watch(room, part.received)))
 
-    def unlinked(self, now: float, origin: Origin) -> None:
+    def source_disconnected(self, now: float, origin: Origin) -> None:
         """The stream to an origin is over."""
         link = self.links.get(origin)
         if link is None:
@@ -703,7 +713,7 @@
         if not link.rooms:
             del self.links[origin]
 
-    def heard(self, now: float, origin: Origin) -> None:
+    def record_contact(self, now: float, origin: Origin) -> None:
         """Something came from an origin."""
         link = self.links.get(origin)
         if link is None:
@@ -714,10 +724,10 @@
             for room in link.rooms:
                 self._settle(now, self.views[room], origin)
 
-    def take(self, now: float, origin: Origin, body: Body) -> None:
+    def receive_update(self, now: float, origin: Origin, body: Body) -> None:
         """Take in what an origin tells by the stream to it."""
-        self.heard(now, origin)
-        if not isinstance(body, Page | Changes):
+        self.record_contact(now, origin)
+        if not isinstance(body, Page | ChangeBatch):
             return
         view = self.views.get(body.room)
         part = view.parts.get(origin) if view is not None else None
@@ -740,7 +750,7 @@
         self._settle(now, view, origin)
         self._check_keeps(origin)
 
-    def _page(self, now: float, view: View, origin: Origin, part: _Part, page: Page) -> bool:
+    def _page(self, now: float, view: RoomView, origin: Origin, part: _Part, page: Page) -> bool:
         """Take in a part of the whole; True once it is whole."""
         if page.first:
             part.paging = {}
@@ -779,9 +789,9 @@
         self._release(view, now)
         return True
 
-    def _has(self, now: float, view: View, seen: _Seen) -> bool:
+    def _has(self, now: float, view: RoomView, seen: _Seen) -> bool:
         name, life, version = seen
-        if name == self.me[0]:
+        if name == self.origin[0]:
             return True
         part = view.parts.get((name, life))
         if part is not None:
@@ -792,7 +802,7 @@
             self._follow(now, view, (name, life))  # the spread has not told of it yet
         return False
 
-    def _release(self, view: View, now: float, *, force: bool = False) -> None:
+    def _release(self, view: RoomView, now: float, *, force: bool = False) -> None:
         """Show what waits and has its causes, until nothing more can be shown."""
         going = bool(view.waiting)
         while going:
@@ -806,7 +816,7 @@
                         waited = now - since > self.settings.hold_back_ms
                         if not (force and waited) and len(part.held) <= self.settings.max_held:
                             break
-                        self.forced += 1
+                        self.forced_releases += 1
                         for name, life, version in late:
                             view.debt[(name, life)] = max(version, view.debt.get((name, life), 0))
                     part.held.popleft()
@@ -821,11 +831,11 @@
         else:
             self._waiting.pop(view.room, None)
 
-    def _show(self, view: View, origin: Origin, part: _Part, change: Change) -> None:
-        if origin != self.me:
+    def _show(self, view: RoomView, origin: Origin, part: _Part, change: Change) -> None:
+        if origin != self.origin:
             view.fresh[origin] = change.version
         debt = view.debt.get(origin, 0)
-        self._put(view, origin, part, change.id, change.entry, change.why)
+        self._put(view, origin, part, change.member_id, change.entry, change.why)
         self._come(view, part, change.version)
         if debt:
             # This is a cause whose effect was shown: it may stand in a snapshot, never as an event.
@@ -833,7 +843,9 @@
                 del view.debt[origin]
             self._resync(view)
 
-    def _put(self, view: View, origin: Origin, part: _Part, id: str, entry: Entry | None, why: str) -> None:
+    def _put(
+        self, view: RoomView, origin: Origin, part: _Part, id: str, entry: Entry | None, why: str
+    ) -> None:
         before = self.shown(view, id)
         if entry is None:
             part.members.pop(id, None)
@@ -851,7 +863,7 @@
             view.moving.discard(id)
         self._differ(view, before, self.shown(view, id), why)
 
-    def _come(self, view: View, part: _Part, version: int, *, synced: bool = False) -> None:
+    def _come(self, view: RoomView, part: _Part, version: int, *, synced: bool = False) -> None:
         """A part has come so far: of sessions that were handed over to it, it may tell that they ended."""
         before = [(id, found) for id in view.moving if (found := self.shown(view, id)) is not None]
         part.version, part.synced = version, part.synced or synced
@@ -859,7 +871,7 @@
             if self.shown(view, id) is None:
                 self._differ(view, found, None, "left")
 
-    def _differ(self, view: View, before: Shown | None, now: Shown | None, why: str) -> None:
+    def _differ(self, view: RoomView, before: Shown | None, now: Shown | None, why: str) -> None:
         if before is None and now is None:
             return
         if now is None:
@@ -915,12 +927,12 @@
             ),
         )
 
-    def _tell(self, view: View, event: Event) -> None:
-        view.seq += 1
-        view.feed.append(msgspec.structs.replace(event, seq=view.seq))
+    def _tell(self, view: RoomView, event: Event) -> None:
+        view.last_seq += 1
+        view.feed.append(msgspec.structs.replace(event, seq=view.last_seq))
         while len(view.feed) > self.settings.feed:
             view.feed.popleft()
-        self.news.add(view.room)
+        self.changed_rooms.add(view.room)
 
     def tell(self, room: str, event: Event) -> None:
         """Put an event of another kind (held, fenced) into a room's feed, if it is followed here."""
@@ -928,25 +940,25 @@
         if view is not None:
             self._tell(view, event)
 
-    def _resync(self, view: View) -> None:
+    def _resync(self, view: RoomView) -> None:
         self.resyncs += 1
         self._count += 1
         view.epoch = self._count
         view.feed.clear()
-        self.news.add(view.room)
+        self.changed_rooms.add(view.room)
 
     # --- what may be said
 
     def said(self, origin: Origin, part: _Part, now: float) -> Said:
         """Return what may be said of an origin's members in a room."""
-        if origin == self.me:
+        if origin == self.origin:
             return Said(Word.SURE, now)
         link = self.links.get(origin)
         heard = link.heard_ms if part.synced and link is not None else part.heard_ms
         synced = part.synced and link is not None and not link.quiet
         return said(synced, heard, now, self.settings.silent_ms, self.settings.gone_ms)
 
-    def _settle(self, now: float, view: View, origin: Origin) -> None:
+    def _settle(self, now: float, view: RoomView, origin: Origin) -> None:
         """Say sure again of a part that is in sync and heard."""
         part = view.parts[origin]
         if not part.synced or part.held or self.links[origin].quiet:
@@ -984,7 +996,7 @@
                 view.debt[origin] = part.version
                 self._release(view, now)
 
-    def _over(self, view: View, origin: Origin) -> None:
+    def _over(self, view: RoomView, origin: Origin) -> None:
         """A gateway was silent for the stated time: nor is anybody there who was handed over to it."""
         before = [(id, found) for id in view.moving if (found := self.shown(view, id)) is not None]
         view.over[origin] = None
@@ -1015,9 +1027,9 @@
                 self._seek(now, view)
             if view.until_ms <= now and not view.watchers:
                 self._idle(view)
-        self.flush(now)
+        self.publish_changes(now)
 
-    def _seek(self, now: float, view: View) -> None:
+    def _seek(self, now: float, view: RoomView) -> None:
         """Follow the gateways to which sessions were handed over, or their time could not run out."""
         for id in sorted(view.moving):
             for entry in view.holders[id].values():
@@ -1026,12 +1038,12 @@
                     if target not in view.parts and target not in view.over:
                         self._follow(now, view, target)
 
-    def _idle(self, view: View) -> None:
+    def _idle(self, view: RoomView) -> None:
         """Nobody asks any more: follow only what a gateway asked to be kept, while it has members there."""
         view.shown = False
         for origin, part in list(view.parts.items()):
             empty = part.synced and not part.members and not part.held
-            if origin != self.me and (not part.kept or empty):
+            if origin != self.origin and (not part.kept or empty):
                 for id in list(part.members):
                     self._put(view, origin, part, id, None, "")
                 self._unfollow(view, origin)
@@ -1053,7 +1065,7 @@
             session = self.sessions.get(id)
             if session is None or session.entry.hop != hop:
                 continue
-            due = max(session.contact_ms + self.settings.grace_ms, session.frozen_ms)
+            due = max(session.last_contact_ms + self.settings.grace_ms, session.frozen_ms)
             if due > now:
                 self._schedule(session, due)
             else:
@@ -1061,11 +1073,11 @@
 
     # --- streams from others
 
-    def opened(self, stream: int, origin: Origin) -> None:
+    def subscriber_connected(self, stream: int, origin: Origin) -> None:
         """Another gateway came by a stream."""
         self._streams[stream] = (origin, set())
 
-    def closed(self, stream: int) -> None:
+    def subscriber_disconnected(self, stream: int) -> None:
         """A stream from another gateway is over."""
         _, rooms = self._streams.pop(stream, (("", 0), set()))
         for room in rooms:
@@ -1080,18 +1092,18 @@
         if not own.members and not own.followers and room not in self._stale:
             del self.rooms[room]
 
-    def asked(self, now: float, stream: int, body: Body) -> None:
+    def receive_request(self, now: float, stream: int, body: Body) -> None:
         """Take in what another gateway asks by its stream.  Raises RoomFull past a bound."""
         origin, rooms = self._streams[stream]
         if isinstance(body, Watch):
             if len(rooms) >= self.settings.max_rooms:
-                raise RoomFull(f"{origin[0]} follows {len(rooms)} rooms here (presence.max_rooms)")
+                raise PresenceLimitError(f"{origin[0]} follows {len(rooms)} rooms here (presence.max_rooms)")
             own = self._room(body.room)
             rooms.add(body.room)
             own.followers[stream] = self.version
             if body.since and own.floor <= body.since <= self.version:
                 late = [change for change in own.log if change.version > body.since]
-                self.out.append((stream, Changes(body.room, late)))
+                self.out.append((stream, ChangeBatch(body.room, late)))
             else:
                 self._tell_whole(stream, body.room, own)
         elif isinstance(body, Unwatch):
@@ -1131,7 +1143,9 @@
 
     def _keep(self, now: float, stream: int, origin: Origin, ask: Keep) -> None:
         if len(self._keeps.get(origin, ())) >= self.settings.max_views:
-            raise RoomFull(f"{origin[0]} waits for {self.settings.max_views} rooms (presence.max_views)")
+            raise PresenceLimitError(
+                f"{origin[0]} waits for {self.settings.max_views} rooms (presence.max_views)"
+            )
         view = self._view(now, ask.room)
         part = self._follow(now, view, origin)
         part.kept = True
@@ -1155,7 +1169,7 @@
         else:
             del self._keeps[origin]
 
-    def flush(self, now: float) -> None:
+    def publish_changes(self, now: float) -> None:
         """Tell followers what changed since they were told last."""
         for room in sorted(self._dirty):
             own = self.rooms.get(room)
@@ -1169,12 +1183,12 @@
                 else:
                     late = [change for change in own.log if change.version > upto]
                     if late:
-                        self.out.append((stream, Changes(room, late)))
+                        self.out.append((stream, ChangeBatch(room, late)))
                 own.followers[stream] = self.version
         self._dirty.clear()
 
     @property
-    def dirty(self) -> bool:
+    def has_unpublished_changes(self) -> bool:
         """Whether followers have to be told something."""
         return bool(self._dirty)
 
@@ -1187,14 +1201,14 @@
         link = self.links.get(origin)
         return link is None or not link.rooms
 
-    def take_out(self) -> list[Out]:
+    def drain_outgoing(self) -> list[Out]:
         """Return what is to be sent, in order."""
         found, self.out = self.out, []
         return found
 
     # --- what is shown
 
-    def shown(self, view: View, id: str) -> Shown | None:
+    def shown(self, view: RoomView, id: str) -> Shown | None:
         """Return a member as it is shown, None if it is not there."""
         holders = view.holders.get(id)
         if not holders:
@@ -1207,30 +1221,30 @@
             part = view.parts.get(origin)
             return Shown(entry, *origin, part is not None and not part.unsure)
         name, life, version = entry.moved
-        if not name or (name, life) == self.me or (name, life) in view.over:
+        if not name or (name, life) == self.origin or (name, life) in view.over:
             return None
         there = view.parts.get((name, life))
         if there is not None and there.version >= version:
             return None  # its new gateway has told that it ended
         return Shown(entry, name, life, False)
 
-    def members(self, view: View) -> list[Shown]:
+    def members(self, view: RoomView) -> list[Shown]:
         """Return all members that are shown, by id."""
         found = (self.shown(view, id) for id in sorted(view.holders))
         return [one for one in found if one is not None]
 
-    def after(self, view: View, epoch: int, seq: int) -> list[Event] | None:
+    def events_after(self, view: RoomView, epoch: int, seq: int) -> list[Event] | None:
         """Return the events after a cursor; None: too old or of another feed, a new snapshot is due."""
-        if epoch != view.epoch or seq > view.seq:
+        if epoch != view.epoch or seq > view.last_seq:
             return None
-        if seq == view.seq:
+        if seq == view.last_seq:
             return []
         if not view.feed or view.feed[0].seq > seq + 1:
             return None
         skip = seq + 1 - view.feed[0].seq
         return list(itertools.islice(view.feed, skip, None))
 
-    def unsure(self, view: View, now: float) -> dict[str, float]:
+    def unsure_gateways(self, view: RoomView, now: float) -> dict[str, float]:
         """Return the gateways whose members in a room are unsure, since when."""
         found: dict[str, float] = {}
         for origin, part in view.parts.items():
@@ -1239,16 +1253,16 @@
                 found[origin[0]] = min(since, found.get(origin[0], since))
         return found
 
-    def unasked(self, view: View) -> list[str]:
+    def unasked(self, view: RoomView) -> list[str]:
         """Return the gateways that were asked for their members and have not told all."""
         return sorted(o[0] for o, part in view.parts.items() if not part.synced)
 
-    def as_of(self, view: View, now: float) -> float:
+    def as_of(self, view: RoomView, now: float) -> float:
         """Return the time up to which all that the heard gateways said is here."""
         heard = [
             self.links[o].heard_ms
             for o, p in view.parts.items()
-            if o != self.me and p.synced and not p.unsure
+            if o != self.origin and p.synced and not p.unsure
         ]
         return min(heard, default=now)
 
@@ -1261,7 +1275,7 @@
             "streams": len(self._streams),
             "links": sum(link.up for link in self.links.values()),
             "version": self.version,
-            "forced": self.forced,
+            "forced": self.forced_releases,
             "resyncs": self.resyncs,
         }
 
--- a/cressrock/presence/carrier.py
+++ b/cressrock/presence/service.py
@@ -17,29 +17,29 @@
 import msgspec
 from anyio.abc import TaskGroup, TaskStatus
 
-from cressrock.council import decrees as d
+from cressrock.consensus import decisions as d
 from cressrock.errors import CressrockError
-from cressrock.errors.council import Conflict, CouncilError
+from cressrock.errors.consensus import ConsensusError, DecisionConflictError
+from cressrock.errors.gossip import GossipError
 from cressrock.errors.presence import (
-    BadRequest,
-    BadRoom,
-    FrameRefused,
-    NameHeld,
-    NotAgreed,
-    NotNear,
+    InvalidRoomError,
+    MajorityNotReachedError,
+    NameHeldError,
+    NameNotDecidedError,
     PresenceError,
-    RoomFull,
-    SessionElsewhere,
-    SessionOver,
+    PresenceFrameError,
+    PresenceLimitError,
+    PresenceRequestError,
+    SessionEndedError,
+    SessionUnavailableError,
 )
-from cressrock.errors.spread import SpreadError
-from cressrock.fleet.members import Member
-from cressrock.fleet.spread import ANYTHING, Spread
+from cressrock.gossip.store import EVERYTHING_CHANGED, GossipStore
 from cressrock.http.channel import BROKEN, Stream
 from cressrock.http.server import Exchange
-from cressrock.presence import names
+from cressrock.membership.membership import Member
+from cressrock.presence import agreed_names
+from cressrock.presence import liveness as w
 from cressrock.presence import rooms as r
-from cressrock.presence import words as w
 
 MAGIC = b"CRP1"  # as a length it is far above any frame of the fleet's: who knows no presence parts with it
 ON = "presence-on"
@@ -48,7 +48,7 @@
 CHUNKS = 32
 
 
-class CarrierSettings(msgspec.Struct, frozen=True, kw_only=True):
+class ServiceSettings(msgspec.Struct, frozen=True, kw_only=True):
     """What the carrier needs beside `RoomsSettings`; the settings file's `presence` gives both."""
 
     beat_ms: float = 1000.0
@@ -68,34 +68,34 @@
     """The council as this room asks it; all raise CouncilError."""
 
     async def decide(
-        self, topic: str, value: bytes, hold_ms: float, if_number: int | None = None
-    ) -> d.Decree:
+        self, topic: str, value: bytes, lease_ms: float, if_version: int | None = None
+    ) -> d.Decision:
         """Let a value stand, after the decree of this number.  Raises Conflict."""
 
-    async def drop(self, topic: str, if_number: int | None = None) -> int:
+    async def drop(self, topic: str, if_version: int | None = None) -> int:
         """Let nothing stand, after the decree of this number.  Raises Conflict."""
 
-    async def read(self, topic: str) -> d.Decree | None:
+    async def read(self, topic: str) -> d.Decision | None:
         """Return what stands (linearizable)."""
 
 
 @dataclass(frozen=True, slots=True)
-class Place:
+class PresenceEnvironment:
     """What presence needs of its process.  `clock` gives monotonic ms."""
 
     name: str
-    life: int
+    incarnation: int
     region: str
     cluster: str
     routes: Mapping[str, str]
-    spread: Spread
+    gossip: GossipStore
     members: Callable[[], tuple[Member, ...]]
     connect: Callable[[str, int], Awaitable[Stream]]
-    council: Callable[[], Deciding | None]
-    decree: Callable[[str], d.Decree | d.Expired | None]
+    consensus: Callable[[], Deciding | None]
+    cached_decision: Callable[[str], d.Decision | d.Expired | None]
     volumes: Callable[[], Iterable[str]]
-    clock: Callable[[], float]
-    source: random.Random
+    clock_ms: Callable[[], float]
+    rng: random.Random
     log: Any
 
 
@@ -129,7 +129,7 @@
         self.news = anyio.Event()
 
     def put(self, body: r.Body) -> None:
-        data = r.frame(body)
+        data = r.encode_frame(body)
         self.size += len(data)
         self.full = self.full or self.size > self.most
         self.parts.append(data)
@@ -142,7 +142,7 @@
                 with anyio.move_on_after(beat_ms / 1000) as quiet:
                     await self.news.wait()
                 if quiet.cancelled_caught:
-                    self.put(r.Beat())
+                    self.put(r.Heartbeat())
             self.news = anyio.Event()
             parts, self.parts = self.parts, []
             data = b"".join(parts)
@@ -150,18 +150,18 @@
             self.size -= len(data)
 
 
-class Presence:
+class PresenceService:
     """One gateway's presence.  `serve` takes other gateways' streams, `handle` requests of the admin port."""
 
-    def __init__(self, settings: CarrierSettings, rooms: r.RoomsSettings, place: Place) -> None:
+    def __init__(self, settings: ServiceSettings, rooms: r.RoomSettings, place: PresenceEnvironment) -> None:
         """Nothing runs before `run`."""
         self.settings, self.place = settings, place
-        self.rooms = r.Rooms((place.name, place.life), rooms, place.source.randbytes(16))
+        self.rooms = r.Rooms((place.name, place.incarnation), rooms, place.rng.randbytes(16))
         self.watchers = 0
         self.refused = 0  # frames and streams that were parted with
         self.untold = 0  # own entries that the spread did not take
         self.bytes = 0  # sent on streams
-        self._awake = w.Awake(place.clock(), rooms.silent_ms / 2)
+        self._awake = w.Awake(place.clock_ms(), rooms.silent_ms / 2)
         self._boxes: dict[r.Origin | int, _Outbox] = {}
         self._dialled: set[r.Origin] = set()
         self._needed: dict[r.Origin, float] = {}  # streams that a question needs, until when
@@ -171,7 +171,7 @@
         self._waiting: dict[str, list[anyio.Event]] = {}
         self._wake = anyio.Event()
         self._dirty = anyio.Event()
-        self._held: dict[str, tuple[names.Holder, int]] = {}
+        self._held: dict[str, tuple[agreed_names.Holder, int]] = {}
         self._drops: dict[str, int] = {}
         self._claiming: set[str] = set()
         self._served: dict[str, float] = {}
@@ -189,7 +189,7 @@
 
     def now(self) -> float:
         """Return the time that rooms go by, ms."""
-        return self._awake.now(self.place.clock())
+        return self._awake.now(self.place.clock_ms())
 
     async def run(self, *, task_status: TaskStatus[None] = anyio.TASK_STATUS_IGNORED) -> None:
         """Take part until cancelled."""
@@ -210,47 +210,49 @@
                 self._pump()
                 self._dial(tasks, now)
                 self._wake = anyio.Event()
-                with anyio.move_on_after(pause * place.source.uniform(0.9, 1.1)):
+                with anyio.move_on_after(pause * place.rng.uniform(0.9, 1.1)):
                     await self._wake.wait()
 
-    def close(self) -> None:
+    def end_sessions(self) -> None:
         """End all sessions by this gateway's word; in an orderly stop, before the fleet is left."""
         self.rooms.close(self.now())
-        self.rooms.flush(self.now())
+        self.rooms.publish_changes(self.now())
         self._pump()
 
     # --- the spread
 
-    def spread(self, origin: r.Origin, key: str) -> None:
+    def on_gossip_change(self, origin: r.Origin, key: str) -> None:
         """Take in that an entry of the spread changed."""
-        if (origin, key) == ANYTHING:
+        if (origin, key) == EVERYTHING_CHANGED:
             self._read_all()
         elif key.startswith(r.PREFIX):
-            self.rooms.told(self.now(), origin, key, self.place.spread.value(key, origin))
+            self.rooms.receive_directory_entry(
+                self.now(), origin, key, self.place.gossip.value_of(key, origin)
+            )
             self._pump()
 
     def _read_all(self) -> None:
         for bucket in range(r.BUCKETS):
             key = f"{r.PREFIX}{bucket:02x}"
-            for origin, value in self.place.spread.get(key).items():
-                self.rooms.told(self.now(), origin, key, value)
+            for origin, value in self.place.gossip.values(key).items():
+                self.rooms.receive_directory_entry(self.now(), origin, key, value)
 
     def _put(self, key: str, value: bytes | None) -> None:
         try:
             if value is None:
-                self.place.spread.remove(key)
+                self.place.gossip.remove(key)
             else:
-                self.place.spread.put(key, value)
-        except SpreadError as wrong:
+                self.place.gossip.put(key, value)
+        except GossipError as wrong:
             self.untold += 1
             if self.untold == 1:
                 self.place.log.warning("presence untold", key=key, **wrong.fields())
 
-    def served(self, volume: str) -> None:
+    def record_served_volume(self, volume: str) -> None:
         """Take in that this gateway serves a volume."""
-        self._served[volume] = self.place.clock()
+        self._served[volume] = self.place.clock_ms()
 
-    def locked(self, token: str, lock: str, held: bool) -> None:
+    def record_lock(self, token: str, lock: str, held: bool) -> None:
         """Take in that a session took a lock through this gateway, or gave it up."""
         try:
             session = self._own(token)
@@ -261,7 +263,7 @@
         self._pump()
 
     def _tell_carried(self, now: float) -> None:
-        clock = self.place.clock()
+        clock = self.place.clock_ms()
         for volume, at in list(self._served.items()):
             if clock - at > self.settings.carries_ms:
                 del self._served[volume]
@@ -285,7 +287,7 @@
         peers = {p.name: p for p in self._peers()}
         found: dict[str, list[dict[str, Any]]] = {}
         for at in range(CHUNKS):
-            for (name, life), value in sorted(self.place.spread.get(f"{CARRIES}{at}").items()):
+            for (name, life), value in sorted(self.place.gossip.values(f"{CARRIES}{at}").items()):
                 peer = peers.get(name)
                 mine = name == self.place.name
                 sure = mine or (peer is not None and peer.state == "alive" and peer.life == life)
@@ -299,21 +301,21 @@
     def _peers(self) -> list[w.Peer]:
         """Return the other gateways as the fleet's view shows them."""
         return [
-            w.Peer(m.name, m.life, m.region, m.state.name.lower(), m.since_ms)
+            w.Peer(m.name, m.process_incarnation, m.region, m.state.name.lower(), m.state_since_ms)
             for m in self.place.members()
             if m.role == "edge" and m.name != self.place.name
         ]
 
     def _heard_of(self) -> set[str]:
-        return {origin[0] for origin in self.place.spread.origins(ON)}
+        return {origin[0] for origin in self.place.gossip.origins(ON)}
 
     def _dial(self, tasks: TaskGroup, now: float) -> None:
         self._needed = {origin: until for origin, until in self._needed.items() if until > now}
         self._stood = {origin: event for origin, event in self._stood.items() if origin in self._needed}
-        wanted = {*self.rooms.wanted(), *self._needed} - self._dialled
+        wanted = {*self.rooms.desired_sources(), *self._needed} - self._dialled
         if not wanted:
             return
-        known = {(m.name, m.life): m for m in self.place.members()}
+        known = {(m.name, m.process_incarnation): m for m in self.place.members()}
         for origin in sorted(wanted):
             member = known.get(origin)
             if member is not None and member.state.name in ("ALIVE", "UNSURE"):
@@ -335,7 +337,7 @@
             finally:
                 with anyio.CancelScope(shield=True), anyio.move_on_after(1):
                     await stream.aclose()
-        except (FrameRefused, RoomFull) as wrong:
+        except (PresenceFrameError, PresenceLimitError) as wrong:
             self._part(wrong, gateway=origin[0])
         except (OSError, ValueError, *BROKEN):
             pass  # the next look dials again; the words about it come from its silence
@@ -343,22 +345,22 @@
             self._dialled.discard(origin)
             box = self._boxes.pop(origin, None)
             if box is not None:
-                self.rooms.unlinked(self.now(), origin)
+                self.rooms.source_disconnected(self.now(), origin)
             for asked, event, _ in list(self._asks.values()):
                 if asked == origin:
                     event.set()
 
     async def _talk(self, origin: r.Origin, stream: Stream) -> None:
         place, held = self.place, bytearray()
-        await stream.send(MAGIC + r.frame(self._hello()))
+        await stream.send(MAGIC + r.encode_frame(self._hello()))
         silent = self.rooms.settings.silent_ms
         hello = await self._receive(stream, held, silent)
         self._check(hello)
         assert isinstance(hello, r.Hello)
         if (hello.name, hello.life) != origin:
-            raise FrameRefused(f"{hello.name} life {hello.life} answers where {origin[0]} was expected")
+            raise PresenceFrameError(f"{hello.name} life {hello.life} answers where {origin[0]} was expected")
         box = self._boxes[origin] = _Outbox(self.settings.max_backlog_bytes)
-        self.rooms.linked(self.now(), origin)
+        self.rooms.source_connected(self.now(), origin)
         stood = self._stood.pop(origin, None)
         if stood is not None:
             stood.set()
@@ -372,19 +374,19 @@
     def _told(self, origin: r.Origin, body: r.Body) -> bool:
         """Take in what an origin says; False once its stream is not wanted any more."""
         if isinstance(body, r.Answer):
-            self.rooms.heard(self.now(), origin)
+            self.rooms.record_contact(self.now(), origin)
             ask = self._asks.get(body.seq)
             if ask is not None and ask[0] == origin:
                 ask[2].append(body)
                 ask[1].set()
         else:
-            self.rooms.take(self.now(), origin, body)
+            self.rooms.receive_update(self.now(), origin, body)
         self._pump()
         return not self.rooms.idle(origin) or origin in self._needed
 
     def _asked(self, number: int, body: r.Body) -> bool:
         """Take in what another gateway asks by its stream."""
-        self.rooms.asked(self.now(), number, body)
+        self.rooms.receive_request(self.now(), number, body)
         self._pump()
         self._wake.set()
         return True
@@ -398,7 +400,7 @@
             while (body := await self._receive(stream, held, 2 * self.rooms.settings.silent_ms)) is not None:
                 if not take(body):
                     return
-        except (FrameRefused, RoomFull) as wrong:
+        except (PresenceFrameError, PresenceLimitError) as wrong:
             self._part(wrong)
         except BROKEN:
             pass
@@ -412,42 +414,44 @@
         number = -1
         try:
             if len(self.rooms.streams()) >= self.settings.max_streams:
-                raise RoomFull(f"{self.settings.max_streams} streams (presence.max_streams)")
+                raise PresenceLimitError(f"{self.settings.max_streams} streams (presence.max_streams)")
             rest = bytearray(held)
             silent = self.rooms.settings.silent_ms
             hello = await self._receive(stream, rest, silent)
             self._check(hello)
             assert isinstance(hello, r.Hello)
-            await stream.send(r.frame(self._hello()))
+            await stream.send(r.encode_frame(self._hello()))
             self._count += 1
             number = self._count
-            self.rooms.opened(number, (hello.name, hello.life))
+            self.rooms.subscriber_connected(number, (hello.name, hello.life))
             box = self._boxes[number] = _Outbox(self.settings.max_backlog_bytes)
             async with anyio.create_task_group() as tasks:
                 tasks.start_soon(self._write, box, stream, tasks)
                 await self._read(stream, rest, lambda body: self._asked(number, body))
                 tasks.cancel_scope.cancel()
-        except (FrameRefused, RoomFull) as wrong:
+        except (PresenceFrameError, PresenceLimitError) as wrong:
             self._part(wrong)
         except BROKEN:
             pass
         finally:
             if number >= 0:
                 self._boxes.pop(number, None)
-                self.rooms.closed(number)
+                self.rooms.subscriber_disconnected(number)
             with anyio.CancelScope(shield=True), anyio.move_on_after(1):
                 await stream.aclose()
 
     def _hello(self) -> r.Hello:
-        return r.Hello(r.FORMAT, self.place.cluster, self.place.name, self.place.life)
+        return r.Hello(r.FORMAT, self.place.cluster, self.place.name, self.place.incarnation)
 
     def _check(self, hello: r.Body | None) -> None:
         if not isinstance(hello, r.Hello):
-            raise FrameRefused("a stream that does not begin with who it is")
+            raise PresenceFrameError("a stream that does not begin with who it is")
         if hello.format != r.FORMAT:
-            raise FrameRefused(f"{hello.name} speaks format {hello.format}, this gateway {r.FORMAT}")
+            raise PresenceFrameError(f"{hello.name} speaks format {hello.format}, this gateway {r.FORMAT}")
         if hello.cluster != self.place.cluster:
-            raise FrameRefused(f"{hello.name} is of cluster {hello.cluster!r}, not {self.place.cluster!r}")
+            raise PresenceFrameError(
+                f"{hello.name} is of cluster {hello.cluster!r}, not {self.place.cluster!r}"
+            )
 
     async def _write(self, box: _Outbox, stream: Stream, tasks: TaskGroup) -> None:
         try:
@@ -475,20 +479,20 @@
 
     def _pump(self) -> None:
         """Carry what rooms want sent and told."""
-        for to, body in self.rooms.take_out():
+        for to, body in self.rooms.drain_outgoing():
             box = self._boxes.get(to)
             if box is not None:
                 box.put(body)
-        for key, value in self.rooms.own_buckets():
+        for key, value in self.rooms.drain_directory_updates():
             self._put(key, value)
-        if self.rooms.dirty:
+        if self.rooms.has_unpublished_changes:
             self._dirty.set()
-        news, self.rooms.news = self.rooms.news, set()
+        news, self.rooms.changed_rooms = self.rooms.changed_rooms, set()
         for room in news:
             for event in self._waiting.pop(room, ()):
                 event.set()
         for room, name, number in self.rooms.ended:
-            self._drops[names.topic(room, name)] = number
+            self._drops[agreed_names.topic(room, name)] = number
         self.rooms.ended.clear()
 
     async def _telling(self) -> None:
@@ -496,7 +500,7 @@
             await self._dirty.wait()
             await anyio.sleep(self.settings.tell_ms / 1000)
             self._dirty = anyio.Event()
-            self.rooms.flush(self.now())
+            self.rooms.publish_changes(self.now())
             self._pump()
 
     async def _ask(
@@ -538,7 +542,7 @@
             if post is not None and method == b"POST":
                 found = await post(await self._body(exchange))
             elif method != b"GET":
-                raise BadRequest(
+                raise PresenceRequestError(
                     f"{method.decode('latin-1')} {path}: POST to {', '.join(self._posts)}, else GET"
                 )
             elif what.startswith("rooms/"):
@@ -548,7 +552,9 @@
             elif what == "carriers":
                 found = {"carriers": self.carriers(asked.get("volume")), "not_heard": self._not_heard(None)}
             else:
-                raise BadRequest(f"{path}: rooms/PATH, watch, carriers, or POST to {', '.join(self._posts)}")
+                raise PresenceRequestError(
+                    f"{path}: rooms/PATH, watch, carriers, or POST to {', '.join(self._posts)}"
+                )
         except PresenceError as wrong:
             await exchange.respond(wrong.status, kind, msgspec.json.encode(wrong.fields()))
             return
@@ -560,7 +566,7 @@
         while data := await exchange.read():
             size += len(data)
             if size > self.settings.max_body_bytes:
-                raise BadRequest(f"a body of over {self.settings.max_body_bytes} bytes")
+                raise PresenceRequestError(f"a body of over {self.settings.max_body_bytes} bytes")
             parts.append(data)
         return b"".join(parts)
 
@@ -573,25 +579,27 @@
             or any(part in ("", ".", "..") for part in parts)
             or not room.isprintable()
         ):
-            raise BadRoom(f"{path[:100]!r}: a path of at most 512 bytes without empty, '.' or '..' segments")
+            raise InvalidRoomError(
+                f"{path[:100]!r}: a path of at most 512 bytes without empty, '.' or '..' segments"
+            )
         if parts[0] not in self.place.volumes():
-            raise BadRoom(f"there is no volume {parts[0][:64]!r}")
+            raise InvalidRoomError(f"there is no volume {parts[0][:64]!r}")
         return room
 
     def _number(self, asked: Mapping[str, str], key: str, default: float, most: float) -> float:
         try:
             value = float(asked.get(key) or default)
         except ValueError:
-            raise BadRequest(f"{key}: {asked[key][:40]!r} is no number") from None
+            raise PresenceRequestError(f"{key}: {asked[key][:40]!r} is no number") from None
         if not 0 <= value <= most:
-            raise BadRequest(f"{key}: {value:g}; from 0 to {most:g}")
+            raise PresenceRequestError(f"{key}: {value:g}; from 0 to {most:g}")
         return value
 
     def _decode(self, kind: type[Any], body: bytes) -> Any:
         try:
             return msgspec.json.decode(body, type=kind)
         except msgspec.MsgspecError as wrong:
-            raise BadRequest(str(wrong)) from None
+            raise PresenceRequestError(str(wrong)) from None
 
     def _token(self, session: r.Session) -> str:
         secret = self.rooms.secret(session.entry.id, session.entry.hop)
@@ -605,20 +613,20 @@
         except ValueError:
             found = b""
         if len(found) != 16 or not id or len(id) > 128:
-            raise BadRequest("token: not one that a join or resume has given")
+            raise PresenceRequestError("token: not one that a join or resume has given")
         return found, id, self._room(room)
 
     def _own(self, token: str) -> r.Session:
         secret, id, room = self._read_token(token)
         session = self.rooms.session(id, secret)
         if session is None or session.room != room:
-            raise SessionOver(f"session {id} is not at this gateway")
+            raise SessionEndedError(f"session {id} is not at this gateway")
         return session
 
     async def _join(self, body: bytes) -> dict[str, Any]:
         ask: _Join = self._decode(_Join, body)
         if ask.meaning not in ("here", "near", "agreed"):
-            raise BadRequest(f"meaning: {ask.meaning!r}; here, near or agreed")
+            raise PresenceRequestError(f"meaning: {ask.meaning!r}; here, near or agreed")
         if ask.meaning == "agreed":
             self._check_name(ask.name)
         room = self._room(ask.room)
@@ -646,9 +654,9 @@
             "grace_ms": self.rooms.settings.grace_ms,
         }
 
-    async def _synced(self, room: str) -> r.View:
+    async def _synced(self, room: str) -> r.RoomView:
         """Return the view of a room, once all that are asked have told, or the time for it is over."""
-        view = self.rooms.interest(self.now(), room)
+        view = self.rooms.open_view(self.now(), room)
         self._pump()
         if self.rooms.unasked(view):
             self._wake.set()
@@ -661,14 +669,14 @@
                 view.watchers -= 1
         return view
 
-    def _not_heard(self, view: r.View | None) -> list[dict[str, Any]]:
+    def _not_heard(self, view: r.RoomView | None) -> list[dict[str, Any]]:
         now, peers = self.now(), self._peers()
         if view is None:
             found = w.not_heard(peers, self._heard_of(), {}, ())
         else:
-            unsure = self.rooms.unsure(view, now)
+            unsure = self.rooms.unsure_gateways(view, now)
             found = w.not_heard(peers, self._heard_of(), unsure, self.rooms.unasked(view))
-        clock = self.place.clock()
+        clock = self.place.clock_ms()
         listed = []
         for one in found:
             # Silence is by the rooms' clock, the fleet's states by the process's.
@@ -677,17 +685,17 @@
             listed.append({"gateway": one.name, "why": one.why, "since_ms_ago": since})
         return listed
 
-    def _about(self, view: r.View) -> dict[str, Any]:
+    def _about(self, view: r.RoomView) -> dict[str, Any]:
         now = self.now()
         return {
             "room": view.room,
             "gateway": self.place.name,
-            "cursor": f"{self.place.name}.{self.place.life:x}.{view.epoch:x}.{view.seq:x}",
+            "cursor": f"{self.place.name}.{self.place.incarnation:x}.{view.epoch:x}.{view.last_seq:x}",
             "as_of_ms_ago": round(max(0.0, now - self.rooms.as_of(view, now))),
             "not_heard": self._not_heard(view),
         }
 
-    def _state(self, view: r.View) -> dict[str, Any]:
+    def _state(self, view: r.RoomView) -> dict[str, Any]:
         members = self.rooms.members(view)
         there = {one.entry.id for one in members}
         held = [
@@ -710,9 +718,9 @@
             "names": held,
         }
 
-    def _counts(self, holder: names.Holder, number: int) -> bool:
-        found = self.place.decree(names.topic(holder.room, holder.name))
-        return isinstance(found, d.Decree) and found.number == number
+    def _counts(self, holder: agreed_names.Holder, number: int) -> bool:
+        found = self.place.cached_decision(agreed_names.topic(holder.room, holder.name))
+        return isinstance(found, d.Decision) and found.version == number
 
     async def _snapshot(self, room: str) -> dict[str, Any]:
         return self._state(await self._synced(room))
@@ -721,14 +729,16 @@
         room = self._room(asked.get("room", ""))
         wait_ms = self._number(asked, "wait_ms", 0.0, self.settings.longest_wait_ms)
         if self.watchers >= self.settings.max_watchers:
-            raise RoomFull(f"{self.settings.max_watchers} watchers at a time (presence.max_watchers)")
+            raise PresenceLimitError(
+                f"{self.settings.max_watchers} watchers at a time (presence.max_watchers)"
+            )
         session = self._own(asked["token"]) if asked.get("token") else None
         if session is not None:
             self.rooms.touch(self.now(), session)
         after = asked.get("after", "")
-        view = self.rooms.interest(self.now(), room)
+        view = self.rooms.open_view(self.now(), room)
         at = self._cursor(after)
-        events = self.rooms.after(view, *at) if at is not None else None
+        events = self.rooms.events_after(view, *at) if at is not None else None
         if events is None:
             view = await self._synced(room)
             return {"resync": bool(after), "events": [], **self._state(view)}
@@ -749,7 +759,7 @@
                     await event.wait()
                 if session is not None:
                     self.rooms.touch(self.now(), self._own(asked["token"]))
-                events = self.rooms.after(view, *at)
+                events = self.rooms.events_after(view, *at)
         finally:
             self.watchers -= 1
             view.watchers -= 1
@@ -762,7 +772,7 @@
         return {"resync": False, "events": events, **self._about(view)}
 
     def _cursor(self, text: str) -> tuple[int, int] | None:
-        begin = f"{self.place.name}.{self.place.life:x}."
+        begin = f"{self.place.name}.{self.place.incarnation:x}."
         if not text.startswith(begin):
             return None
         epoch, _, seq = text.removeprefix(begin).partition(".")
@@ -815,7 +825,7 @@
                 await enough.wait()
                 tasks.cancel_scope.cancel()
         if len(have) < need:
-            raise NotNear(
+            raise MajorityNotReachedError(
                 f"room {room!r}: {len(have)} of {of} gateways of region {self.place.region!r} have it,"
                 f" {need} are needed; heard: {', '.join(have)}"
             )
@@ -845,10 +855,10 @@
             if home is not None and home.state == "alive":
                 found = r.Entry(id), (home.name, home.life)
             else:
-                raise SessionElsewhere(f"session {id}: nobody who answers holds it")
+                raise SessionUnavailableError(f"session {id}: nobody who answers holds it")
         entry, origin = found
-        if origin == self.rooms.me:
-            raise SessionOver(f"session {id} has ended")
+        if origin == self.rooms.origin:
+            raise SessionEndedError(f"session {id} has ended")
         lives = {p.name: p for p in self._peers()}
         peer = lives.get(origin[0])
         if self.rooms.reachable(origin) or (peer and peer.state == "alive" and peer.life == origin[1]):
@@ -861,13 +871,17 @@
                     box.put(r.Taken(room, id, session.entry.hop, self.rooms.version))
                 return session, "handed over"
             if answer is not None:
-                raise SessionOver(f"session {id} has ended at {origin[0]}, or the token is an older one")
+                raise SessionEndedError(
+                    f"session {id} has ended at {origin[0]}, or the token is an older one"
+                )
         if not entry.check:
-            raise SessionElsewhere(f"session {id}: {origin[0]} does not answer, and nobody holds its check")
+            raise SessionUnavailableError(
+                f"session {id}: {origin[0]} does not answer, and nobody holds its check"
+            )
         if entry.moved is not None and not entry.moved[0]:
-            raise SessionOver(f"session {id} has ended")
+            raise SessionEndedError(f"session {id} has ended")
         if not hmac.compare_digest(r.digest(secret), entry.check):
-            raise SessionOver(f"session {id}: the token is not the one it was given last")
+            raise SessionEndedError(f"session {id}: the token is not the one it was given last")
         return self.rooms.take_over(self.now(), room, entry), "taken over"
 
     async def _find(self, room: str, id: str, wait_ms: float) -> tuple[r.Entry, r.Origin] | None:
@@ -891,7 +905,7 @@
 
     def _check_name(self, name: str) -> None:
         if not 1 <= len(name.encode()) <= 128:
-            raise BadRequest("name: an agreed name of 1 to 128 bytes is needed")
+            raise PresenceRequestError("name: an agreed name of 1 to 128 bytes is needed")
 
     async def _agreed(self, body: bytes) -> dict[str, Any]:
         ask: _Session = self._decode(_Session, body)
@@ -901,16 +915,16 @@
         return {**self._session(session), **await self._claim(session, ask.name, ask.take, ask.wait_ms)}
 
     async def _claim(self, session: r.Session, name: str, take: bool, wait_ms: float) -> dict[str, Any]:
-        council = self.place.council()
+        council = self.place.consensus()
         if council is None:
-            raise NotAgreed("this gateway knows no council")
+            raise NameNotDecidedError("this gateway knows no council")
         if (
             sum(len(s.names or ()) for s in self.rooms.sessions.values() if s.names)
             >= self.settings.max_names
         ):
-            raise RoomFull(f"{self.settings.max_names} agreed names here (presence.max_names)")
-        entry, topic = session.entry, names.topic(session.room, name)
-        me = names.Holder(1, session.room, name, entry.id, self.place.name, self.place.life)
+            raise PresenceLimitError(f"{self.settings.max_names} agreed names here (presence.max_names)")
+        entry, topic = session.entry, agreed_names.topic(session.room, name)
+        me = agreed_names.Holder(1, session.room, name, entry.id, self.place.name, self.place.incarnation)
         why = "the council did not answer"
         # By the room's feed a claim may be known before it is answered here: it is not unwanted meanwhile.
         self._claiming.add(topic + entry.id)
@@ -919,67 +933,67 @@
                 while True:
                     try:
                         number = await self._decide(council, topic, me, take)
-                    except Conflict:
+                    except DecisionConflictError:
                         continue
                     if self.rooms.sessions.get(entry.id) is not session:
                         self._drops[topic] = number
-                        raise SessionOver(f"session {entry.id} ended meanwhile")
+                        raise SessionEndedError(f"session {entry.id} ended meanwhile")
                     session.names = {**(session.names or {}), name: number}
                     return {"name": name, "number": number, "hold_ms": self.settings.hold_ms}
-        except CouncilError as wrong:
+        except ConsensusError as wrong:
             why = wrong.text
         finally:
             self._claiming.discard(topic + entry.id)
-        raise NotAgreed(f"name {name!r} in room {session.room!r}: {why}")
+        raise NameNotDecidedError(f"name {name!r} in room {session.room!r}: {why}")
 
-    async def _decide(self, council: Deciding, topic: str, me: names.Holder, take: bool) -> int:
+    async def _decide(self, council: Deciding, topic: str, me: agreed_names.Holder, take: bool) -> int:
         """Claim once.  Raises NameHeld, Conflict and what the council raises."""
         decree = await council.read(topic)
-        standing = (names.read(decree.value), decree.number) if decree is not None else None
+        standing = (agreed_names.read(decree.value), decree.version) if decree is not None else None
         over = standing is not None and self._over(standing[0])
-        found = names.claim(standing, me.member, over, take)
-        if isinstance(found, names.Has):
+        found = agreed_names.claim(standing, me.member, over, take)
+        if isinstance(found, agreed_names.Has):
             return found.number
-        if isinstance(found, names.Held):
-            raise NameHeld(f"{found.by.member} holds {me.name!r} in {me.room!r} by token {found.number}")
-        decided = await council.decide(topic, names.write(me), self.settings.hold_ms, found.if_number)
-        return decided.number
+        if isinstance(found, agreed_names.Held):
+            raise NameHeldError(f"{found.by.member} holds {me.name!r} in {me.room!r} by token {found.number}")
+        decided = await council.decide(topic, agreed_names.write(me), self.settings.hold_ms, found.if_number)
+        return decided.version
 
-    def _over(self, holder: names.Holder) -> bool:
+    def _over(self, holder: agreed_names.Holder) -> bool:
         if holder.gateway == self.place.name:
             session = self.rooms.sessions.get(holder.member)
-            return holder.life != self.place.life or session is None
+            return holder.life != self.place.incarnation or session is None
         gone = self.rooms.settings.gone_ms
-        return w.gone_for_good(holder.gateway, holder.life, self._peers(), self.place.clock(), gone)
+        return w.gone_for_good(holder.gateway, holder.life, self._peers(), self.place.clock_ms(), gone)
 
     async def _release(self, body: bytes) -> dict[str, Any]:
         ask: _Session = self._decode(_Session, body)
         session = self._own(ask.token)
         number = (session.names or {}).pop(ask.name, None)
         if number is not None:
-            self._drops[names.topic(session.room, ask.name)] = number
+            self._drops[agreed_names.topic(session.room, ask.name)] = number
         return {"released": number is not None}
 
-    def decreed(self, decree: d.Decree) -> None:
+    def on_decision(self, decree: d.Decision) -> None:
         """Take in a decree of any topic: who holds a name now, and who is fenced."""
-        if not decree.topic.startswith(names.BEGIN):
+        if not decree.topic.startswith(agreed_names.BEGIN):
             return
         before = self._held.get(decree.topic)
-        if before is not None and before[1] >= decree.number:
+        if before is not None and before[1] >= decree.version:
             return
         try:
-            holder = names.read(decree.value)
-        except FrameRefused:
+            holder = agreed_names.read(decree.value)
+        except PresenceFrameError:
             self.refused += 1
             return
-        self._held[decree.topic] = (holder, decree.number)
+        self._held[decree.topic] = (holder, decree.version)
         while len(self._held) > 4096:
             del self._held[min(self._held, key=lambda topic: self._held[topic][1])]
         if before is not None and before[0].member != holder.member:
             old = before[0]
             self.rooms.tell(
                 old.room,
-                r.Event(event="fenced", seq=0, member=old.member, name=old.name, number=decree.number),
+                r.Event(event="fenced", seq=0, member=old.member, name=old.name, number=decree.version),
             )
             session = self.rooms.sessions.get(old.member)
             if session is not None and session.names:
@@ -992,7 +1006,7 @@
                 member=holder.member,
                 gateway=holder.gateway,
                 name=holder.name,
-                number=decree.number,
+                number=decree.version,
             ),
         )
         self._pump()
@@ -1005,9 +1019,9 @@
         for topic, (holder, number) in list(self._held.items()):
             if topic in self._drops or topic + holder.member in self._claiming:
                 continue
-            if not isinstance(self.place.decree(topic), d.Decree):
+            if not isinstance(self.place.cached_decision(topic), d.Decision):
                 continue  # it no longer counts; whoever dropped it is done
-            if holder.gateway == self.place.name and holder.life == self.place.life:
+            if holder.gateway == self.place.name and holder.life == self.place.incarnation:
                 session = self.rooms.sessions.get(holder.member)
                 if session is None or (session.names or {}).get(holder.name) != number:
                     self._drops[topic] = number
@@ -1021,14 +1035,14 @@
         """Let the council drop what is over, one after another, until it is done."""
         while True:
             await anyio.sleep(self.settings.tell_ms / 1000)
-            council = self.place.council()
+            council = self.place.consensus()
             if council is None or not self._drops:
                 await anyio.sleep(self.settings.beat_ms / 2000)
                 continue
             topic, number = next(iter(self._drops.items()))
             try:
                 await council.drop(topic, number)
-            except Conflict:
+            except DecisionConflictError:
                 pass  # another holder stands: it was not this one's to drop
             except CressrockError:
                 await anyio.sleep(self.settings.beat_ms / 1000)
--- /dev/null
+++ b/cressrock/programs/__init__.py
@@ -0,0 +1,1 @@
+"""The programs: composition of the parts and signals only."""
