--- a/cressrock/gateway.py
+++ b/cressrock/programs/gateway.py
@@ -17,131 +17,139 @@
 from anyio.abc import TaskGroup, TaskStatus
 
 from cressrock import net
-from cressrock.brain import Brain
-from cressrock.copies.carrier import Copies, Placed, Shares, Telling
-from cressrock.copies.reach import Reach
-from cressrock.dispatch.driver import Decisions
-from cressrock.dispatch.keys import KeyMemory
+from cressrock.dispatch.driver import DecisionModule
+from cressrock.dispatch.idempotency import IdempotencyKeys
 from cressrock.dispatch.ledger import Attempt, Ledger
-from cressrock.dispatch.lending import Lending
-from cressrock.dispatch.nodeclient import Connect, NodeClient
-from cressrock.dispatch.nodelist import ListState
-from cressrock.dispatch.spool import Store
-from cressrock.dispatch.tasks import TaskDriver
-from cressrock.dispatch.watch import Watch
-from cressrock.edge.carrier import PlannerLink
-from cressrock.edge.core import EdgeDecisions
-from cressrock.edge.orphans import Away, Reconnect
-from cressrock.edge.turns import Turns
-from cressrock.ground import Ground, NetSockets, Place, Sockets
+from cressrock.dispatch.node_client import Connect, NodeClient
+from cressrock.dispatch.node_list import NodeListState
+from cressrock.dispatch.node_list_watch import NodeListWatch
+from cressrock.dispatch.quota import EdgeQuota
+from cressrock.dispatch.spool import PayloadStore
+from cressrock.dispatch.task_driver import TaskDriver
+from cressrock.edge.decisions import EdgeDecisions
+from cressrock.edge.disposition import DisconnectedPolicy, ReconnectBackoff
+from cressrock.edge.ordering import KeyOrdering
+from cressrock.edge.planner_link import PlannerLink
+from cressrock.failover.carrier import EdgeFailover, FailoverAdmin
+from cressrock.failover.routing import ZoneRouter
 from cressrock.http.channel import Stream
 from cressrock.http.server import Exchange, Server
 from cressrock.interface import Node, NodeList, NodeState, Outcome
-from cressrock.link.protocol import Bounds as LinkBounds
+from cressrock.link.protocol import LinkLimits as LinkBounds
 from cressrock.observe import admin
 from cressrock.observe.metrics import Metrics
-from cressrock.planner.epochs import Store as EpochStore
-from cressrock.planner.epochs import next_epoch
-from cressrock.presence import carrier as presence
-from cressrock.presence.carrier import Presence
-from cressrock.presence.rooms import RoomsSettings
-from cressrock.rollout.carrier import Rollout
-from cressrock.rollout.carrier import Settings as RolloutParts
+from cressrock.planner.epochs import EpochStore, next_epoch
+from cressrock.presence import service as presence
+from cressrock.presence.rooms import RoomSettings
+from cressrock.presence.service import PresenceService
+from cressrock.replication.reachability import ReachabilityTracker
+from cressrock.replication.service import (
+    DeadlineShares,
+    ReachabilityPublisher,
+    ReplicaPlacement,
+    ReplicatedVolumes,
+)
+from cressrock.rollout.service import ProcessSettings as RolloutParts
+from cressrock.rollout.service import RolloutService
+from cressrock.runtime import ClusterRuntime, NodeIdentity, Sockets, SystemSockets
+from cressrock.scheduler.scheduler import Scheduler
 from cressrock.settings.rules import Tables, Version
 from cressrock.settings.types import Gateway as Settings
 from cressrock.settings.types import interface_settings
 from cressrock.webdav.front import Front
-from cressrock.zones.carrier import EdgeZones, Moves
-from cressrock.zones.spill import Choice
 
 
 @dataclass(frozen=True, slots=True)
-class World:
+class Environment:
     """What a gateway needs from outside.  Times in milliseconds."""
 
     connect: Connect
     wall_ms: Callable[[], float]
     seed: int
     log: Any
-    sockets: Sockets = field(default_factory=NetSockets)
-    in_thread: bool = True  # what blocks may leave the loop; not in simulated time
+    sockets: Sockets = field(default_factory=SystemSockets)
+    allow_threads: bool = True  # what blocks may leave the loop; not in simulated time
 
 
-def scheduler(settings: Settings, seed: int, now_ms: float) -> Decisions:
+def scheduler(settings: Settings, seed: int, now_ms: float) -> DecisionModule:
     """Return the decision module, started."""
-    return Brain(interface_settings(settings), seed, now_ms)
+    return Scheduler(interface_settings(settings), seed, now_ms)
 
 
-def common_ground(settings: Settings, world: World, role: str, source: random.Random) -> Ground | None:
+def common_ground(
+    settings: Settings, world: Environment, role: str, source: random.Random
+) -> ClusterRuntime | None:
     """Return a process's place in the fleet; None where its settings have none.  Raises OSError."""
     if settings.fleet is None:
         return None
     store = EpochStore(settings.fleet.life_file)
     life = next_epoch(store.read(), world.wall_ms())
     store.write(life)
-    return Ground(
-        Place(settings.name, life, role, settings.fleet, settings.council),
+    return ClusterRuntime(
+        NodeIdentity(settings.name, life, role, settings.fleet, settings.council),
         world.sockets,
         clock=net.clock(),
         wall_ms=world.wall_ms,
         source=random.Random(source.getrandbits(62)),
         log=world.log,
-        in_thread=world.in_thread,
-        collects=role == "planner" and (settings.zones is not None or settings.rollout is not None),
+        allow_threads=world.allow_threads,
+        is_collector=role == "planner" and (settings.zones is not None or settings.rollout is not None),
     )
 
 
-def common_presence(settings: Settings, ground: Ground, volumes: Callable[[], Iterable[str]]) -> Presence:
+def common_presence(
+    settings: Settings, ground: ClusterRuntime, volumes: Callable[[], Iterable[str]]
+) -> PresenceService:
     """Return a gateway's presence, told of by its ground."""
     given = msgspec.structs.asdict(settings.presence) if settings.presence is not None else {}
 
     def of(kind: type[Any]) -> dict[str, Any]:
         return {name: given[name] for name in kind.__struct_fields__ if name in given}
 
-    place = ground.place
-    found = Presence(
-        presence.CarrierSettings(**of(presence.CarrierSettings)),
-        RoomsSettings(**of(RoomsSettings)),
-        presence.Place(
+    place = ground.identity
+    found = PresenceService(
+        presence.ServiceSettings(**of(presence.ServiceSettings)),
+        RoomSettings(**of(RoomSettings)),
+        presence.PresenceEnvironment(
             name=place.name,
-            life=place.life,
+            incarnation=place.incarnation,
             region=place.fleet.region,
             cluster=place.fleet.cluster,
             routes=place.fleet.routes,
-            spread=ground.spread,
+            gossip=ground.gossip,
             members=ground.members,
             connect=ground.sockets.connect,
-            council=lambda: ground.council,
-            decree=ground.kept.get,
+            consensus=lambda: ground.consensus,
+            cached_decision=ground.decision_cache.get,
             volumes=volumes,
-            clock=ground.clock,
-            source=random.Random(ground.source.getrandbits(62)),
+            clock_ms=ground.clock,
+            rng=random.Random(ground.source.getrandbits(62)),
             log=ground.log,
         ),
     )
-    ground.streams[presence.MAGIC] = found.serve
-    ground.when_spread.append(found.spread)
-    ground.kept.changed.append(found.decreed)
+    ground.stream_handlers[presence.MAGIC] = found.serve
+    ground.on_gossip_change.append(found.on_gossip_change)
+    ground.decision_cache.listeners.append(found.on_decision)
     return found
 
 
-def widen(decisions: Decisions | None, tables: Tables) -> None:
+def widen(decisions: DecisionModule | None, tables: Tables) -> None:
     """Have a decision module hold all versions of the rules that the tables have."""
-    if isinstance(decisions, Brain):
+    if isinstance(decisions, Scheduler):
         decisions.widen(tables.rows(decisions.set))
 
 
 def rollout(
     settings: Settings,
-    world: World,
-    ground: Ground,
+    world: Environment,
+    ground: ClusterRuntime,
     tables: Tables,
     widened: Callable[[tuple[str, ...]], None],
     source: random.Random,
     *,
     decides: Callable[[str], bool] = lambda digest: True,
     judges: bool = False,
-) -> Rollout[Version]:
+) -> RolloutService[Version]:
     """Return a process's part in rollouts."""
     own, council = settings.rollout, settings.council
     assert own is not None and council is not None and settings.fleet is not None
@@ -158,36 +166,36 @@
     )
     # Danger: with one seed in all settings every process would throw the same coins, and a burst that all see
     # would fall to one version as a whole.
-    coin = random.Random(f"{source.getrandbits(62)}/{settings.name}/{ground.place.life}")
-    return Rollout(
+    coin = random.Random(f"{source.getrandbits(62)}/{settings.name}/{ground.identity.incarnation}")
+    return RolloutService(
         ground,
         tables,
         parts,
         clock=net.clock(),
         wall_ms=world.wall_ms,
-        source=coin,
+        rng=coin,
         log=world.log,
-        widened=widened,
-        decides=decides,
-        judges=judges,
+        on_versions_changed=widened,
+        planner_has_version=decides,
+        may_lead=judges,
         zone_of=lambda name: next((m.zone for m in ground.members() if m.name == name), ""),
     )
 
 
 def follow_list(
-    settings: Settings, world: World, nodes: NodeClient, listed: Callable[[NodeList], None]
-) -> Watch:
+    settings: Settings, world: Environment, nodes: NodeClient, listed: Callable[[NodeList], None]
+) -> NodeListWatch:
     """Return what follows the node list by a program's settings."""
     source = settings.node_list
-    return Watch(
-        ListState(source.cluster, max_nodes=source.max_nodes),
+    return NodeListWatch(
+        NodeListState(source.cluster, max_nodes=source.max_nodes),
         nodes,
         address=source.address,
         node_id=settings.name,
         poll_ms=source.poll_ms,
         timeout_ms=source.timeout_ms,
         cache=source.cache,
-        listed=listed,
+        on_report=listed,
         wall_ms=world.wall_ms,
         log=world.log,
     )
@@ -205,20 +213,20 @@
             tell(attempt.node.shard, outcome)
 
 
-def placed(settings: Settings) -> dict[str, Placed]:
+def placed(settings: Settings) -> dict[str, ReplicaPlacement]:
     """Return where the copies lie of the volumes that have some."""
     return {
-        name: Placed(tuple(v.shards), {zone: tuple(shards) for zone, shards in v.copies.items()})
+        name: ReplicaPlacement(tuple(v.shards), {zone: tuple(shards) for zone, shards in v.copies.items()})
         for name, v in settings.volumes.items()
         if v.copies
     }
 
 
 @dataclass(frozen=True, slots=True)
-class Parts:
+class Components:
     """What a gateway is made of; the laboratory puts parts in that are broken on purpose."""
 
-    decisions: Callable[[Settings, int, float], Decisions] = scheduler
+    decisions: Callable[[Settings, int, float], DecisionModule] = scheduler
     ledger: type[Ledger] = Ledger
     driver: type[TaskDriver] = TaskDriver
     edge: type[EdgeDecisions] = EdgeDecisions
@@ -227,30 +235,30 @@
 class Gateway:
     """One dispatcher.  `run` serves until cancelled; `serve` and `serve_admin` take connected streams."""
 
-    def __init__(self, settings: Settings, world: World, *, parts: Parts | None = None) -> None:
+    def __init__(self, settings: Settings, world: Environment, *, parts: Components | None = None) -> None:
         """Build all parts; nothing runs before `run`."""
         self.settings = settings
         self.world = world
-        self.parts = parts or Parts()
+        self.parts = parts or Components()
         self.started = False
         self.stopping = False
         self.metrics = _Watched(
             world.log, [c.name for c in settings.classes], log_requests=settings.observe.log_requests
         )
         self.metrics.when_ended = []
-        self.copies: Copies | None = None
-        self.nodes = NodeClient(world.connect, settings.nodes, user_agent=f"cressrock/{settings.name}")
+        self.copies: ReplicatedVolumes | None = None
+        self.node_client = NodeClient(world.connect, settings.nodes, user_agent=f"cressrock/{settings.name}")
         self.server: Server | None = None
         self.front: Front | None = None
         self.driver: TaskDriver | None = None
-        self.watch: Watch | None = None
-        self.ground: Ground | None = None
-        self.presence: Presence | None = None
-        self.rollout: Rollout[Version] | None = None
-        self.zones: EdgeZones | None = None
+        self.node_list_watch: NodeListWatch | None = None
+        self.runtime: ClusterRuntime | None = None
+        self.presence: PresenceService | None = None
+        self.rollout: RolloutService[Version] | None = None
+        self.zones: EdgeFailover | None = None
         self._zone_names: dict[int, str] = {}
         self.routes: dict[bytes, Callable[[Exchange], Awaitable[None]]] = {}  # of rooms, by path's beginning
-        self.store = Store(
+        self.payload_store = PayloadStore(
             memory_bytes=settings.payloads.memory_bytes,
             spill_bytes=settings.payloads.spill_bytes,
             directory=settings.payloads.directory,
@@ -268,7 +276,7 @@
             max_nodes=settings.node_list.max_nodes,
         )
         async with AsyncExitStack() as stack:
-            nodes = await stack.enter_async_context(self.nodes)
+            nodes = await stack.enter_async_context(self.node_client)
             tasks: TaskGroup = await stack.enter_async_context(anyio.create_task_group())
             edge = self._edge(ledger, source) if settings.pair.planners else None
             driver = self.driver = self.parts.driver(
@@ -278,13 +286,15 @@
                 interface_settings(settings).classes,
                 self.metrics,
                 retry_after_ms=settings.front.retry_after_ms,
-                keys=KeyMemory(keep_ms=settings.front.key_memory_ms, most=settings.front.max_keys),
+                keys=IdempotencyKeys(keep_ms=settings.front.key_memory_ms, max_keys=settings.front.max_keys),
                 reader_patience_ms=settings.front.reader_patience_ms,
                 clock=net.clock(),
             )
-            watch = self.watch = follow_list(settings, world, nodes, self._listed)
+            watch = self.node_list_watch = follow_list(settings, world, nodes, self._listed)
             driver.subscribe = watch.subscribe
-            self.front = Front(settings, driver, self.store, self.metrics, source=source, clock=driver.clock)
+            self.front = Front(
+                settings, driver, self.payload_store, self.metrics, source=source, clock=driver.clock
+            )
             self.server = Server(
                 self.front.handle,
                 settings.front.bounds,
@@ -295,25 +305,25 @@
             watch.load_cache()
             watch.subscribe()
             # Drawn last, and only where there is one: without it every seed gives what it gave.
-            self.ground = common_ground(settings, world, "edge", source)
-            if self.ground is not None:
+            self.runtime = common_ground(settings, world, "edge", source)
+            if self.runtime is not None:
                 if settings.presence is not None:
-                    self.presence = common_presence(settings, self.ground, lambda: self.settings.volumes)
+                    self.presence = common_presence(settings, self.runtime, lambda: self.settings.volumes)
                     self.routes[b"/v1/presence/"] = self.presence.handle
-                    self.front.served = self.presence.served
-                    self.front.locked = self.presence.locked
-                await tasks.start(self.ground.run)
+                    self.front.served = self.presence.record_served_volume
+                    self.front.locked = self.presence.record_lock
+                await tasks.start(self.runtime.run)
                 if self.presence is not None:
                     await tasks.start(self.presence.run)
                 if settings.rollout is not None:
-                    self.rollout = self._rollout(self.ground, driver, edge, source)
+                    self.rollout = self._rollout(self.runtime, driver, edge, source)
                     self.front.choose = self.rollout.choose
                     self.routes[b"/v1/rollout"] = self.rollout.serve
                     tasks.start_soon(self.rollout.run)
                 if settings.zones is not None:
-                    self.zones = self._zones(self.ground, driver, source)
+                    self.zones = self._zones(self.runtime, driver, source)
                     tasks.start_soon(self.zones.run)
-                self._serve_copies(self.ground, driver, tasks)
+                self._serve_copies(self.runtime, driver, tasks)
             tasks.start_soon(driver.run)
             if edge is not None:
                 tasks.start_soon(self._planner_link(edge, driver, source).run)
@@ -323,17 +333,17 @@
             task_status.started()
             await anyio.sleep_forever()
 
-    def _serve_copies(self, ground: Ground, driver: TaskDriver, tasks: TaskGroup) -> None:
+    def _serve_copies(self, ground: ClusterRuntime, driver: TaskDriver, tasks: TaskGroup) -> None:
         """Serve the volumes that have copies, if there are any."""
         found, part = placed(self.settings), self.settings.copies
         if not found or self.settings.council is None or self.front is None:
             return
-        reach = Reach()
-        shares = Shares(
+        reach = ReachabilityTracker()
+        shares = DeadlineShares(
             part.first_share, part.follow_share, part.told_ms, part.ask_ms, self.settings.council.hold_ms
         )
         fleet = self.settings.fleet
-        self.copies = self.front.copies = Copies(
+        self.copies = self.front.copies = ReplicatedVolumes(
             found,
             ground,
             shares,
@@ -344,12 +354,14 @@
             log=self.world.log,
             retry_after_ms=self.settings.front.retry_after_ms,
         )
-        self.metrics.when_ended.append(lambda shard, outcome: reach.ended(shard, outcome, driver.clock()))
-        tasks.start_soon(Telling(self.copies, ground.spread, part.look_ms).run)
+        self.metrics.when_ended.append(
+            lambda shard, outcome: reach.record_outcome(shard, outcome, driver.clock())
+        )
+        tasks.start_soon(ReachabilityPublisher(self.copies, ground.gossip, part.look_ms).run)
 
     def _edge(self, ledger: Ledger, source: random.Random) -> EdgeDecisions:
         pair, scheduler = self.settings.pair, self.settings.scheduler
-        away = Away(pair.answer_margin_ms, pair.retry_least_ms, pair.retry_most_ms)
+        away = DisconnectedPolicy(pair.answer_margin_ms, pair.retry_least_ms, pair.retry_most_ms)
         jitter, now = random.Random(source.getrandbits(62)), anyio.current_time() * 1000
         own, lending = None, None
         if pair.edges:
@@ -359,22 +371,22 @@
             )
             settings = msgspec.structs.replace(self.settings, scheduler=careful)
             own = self.parts.decisions(settings, source.getrandbits(62), now)
-            lending = Lending(interface_settings(settings).plans, self._edges_of, pair.lend_ms, now)
-        turns = Turns(interface_settings(self.settings).classes, scheduler.order_settle_ms)
+            lending = EdgeQuota(interface_settings(settings).plans, self._edges_of, pair.lend_ms, now)
+        turns = KeyOrdering(interface_settings(self.settings).classes, scheduler.order_settle_ms)
         return self.parts.edge(
             ledger,
             away,
             jitter,
-            turns=turns,
-            own=own,
-            lending=lending,
-            late_ms=scheduler.tick_ms,
-            budget_ms=scheduler.budget_window_ms,
+            ordering=turns,
+            local=own,
+            quota=lending,
+            uncounted_after_ms=scheduler.tick_ms,
+            budget_window_ms=scheduler.budget_window_ms,
         )
 
     def _rollout(
-        self, ground: Ground, driver: TaskDriver, edge: EdgeDecisions | None, source: random.Random
-    ) -> Rollout[Version]:
+        self, ground: ClusterRuntime, driver: TaskDriver, edge: EdgeDecisions | None, source: random.Random
+    ) -> RolloutService[Version]:
         tables, names = Tables(self.settings), list(self.metrics.classes)
 
         def widened(live: tuple[str, ...]) -> None:
@@ -384,34 +396,34 @@
             if edge is None:
                 widen(driver.decisions, tables)
                 return
-            widen(edge.own, tables)
-            if edge.turns is not None:
-                edge.turns.classes = rows.classes
-            if edge.lending is not None:
-                edge.lending.plans = rows.plans
+            widen(edge.local, tables)
+            if edge.ordering is not None:
+                edge.ordering.classes = rows.classes
+            if edge.quota is not None:
+                edge.quota.plans = rows.plans
 
         if edge is not None:
-            edge.versioned, edge.plans = True, len(self.settings.plans)
-            edge.version = lambda arrival: tables.told(arrival.request_class, arrival.plan)
+            edge.knows_versions, edge.plans_per_version = True, len(self.settings.plans)
+            edge.version_of = lambda arrival: tables.told(arrival.request_class, arrival.plan)
         decides = edge.decides if edge is not None else (lambda digest: True)
         return rollout(self.settings, self.world, ground, tables, widened, source, decides=decides)
 
-    def _zones(self, ground: Ground, driver: TaskDriver, source: random.Random) -> EdgeZones:
+    def _zones(self, ground: ClusterRuntime, driver: TaskDriver, source: random.Random) -> EdgeFailover:
         settings, fleet, council = self.settings.zones, self.settings.fleet, self.settings.council
         assert settings is not None and fleet is not None
         lots = random.Random(source.getrandbits(62))
-        choice = Choice(fleet.zone, settings.regions(), settings, driver.clock(), lots)
-        zones = EdgeZones(choice, ground, driver.clock, self._zone_of, self.world.log)
+        choice = ZoneRouter(fleet.zone, settings.regions(), settings, driver.clock(), lots)
+        zones = EdgeFailover(choice, ground, driver.clock, self._zone_of, self.world.log)
         zones.watch(driver)
         hold_ms = council.hold_ms if council is not None else 0.0
-        self.routes[b"/v1/zones/"] = Moves(settings, ground, hold_ms, zones.status).handle
+        self.routes[b"/v1/zones/"] = FailoverAdmin(settings, ground, hold_ms, zones.status).handle
         return zones
 
     def _zone_of(self, node: Node) -> str:
         """Return the name of a listed node's zone."""
         found = self._zone_names.get(node.zone)
-        if found is None and self.watch is not None:
-            self._zone_names = {number: name for name, number in self.watch.state.zones.items()}
+        if found is None and self.node_list_watch is not None:
+            self._zone_names = {number: name for name, number in self.node_list_watch.state.zones.items()}
             found = self._zone_names.get(node.zone)
         return found or ""
 
@@ -425,26 +437,29 @@
         jitter = random.Random(source.getrandbits(62))
         return PlannerLink(
             edge,
-            Reconnect(
-                tuple(pair.planners), jitter, least_ms=pair.reconnect_least_ms, most_ms=pair.reconnect_most_ms
+            ReconnectBackoff(
+                tuple(pair.planners),
+                jitter,
+                min_wait_ms=pair.reconnect_least_ms,
+                max_wait_ms=pair.reconnect_most_ms,
             ),
             self.world.connect,
-            driver.poke,
+            driver.request_batch,
             name=self.settings.name,
-            life=f"{source.getrandbits(48):012x}",
+            incarnation=f"{source.getrandbits(48):012x}",
             clock=driver.clock,
-            bounds=LinkBounds(ping_ms=pair.ping_ms, silent_ms=pair.silent_ms),
+            limits=LinkBounds(ping_ms=pair.ping_ms, silent_ms=pair.silent_ms),
             log=self.world.log,
         )
 
     def _listed(self, report: NodeList) -> None:
         assert self.driver is not None
-        self.driver.listed(report)
+        self.driver.receive_node_list(report)
         if self.copies is not None:
-            self.copies.listed(self.driver.ledger.nodes.values())
+            self.copies.on_node_list(self.driver.ledger.nodes.values())
         for node in report.nodes:
             if node.state is NodeState.GONE:
-                self.nodes.forget(node.name)
+                self.node_client.close_idle(node.name)
 
     def _failed(self, error: BaseException) -> None:
         self.world.log.error("defect", error=repr(error), exc_info=error)
@@ -460,9 +475,9 @@
         assert self.server is not None and self.driver is not None
         self.server.stop()
         if self.presence is not None:
-            self.presence.close()
-        if self.ground is not None:
-            await self.ground.leave()
+            self.presence.end_sessions()
+        if self.runtime is not None:
+            await self.runtime.leave()
         with anyio.move_on_after(after_ms / 1000):
             while self.server.connections or self.driver.ledger.entries:
                 await anyio.sleep(0.02)
@@ -505,15 +520,15 @@
         """Return what this process knows of itself and of the others, as plain values."""
         return {
             "name": self.settings.name,
-            "ready": not self.ready(),
-            "why": self.ready(),
-            "fleet": self.ground.status() if self.ground is not None else None,
+            "ready": not self.not_ready_reasons(),
+            "why": self.not_ready_reasons(),
+            "fleet": self.runtime.status() if self.runtime is not None else None,
             "presence": self.presence.status() if self.presence is not None else None,
             "zones": self.zones.status() if self.zones is not None else None,
             **({"copies": self.copies.status()} if self.copies is not None else {}),
         }
 
-    def ready(self) -> list[str]:
+    def not_ready_reasons(self) -> list[str]:
         """Return why no work should be sent here; empty: ready."""
         why = []
         if not self.started:
@@ -526,7 +541,7 @@
                 why.append("no node is listed as ready")
         return why
 
-    def measure(self) -> bytes:
+    def render_metrics(self) -> bytes:
         """Bring the gauges up to date and return the exposition."""
         m = self.metrics
         if self.driver is not None:
@@ -535,16 +550,16 @@
             for state in NodeState:
                 m.nodes.labels(state.value).set(sum(n.state is state for n in ledger.nodes.values()))
             self._measure_decisions(self.driver.decisions)
-        if self.watch is not None and self.watch.heard_at is not None:
-            m.list_age.set(anyio.current_time() - self.watch.heard_at / 1000)
+        if self.node_list_watch is not None and self.node_list_watch.last_response_ms is not None:
+            m.list_age.set(anyio.current_time() - self.node_list_watch.last_response_ms / 1000)
         m.connections.labels("clients").set(self.server.connections if self.server else 0)
-        m.connections.labels("nodes").set(self.nodes.connections())
-        m.stored.set(self.store.held)
+        m.connections.labels("nodes").set(self.node_client.connections())
+        m.stored.set(self.payload_store.memory_used_bytes)
         return m.text()
 
-    def _measure_decisions(self, decisions: Decisions) -> None:
+    def _measure_decisions(self, decisions: DecisionModule) -> None:
         """Show the scheduler's queues and D, where the module is the one that has them."""
-        if isinstance(decisions, Brain):
+        if isinstance(decisions, Scheduler):
             for name, node in decisions.nodes.items():
                 self.metrics.depth.labels(name).set(node.depth)
             for shard, lane in decisions.lanes.items():
@@ -555,12 +570,12 @@
         pages: dict[bytes, admin.Page] = {
             b"/healthz": admin.healthz,
             b"/readyz": self._readyz,
-            b"/metrics": lambda: (200, admin.METRICS, self.measure()),
+            b"/metrics": lambda: (200, admin.METRICS, self.render_metrics()),
             b"/v1/status": lambda: admin.status(self.status()),
         }
         await admin.serve(exchange, self.routes, pages)
 
     def _readyz(self) -> tuple[int, bytes, bytes]:
-        why = self.ready()
+        why = self.not_ready_reasons()
         body = ("; ".join(why) or "ready") + "\n"
         return (503 if why else 200), admin.TEXT, body.encode()
--- a/cressrock/plan.py
+++ b/cressrock/programs/planner.py
@@ -12,29 +12,37 @@
 from anyio.abc import TaskStatus
 
 from cressrock import net
-from cressrock.copies.keeper import Figures, Keeper
-from cressrock.dispatch.nodeclient import NodeClient
-from cressrock.gateway import Parts, World, common_ground, follow_list, placed, rollout, widen
-from cressrock.ground import Ground
+from cressrock.dispatch.node_client import NodeClient
+from cressrock.failover.carrier import FailoverAdmin, FailoverLeader
 from cressrock.http.channel import Stream
 from cressrock.http.server import Exchange
 from cressrock.interface import NodeList
-from cressrock.link.protocol import Bounds as LinkBounds
+from cressrock.link.protocol import LinkLimits as LinkBounds
 from cressrock.observe import admin
-from cressrock.planner.carrier import PlannerServer
-from cressrock.planner.core import Bounds, Planner
-from cressrock.planner.epochs import Store, next_epoch
-from cressrock.rollout.carrier import Rollout
+from cressrock.planner.epochs import EpochStore, next_epoch
+from cressrock.planner.planner import Planner, PlannerLimits
+from cressrock.planner.server import PlannerServer
+from cressrock.programs.gateway import (
+    Components,
+    Environment,
+    common_ground,
+    follow_list,
+    placed,
+    rollout,
+    widen,
+)
+from cressrock.replication.manager import ManagerSettings, ReplicaManager
+from cressrock.rollout.service import RolloutService
+from cressrock.runtime import ClusterRuntime
 from cressrock.settings.rules import Tables, Version
 from cressrock.settings.types import Gateway as Settings
 from cressrock.settings.types import interface_settings
-from cressrock.zones.carrier import LeaderZones, Moves
 
 
 class PlannerProgram:
     """One planner.  `run` serves until cancelled; `serve` takes edges' connections."""
 
-    def __init__(self, settings: Settings, world: World, *, parts: Parts | None = None) -> None:
+    def __init__(self, settings: Settings, world: Environment, *, parts: Components | None = None) -> None:
         """Take an epoch and keep it before anything is done under it.  Raises OSError."""
         # What a former epoch's planner tried again nobody can prove: it counts as spent.
         scheduler = msgspec.structs.replace(
@@ -42,15 +50,15 @@
         )
         self.settings = msgspec.structs.replace(settings, scheduler=scheduler)
         self.world = world
-        self.parts = parts or Parts()
-        store = Store(settings.pair.epoch_file)
+        self.parts = parts or Components()
+        store = EpochStore(settings.pair.epoch_file)
         self.epoch = next_epoch(store.read(), world.wall_ms())
         store.write(self.epoch)
         self.server: PlannerServer | None = None
-        self.ground: Ground | None = None
-        self.rollout: Rollout[Version] | None = None
-        self.zones: LeaderZones | None = None
-        self.keeper: Keeper | None = None
+        self.runtime: ClusterRuntime | None = None
+        self.rollout: RolloutService[Version] | None = None
+        self.zones: FailoverLeader | None = None
+        self.keeper: ReplicaManager | None = None
         self.routes: dict[bytes, Callable[[Exchange], Awaitable[None]]] = {}  # of rooms, by path's beginning
         self.nodes = NodeClient(world.connect, settings.nodes, user_agent=f"cressrock/{settings.name}")
 
@@ -62,8 +70,8 @@
             self.parts.decisions(settings, world.seed, clock()),
             interface_settings(settings).classes,
             self.epoch,
-            Bounds(
-                pair.grant_ms, pair.max_inside, pair.max_edges, lend_ms=pair.lend_ms if pair.edges else 0.0
+            PlannerLimits(
+                pair.grant_ms, pair.max_inside, pair.max_edges, lease_ms=pair.lend_ms if pair.edges else 0.0
             ),
             interface_settings(settings).plans,
         )
@@ -72,31 +80,33 @@
             tasks = await stack.enter_async_context(anyio.create_task_group())
             bounds = LinkBounds(ping_ms=pair.ping_ms, silent_ms=pair.silent_ms)
             server = self.server = PlannerServer(
-                planner, settings.name, clock=clock, bounds=bounds, log=world.log
+                planner, settings.name, clock=clock, limits=bounds, log=world.log
             )
-            self.ground = common_ground(settings, world, "planner", random.Random(world.seed))
-            if self.ground is not None:
-                self.keeper = self._keeper(self.ground, nodes)
+            self.runtime = common_ground(settings, world, "planner", random.Random(world.seed))
+            if self.runtime is not None:
+                self.keeper = self._keeper(self.runtime, nodes)
             if self.keeper is not None:
                 self.routes[b"/v1/copies"] = self.keeper.handle
             watch = follow_list(settings, world, nodes, self._listed)
-            server.subscribe = watch.subscribe
-            server.versioned = settings.rollout is not None
+            server.subscribe_to_node_list = watch.subscribe
+            server.knows_versions = settings.rollout is not None
             watch.load_cache()
             watch.subscribe()
             tasks.start_soon(watch.run)
             tasks.start_soon(server.run)
-            if self.ground is not None:
-                await tasks.start(self.ground.run)
+            if self.runtime is not None:
+                await tasks.start(self.runtime.run)
                 if settings.rollout is not None:
-                    self.rollout = self._rollout(self.ground, planner, server)
+                    self.rollout = self._rollout(self.runtime, planner, server)
                     self.routes[b"/v1/rollout"] = self.rollout.serve
                     tasks.start_soon(self.rollout.run)
                 if settings.zones is not None and settings.council is not None:
                     hold_ms = settings.council.hold_ms
-                    zones = self.zones = LeaderZones(settings.zones, self.ground, hold_ms, clock, world.log)
-                    self.routes[b"/v1/zones/"] = Moves(
-                        settings.zones, self.ground, hold_ms, zones.status
+                    zones = self.zones = FailoverLeader(
+                        settings.zones, self.runtime, hold_ms, clock, world.log
+                    )
+                    self.routes[b"/v1/zones/"] = FailoverAdmin(
+                        settings.zones, self.runtime, hold_ms, zones.status
                     ).handle
                     tasks.start_soon(zones.run)
             if self.keeper is not None:
@@ -104,30 +114,32 @@
             task_status.started()
             await anyio.sleep_forever()
 
-    def _rollout(self, ground: Ground, planner: Planner, server: PlannerServer) -> Rollout[Version]:
+    def _rollout(
+        self, ground: ClusterRuntime, planner: Planner, server: PlannerServer
+    ) -> RolloutService[Version]:
         tables = Tables(self.settings)
 
         def widened(live: tuple[str, ...]) -> None:
             rows = tables.rows(interface_settings(self.settings))
-            planner.widen(rows.classes, rows.plans, tables.places())
+            planner.set_rule_versions(rows.classes, rows.plans, tables.places())
             widen(planner.decisions, tables)
-            server.tell_rules(live)  # only now: what edges offer under a version is decided by it
+            server.announce_rule_versions(live)  # only now: what edges offer under a version is decided by it
 
         source = random.Random(self.world.seed + 1)  # beside the ground's, which is drawn from the seed
         return rollout(self.settings, self.world, ground, tables, widened, source, judges=True)
 
     def _listed(self, report: NodeList) -> None:
         assert self.server is not None
-        self.server.listed(report)
+        self.server.receive_node_list(report)
         if self.keeper is not None:
-            self.keeper.listed(report)
+            self.keeper.on_node_list(report)
 
-    def _keeper(self, ground: Ground, nodes: NodeClient) -> Keeper | None:
+    def _keeper(self, ground: ClusterRuntime, nodes: NodeClient) -> ReplicaManager | None:
         """Return what keeps the copies in sync; None where no volume has any, or this holds no seat."""
         found, part, council = placed(self.settings), self.settings.copies, self.settings.council
         if not found or council is None or council.store is None:
             return None
-        figures = Figures(
+        figures = ManagerSettings(
             part.look_ms,
             part.witnesses,
             part.back_least_ms,
@@ -139,7 +151,7 @@
             part.repair_busy,
             part.repair_pause_ms,
         )
-        return Keeper(
+        return ReplicaManager(
             found,
             ground,
             nodes,
@@ -147,7 +159,7 @@
             regions=part.regions,
             clock=net.clock(),
             log=self.world.log,
-            life=f"{self.settings.name}-{self.epoch}",
+            incarnation=f"{self.settings.name}-{self.epoch}",
         )
 
     def status(self) -> dict[str, Any]:
@@ -157,7 +169,7 @@
             "name": self.settings.name,
             "epoch": self.epoch,
             "edges": edges,
-            "fleet": self.ground.status() if self.ground is not None else None,
+            "fleet": self.runtime.status() if self.runtime is not None else None,
             "zones": self.zones.status() if self.zones is not None else None,
             **({"copies": self.keeper.status()} if self.keeper is not None else {}),
         }
--- a/cressrock/copies/model.py
+++ b/cressrock/replication/in_sync_set.py
@@ -14,23 +14,23 @@
 
 import msgspec
 
-from cressrock.errors.copies import BadSet, SetNewer
+from cressrock.errors.replication import InvalidSetError, UnknownSetVersionError
 
 VERSION = 1
 MAX_COPIES = 8  # of one shard; each one more is one more write for every write
 
-EPOCH = b"x-cressrock-epoch"
-COPY = b"x-cressrock-copy"
-AT = b"x-cressrock-version"
-SURE = b"x-cressrock-sure"
-CLEARED = b"x-cressrock-cleared"
-PATH = b"x-cressrock-path"
-KIND = b"x-cressrock-kind"
-TIMES = b"x-cressrock-times"
-LIFE = b"x-cressrock-life"
-REFUSED = b"x-cressrock-refused"
-OWED = b"x-cressrock-owed"
-AFTER = b"x-cressrock-after"
+EPOCH_HEADER = b"x-cressrock-epoch"
+REPLICA_HEADER = b"x-cressrock-copy"
+VERSION_HEADER = b"x-cressrock-version"
+COMMITTED_HEADER = b"x-cressrock-sure"
+CLEARED_HEADER = b"x-cressrock-cleared"
+PATH_HEADER = b"x-cressrock-path"
+KIND_HEADER = b"x-cressrock-kind"
+TIMES_HEADER = b"x-cressrock-times"
+STORE_HEADER = b"x-cressrock-life"
+REJECTED_HEADER = b"x-cressrock-refused"
+MISSING_SINCE_HEADER = b"x-cressrock-owed"
+AFTER_HEADER = b"x-cressrock-after"
 
 Whole = Annotated[int, msgspec.Meta(ge=0, le=2**63 - 1)]
 Zone = Annotated[str, msgspec.Meta(min_length=1, max_length=64)]
@@ -48,152 +48,152 @@
         return f"{self.epoch}.{self.number}"
 
 
-NONE = Version(0, 0)
+NO_VERSION = Version(0, 0)
 
 
-def version(text: str) -> Version:
+def parse_version(text: str) -> Version:
     """Read a version from a header.  Raises BadSet."""
     one, _, other = text.strip().partition(".")
     if not (one.isdecimal() and other.isdecimal() and len(text) <= 40):
-        raise BadSet(f"{text[:40]!r} is no version")
+        raise InvalidSetError(f"{text[:40]!r} is no version")
     return Version(int(one), int(other))
 
 
-class Refusal(StrEnum):
+class Rejection(StrEnum):
     """Why a node refused what it was asked under a set; header `X-Cressrock-Refused`.  Nothing ran."""
 
-    OLDER = "older-epoch"  # the node knows a newer set
-    STORE = "other-store"  # its disk is not the one that the set names: it may have lost something
-    BEHIND = "not-in-sync"  # it knows itself as out of the set, and was asked to read
+    OLDER_EPOCH = "older-epoch"  # the node knows a newer set
+    OTHER_STORE = "other-store"  # its disk is not the one that the set names: it may have lost something
+    NOT_IN_SYNC = "not-in-sync"  # it knows itself as out of the set, and was asked to read
 
 
-class State(StrEnum):
+class ReplicaState(StrEnum):
     """What a copy is in its set."""
 
-    IN = "in"  # has every acknowledged write; may be read
+    IN_SYNC = "in"  # has every acknowledged write; may be read
     JOINING = "joining"  # has part in every write, still lacks older ones; is not read
-    OWED = "owed"  # out: lacks what was written since
+    OUT_OF_SYNC = "owed"  # out: lacks what was written since
 
 
-class Copy(msgspec.Struct, frozen=True, array_like=True):
+class Replica(msgspec.Struct, frozen=True, array_like=True):
     """One copy.  `since` is the last epoch of which it had all (0: none); `life` names its store."""
 
     zone: Zone
-    state: State
-    life: Life = ""
-    since: Whole = 0
-    times: Whole = 0  # how often it was put out, for the pace of coming back
+    state: ReplicaState
+    store_id: Life = ""
+    complete_epoch: Whole = 0
+    evictions: Whole = 0  # how often it was put out, for the pace of coming back
 
 
-class Lost(msgspec.Struct, frozen=True, array_like=True):
+class AcceptedLoss(msgspec.Struct, frozen=True, array_like=True):
     """An operator's word: what was acknowledged after epoch `since` only at `zone` may be lost."""
 
     zone: Zone
-    since: Whole
+    complete_epoch: Whole
     epoch: Whole
 
 
-class Sync(msgspec.Struct, frozen=True, array_like=True):
+class InSyncSet(msgspec.Struct, frozen=True, array_like=True):
     """The set of one shard's copies: the decree `sync/VOLUME/SHARD`.  `epoch` grows with each change.
 
     `reign` is the epoch in which the present first copy became the first one.
     """
 
     epoch: Annotated[int, msgspec.Meta(ge=1, le=2**62)]
-    first: Zone
-    copies: Annotated[tuple[Copy, ...], msgspec.Meta(min_length=1, max_length=MAX_COPIES)]
-    lost: Annotated[tuple[Lost, ...], msgspec.Meta(max_length=8)] = ()
-    reign: Whole = 1
+    primary: Zone
+    replicas: Annotated[tuple[Replica, ...], msgspec.Meta(min_length=1, max_length=MAX_COPIES)]
+    accepted_losses: Annotated[tuple[AcceptedLoss, ...], msgspec.Meta(max_length=8)] = ()
+    primary_since_epoch: Whole = 1
 
-    def copy(self, zone: str) -> Copy | None:
+    def replica(self, zone: str) -> Replica | None:
         """Return a zone's copy."""
-        return next((c for c in self.copies if c.zone == zone), None)
+        return next((c for c in self.replicas if c.zone == zone), None)
 
-    def zones(self, *states: State) -> tuple[str, ...]:
+    def zones_in(self, *states: ReplicaState) -> tuple[str, ...]:
         """Return the zones whose copies are in one of these states, in the set's order."""
-        return tuple(c.zone for c in self.copies if c.state in states)
+        return tuple(c.zone for c in self.replicas if c.state in states)
 
     @property
-    def writes(self) -> tuple[str, ...]:
+    def write_zones(self) -> tuple[str, ...]:
         """The zones that must have a write before it is acknowledged, the first one first."""
-        others = [z for z in self.zones(State.IN, State.JOINING) if z != self.first]
-        return (self.first, *others)
+        others = [z for z in self.zones_in(ReplicaState.IN_SYNC, ReplicaState.JOINING) if z != self.primary]
+        return (self.primary, *others)
 
     @property
-    def reads(self) -> tuple[str, ...]:
+    def read_zones(self) -> tuple[str, ...]:
         """The zones that may be read."""
-        return self.zones(State.IN)
+        return self.zones_in(ReplicaState.IN_SYNC)
 
 
-def topic(volume: str, shard: int) -> str:
+def set_topic(volume: str, shard: int) -> str:
     """Return the topic under which the set of a shard (its index in the volume) is decided."""
     return f"sync/{volume}/{shard}"
 
 
 _encoder = msgspec.msgpack.Encoder()
-_decoder = msgspec.msgpack.Decoder(Sync)
+_decoder = msgspec.msgpack.Decoder(InSyncSet)
 
 
-def encode(sync: Sync) -> bytes:
+def encode_set(sync: InSyncSet) -> bytes:
     """Return a set as a decree's value: the version, then MessagePack."""
     return bytes((VERSION,)) + _encoder.encode(sync)
 
 
-def decode(data: bytes) -> Sync:
+def decode_set(data: bytes) -> InSyncSet:
     """Read a decree's value; fields that a newer program appended are ignored.
 
     Raises BadSet, SetNewer.
     """
     if data and data[0] > VERSION:
-        raise SetNewer(f"a set of copies of version {data[0]}")
+        raise UnknownSetVersionError(f"a set of copies of version {data[0]}")
     if not data or data[0] != VERSION:
-        raise BadSet("no set of copies")
+        raise InvalidSetError("no set of copies")
     try:
         sync = _decoder.decode(data[1:])
     except (msgspec.DecodeError, RecursionError) as wrong:
-        raise BadSet(f"no set of copies: {wrong}") from None
-    names = [c.zone for c in sync.copies]
-    if len(set(names)) != len(names) or sync.first not in sync.reads:
-        raise BadSet(f"a set whose first copy {sync.first!r} is not in it, or with a zone twice")
+        raise InvalidSetError(f"no set of copies: {wrong}") from None
+    names = [c.zone for c in sync.replicas]
+    if len(set(names)) != len(names) or sync.primary not in sync.read_zones:
+        raise InvalidSetError(f"a set whose first copy {sync.primary!r} is not in it, or with a zone twice")
     return sync
 
 
-class Entry(msgspec.Struct, frozen=True, array_like=True):
+class RecordEntry(msgspec.Struct, frozen=True, array_like=True):
     """A record of a node, as its list tells it: what stands at a path, under which version."""
 
     key: Annotated[str, msgspec.Meta(max_length=8192)]
-    at: Annotated[str, msgspec.Meta(max_length=40)]
+    version: Annotated[str, msgspec.Meta(max_length=40)]
     kind: Annotated[str, msgspec.Meta(max_length=16)]  # file, collection, gone
-    cleared: Annotated[str, msgspec.Meta(max_length=40)]
-    sure: bool
+    cleared_version: Annotated[str, msgspec.Meta(max_length=40)]
+    committed: bool
 
 
-class Page(msgspec.Struct, frozen=True, array_like=True):
+class RecordPage(msgspec.Struct, frozen=True, array_like=True):
     """Some records in the order of their paths; `more`: others follow."""
 
-    entries: Annotated[tuple[Entry, ...], msgspec.Meta(max_length=1024)]
+    entries: Annotated[tuple[RecordEntry, ...], msgspec.Meta(max_length=1024)]
     more: bool = False
 
 
-_pages = msgspec.msgpack.Decoder(Page)
+_pages = msgspec.msgpack.Decoder(RecordPage)
 
 
-def encode_page(page: Page) -> bytes:
+def encode_page(page: RecordPage) -> bytes:
     """Return a page as a node answers it."""
     return bytes((VERSION,)) + _encoder.encode(page)
 
 
-def decode_page(data: bytes) -> Page:
+def decode_page(data: bytes) -> RecordPage:
     """Read a node's page.  Raises BadSet."""
     if not data or data[0] != VERSION:
-        raise BadSet("no page of records")
+        raise InvalidSetError("no page of records")
     try:
         return _pages.decode(data[1:])
     except (msgspec.DecodeError, RecursionError) as wrong:
-        raise BadSet(f"no page of records: {wrong}") from None
+        raise InvalidSetError(f"no page of records: {wrong}") from None
 
 
-def nearest(zones: Iterable[str], own: str, regions: dict[str, str]) -> tuple[str, ...]:
+def by_distance(zones: Iterable[str], own: str, regions: dict[str, str]) -> tuple[str, ...]:
     """Order zones from a place: its own, its region's, the others; among equals by name."""
     here = regions.get(own, "")
     return tuple(sorted(zones, key=lambda z: (z != own, regions.get(z, "") != here or not here, z)))
--- a/cressrock/copies/reach.py
+++ b/cressrock/replication/reachability.py
@@ -10,7 +10,7 @@
 
 from cressrock.interface import Outcome
 
-GONE, STORE, WELL = b"gone", b"store", b"well"
+UNREACHABLE, OTHER_STORE, REACHABLE = b"gone", b"store", b"well"
 SIGNS = frozenset({Outcome.NO_CONNECTION, Outcome.TIMEOUT, Outcome.RESET})
 
 
@@ -23,7 +23,7 @@
     other_store: bool = False
 
 
-class Reach:
+class ReachabilityTracker:
     """Which node shards answer this process.  Bounded by the shards of the settings.
 
     A shard counts as gone once `least` attempts on end could not reach it, over at least `over_ms`, so that a
@@ -38,7 +38,7 @@
         self.absent: dict[int, float] = {}  # since when the list names no ready node of a shard
         self.shards: dict[int, _Shard] = {}
 
-    def ended(self, shard: int, outcome: Outcome, now_ms: float) -> None:
+    def record_outcome(self, shard: int, outcome: Outcome, now_ms: float) -> None:
         """Enter an attempt's outcome."""
         known = self.shards.setdefault(shard, _Shard())
         if outcome in SIGNS:
@@ -49,7 +49,7 @@
         elif outcome in (Outcome.OK, Outcome.FULL, Outcome.ERROR):
             known.failures, known.well_at = 0, now_ms
 
-    def listed(self, ready: Collection[int], wanted: Collection[int], now_ms: float) -> None:
+    def record_node_list(self, ready: Collection[int], wanted: Collection[int], now_ms: float) -> None:
         """Enter a node list: the shards that have a ready node, of those that are wanted.
 
         To a shard without any nothing is sent, so no attempt could say that it is gone.  `absent_ms` is for a
@@ -61,17 +61,17 @@
             else:
                 self.absent.setdefault(shard, now_ms)
 
-    def forgive(self, shard: int) -> None:
+    def reset(self, shard: int) -> None:
         """Begin anew with a shard whose copy is taken back into its set: others have reached it."""
         known = self.shards.get(shard)
         if known is not None:
             known.failures = 0
 
-    def store(self, shard: int, *, other: bool) -> None:
+    def record_store(self, shard: int, *, other: bool) -> None:
         """Enter that a node refused since its store is not the one of the set, or that it did not."""
         self.shards.setdefault(shard, _Shard()).other_store = other
 
-    def gone(self, shard: int, now_ms: float) -> bool:
+    def is_unreachable(self, shard: int, now_ms: float) -> bool:
         """Whether this process's attempts say that a shard cannot be reached."""
         if now_ms - self.absent.get(shard, now_ms) >= self.absent_ms:
             return True
@@ -80,23 +80,23 @@
             return False
         return now_ms - known.failed_at <= self.fresh_ms
 
-    def word(self, shard: int, now_ms: float, asked: bool) -> bytes | None:
+    def report(self, shard: int, now_ms: float, asked: bool) -> bytes | None:
         """Return what to tell the others of a shard; that it is well only where somebody doubts it."""
         known = self.shards.get(shard)
         if known is not None and known.other_store:
-            return STORE
-        if self.gone(shard, now_ms):
-            return GONE
+            return OTHER_STORE
+        if self.is_unreachable(shard, now_ms):
+            return UNREACHABLE
         if known is None:
             return None
-        return WELL if asked and now_ms - known.well_at <= self.fresh_ms else None
+        return REACHABLE if asked and now_ms - known.well_at <= self.fresh_ms else None
 
 
-def lost(words: Mapping[str, bytes], least: int) -> bool:
+def is_lost(words: Mapping[str, bytes], least: int) -> bool:
     """Whether a copy counts as lost by the words of the processes that are alive.
 
     One process's bad network never moves a first copy: at least `least` say that it is gone, and no fewer
     than say that it is well.
     """
-    gone = sum(word == GONE for word in words.values())
-    return gone >= max(1, least) and gone >= sum(word == WELL for word in words.values())
+    gone = sum(word == UNREACHABLE for word in words.values())
+    return gone >= max(1, least) and gone >= sum(word == REACHABLE for word in words.values())
--- a/cressrock/copies/repair.py
+++ b/cressrock/replication/repair.py
@@ -20,10 +20,17 @@
 from dataclasses import dataclass
 from typing import Any
 
-from cressrock.copies import sets
-from cressrock.copies.model import Entry, State, Sync, Version, version
-from cressrock.copies.write import Do, Fetch, Kind, Op, Record, op
-from cressrock.errors.copies import BadSet, NotAllowed
+from cressrock.errors.replication import InvalidSetError, TransitionNotAllowedError
+from cressrock.replication import transitions
+from cressrock.replication.in_sync_set import InSyncSet, RecordEntry, ReplicaState, Version, parse_version
+from cressrock.replication.write import (
+    FetchRecord,
+    OperationKind,
+    PerformOperations,
+    Record,
+    ReplicaOperation,
+    operation_at,
+)
 
 ENOUGH = 64  # so few records are left to the last pass, under the epoch of joining
 MOST_PASSES = 16
@@ -31,84 +38,84 @@
 
 
 @dataclass(frozen=True, slots=True)
-class List:
+class ListMissing:
     """Have the next page of a first copy's list read; answered by a Page, or None."""
 
-    op: Op
-    since: int
+    operation: ReplicaOperation
+    complete_epoch: int
     after: str
 
 
 @dataclass(frozen=True, slots=True)
-class Look:
+class InspectStore:
     """Have a copy's store told; answered by its life, or None."""
 
-    op: Op
+    operation: ReplicaOperation
 
 
 @dataclass(frozen=True, slots=True)
-class Decide:
+class ProposeSet:
     """Have a set decided in place of the one it was made from; answered by whether it stands now."""
 
-    old: Sync
-    new: Sync
+    old: InSyncSet
+    new: InSyncSet
 
 
 @dataclass(frozen=True, slots=True)
-class Report:
+class RepairReport:
     """What a plan came to."""
 
-    back: bool
-    moved: int
-    why: str = ""
+    rejoined: bool
+    records_copied: int
+    reason: str = ""
 
 
-Step = List | Look | Decide | Do | Fetch
-Plan = Generator[Step, Any, Report]
+Step = ListMissing | InspectStore | ProposeSet | PerformOperations | FetchRecord
+Plan = Generator[Step, Any, RepairReport]
 
 
-def repair(sync: Sync, zone: str, *, early: bool = False) -> Plan:
+def repair_replica(sync: InSyncSet, zone: str, *, skip_last_pass: bool = False) -> Plan:
     """Bring one copy back.  `early` skips the last pass, for a test that shows what it is for."""
     moved = 0
     held: dict[str, Record] = {}
-    copy = sync.copy(zone)
-    if copy is None or copy.state is State.IN:
-        return Report(False, 0, "nothing owed")
-    life = yield Look(op(sync, zone, Kind.LOOK))
+    copy = sync.replica(zone)
+    if copy is None or copy.state is ReplicaState.IN_SYNC:
+        return RepairReport(False, 0, "nothing owed")
+    life = yield InspectStore(operation_at(sync, zone, OperationKind.INSPECT))
     if not life:
-        return Report(False, 0, "not reached")
-    if copy.state is State.OWED:
-        since = copy.since if copy.life == life else 0
+        return RepairReport(False, 0, "not reached")
+    if copy.state is ReplicaState.OUT_OF_SYNC:
+        since = copy.complete_epoch if copy.store_id == life else 0
         for _ in range(MOST_PASSES):
             count = yield from _pass(sync, zone, life, since, held)
             if count is None:
-                return Report(False, moved, "interrupted")
+                return RepairReport(False, moved, "interrupted")
             moved += count
             if count <= ENOUGH:
                 break
-        following = sets.joined(sync, zone, life)
-        if not (yield Decide(sync, following)):
-            return Report(False, moved, "another set stands")
+        following = transitions.begin_joining(sync, zone, life)
+        if not (yield ProposeSet(sync, following)):
+            return RepairReport(False, moved, "another set stands")
         sync = following
-    elif copy.life != life:
-        return Report(False, moved, "its store changed while it joined")
-    copy = sync.copy(zone)
+    elif copy.store_id != life:
+        return RepairReport(False, moved, "its store changed while it joined")
+    copy = sync.replica(zone)
     assert copy is not None
-    if not early:
-        count = yield from _pass(sync, zone, life, copy.since, held)
+    if not skip_last_pass:
+        count = yield from _pass(sync, zone, life, copy.complete_epoch, held)
         if count is None:
-            return Report(False, moved, "interrupted")
+            return RepairReport(False, moved, "interrupted")
         moved += count
     try:
-        following = sets.came_back(sync, sets.Proof(zone, sync.epoch, life))
-    except NotAllowed as wrong:
-        return Report(False, moved, wrong.text)
-    back = yield Decide(sync, following)
-    return Report(bool(back), moved, "" if back else "another set stands")
+        following = transitions.readmit(sync, transitions.CatchUpProof(zone, sync.epoch, life))
+    except TransitionNotAllowedError as wrong:
+        return RepairReport(False, moved, wrong.text)
+    back = yield ProposeSet(sync, following)
+    return RepairReport(bool(back), moved, "" if back else "another set stands")
 
 
 def _pass(
-    sync: Sync, zone: str, life: str, since: int, held: dict[str, Record]
+    sync: InSyncSet, zone: str, life: str, since: int, held: dict[str, Record]
 ) -> Generator[Step, Any, int | None]:
     """Take the list over once; returns the number of records moved, or None where it broke off.
 
@@ -116,13 +123,13 @@
     """
     moved, after = 0, ""
     while True:
-        page = yield List(op(sync, sync.first, Kind.LOOK), since, after)
+        page = yield ListMissing(operation_at(sync, sync.primary, OperationKind.INSPECT), since, after)
         if page is None:
             return None
         for entry in page.entries:
             try:
                 record = _record(entry)
-            except BadSet:
+            except InvalidSetError:
                 return None
             after = entry.key
             known = held.get(entry.key)
@@ -140,21 +147,29 @@
             return moved
 
 
-def _record(entry: Entry) -> Record:
-    return Record(entry.key, version(entry.at), entry.kind, version(entry.cleared), entry.sure)
+def _record(entry: RecordEntry) -> Record:
+    return Record(
+        entry.key,
+        parse_version(entry.version),
+        entry.kind,
+        parse_version(entry.cleared_version),
+        entry.committed,
+    )
 
 
 def _newer(there: Record, record: Record) -> bool:
-    return there.at >= record.at and there.cleared >= record.cleared
+    return there.version >= record.version and there.cleared_version >= record.cleared_version
 
 
 def _move(
-    sync: Sync, zone: str, life: str, record: Record, look: bool
+    sync: InSyncSet, zone: str, life: str, record: Record, look: bool
 ) -> Generator[Step, Any, Record | None]:
     """Take one record over; returns what the copy holds then, or None where that failed."""
-    role = op(sync, zone, Kind.APPLY).role
+    role = operation_at(sync, zone, OperationKind.APPLY).role
     if look:
-        (there,) = yield Do((Op(zone, role, sync.epoch, life, Kind.LOOK, record),))
+        (there,) = yield PerformOperations(
+            (ReplicaOperation(zone, role, sync.epoch, life, OperationKind.INSPECT, record),)
+        )
         if there.refused is not None:
             return None
         if there.record is not None and there.record.path == record.path and _newer(there.record, record):
@@ -162,18 +177,20 @@
             return found
     payload = None
     if record.kind == "file":
-        fetched = yield Fetch(op(sync, sync.first, Kind.CLIENT, record))
+        fetched = yield FetchRecord(operation_at(sync, sync.primary, OperationKind.CLIENT, record))
         if fetched is None:
             return None
         record, payload = fetched
-    (got,) = yield Do((Op(zone, role, sync.epoch, life, Kind.APPLY, record, payload),))
+    (got,) = yield PerformOperations(
+        (ReplicaOperation(zone, role, sync.epoch, life, OperationKind.APPLY, record, payload),)
+    )
     taken: Record | None = got.record
-    if got.refused is not None or taken is None or taken.at < record.at:
+    if got.rejection is not None or taken is None or taken.version < record.version:
         return None
     return record
 
 
-class Pace:
+class RepairPacer:
     """How fast repair may go: below live work, at a small share.  Pure; times in ms.
 
     `share` of the time is spent in operations at most, `rate` begin each second at most, and while a node
@@ -187,7 +204,7 @@
         self.share, self.rate, self.busy, self.pause_ms = share, rate, busy, pause_ms
         self.next_ms = 0.0
 
-    def done(self, now_ms: float, took_ms: float, *, refused: bool, load: float) -> None:
+    def record_operation(self, now_ms: float, took_ms: float, *, refused: bool, load: float) -> None:
         """Enter an operation that ended now."""
         rest = max(took_ms * (1 / self.share - 1), 1000 / self.rate)
         if refused or load > self.busy:
@@ -199,4 +216,13 @@
         return max(0.0, self.next_ms - now_ms)
 
 
-__all__ = ["Decide", "List", "Look", "Pace", "Plan", "Report", "Version", "repair"]
+__all__ = [
+    "ProposeSet",
+    "ListMissing",
+    "InspectStore",
+    "RepairPacer",
+    "Plan",
+    "RepairReport",
+    "Version",
+    "repair_replica",
+]
--- a/cressrock/copies/write.py
+++ b/cressrock/replication/write.py
@@ -20,19 +20,19 @@
 from enum import Enum
 from typing import Any
 
-from cressrock.copies.model import NONE, Refusal, State, Sync, Version
+from cressrock.replication.in_sync_set import NO_VERSION, InSyncSet, Rejection, ReplicaState, Version
 
-FIRST = "first"
+PRIMARY_ROLE = "first"
 MOST_TURNS = 12  # sets that one request may live through; more change only in a storm
 MOST_SETTLED = 8  # records that one read may have to settle, one above the other
 
 
-class Kind(Enum):
+class OperationKind(Enum):
     """What to do at a copy."""
 
     CLIENT = "client"  # what the client asked for, conditions and all
     APPLY = "apply"  # take a record over: payload or none, under its version
-    LOOK = "look"  # tell the record of a path
+    INSPECT = "look"  # tell the record of a path
 
 
 @dataclass(frozen=True, slots=True)
@@ -40,28 +40,28 @@
     """What stands at a path of a copy."""
 
     path: str
-    at: Version
+    version: Version
     kind: str = "file"  # file, collection, gone
-    cleared: Version = NONE
-    sure: bool = False
-    times: str = ""
+    cleared_version: Version = NO_VERSION
+    committed: bool = False
+    timestamps: str = ""
 
 
 @dataclass(frozen=True, slots=True)
-class Op:
+class ReplicaOperation:
     """One operation at one copy, under a set's epoch.  `payload` is a handle of whoever runs it."""
 
     zone: str
     role: str
     epoch: int
-    life: str
-    kind: Kind
+    store_id: str
+    kind: OperationKind
     record: Record | None = None  # to apply, or to look at
     payload: Any = None
 
 
 @dataclass(frozen=True, slots=True)
-class Got:
+class ReplicaResult:
     """What came of an operation.  `reply` is the node's answer, in the runner's own form; None: denied.
 
     `ran`: it may have run.  `gone`: there is reason to think that the copy cannot be reached, beyond a turn
@@ -69,89 +69,97 @@
     """
 
     reply: Any = None
-    ran: bool = False
-    gone: bool = False
+    may_have_run: bool = False
+    unreachable: bool = False
     failed: bool = False
-    refused: Refusal | None = None
+    rejection: Rejection | None = None
     epoch: int = 0  # the node's
     record: Record | None = None
-    denied: Any = None
+    denial: Any = None
 
 
 @dataclass(frozen=True, slots=True)
-class Do:
+class PerformOperations:
     """Have operations done side by side; answered by as many `Got`."""
 
-    ops: tuple[Op, ...]
+    operations: tuple[ReplicaOperation, ...]
 
 
 @dataclass(frozen=True, slots=True)
-class Fetch:
+class FetchRecord:
     """Have a record's payload read from a copy; answered by (Record, payload) or None."""
 
-    op: Op
+    operation: ReplicaOperation
 
 
 @dataclass(frozen=True, slots=True)
-class PutOut:
+class EvictReplicas:
     """Have copies put out of the set by decree; answered by the set that then stands, or None."""
 
     zones: tuple[str, ...]
-    sync: Sync
+    in_sync_set: InSyncSet
 
 
 @dataclass(frozen=True, slots=True)
-class Refresh:
+class RefreshSet:
     """Get a set of at least this epoch; answered by it, or None if none came in time."""
 
-    epoch: int
+    min_epoch: int
 
 
 @dataclass(frozen=True, slots=True)
-class Sure:
+class MarkCommitted:
     """Note that a version is on every copy: it is told along with what goes to them anyway.  No answer."""
 
-    sync: Sync
-    at: Version
+    in_sync_set: InSyncSet
+    version: Version
 
 
-Ask = Do | Fetch | PutOut | Refresh | Sure
+Action = PerformOperations | FetchRecord | EvictReplicas | RefreshSet | MarkCommitted
 
 
-class End(Enum):
+class Disposition(Enum):
     """How a request ended."""
 
     ANSWER = "answer"  # the node's answer, in `got`
-    REFUSED = "refused"  # nothing ran: a retry is harmless
+    REJECTED = "refused"  # nothing ran: a retry is harmless
     FAILED = "failed"  # may have run
 
 
 @dataclass(frozen=True, slots=True)
-class Outcome:
+class OperationOutcome:
     """What to answer.  `why` is for logs: a word or two."""
 
-    end: End
-    got: Got | None = None
-    why: str = ""
+    disposition: Disposition
+    result: ReplicaResult | None = None
+    reason: str = ""
 
 
 @dataclass(frozen=True, slots=True)
-class Rules:
+class SafetyRules:
     """What the machines heed; a test switches one off to see that it is needed."""
 
-    decree_first: bool = True  # acknowledge without a copy only after the decree that puts it out
-    settle: bool = True  # an unsure record is settled before it is told
+    evict_before_ack: bool = True  # acknowledge without a copy only after the decree that puts it out
+    settle_reads: bool = True  # an unsure record is settled before it is told
 
 
-Steps = Generator[Ask, Any, Outcome]
-RULES = Rules()
+Steps = Generator[Action, Any, OperationOutcome]
+DEFAULT_SAFETY_RULES = SafetyRules()
 
 
-def op(sync: Sync, zone: str, kind: Kind, record: Record | None = None, payload: Any = None) -> Op:
+def operation_at(
+    sync: InSyncSet, zone: str, kind: OperationKind, record: Record | None = None, payload: Any = None
+) -> ReplicaOperation:
     """Return an operation at a copy, as a set says of it."""
-    copy = sync.copy(zone)
-    role = FIRST if zone == sync.first else str(copy.state if copy is not None else State.OWED)
-    return Op(zone, role, sync.epoch, copy.life if copy is not None else "", kind, record, payload)
+    copy = sync.replica(zone)
+    role = (
+        PRIMARY_ROLE
+        if zone == sync.primary
+        else str(copy.state if copy is not None else ReplicaState.OUT_OF_SYNC)
+    )
+    return ReplicaOperation(
+        zone, role, sync.epoch, copy.store_id if copy is not None else "", kind, record, payload
+    )
 
 
 @dataclass(slots=True)
@@ -160,132 +168,147 @@
 
     lives: dict[str, str] = field(default_factory=dict)
 
-    def lacks(self, sync: Sync) -> list[str]:
+    def lacks(self, sync: InSyncSet) -> list[str]:
         """Return the copies that must still get it."""
-        return [z for z in sync.writes if self.lives.get(z) != _life(sync, z)]
+        return [z for z in sync.write_zones if self.lives.get(z) != _life(sync, z)]
 
-    def add(self, sync: Sync, zone: str) -> None:
+    def add(self, sync: InSyncSet, zone: str) -> None:
         """Enter a copy that has it."""
         self.lives[zone] = _life(sync, zone)
 
 
-def _life(sync: Sync, zone: str) -> str:
-    copy = sync.copy(zone)
+def _life(sync: InSyncSet, zone: str) -> str:
+    copy = sync.replica(zone)
     assert copy is not None
-    return copy.life
+    return copy.store_id
 
 
-def write(sync: Sync | None, payload: Any = None, rules: Rules = RULES, gone: Sequence[str] = ()) -> Steps:
+def write_replicated(
+    sync: InSyncSet | None,
+    payload: Any = None,
+    rules: SafetyRules = DEFAULT_SAFETY_RULES,
+    gone: Sequence[str] = (),
+) -> Steps:
     """Write under the set that stands; None: no decree counts here, so nothing may be written.
 
     Copies that are known as `gone` are put out before anything is sent: without a decree the write is then
     refused, and leaves nothing half-done that reads would have to wait for.
     """
     if sync is None:
-        return Outcome(End.REFUSED, why="no-decree")
-    if sync.first in gone:
+        return OperationOutcome(Disposition.REJECTED, reason="no-decree")
+    if sync.primary in gone:
         # Danger: an edge that reaches nobody would put out all but the first copy, for everybody.
-        return Outcome(End.REFUSED, why="first-copy")
-    lost = tuple(z for z in sync.writes if z in gone)
-    if lost and rules.decree_first:
-        following = yield PutOut(lost, sync)
+        return OperationOutcome(Disposition.REJECTED, reason="first-copy")
+    lost = tuple(z for z in sync.write_zones if z in gone)
+    if lost and rules.evict_before_ack:
+        following = yield EvictReplicas(lost, sync)
         if following is None:
-            return Outcome(End.REFUSED, why="no-decree")
+            return OperationOutcome(Disposition.REJECTED, reason="no-decree")
         sync = following
     for _ in range(MOST_TURNS):
-        (got,) = yield Do((op(sync, sync.first, Kind.CLIENT, payload=payload),))
-        if got.refused is None:
+        (got,) = yield PerformOperations(
+            (operation_at(sync, sync.primary, OperationKind.CLIENT, payload=payload),)
+        )
+        if got.rejection is None:
             break
         # The fence: this edge's set is an older one, or the node's store is not the one that it names.
-        newer = yield Refresh(max(got.epoch, sync.epoch + (got.refused is Refusal.STORE)))
+        newer = yield RefreshSet(max(got.epoch, sync.epoch + (got.rejection is Rejection.OTHER_STORE)))
         if newer is None:
-            return Outcome(End.REFUSED, why=got.refused.value)
+            return OperationOutcome(Disposition.REJECTED, reason=got.rejection.value)
         sync = newer
     else:
-        return Outcome(End.REFUSED, why="sets-change")
+        return OperationOutcome(Disposition.REJECTED, reason="sets-change")
     if got.reply is None:
-        return Outcome(End.FAILED if got.ran else End.REFUSED, got, "first-copy")
+        return OperationOutcome(Disposition.FAILED if got.ran else Disposition.REJECTED, got, "first-copy")
     if got.failed:
-        return Outcome(End.FAILED, got, "first-copy")
+        return OperationOutcome(Disposition.FAILED, got, "first-copy")
     record: Record | None = got.record
     if record is None:
-        return Outcome(End.ANSWER, got)
+        return OperationOutcome(Disposition.ANSWER, got)
     held = _Held()
-    held.add(sync, sync.first)
+    held.add(sync, sync.primary)
     changed = _changes(got)
-    if not changed and (record.sure or not rules.settle):
-        return Outcome(End.ANSWER, got)
-    done = yield from _spread(sync, sync.first, record, held, payload if changed else None, rules, changed)
+    if not changed and (record.committed or not rules.settle_reads):
+        return OperationOutcome(Disposition.ANSWER, got)
+    done = yield from _spread(sync, sync.primary, record, held, payload if changed else None, rules, changed)
     if done is None:
         # What was answered rests on a write that others lack: telling it would promise what may be gone.
-        return Outcome(End.FAILED, got, "copies") if changed else Outcome(End.REFUSED, got, "unsettled")
-    return Outcome(End.ANSWER, got)
+        return (
+            OperationOutcome(Disposition.FAILED, got, "copies")
+            if changed
+            else OperationOutcome(Disposition.REJECTED, got, "unsettled")
+        )
+    return OperationOutcome(Disposition.ANSWER, got)
 
 
-def _changes(got: Got) -> bool:
+def _changes(got: ReplicaResult) -> bool:
     return getattr(got.reply, "status", 0) in (201, 204)
 
 
 def _spread(
-    sync: Sync, source: str, record: Record, held: _Held, payload: Any, rules: Rules, writes: bool
-) -> Generator[Ask, Any, Sync | None]:
+    sync: InSyncSet, source: str, record: Record, held: _Held, payload: Any, rules: SafetyRules, writes: bool
+) -> Generator[Action, Any, InSyncSet | None]:
     """Bring a record to all copies that write; returns the set whose copies all have it, or None."""
     for _ in range(MOST_TURNS):
         lacks = held.lacks(sync)
         if not lacks:
-            yield Sure(sync, record.at)
+            yield MarkCommitted(sync, record.version)
             return sync
         if not writes:
             # A read looks first: most often the write under way has come to all of them meanwhile.
-            looked = yield Do(tuple(op(sync, z, Kind.LOOK, record) for z in lacks))
+            looked = yield PerformOperations(
+                tuple(operation_at(sync, z, OperationKind.INSPECT, record) for z in lacks)
+            )
             newest = max(got.epoch for got in looked)
             if newest > sync.epoch:
                 # Danger: a copy that came in meanwhile would not be asked, and may have less.
-                newer = yield Refresh(newest)
+                newer = yield RefreshSet(newest)
                 if newer is None:
                     return None
                 sync = newer
                 continue
             for zone, got in zip(lacks, looked, strict=True):
-                if got.refused is None and got.record is not None and _has(got.record, record):
+                if got.rejection is None and got.record is not None and _has(got.record, record):
                     held.add(sync, zone)
             lacks = held.lacks(sync)
             if not lacks:
                 continue
         if record.kind == "file" and payload is None:
-            found = yield Fetch(op(sync, source, Kind.CLIENT, record))
+            found = yield FetchRecord(operation_at(sync, source, OperationKind.CLIENT, record))
             if found is None:
                 return None
             newer, payload = found
-            if newer.at != record.at:
+            if newer.at != record.version:
                 return None  # overwritten meanwhile: whoever asked looks again
-        gots = yield Do(tuple(op(sync, z, Kind.APPLY, record, payload) for z in lacks))
+        gots = yield PerformOperations(
+            tuple(operation_at(sync, z, OperationKind.APPLY, record, payload) for z in lacks)
+        )
         failed, newest = [], 0
         for zone, got in zip(lacks, gots, strict=True):
-            if got.refused is Refusal.OLDER:
+            if got.rejection is Rejection.OLDER_EPOCH:
                 newest = max(newest, got.epoch)
-            elif got.refused is not None:
+            elif got.rejection is not None:
                 failed.append(zone)
-            elif got.record is not None and got.record.at >= record.at:
+            elif got.record is not None and got.record.at >= record.version:
                 held.add(sync, zone)
             elif got.reply is not None or got.ran or got.gone:
                 failed.append(zone)
             else:
                 return None  # no turn in time: a busy copy is not put out for that
-        following: Sync | None = sync
+        following: InSyncSet | None = sync
         if newest:
-            following = yield Refresh(newest)
+            following = yield RefreshSet(newest)
         elif failed:
-            if not rules.decree_first:
+            if not rules.evict_before_ack:
                 return sync
             # The first one cannot be put out by an edge; the council's own witnesses move it.
-            if sync.first in failed:
-                following = yield Refresh(sync.epoch + 1)
+            if sync.primary in failed:
+                following = yield RefreshSet(sync.epoch + 1)
             else:
-                following = yield PutOut(tuple(failed), sync)
+                following = yield EvictReplicas(tuple(failed), sync)
         if following is None:
             return None
-        if writes and record.at.epoch < following.reign:
+        if writes and record.version.epoch < following.primary_since_epoch:
             # Danger: a first copy that had been replaced gave this version.  By it the write would lie before
             # others that were acknowledged before it began.
             return None
@@ -294,69 +317,81 @@
 
 
 def _has(there: Record, wanted: Record) -> bool:
-    return there.path == wanted.path and there.at >= wanted.at and there.cleared >= wanted.cleared
-
-
-def read(sync: Sync, order: Sequence[str], *, counts: bool = True, rules: Rules = RULES) -> Steps:
+    return (
+        there.path == wanted.path
+        and there.version >= wanted.version
+        and there.cleared_version >= wanted.cleared_version
+    )
+
+
+def read_replicated(
+    sync: InSyncSet,
+    order: Sequence[str],
+    *,
+    lease_valid: bool = True,
+    rules: SafetyRules = DEFAULT_SAFETY_RULES,
+) -> Steps:
     """Read from the first of `order` (zones that are in) that can be asked.
 
     Only where nothing was sent is another copy asked, once.  `counts`: the decree counts; without that
     nothing can be settled, and what is unsure is refused.
     """
-    places = [z for z in order if z in sync.reads][:2]
+    places = [z for z in order if z in sync.read_zones][:2]
     refreshed = 0
     index = 0
-    got = Got()
+    got = ReplicaResult()
     while index < len(places):
         zone = places[index]
-        (got,) = yield Do((op(sync, zone, Kind.CLIENT),))
-        if got.refused is not None:
+        (got,) = yield PerformOperations((operation_at(sync, zone, OperationKind.CLIENT),))
+        if got.rejection is not None:
             refreshed += 1
-            newer = None if refreshed > 2 else (yield Refresh(max(got.epoch, sync.epoch + 1)))
+            newer = None if refreshed > 2 else (yield RefreshSet(max(got.epoch, sync.epoch + 1)))
             if newer is None:
                 index += 1
                 continue
             sync = newer
-            places = [z for z in order if z in sync.reads][:2] or list(sync.reads[:2])
+            places = [z for z in order if z in sync.read_zones][:2] or list(sync.read_zones[:2])
             index = 0
             continue
         if got.reply is None:
             if got.ran:
-                return Outcome(End.FAILED, got, "copy")
+                return OperationOutcome(Disposition.FAILED, got, "copy")
             index += 1
             continue
         record = got.record
-        if got.failed or record is None or record.sure or not rules.settle:
-            return Outcome(End.ANSWER, got)
-        if not counts:
-            return Outcome(End.REFUSED, got, "unsettled")
+        if got.failed or record is None or record.sure or not rules.settle_reads:
+            return OperationOutcome(Disposition.ANSWER, got)
+        if not lease_valid:
+            return OperationOutcome(Disposition.REJECTED, got, "unsettled")
         return (yield from _settled_read(sync, zone, got, rules))
-    return Outcome(End.REFUSED, got, "copies")
+    return OperationOutcome(Disposition.REJECTED, got, "copies")
 
 
-def _settled_read(sync: Sync, zone: str, got: Got, rules: Rules) -> Steps:
+def _settled_read(sync: InSyncSet, zone: str, got: ReplicaResult, rules: SafetyRules) -> Steps:
     """Bring the unsure record to all copies, and read again until the answer rests on nothing unsure."""
     surely: dict[str, Version] = {}
     for _ in range(MOST_SETTLED):
-        if got.refused is not None or got.epoch > sync.epoch:
-            newer = yield Refresh(max(got.epoch, sync.epoch + 1))
+        if got.rejection is not None or got.epoch > sync.epoch:
+            newer = yield RefreshSet(max(got.epoch, sync.epoch + 1))
             if newer is None:
                 break
             sync = newer
         elif got.reply is None:
-            return Outcome(End.FAILED if got.ran else End.REFUSED, got, "copy")
-        elif got.failed or got.record is None or got.record.sure:
-            return Outcome(End.ANSWER, got)
-        elif surely.get(got.record.path, NONE) >= got.record.at:
-            return Outcome(End.ANSWER, got)
+            return OperationOutcome(
+                Disposition.FAILED if got.may_have_run else Disposition.REJECTED, got, "copy"
+            )
+        elif got.failed or got.record is None or got.record.committed:
+            return OperationOutcome(Disposition.ANSWER, got)
+        elif surely.get(got.record.path, NO_VERSION) >= got.record.version:
+            return OperationOutcome(Disposition.ANSWER, got)
         else:
             held = _Held()
             held.add(sync, zone)
             settled = yield from _spread(sync, zone, got.record, held, None, rules, writes=False)
             if settled is not None:
                 sync = settled
-                surely[got.record.path] = got.record.at
-        if zone not in sync.reads:
-            zone = sync.reads[0]
-        (got,) = yield Do((op(sync, zone, Kind.CLIENT),))
-    return Outcome(End.REFUSED, got, "unsettled")
+                surely[got.record.path] = got.record.version
+        if zone not in sync.read_zones:
+            zone = sync.read_zones[0]
+        (got,) = yield PerformOperations((operation_at(sync, zone, OperationKind.CLIENT),))
+    return OperationOutcome(Disposition.REJECTED, got, "unsettled")
--- a/cressrock/resp/codec.py
+++ b/cressrock/resp/codec.py
@@ -19,7 +19,7 @@
 CRLF = b"\r\n"
 
 
-class Malformed(Exception):
+class ProtocolError(Exception):
     """Bytes that are not RESP2 or pass a bound; nothing after them on the stream can be read."""
 
 
@@ -40,7 +40,7 @@
 Reply = bytes | None | int | ErrorLine | Status | list["Reply"]
 
 
-class _Short(Exception):
+class _IncompleteMessageError(Exception):
     """More bytes are needed: so many in all, as far as is known."""
 
     def __init__(self, need: int) -> None:
@@ -67,8 +67,8 @@
         end = self._buffer.find(CRLF, self._at, self._at + MAX_LINE + 2)
         if end < 0:
             if len(self._buffer) - self._at >= MAX_LINE + 2:
-                raise Malformed(f"a line of over {MAX_LINE} bytes")
-            raise _Short(len(self._buffer) + 1)
+                raise ProtocolError(f"a line of over {MAX_LINE} bytes")
+            raise _IncompleteMessageError(len(self._buffer) + 1)
         line = bytes(self._buffer[self._at : end])
         self._at = end + 2
         return line
@@ -79,7 +79,9 @@
         if digits == b"-1":
             return -1
         if not digits.isdigit() or len(digits) > MAX_LENGTH_DIGITS or int(digits) > most:
-            raise Malformed(f"{what} of {digits[:24].decode('ascii', 'replace')!r}; at most {most} is taken")
+            raise ProtocolError(
+                f"{what} of {digits[:24].decode('ascii', 'replace')!r}; at most {most} is taken"
+            )
         return int(digits)
 
     def _bulk(self, length: int) -> bytes:
@@ -88,10 +90,10 @@
         if len(self._buffer) < end + 2:
             # A mismatch shows as soon as the bytes are there; one byte behind the value is enough for it.
             if len(self._buffer) > end and self._buffer[end] != 13:
-                raise Malformed("a bulk string longer than announced")
-            raise _Short(end + 2)
+                raise ProtocolError("a bulk string longer than announced")
+            raise _IncompleteMessageError(end + 2)
         if self._buffer[end : end + 2] != CRLF:
-            raise Malformed("a bulk string longer than announced")
+            raise ProtocolError("a bulk string longer than announced")
         value = bytes(self._buffer[self._at : end])
         self._at = end + 2
         return value
@@ -102,7 +104,7 @@
 
     more = False  # the last call stopped at its bound: `feed(b"")` goes on
 
-    def feed(self, data: bytes, most: int = 1 << 30) -> tuple[list[list[bytes]], Malformed | None]:
+    def feed(self, data: bytes, most: int = 1 << 30) -> tuple[list[list[bytes]], ProtocolError | None]:
         """Take bytes; return up to `most` commands that are whole now, and what made the rest unreadable.
 
         After a Malformed nothing more may be fed.
@@ -122,9 +124,9 @@
                 found.append(self._command())
                 start = self._at
             self._need = 1
-        except _Short as short:
+        except _IncompleteMessageError as short:
             self._need = short.need - start
-        except Malformed as wrong:
+        except ProtocolError as wrong:
             self._buffer.clear()
             return found, wrong
         del self._buffer[:start]
@@ -132,21 +134,21 @@
 
     def _command(self) -> list[bytes]:
         if self._buffer[self._at] != 42:  # "*"
-            raise Malformed("expected an array of bulk strings")
+            raise ProtocolError("expected an array of bulk strings")
         count = self._length(self._line(), MAX_WORDS, "a command")
         if count < 1:
-            raise Malformed("an empty command")
+            raise ProtocolError("an empty command")
         words: list[bytes] = []
         for _ in range(count):
             if self._at >= len(self._buffer):
-                raise _Short(len(self._buffer) + 1)
+                raise _IncompleteMessageError(len(self._buffer) + 1)
             if self._buffer[self._at] != 36:  # "$"
-                raise Malformed("expected a bulk string")
+                raise ProtocolError("expected a bulk string")
             # Only the last of a command's words may be a value.
             most = self.max_value if len(words) == count - 1 and count > 1 else MAX_WORD
             length = self._length(self._line(), most, "a bulk string")
             if length < 0:
-                raise Malformed("a null word")
+                raise ProtocolError("a null word")
             words.append(self._bulk(length))
         return words
 
@@ -165,7 +167,7 @@
         self._at = 0
         try:
             reply = self._reply(0)
-        except _Short as short:
+        except _IncompleteMessageError as short:
             self._need = short.need
             return None
         self._need = 1
@@ -174,10 +176,10 @@
 
     def _reply(self, depth: int) -> Reply:
         if self._at >= len(self._buffer):
-            raise _Short(len(self._buffer) + 1)
+            raise _IncompleteMessageError(len(self._buffer) + 1)
         sign = self._buffer[self._at]
         if sign not in b"$*+-:":
-            raise Malformed(f"a reply cannot begin with {chr(sign)!r}")
+            raise ProtocolError(f"a reply cannot begin with {chr(sign)!r}")
         line = self._line()
         if sign == 36:  # "$"
             length = self._length(line, self.max_value, "a bulk string")
@@ -185,7 +187,7 @@
         if sign == 42:  # "*"
             count = self._length(line, MAX_PARTS, "an array")
             if count > 0 and depth:
-                raise Malformed("an array in an array")
+                raise ProtocolError("an array in an array")
             return None if count < 0 else [self._reply(depth + 1) for _ in range(count)]
         text = line[1:].decode("ascii", "replace")
         if sign == 43:  # "+"
@@ -194,7 +196,7 @@
             return ErrorLine(text)
         digits = line[1:].removeprefix(b"-")
         if not digits.isdigit() or len(digits) > 18:
-            raise Malformed("an integer that is none")
+            raise ProtocolError("an integer that is none")
         return int(line[1:])
 
 
--- a/cressrock/resp/front.py
+++ b/cressrock/resp/front.py
@@ -19,10 +19,10 @@
 
 from cressrock.dispatch.driver import FOREVER, Driver
 from cressrock.dispatch.ledger import Verdict
-from cressrock.dispatch.transport import Denied
+from cressrock.dispatch.transport import Denial
 from cressrock.resp import codec
 from cressrock.resp.lingering import LingerBounds, Lingering
-from cressrock.resp.request import READ, WRITE, Reader, Refused
+from cressrock.resp.request import READ, WRITE, InvalidCommandError, Reader
 from cressrock.resp.room import give_up_unread, leaves_first
 
 
@@ -381,7 +381,7 @@
         for pending in client.queue:
             if name := pending.name:
                 self._forget(pending)  # which takes the name away
-                self.driver.left(name)
+                self.driver.client_left(name)
         client.queue.clear()
 
     # --- commands
@@ -391,7 +391,7 @@
         if verb == READ or verb == WRITE:
             try:
                 request = self.reader.read(words)
-            except Refused as wrong:
+            except InvalidCommandError as wrong:
                 self.refused_commands += 1
                 return _Pending(codec.error(f"ERR {wrong}"))
             if request.name in self.open_ids:
@@ -404,7 +404,7 @@
             self.count += 1
             pending.name = f"{self.count:x}"
             pending.wire_id = request.name
-            denied = self.driver.take(
+            denied = self.driver.submit(
                 pending.name,
                 pending.name,
                 request,
@@ -428,7 +428,7 @@
 
     def _answer(self, client: _Client, pending: _Pending, result: Any) -> None:
         self._forget(pending)
-        pending.data = _denial(result) if isinstance(result, Denied) else codec.bulk(result)
+        pending.data = _denial(result) if isinstance(result, Denial) else codec.bulk(result)
         client.flush()
 
     def _forget(self, pending: _Pending) -> None:
@@ -436,9 +436,9 @@
         self.open_ids.discard(pending.wire_id)
 
 
-def _denial(denied: Denied) -> bytes:
+def _denial(denied: Denial) -> bytes:
     """Write a refusal or a failure; a time to come back is written rounded up, in whole milliseconds."""
-    if denied.verdict is not Verdict.REFUSED:
+    if denied.verdict is not Verdict.REJECTED:
         return codec.error(f"ERR failed {denied.reason.value}")
     after = -int(-denied.retry_after_ms // 1)
     return codec.error(f"BUSY {after}" if after > 0 else "BUSY")
--- a/cressrock/resp/nodes.py
+++ b/cressrock/resp/nodes.py
@@ -19,7 +19,7 @@
 from dataclasses import dataclass
 from typing import cast
 
-from cressrock.dispatch.transport import Call, Ending
+from cressrock.dispatch.transport import AttemptResult, Call
 from cressrock.interface import Outcome
 from cressrock.resp import codec
 from cressrock.resp.answers import load_of, outcome_of
@@ -104,7 +104,7 @@
         self.parser.feed(data)
         try:
             got = self.parser.next()
-        except codec.Malformed as wrong:
+        except codec.ProtocolError as wrong:
             self.pool.spoilt += 1
             self.pool._drop(self)
             flight.finish(Outcome.ERROR, f"unreadable: {wrong}")
@@ -198,7 +198,7 @@
 
     def stop(self) -> None:
         """Give it up by order."""
-        self._give_up(Outcome.CANCELLED, Outcome.MOOT, "cancelled")
+        self._give_up(Outcome.CANCELLED, Outcome.ABANDONED, "cancelled")
 
     def abandon(self) -> None:
         """Let nothing more leave of a request that is written in part: its client has gone."""
@@ -218,7 +218,7 @@
 
     def overtake(self) -> None:
         """Let nothing more of it leave: what is not written whole never ran."""
-        self._give_up(Outcome.MOOT, Outcome.MOOT, "not to be written whole any more")
+        self._give_up(Outcome.ABANDONED, Outcome.ABANDONED, "not to be written whole any more")
 
     def _give_up(self, sent: Outcome, unsent: Outcome, text: str) -> None:
         if self.done:
@@ -229,7 +229,7 @@
         if connection is None:
             # What still waits for a descriptor, or for a connection to rest, says nothing of its server.
             connecting = self.connecting is not None
-            self.finish(unsent if connecting else Outcome.MOOT, f"{text} while connecting")
+            self.finish(unsent if connecting else Outcome.ABANDONED, f"{text} while connecting")
             return
         outcome = unsent if connection.unsent else sent
         self.pool._drop(connection)
@@ -253,7 +253,7 @@
         # The server answered when it began to: what a broken answer kept us waiting is not its load.
         heard_at = self.pool.clock() if self.pace is None else self.pace.begun_at
         call, self.call = self.call, cast(Call, None)  # a limit of this one may come up long after its end
-        call.end(Ending(outcome, heard_at - call.attempt.sent_at, value, used, cost, text))
+        call.end(AttemptResult(outcome, heard_at - call.attempt.sent_at_ms, value, used, cost, text))
 
 
 class RespTransport:
@@ -330,7 +330,7 @@
             return True
         if not flight.call.may_leave():
             # Danger: a connection that is opened for a client who has left costs its server work for nobody.
-            flight.finish(Outcome.MOOT, "over before it was connected")
+            flight.finish(Outcome.ABANDONED, "over before it was connected")
             return True
         if len(self.open) + self.opening >= self.bounds.max_connections and not self._make_room():
             return False
@@ -417,7 +417,9 @@
         except OSError as failed:
             # Where this process has no descriptor left, that says nothing of the server.
             ours = failed.errno in (errno.EMFILE, errno.ENFILE)
-            flight.finish(Outcome.MOOT if ours else Outcome.NO_CONNECTION, f"{failed.strerror or failed}")
+            flight.finish(
+                Outcome.ABANDONED if ours else Outcome.NO_CONNECTION, f"{failed.strerror or failed}"
+            )
         except ValueError as failed:  # an address that cannot even be written as one
             flight.finish(Outcome.NO_CONNECTION, f"no address: {failed}")
         finally:
@@ -449,7 +451,7 @@
         else:
             # One that was used before goes on idling since then: its server counts on as well.
             (self._shelve if connection.used else self._release)(connection)
-            flight.finish(Outcome.MOOT, "over before its first byte")
+            flight.finish(Outcome.ABANDONED, "over before its first byte")
 
     def _write(self, connection: _Connection, flight: _Flight) -> None:
         connection.flight = flight
@@ -573,9 +575,9 @@
         connection = flight.connection
         if now >= flight.gives_way_at:
             # Reported as a failed connection it would speak against a sound server.
-            flight.finish(Outcome.MOOT, "no descriptor is left for a connection")
+            flight.finish(Outcome.ABANDONED, "no descriptor is left for a connection")
         elif now >= flight.deadline:
-            node, sent_at = flight.call.attempt.node.name, flight.call.attempt.sent_at
+            node, sent_at = flight.call.attempt.node.name, flight.call.attempt.sent_at_ms
             asked = connection is not None or flight.connecting is not None
             flight.give_up("no answer in time")
             if asked:
--- a/cressrock/resp/request.py
+++ b/cressrock/resp/request.py
@@ -12,7 +12,7 @@
 import re
 from dataclasses import dataclass
 
-from cressrock.interface import Effect, Settings
+from cressrock.interface import Idempotency, Settings
 from cressrock.resp import codec
 
 READ, WRITE = b"IO.IN", b"IO.OUT"
@@ -23,7 +23,7 @@
 _KNOWN = frozenset((*_NEEDED, b"k", b"r"))
 
 
-class Refused(Exception):
+class InvalidCommandError(Exception):
     """A command that is none; the text says what is wrong with it, for its client."""
 
 
@@ -65,50 +65,50 @@
         """Read an IO command.  Raises Refused."""
         writes = words[0] == WRITE
         if len(words) != (5 if writes else 4):
-            raise Refused("wrong number of words")
+            raise InvalidCommandError("wrong number of words")
         if not _HEX.fullmatch(words[1]):
-            raise Refused("the piece is not 16 hex digits")
+            raise InvalidCommandError("the piece is not 16 hex digits")
         if not _HEX.fullmatch(words[2]):
-            raise Refused("the id is not 16 hex digits")
+            raise InvalidCommandError("the id is not 16 hex digits")
         value: dict[bytes, bytes] = {}
         for pair in words[3].split(b","):
             name, equals, text = pair.partition(b"=")
             if not equals or name not in _KNOWN or name in value:
-                raise Refused(f"unexpected {pair[:32].decode('ascii', 'replace')!r}")
+                raise InvalidCommandError(f"unexpected {pair[:32].decode('ascii', 'replace')!r}")
             value[name] = text
         for name in _NEEDED:
             if name not in value:
-                raise Refused(f"{name.decode()} is missing")
+                raise InvalidCommandError(f"{name.decode()} is missing")
         index = self.classes.get(value[b"c"])
         if index is None:
-            raise Refused("unknown class")
+            raise InvalidCommandError("unknown class")
         plan = self.plans.get(value[b"t"])
         if plan is None:
-            raise Refused("unknown plan")
+            raise InvalidCommandError("unknown plan")
         cls = self.settings.classes[index]
-        if cls.writes != writes:
-            raise Refused("the class does not go with the command")
+        if cls.is_write != writes:
+            raise InvalidCommandError("the class does not go with the command")
         key = value.get(b"k", b"")
-        if cls.effect is Effect.KEYED and not _HEX.fullmatch(key):
-            raise Refused("k is not 16 hex digits")
-        if cls.effect is not Effect.KEYED and b"k" in value:
-            raise Refused("k in a class without keys")
+        if cls.idempotency is Idempotency.KEYED and not _HEX.fullmatch(key):
+            raise InvalidCommandError("k is not 16 hex digits")
+        if cls.idempotency is not Idempotency.KEYED and b"k" in value:
+            raise InvalidCommandError("k in a class without keys")
         if not _HEX.fullmatch(value[b"volume"]):
-            raise Refused("volume is not 16 hex digits")
+            raise InvalidCommandError("volume is not 16 hex digits")
         if value.get(b"r", b"1") not in (b"0", b"1"):
-            raise Refused("r is neither 0 nor 1")
+            raise InvalidCommandError("r is neither 0 nor 1")
         patience = _number(value[b"d"], "d")
         units = _number(value[b"units"], "units")
         if not 0 < units <= self.settings.most_units:
-            raise Refused("units out of bounds")
+            raise InvalidCommandError("units out of bounds")
         shard = _whole(value[b"shard"], "shard")
         if shard < -1 or (self.shards and shard >= self.shards):
-            raise Refused("shard out of bounds")
+            raise InvalidCommandError("shard out of bounds")
         writers = _whole(value[b"hosts"], "hosts")
         if not 1 <= writers <= self.settings.hosts:
-            raise Refused("hosts out of bounds")
+            raise InvalidCommandError("hosts out of bounds")
         if patience <= 0:
-            raise Refused("d out of bounds")
+            raise InvalidCommandError("d out of bounds")
         before, _, rest = (b"," + words[3]).partition(b",d=")
         # Danger: the scheduler learns a class's whole patience from its clients; one that names hours would
         # make every other client look like one that has waited for hours.
@@ -132,11 +132,11 @@
 
 def _number(text: bytes, name: str) -> float:
     if not _NUMBER.fullmatch(text):
-        raise Refused(f"{name} is not a number")
+        raise InvalidCommandError(f"{name} is not a number")
     return float(text)
 
 
 def _whole(text: bytes, name: str) -> int:
     if not _WHOLE.fullmatch(text):
-        raise Refused(f"{name} is not a whole number")
+        raise InvalidCommandError(f"{name} is not a whole number")
     return int(text)
--- a/cressrock/rollout/evidence.py
+++ b/cressrock/rollout/evidence.py
@@ -25,15 +25,15 @@
 import msgspec
 from msgspec import Meta, Struct
 
-from cressrock.errors.rollout import RulesNewer, RulesWrong
-from cressrock.rollout.stages import DIGEST, MAX_STAGES
+from cressrock.errors.rollout import InvalidRulesError, UnknownRulesVersionError
+from cressrock.rollout.lifecycle import DIGEST_BYTES, MAX_STAGES
 
 VERSION = 1
-SEEN, BACK = "rollout/seen/", "rollout/back"  # keys in the spread: SEEN + "CLASS/STAGE", and a report
-MARKS = ("refused", "failed", "left", "late", "slow")  # kinds of bad answers, each tested by itself
+SEEN, ROLLBACK_KEY = "rollout/seen/", "rollout/back"  # keys in the spread: SEEN + "CLASS/STAGE", and a report
+FAULT_KINDS = ("refused", "failed", "left", "late", "slow")  # kinds of bad answers, each tested by itself
 SLOW = 0.5  # of the aim: half of it is where a rise shows before clients feel it
 SUMS, GONE = "rollout/sum/", "rollout/gone"  # keys of a zone's sums: SUMS + "CLASS", and of reports
-MOST_TOPS, MOST_WHY = 4, 4  # told of one zone
+MAX_TOP_FACTORS, MOST_WHY = 4, 4  # told of one zone
 MAX_CLASSES = 64
 MAX_ORIGINS = 16384  # lives: three of each of 4,806 processes in one rollout, and some; 1.2 KB each
 
@@ -42,42 +42,42 @@
 Count = Annotated[int, Meta(ge=0, le=2**53)]
 
 
-class Ended(Enum):
+class RequestOutcome(Enum):
     """How a client's request ended."""
 
     SERVED = "served"
-    REFUSED = "refused"
+    REJECTED = "refused"
     FAILED = "failed"
-    LEFT = "left"
+    CLIENT_LEFT = "left"
 
 
-class Tally(Struct, array_like=True):
+class OutcomeCounts(Struct, array_like=True):
     """Counts of one class in one stage: [candidate, good] of trials, and of each kind of mark."""
 
     trials: Annotated[list[Count], Meta(min_length=2, max_length=2)]
-    marks: Annotated[
+    faults: Annotated[
         list[Annotated[list[Count], Meta(min_length=2, max_length=2)]],
-        Meta(min_length=len(MARKS), max_length=16),
+        Meta(min_length=len(FAULT_KINDS), max_length=16),
     ]
 
     @classmethod
-    def empty(cls) -> Tally:
+    def empty(cls) -> OutcomeCounts:
         """Return one without a count."""
-        return cls([0, 0], [[0, 0] for _ in MARKS])
+        return cls([0, 0], [[0, 0] for _ in FAULT_KINDS])
 
-    def add(self, other: Tally) -> None:
+    def add(self, other: OutcomeCounts) -> None:
         """Add another's counts."""
         for side in (0, 1):
             self.trials[side] += other.trials[side]
-            for mine, its in zip(self.marks, other.marks, strict=False):
+            for mine, its in zip(self.faults, other.faults, strict=False):
                 mine[side] += its[side]
 
-    def raise_to(self, other: Tally, total: Tally) -> bool:
+    def raise_to(self, other: OutcomeCounts, total: OutcomeCounts) -> bool:
         """Take the greater of each count, add what it grew by to a total; returns whether any grew."""
         grown = False
-        whole = [total.trials, *total.marks]
-        given = [other.trials, *other.marks]
-        for mine, its, all_ in zip([self.trials, *self.marks], given, whole, strict=False):
+        whole = [total.trials, *total.faults]
+        given = [other.trials, *other.faults]
+        for mine, its, all_ in zip([self.trials, *self.faults], given, whole, strict=False):
             for side in (0, 1):
                 if (more := its[side] - mine[side]) > 0:
                     mine[side], grown = its[side], True
@@ -85,70 +85,70 @@
         return grown
 
 
-class Piece(Struct, frozen=True, array_like=True, tag=VERSION):
+class CountsEntry(Struct, frozen=True, array_like=True, tag=VERSION):
     """One entry in the spread.  Later versions may add fields at the end."""
 
-    digest: Annotated[bytes, Meta(min_length=DIGEST, max_length=DIGEST)]
-    tally: Tally
+    digest: Annotated[bytes, Meta(min_length=DIGEST_BYTES, max_length=DIGEST_BYTES)]
+    counts: OutcomeCounts
 
 
-class Back(Struct, frozen=True, array_like=True, tag=VERSION):
+class LocalRollback(Struct, frozen=True, array_like=True, tag=VERSION):
     """A process's report that it went back alone from a candidate."""
 
-    digest: Annotated[bytes, Meta(min_length=DIGEST, max_length=DIGEST)]
-    why: Annotated[str, Meta(max_length=200)]
+    digest: Annotated[bytes, Meta(min_length=DIGEST_BYTES, max_length=DIGEST_BYTES)]
+    reason: Annotated[str, Meta(max_length=200)]
 
 
-class Row(Struct, frozen=True, array_like=True, tag=VERSION):
+class ZoneSummary(Struct, frozen=True, array_like=True, tag=VERSION):
     """What the processes of one zone counted of one class.
 
     `tops`: for each kind of mark and each of the test's odds, the greatest logs of single processes' wealth,
     as little-endian 32-bit floats, at most `MOST_TOPS` of each, greatest first.
     """
 
-    digest: Annotated[bytes, Meta(min_length=DIGEST, max_length=DIGEST)]
+    digest: Annotated[bytes, Meta(min_length=DIGEST_BYTES, max_length=DIGEST_BYTES)]
     stages: Annotated[
-        list[tuple[Annotated[int, Meta(ge=0, lt=MAX_STAGES)], Tally]], Meta(max_length=MAX_STAGES)
+        list[tuple[Annotated[int, Meta(ge=0, lt=MAX_STAGES)], OutcomeCounts]], Meta(max_length=MAX_STAGES)
     ]
     tops: Annotated[list[list[bytes]], Meta(max_length=16)]
 
 
-class Gone(Struct, frozen=True, array_like=True, tag=VERSION):
+class ZoneRollbacks(Struct, frozen=True, array_like=True, tag=VERSION):
     """How many processes of one zone tell, how many of them went back alone, and why some did."""
 
-    digest: Annotated[bytes, Meta(min_length=DIGEST, max_length=DIGEST)]
+    digest: Annotated[bytes, Meta(min_length=DIGEST_BYTES, max_length=DIGEST_BYTES)]
     processes: Count
     backs: Count
     why: Annotated[dict[str, str], Meta(max_length=MOST_WHY)]
 
 
-_decoder = msgspec.msgpack.Decoder(Piece)
-_row = msgspec.msgpack.Decoder(Row)
-_gone = msgspec.msgpack.Decoder(Gone)
-_back = msgspec.msgpack.Decoder(Back)
+_decoder = msgspec.msgpack.Decoder(CountsEntry)
+_row = msgspec.msgpack.Decoder(ZoneSummary)
+_gone = msgspec.msgpack.Decoder(ZoneRollbacks)
+_back = msgspec.msgpack.Decoder(LocalRollback)
 
 
-def encode(message: Piece | Back | Row | Gone) -> bytes:
+def encode(message: CountsEntry | LocalRollback | ZoneSummary | ZoneRollbacks) -> bytes:
     """Return an entry's value."""
     return msgspec.msgpack.encode(message)
 
 
-def read_piece(value: bytes) -> Piece:
+def read_piece(value: bytes) -> CountsEntry:
     """Read counts.  Raises RulesWrong, RulesNewer."""
     return _read(_decoder, value, "counts")
 
 
-def read_back(value: bytes) -> Back:
+def read_back(value: bytes) -> LocalRollback:
     """Read a report.  Raises RulesWrong, RulesNewer."""
     return _read(_back, value, "a report")
 
 
-def read_row(value: bytes) -> Row:
+def read_row(value: bytes) -> ZoneSummary:
     """Read a class's sums.  Raises RulesWrong, RulesNewer."""
     return _read(_row, value, "sums of counts")
 
 
-def read_gone(value: bytes) -> Gone:
+def read_gone(value: bytes) -> ZoneRollbacks:
     """Read how many went back.  Raises RulesWrong, RulesNewer."""
     return _read(_gone, value, "a sum of reports")
 
@@ -159,11 +159,13 @@
     except (msgspec.DecodeError, RecursionError) as wrong:
         # Both structs begin with their version, a small positive integer.
         if len(value) > 1 and value[0] & 0xF0 == 0x90 and VERSION < value[1] < 128:
-            raise RulesNewer(f"{what} of version {value[1]}; version {VERSION} is known") from None
-        raise RulesWrong(f"{what} that cannot be read: {str(wrong)[:200]}") from None
+            raise UnknownRulesVersionError(
+                f"{what} of version {value[1]}; version {VERSION} is known"
+            ) from None
+        raise InvalidRulesError(f"{what} that cannot be read: {str(wrong)[:200]}") from None
 
 
-def key_of(cls: int, stage: int) -> str:
+def counts_key(cls: int, stage: int) -> str:
     """Return the spread's key of a class's counts in a stage."""
     return f"{SEEN}{cls}/{stage}"
 
@@ -179,57 +181,59 @@
     return found if found[0] < MAX_CLASSES and found[1] < MAX_STAGES else None
 
 
-def by_class(tallies: dict[tuple[int, int], Tally]) -> dict[int, Tally]:
+def by_class(tallies: dict[tuple[int, int], OutcomeCounts]) -> dict[int, OutcomeCounts]:
     """Return the sums over stages."""
-    found: dict[int, Tally] = {}
+    found: dict[int, OutcomeCounts] = {}
     for (cls, _), tally in tallies.items():
-        found.setdefault(cls, Tally.empty()).add(tally)
+        found.setdefault(cls, OutcomeCounts.empty()).add(tally)
     return found
 
 
-class Own:
+class LocalCounts:
     """This process's own counts under one candidate."""
 
     def __init__(self, digest: str) -> None:
         """Start with nothing counted."""
         self.digest = digest
-        self.tallies: dict[tuple[int, int], Tally] = {}
+        self.counts: dict[tuple[int, int], OutcomeCounts] = {}
         self._changed: dict[tuple[int, int], None] = {}
 
-    def count(self, cls: int, stage: int, candidate: bool, ended: Ended, ms: float, aim_ms: float) -> None:
+    def record(
+        self, cls: int, stage: int, candidate: bool, ended: RequestOutcome, ms: float, aim_ms: float
+    ) -> None:
         """Count a trial's end: `ms` from its coming to its answer, `aim_ms` the good version's aim."""
-        tally = self.tallies.setdefault((cls, stage), Tally.empty())
+        tally = self.counts.setdefault((cls, stage), OutcomeCounts.empty())
         side = 0 if candidate else 1
         tally.trials[side] += 1
-        served = ended is Ended.SERVED
+        served = ended is RequestOutcome.SERVED
         bad = (
-            ended is Ended.REFUSED,
-            ended is Ended.FAILED,
-            ended is Ended.LEFT,
+            ended is RequestOutcome.REJECTED,
+            ended is RequestOutcome.FAILED,
+            ended is RequestOutcome.CLIENT_LEFT,
             served and ms > aim_ms,
             served and ms > SLOW * aim_ms,
         )
-        for mark, is_so in zip(tally.marks, bad, strict=True):
+        for mark, is_so in zip(tally.faults, bad, strict=True):
             mark[side] += is_so
         self._changed[cls, stage] = None
 
-    def told(self) -> list[tuple[str, bytes]]:
+    def drain_changes(self) -> list[tuple[str, bytes]]:
         """Return the entries that changed since the last call, to be put into the spread."""
         changed, self._changed = list(self._changed), {}
         digest = bytes.fromhex(self.digest)
-        return [(key_of(*place), encode(Piece(digest, self.tallies[place]))) for place in changed]
+        return [(counts_key(*place), encode(CountsEntry(digest, self.counts[place]))) for place in changed]
 
     def keys(self) -> list[str]:
         """Return all keys of these counts, to be removed once they are of no use."""
-        return [key_of(*place) for place in self.tallies]
+        return [counts_key(*place) for place in self.counts]
 
 
 @dataclass(slots=True)
 class _Life:
-    tallies: dict[tuple[int, int], Tally]
+    tallies: dict[tuple[int, int], OutcomeCounts]
 
 
-class Heard:
+class FleetCounts:
     """What all processes counted under one candidate.
 
     What a life that is gone has told is kept: it was seen.  Bounded by `MAX_ORIGINS` lives; of further ones
@@ -241,16 +245,16 @@
         self.digest = digest
         self._bytes = bytes.fromhex(digest)
         self.lives: dict[Origin, _Life] = {}
-        self.sums: dict[tuple[int, int], Tally] = {}  # over all lives
-        self.backs: dict[str, str] = {}  # by process, whatever its life: why it went back alone
+        self.totals: dict[tuple[int, int], OutcomeCounts] = {}  # over all lives
+        self.rollback_reasons: dict[str, str] = {}  # by process, whatever its life: why it went back alone
 
-    def take(self, origin: Origin, key: str, value: bytes) -> bool:
+    def merge(self, origin: Origin, key: str, value: bytes) -> bool:
         """Merge an entry of the spread; returns whether it was news.  Raises RulesWrong, RulesNewer."""
-        if key == BACK:
+        if key == ROLLBACK_KEY:
             back = read_back(value)
-            news = back.digest == self._bytes and origin[0] not in self.backs
-            if news and len(self.backs) < MAX_ORIGINS:
-                self.backs[origin[0]] = back.why
+            news = back.digest == self._bytes and origin[0] not in self.rollback_reasons
+            if news and len(self.rollback_reasons) < MAX_ORIGINS:
+                self.rollback_reasons[origin[0]] = back.reason
             return news
         place = place_of(key)
         if place is None:
@@ -263,30 +267,30 @@
             if len(self.lives) >= MAX_ORIGINS:
                 return False
             life = self.lives[origin] = _Life({})
-        total = self.sums.setdefault(place, Tally.empty())
-        return life.tallies.setdefault(place, Tally.empty()).raise_to(piece.tally, total)
+        total = self.totals.setdefault(place, OutcomeCounts.empty())
+        return life.tallies.setdefault(place, OutcomeCounts.empty()).raise_to(piece.counts, total)
 
-    def answered(self, stage: int) -> int:
+    def candidate_trials(self, stage: int) -> int:
         """Return the trials under the candidate in a stage."""
-        return sum(tally.trials[0] for (_, at), tally in self.sums.items() if at == stage)
+        return sum(tally.trials[0] for (_, at), tally in self.totals.items() if at == stage)
 
-    def total(self) -> dict[int, Tally]:
+    def totals_by_class(self) -> dict[int, OutcomeCounts]:
         """Return the sums by class."""
-        return by_class(self.sums)
+        return by_class(self.totals)
 
-    def gone_back(self) -> int:
+    def rollback_count(self) -> int:
         """Return how many processes went back alone."""
-        return len(self.backs)
+        return len(self.rollback_reasons)
 
-    def processes(self) -> int:
+    def process_count(self) -> int:
         """Return of how many processes something was heard."""
         return len({name for name, _ in self.lives})
 
-    def by_group(self, group: Callable[[str], str]) -> dict[str, dict[int, Tally]]:
+    def totals_by_group(self, group: Callable[[str], str]) -> dict[str, dict[int, OutcomeCounts]]:
         """Return the sums by class of groups of processes: by zone, say."""
-        found: dict[str, dict[int, Tally]] = {}
+        found: dict[str, dict[int, OutcomeCounts]] = {}
         for (name, _), life in self.lives.items():
             mine = found.setdefault(group(name), {})
             for (cls, _), tally in life.tallies.items():
-                mine.setdefault(cls, Tally.empty()).add(tally)
+                mine.setdefault(cls, OutcomeCounts.empty()).add(tally)
         return found
--- a/cressrock/rollout/stages.py
+++ b/cressrock/rollout/lifecycle.py
@@ -19,15 +19,21 @@
 import msgspec
 from msgspec import Meta, Struct
 
-from cressrock.errors.rollout import RolloutAbsent, RolloutRuns, RolloutSpent, RulesNewer, RulesWrong
+from cressrock.errors.rollout import (
+    InvalidRulesError,
+    RolloutAlreadyEndedError,
+    RolloutInProgressError,
+    RolloutNotFoundError,
+    UnknownRulesVersionError,
+)
 
 VERSION = 1
-TOPIC = "rollout"
-DOCUMENT = ("rollout/doc/0", "rollout/doc/1")
-DIGEST = 12  # bytes: names a document for operators and machines; by chance never the same twice
-HALF = DIGEST  # hexadecimal digits
+ROLLOUT_TOPIC = "rollout"
+DOCUMENT_TOPICS = ("rollout/doc/0", "rollout/doc/1")
+DIGEST_BYTES = 12  # bytes: names a document for operators and machines; by chance never the same twice
+HALF = DIGEST_BYTES  # hexadecimal digits
 MAX_STAGES = 8
-MAX_DOCUMENT = 48 * 1024  # what one decree takes
+MAX_DOCUMENT_BYTES = 48 * 1024  # what one decree takes
 SPENT = 8  # documents that ended badly and are remembered, by the first half of their digest
 
 Digest = Annotated[str, Meta(pattern=r"^[0-9a-f]{24}$")]
@@ -38,80 +44,96 @@
 class Stage(Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
     """Where the candidate may decide, and what has to be seen before the next stage."""
 
-    part: Annotated[float, Meta(gt=0, le=1)] = 1.0  # of the volumes, by hash
+    volume_fraction: Annotated[float, Meta(gt=0, le=1)] = 1.0  # of the volumes, by hash
     zones: Annotated[list[Name], Meta(max_length=64)] | None = None  # unset: all
-    beside: Annotated[float, Meta(ge=0.02, le=0.95)] = 0.5  # of these requests go on under the good version
-    least_ms: Milliseconds = 60000.0  # on the leader's clock
-    least: Annotated[int, Meta(ge=0, le=10**9)] = 1000  # requests answered under the candidate, in this stage
+    control_fraction: Annotated[float, Meta(ge=0.02, le=0.95)] = (
+        0.5  # of these requests go on under the good version
+    )
+    min_duration_ms: Milliseconds = 60000.0  # on the leader's clock
+    min_answers: Annotated[int, Meta(ge=0, le=10**9)] = (
+        1000  # requests answered under the candidate, in this stage
+    )
 
 
-class Levels(Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
+class Thresholds(Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
     """How much error is accepted, and who may halt a rollout."""
 
-    error: Annotated[float, Meta(gt=0, le=0.5)] = 0.01  # of ever halting a harmless candidate
-    tolerate: Annotated[float, Meta(ge=1, le=100)] = 1.1  # odds of bad answers, to the good version's
-    far: Annotated[float, Meta(ge=1, le=1000)] = 2.0  # odds beyond which a process goes back alone
-    accusers: Annotated[int, Meta(ge=1, le=1024)] = 2  # no fewer processes together can halt it by answers
-    reports: Annotated[int, Meta(ge=1, le=1024)] = 2  # processes that went back alone, which halt it
-    expire_ms: Milliseconds = 3600000.0  # a stage that is not over by then, on one leader's clock
+    false_halt_probability: Annotated[float, Meta(gt=0, le=0.5)] = (
+        0.01  # of ever halting a harmless candidate
+    )
+    tolerated_odds_ratio: Annotated[float, Meta(ge=1, le=100)] = (
+        1.1  # odds of bad answers, to the good version's
+    )
+    rollback_odds_ratio: Annotated[float, Meta(ge=1, le=1000)] = (
+        2.0  # odds beyond which a process goes back alone
+    )
+    min_accusers: Annotated[int, Meta(ge=1, le=1024)] = (
+        2  # no fewer processes together can halt it by answers
+    )
+    rollbacks_to_halt: Annotated[int, Meta(ge=1, le=1024)] = (
+        2  # processes that went back alone, which halt it
+    )
+    stage_timeout_ms: Milliseconds = 3600000.0  # a stage that is not over by then, on one leader's clock
 
 
-class Course(Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
+class RolloutPlan(Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
     """A rollout's own part of its document."""
 
     stages: Annotated[list[Stage], Meta(min_length=1, max_length=MAX_STAGES)]
-    levels: Levels = Levels()
+    thresholds: Thresholds = Thresholds()
 
     def __post_init__(self) -> None:
         """Check what no single field can tell.  Raises ValueError naming the place."""
         part = 0.0
         for index, stage in enumerate(self.stages):
-            if stage.part < part:
-                raise ValueError(f"stages[{index}].part: {stage.part:g} is less than the stage before has")
-            part = stage.part
+            if stage.volume_fraction < part:
+                raise ValueError(
+                    f"stages[{index}].part: {stage.volume_fraction:g} is less than the stage before has"
+                )
+            part = stage.volume_fraction
         last = self.stages[-1]
-        if last.part < 1 or last.zones is not None:
+        if last.volume_fraction < 1 or last.zones is not None:
             raise ValueError(f"stages[{len(self.stages) - 1}]: the last one has to be all volumes, all zones")
 
 
-class State(Struct, frozen=True, array_like=True, tag=VERSION):
+class RolloutState(Struct, frozen=True, array_like=True, tag=VERSION):
     """The decree's value.  Later versions may add fields at the end."""
 
-    number: Annotated[int, Meta(ge=0)]  # of the rollout: one more for each that was started
-    state: Literal["running", "halted", "withdrawn", "done", "expired"]
+    rollout_number: Annotated[int, Meta(ge=0)]  # of the rollout: one more for each that was started
+    status: Literal["running", "halted", "withdrawn", "done", "expired"]
     digest: str  # the candidate's, of this or the last rollout
-    place: Annotated[int, Meta(ge=0, le=1)]  # which topic holds its document
+    document_slot: Annotated[int, Meta(ge=0, le=1)]  # which topic holds its document
     stage: Annotated[int, Meta(ge=0, le=MAX_STAGES)]
-    good: str = ""  # the last good version's; "": the settings' own rules
-    good_place: Annotated[int, Meta(ge=0, le=1)] = 0
-    why: Annotated[str, Meta(max_length=120)] = ""
-    figures: Annotated[dict[Name, float], Meta(max_length=12)] = {}
-    spent: Annotated[list[str], Meta(max_length=SPENT)] = []
+    good_digest: str = ""  # the last good version's; "": the settings' own rules
+    good_slot: Annotated[int, Meta(ge=0, le=1)] = 0
+    reason: Annotated[str, Meta(max_length=120)] = ""
+    statistics: Annotated[dict[Name, float], Meta(max_length=12)] = {}
+    ended_digests: Annotated[list[str], Meta(max_length=SPENT)] = []
 
     @property
     def running(self) -> bool:
         """Whether the candidate may decide anything at all."""
-        return self.state == "running"
+        return self.status == "running"
 
 
-EMPTY = State(0, "withdrawn", "", 1, 0)
-_decoder = msgspec.msgpack.Decoder(State)
+EMPTY = RolloutState(0, "withdrawn", "", 1, 0)
+_decoder = msgspec.msgpack.Decoder(RolloutState)
 
 
-def digest_of(document: bytes) -> str:
+def document_digest(document: bytes) -> str:
     """Return a document's name: BLAKE2b of its bytes, so that all processes name the same thing alike.
 
     A fast checksum (xxhash) would do against damage; a name that operators compare must also not be forged.
     """
-    return hashlib.blake2b(document, digest_size=DIGEST).hexdigest()
+    return hashlib.blake2b(document, digest_size=DIGEST_BYTES).hexdigest()
 
 
-def encode(state: State) -> bytes:
+def encode(state: RolloutState) -> bytes:
     """Return a decree's value."""
     return msgspec.msgpack.encode(state)
 
 
-def decode(value: bytes) -> State:
+def decode(value: bytes) -> RolloutState:
     """Read a decree's value.  Raises RulesNewer for another version, RulesWrong for what is no such value."""
     try:
         return _decoder.decode(value)
@@ -121,61 +143,77 @@
         except (msgspec.DecodeError, RecursionError):
             head = None
         if isinstance(head, list) and head and isinstance(head[0], int) and head[0] != VERSION:
-            raise RulesNewer(f"decree {TOPIC!r}: version {head[0]}; version {VERSION} is known") from None
-        raise RulesWrong(f"decree {TOPIC!r}: {str(wrong)[:200]}") from None
+            raise UnknownRulesVersionError(
+                f"decree {ROLLOUT_TOPIC!r}: version {head[0]}; version {VERSION} is known"
+            ) from None
+        raise InvalidRulesError(f"decree {ROLLOUT_TOPIC!r}: {str(wrong)[:200]}") from None
 
 
 # --- the steps, each a new value of the decree
 
 
-def start(old: State | None, document: bytes) -> State:
+def start_rollout(old: RolloutState | None, document: bytes) -> RolloutState:
     """Return the decree that starts a document.  Raises RolloutRuns, RolloutSpent."""
     old = old or EMPTY
-    digest = digest_of(document)
+    digest = document_digest(document)
     if old.running:
-        raise RolloutRuns(f"{old.digest} is in stage {old.stage}")
-    if digest[:HALF] in old.spent:
-        raise RolloutSpent(f"{digest} ended before without getting through")
-    if digest == old.good:
-        raise RolloutSpent(f"{digest} is the good version already")
+        raise RolloutInProgressError(f"{old.digest} is in stage {old.stage}")
+    if digest[:HALF] in old.ended_digests:
+        raise RolloutAlreadyEndedError(f"{digest} ended before without getting through")
+    if digest == old.good_digest:
+        raise RolloutAlreadyEndedError(f"{digest} is the good version already")
     # Never over the good version's document.
-    place = 1 - old.good_place if old.good else 0
-    return State(old.number + 1, "running", digest, place, 0, old.good, old.good_place, spent=old.spent)
+    place = 1 - old.good_slot if old.good_digest else 0
+    return RolloutState(
+        old.rollout_number + 1,
+        "running",
+        digest,
+        place,
+        0,
+        old.good_digest,
+        old.good_slot,
+        ended_digests=old.ended_digests,
+    )
 
 
-def end(
-    old: State, how: Literal["halted", "withdrawn", "expired"], why: str, figures: dict[str, float]
-) -> State:
+def end_rollout(
+    old: RolloutState, how: Literal["halted", "withdrawn", "expired"], why: str, figures: dict[str, float]
+) -> RolloutState:
     """Return the decree that ends a rollout without success; its document is remembered.
 
     Raises RolloutAbsent.
     """
     if not old.running:
-        raise RolloutAbsent(f"nothing runs; the last one, {old.digest or 'none'}, is {old.state}")
-    spent = [*old.spent, old.digest[:HALF]][-SPENT:]
-    return msgspec.structs.replace(old, state=how, why=why[:120], figures=figures, spent=spent)
+        raise RolloutNotFoundError(f"nothing runs; the last one, {old.digest or 'none'}, is {old.status}")
+    spent = [*old.ended_digests, old.digest[:HALF]][-SPENT:]
+    return msgspec.structs.replace(old, status=how, reason=why[:120], statistics=figures, ended_digests=spent)
 
 
-def forward(old: State, course: Course, figures: dict[str, float]) -> State:
+def advance(old: RolloutState, course: RolloutPlan, figures: dict[str, float]) -> RolloutState:
     """Return the decree after a stage that is over: the next stage, or done."""
     if old.stage + 1 < len(course.stages):
         return msgspec.structs.replace(old, stage=old.stage + 1, figures=figures)
     return msgspec.structs.replace(
-        old, state="done", good=old.digest, good_place=old.place, why="all stages over", figures=figures
+        old,
+        status="done",
+        good_digest=old.digest,
+        good_slot=old.document_slot,
+        reason="all stages over",
+        statistics=figures,
     )
 
 
 @dataclass(frozen=True, slots=True)
-class Findings:
+class LeaderFindings:
     """What a leader knows when it looks: answers of the present stage, accusations, reports."""
 
-    answered: int  # under the candidate, in the present stage
-    accused: str = ""  # why the candidate is to be halted; "" while nothing accuses it
-    reports: int = 0  # processes that went back alone
-    figures: dict[str, float] | None = None
+    candidate_trials: int  # under the candidate, in the present stage
+    accusation: str = ""  # why the candidate is to be halted; "" while nothing accuses it
+    rollback_count: int = 0  # processes that went back alone
+    statistics: dict[str, float] | None = None
 
 
-class Pace:
+class StagePacer:
     """The leader's memory of time: which decree it saw, since when.  `look` gives the next decree or None.
 
     A leader that loses its lead calls `forget`.
@@ -190,30 +228,34 @@
         """Forget: the stage's time begins anew with the next look."""
         self.number = -1
 
-    def look(self, now: float, number: int, state: State, course: Course, found: Findings) -> State | None:
+    def next_state(
+        self, now: float, number: int, state: RolloutState, course: RolloutPlan, found: LeaderFindings
+    ) -> RolloutState | None:
         """Return the value that should follow decree `number`, or None: it stands."""
         if not state.running:
             self.forget()
             return None
         if number != self.number:
             self.number, self.since = number, now
-        figures = found.figures or {}
-        if found.accused:
-            return end(state, "halted", found.accused, figures)
-        if found.reports >= course.levels.reports:
-            return end(state, "halted", f"{found.reports} processes went back alone", figures)
+        figures = found.statistics or {}
+        if found.accusation:
+            return end_rollout(state, "halted", found.accusation, figures)
+        if found.rollback_count >= course.thresholds.rollbacks_to_halt:
+            return end_rollout(state, "halted", f"{found.rollback_count} processes went back alone", figures)
         stage, passed = course.stages[state.stage], now - self.since
-        if passed >= stage.least_ms and found.answered >= stage.least:
-            return forward(state, course, figures)
-        if passed >= course.levels.expire_ms:
-            return end(state, "expired", f"stage {state.stage}: {found.answered} answers", figures)
+        if passed >= stage.min_duration_ms and found.candidate_trials >= stage.min_answers:
+            return advance(state, course, figures)
+        if passed >= course.thresholds.stage_timeout_ms:
+            return end_rollout(
+                state, "expired", f"stage {state.stage}: {found.candidate_trials} answers", figures
+            )
         return None
 
 
 # --- what a process may choose
 
 
-def in_part(digest: str, volume: str, part: float) -> bool:
+def selects_volume(digest: str, volume: str, part: float) -> bool:
     """Whether a volume is in a part; parts of one document grow, another document draws anew."""
     if part >= 1:
         return True
@@ -221,17 +263,19 @@
     return int.from_bytes(drawn) < part * 2**64
 
 
-def eligible(state: State | None, course: Course | None, volume: str, zone: str) -> Stage | None:
+def eligible_stage(
+    state: RolloutState | None, course: RolloutPlan | None, volume: str, zone: str
+) -> Stage | None:
     """Return the stage under which a request of a volume may come to the candidate here, or None."""
     if state is None or course is None or not state.running or state.stage >= len(course.stages):
         return None
     stage = course.stages[state.stage]
     if stage.zones is not None and zone not in stage.zones:
         return None
-    return stage if in_part(state.digest, volume, stage.part) else None
+    return stage if selects_volume(state.digest, volume, stage.volume_fraction) else None
 
 
-class Sure:
+class ReadLease:
     """Until when this process may choose the candidate: by its own reads of the decree, not by what is told.
 
     Danger: word of a decree may lie on the way, or with a process that was cut off, for as long as it
@@ -245,11 +289,11 @@
         self.number = -1
         self.until = 0.0
 
-    def read(self, number: int, began_ms: float, hold_ms: float) -> None:
+    def record_read(self, number: int, began_ms: float, hold_ms: float) -> None:
         """Enter a read's answer and when it was begun, on this process's clock."""
         self.number, self.until = number, began_ms + hold_ms
 
-    def counts(self, number: int, now: float) -> bool:
+    def is_valid(self, number: int, now: float) -> bool:
         """Whether the decree of this number may be chosen by now."""
         return number == self.number and now < self.until
 
--- a/cressrock/rollout/verdict.py
+++ b/cressrock/rollout/verdict.py
@@ -37,32 +37,32 @@
 
 from cressrock.errors.rollout import RolloutError
 from cressrock.rollout.evidence import (
-    BACK,
+    FAULT_KINDS,
     GONE,
-    MARKS,
-    MOST_TOPS,
+    MAX_TOP_FACTORS,
     MOST_WHY,
+    ROLLBACK_KEY,
     SEEN,
     SUMS,
-    Gone,
-    Heard,
+    FleetCounts,
+    LocalCounts,
     Origin,
-    Own,
-    Row,
-    Tally,
+    OutcomeCounts,
+    ZoneRollbacks,
+    ZoneSummary,
     by_class,
     encode,
     read_gone,
     read_row,
 )
-from cressrock.rollout.stages import Course, Levels
+from cressrock.rollout.lifecycle import RolloutPlan, Thresholds
 
-ODDS = (1.5, 2.0, 3.0, 6.0)  # a slight rise to one that anybody would see; others lie between them
+ODDS_RATIOS = (1.5, 2.0, 3.0, 6.0)  # a slight rise to one that anybody would see; others lie between them
 
 
-def bets(tally: Tally, kind: int, share: float, tolerate: float) -> list[float]:
+def log_wealths(tally: OutcomeCounts, kind: int, share: float, tolerate: float) -> list[float]:
     """Return the log of each bet's wealth by one kind of mark; `share`: the good version's of the trials."""
-    candidate, good = tally.marks[kind]
+    candidate, good = tally.faults[kind]
     return [candidate * won + good * lost for won, lost in _steps(share, tolerate)]
 
 
@@ -70,7 +70,7 @@
 def _steps(share: float, tolerate: float) -> list[tuple[float, float]]:
     """Return what one mark of the candidate's, and one of the good version's, add to each bet's log."""
     null = _odds(1 - share, tolerate)
-    chances = [_odds(1 - share, tolerate * odds) for odds in ODDS]
+    chances = [_odds(1 - share, tolerate * odds) for odds in ODDS_RATIOS]
     return [(math.log(p / null), math.log((1 - p) / (1 - null))) for p in chances]
 
 
@@ -79,33 +79,33 @@
     return odds * chance / (odds * chance + 1 - chance)
 
 
-def mixed(logs: Iterable[float]) -> float:
+def log_mean(logs: Iterable[float]) -> float:
     """Return the log of the mean of wealths that are given by their logs."""
     values = list(logs)
     most = max(values)
     return most + math.log(sum(math.exp(v - most) for v in values) / len(values))
 
 
-def needed(levels: Levels, classes: int) -> float:
+def accusation_threshold(levels: Thresholds, classes: int) -> float:
     """Return the log of the wealth that accuses, for one class and kind of mark."""
-    return math.log(classes * len(MARKS) / levels.error)
+    return math.log(classes * len(FAULT_KINDS) / levels.false_halt_probability)
 
 
 @dataclass(frozen=True, slots=True)
 class Accusation:
     """A class whose answers are worse by one kind of mark, and how surely: the log of the wealth."""
 
-    cls: int
-    kind: str
-    wealth: float
+    request_class: int
+    fault_kind: str
+    log_wealth: float
     candidate: tuple[int, int]  # marks, trials
     good: tuple[int, int]
 
-    def text(self, names: list[str]) -> str:
+    def describe(self, names: list[str]) -> str:
         """Say it in plain words."""
         (bad, of), (other, others) = self.candidate, self.good
         return (
-            f"class {names[self.cls]}: {self.kind} {bad} of {of} under the candidate, "
+            f"class {names[self.request_class]}: {self.fault_kind} {bad} of {of} under the candidate, "
             f"{other} of {others} beside it"
         )
 
@@ -113,45 +113,45 @@
 Place = tuple[int, int]  # class and kind of mark
 
 
-class View(Protocol):
+class CountsView(Protocol):
     """What the test asks of the counts."""
 
-    sums: dict[tuple[int, int], Tally]  # by class and stage, over all processes
+    totals: dict[tuple[int, int], OutcomeCounts]  # by class and stage, over all processes
 
-    def total(self) -> dict[int, Tally]:
+    def totals_by_class(self) -> dict[int, OutcomeCounts]:
         """Return the sums by class."""
 
-    def tops(self, course: Course, classes: int, count: int) -> dict[Place, list[list[float]]]:
+    def top_factors(self, course: RolloutPlan, classes: int, count: int) -> dict[Place, list[list[float]]]:
         """Return the greatest logs of single processes' wealth, by class and kind, for each of `ODDS`."""
 
 
-def judge(heard: Heard, course: Course, classes: int) -> list[Accusation]:
+def accusations_from_counts(heard: FleetCounts, course: RolloutPlan, classes: int) -> list[Accusation]:
     """Return what the candidate is accused of by all processes' counts; see `weigh`."""
-    return weigh(_Told(heard), course, classes)
+    return accusations(_Told(heard), course, classes)
 
 
-def weigh(view: View, course: Course, classes: int) -> list[Accusation]:
+def accusations(view: CountsView, course: RolloutPlan, classes: int) -> list[Accusation]:
     """Return what the candidate is accused of, the surest first; empty: nothing."""
-    levels = course.levels
-    wanted = needed(levels, classes)
+    levels = course.thresholds
+    wanted = accusation_threshold(levels, classes)
     # With factors left out it is never more: where all of it is too little no process has to be looked at.
     whole: dict[tuple[int, int], list[float]] = {}
-    for (cls, stage), tally in view.sums.items():
+    for (cls, stage), tally in view.totals.items():
         if stage < len(course.stages) and cls < classes:
-            _gather(whole, cls, tally, course.stages[stage].beside, levels.tolerate)
-    if all(mixed(logs) < wanted for logs in whole.values()):
+            _gather(whole, cls, tally, course.stages[stage].control_fraction, levels.tolerated_odds_ratio)
+    if all(log_mean(logs) < wanted for logs in whole.values()):
         return []
-    without = levels.accusers - 1
-    tops = view.tops(course, classes, without)
-    total = view.total()
+    without = levels.min_accusers - 1
+    tops = view.top_factors(course, classes, without)
+    total = view.totals_by_class()
     found = []
     for place, logs in whole.items():
         cls, kind = place
-        greatest = tops.get(place) or [[] for _ in ODDS]
-        value = mixed(log - _greatest(top, without) for log, top in zip(logs, greatest, strict=True))
+        greatest = tops.get(place) or [[] for _ in ODDS_RATIOS]
+        value = log_mean(log - _greatest(top, without) for log, top in zip(logs, greatest, strict=True))
         if value >= wanted:
             found.append(_accusation(cls, kind, value, total[cls]))
-    return sorted(found, key=lambda a: (-a.wealth, a.cls, a.kind))
+    return sorted(found, key=lambda a: (-a.log_wealth, a.request_class, a.fault_kind))
 
 
 def _greatest(tops: Sequence[float], count: int) -> float:
@@ -160,7 +160,10 @@
 
 
 def _tops(
-    processes: Iterable[Sequence[tuple[tuple[int, int], Tally]]], course: Course, classes: int, count: int
+    processes: Iterable[Sequence[tuple[tuple[int, int], OutcomeCounts]]],
+    course: RolloutPlan,
+    classes: int,
+    count: int,
 ) -> dict[Place, list[list[float]]]:
     """Return the greatest logs of single processes, each given by all that it counted."""
     found: dict[Place, list[list[float]]] = {}
@@ -170,9 +173,15 @@
         mine: dict[Place, list[float]] = {}
         for (cls, stage), tally in counts:
             if stage < len(course.stages) and cls < classes:
-                _gather(mine, cls, tally, course.stages[stage].beside, course.levels.tolerate)
+                _gather(
+                    mine,
+                    cls,
+                    tally,
+                    course.stages[stage].control_fraction,
+                    course.thresholds.tolerated_odds_ratio,
+                )
         for place, logs in mine.items():
-            held = found.setdefault(place, [[] for _ in ODDS])
+            held = found.setdefault(place, [[] for _ in ODDS_RATIOS])
             for index, log in enumerate(logs):
                 if log > 0:
                     heapq.heappush(held[index], log)
@@ -182,10 +191,10 @@
 
 
 def _by_process(
-    lives: Iterable[tuple[Origin, dict[tuple[int, int], Tally]]],
-) -> Iterable[list[tuple[tuple[int, int], Tally]]]:
+    lives: Iterable[tuple[Origin, dict[tuple[int, int], OutcomeCounts]]],
+) -> Iterable[list[tuple[tuple[int, int], OutcomeCounts]]]:
     """Return each process's counts, its lives together: a process that restarts is one witness still."""
-    found: dict[str, list[tuple[tuple[int, int], Tally]]] = {}
+    found: dict[str, list[tuple[tuple[int, int], OutcomeCounts]]] = {}
     for (name, _), tallies in lives:
         found.setdefault(name, []).extend(tallies.items())
     return found.values()
@@ -194,10 +203,10 @@
 class _Told:
     """The view of a process that hears all counts."""
 
-    def __init__(self, heard: Heard) -> None:
-        self.heard, self.sums, self.total = heard, heard.sums, heard.total
+    def __init__(self, heard: FleetCounts) -> None:
+        self.heard, self.totals, self.totals_by_class = heard, heard.totals, heard.totals_by_class
 
-    def tops(self, course: Course, classes: int, count: int) -> dict[Place, list[list[float]]]:
+    def top_factors(self, course: RolloutPlan, classes: int, count: int) -> dict[Place, list[list[float]]]:
         """Return the greatest logs of single processes."""
         lives = ((origin, life.tallies) for origin, life in self.heard.lives.items())
         return _tops(_by_process(lives), course, classes, count)
@@ -206,23 +215,23 @@
 # --- sums by zone
 
 
-class Sums:
+class ZoneSummarizer:
     """A collector's sums of counts (`collect.collector.Fold`); what a life that is gone has told is kept."""
 
     def __init__(self) -> None:
         """Follow no candidate yet; what is told already is kept for when one is."""
-        self.heard: Heard | None = None
-        self.course: Course | None = None
+        self.heard: FleetCounts | None = None
+        self.course: RolloutPlan | None = None
         self.classes = 0
         self.refused = 0
         self._raw: dict[Origin, dict[str, bytes]] = {}
         self._zone_of: dict[str, str] = {}
 
-    def follow(self, digest: str, course: Course | None, classes: int) -> None:
+    def follow(self, digest: str, course: RolloutPlan | None, classes: int) -> None:
         """Count for this candidate from now on; "" for none."""
         if (self.heard.digest if self.heard is not None else "") == digest:
             return
-        self.heard = Heard(digest) if digest else None
+        self.heard = FleetCounts(digest) if digest else None
         self.course, self.classes = course, classes
         self._zone_of.clear()
         for origin, entries in sorted(self._raw.items()):
@@ -233,14 +242,14 @@
         if self.heard is None:
             return False
         try:
-            return self.heard.take(origin, key, value)
+            return self.heard.merge(origin, key, value)
         except RolloutError:
             self.refused += 1
             return False
 
-    def take(self, origin: Origin, key: str, value: bytes | None, at_ms: float) -> bool:
+    def receive(self, origin: Origin, key: str, value: bytes | None, at_ms: float) -> bool:
         """Take an entry; of others' keys nothing."""
-        if not (key.startswith(SEEN) or key == BACK):
+        if not (key.startswith(SEEN) or key == ROLLBACK_KEY):
             return False
         mine = self._raw.setdefault(origin, {})
         if value is None:
@@ -252,7 +261,7 @@
         """Forget what a life tells now; what it has told counts on."""
         self._raw.pop(origin, None)
 
-    def parts(self, zone: str, origins: Collection[Origin], now_ms: float) -> dict[str, bytes]:
+    def summarize(self, zone: str, origins: Collection[Origin], now_ms: float) -> dict[str, bytes]:
         """Return a zone's sums by key."""
         heard, course = self.heard, self.course
         if heard is None or course is None:
@@ -264,27 +273,27 @@
             for origin, life in heard.lives.items()
             if self._zone_of.get(origin[0]) == zone
         ]
-        backs = {n: why for n, why in sorted(heard.backs.items()) if self._zone_of.get(n) == zone}
+        backs = {n: why for n, why in sorted(heard.rollback_reasons.items()) if self._zone_of.get(n) == zone}
         if not lives and not backs:
             return {}
         digest = bytes.fromhex(heard.digest)
         few = dict(list(backs.items())[:MOST_WHY])
-        found = {GONE: encode(Gone(digest, len({o[0] for o, _ in lives}), len(backs), few))}
-        sums: dict[int, dict[int, Tally]] = {}
+        found = {GONE: encode(ZoneRollbacks(digest, len({o[0] for o, _ in lives}), len(backs), few))}
+        sums: dict[int, dict[int, OutcomeCounts]] = {}
         for _, tallies in lives:
             for (cls, stage), tally in tallies.items():
-                sums.setdefault(cls, {}).setdefault(stage, Tally.empty()).add(tally)
-        count = min(MOST_TOPS, course.levels.accusers - 1)
+                sums.setdefault(cls, {}).setdefault(stage, OutcomeCounts.empty()).add(tally)
+        count = min(MAX_TOP_FACTORS, course.thresholds.min_accusers - 1)
         tops = _tops(_by_process(lives), course, self.classes, count)
         for cls, stages in sorted(sums.items()):
             kinds = [
-                [_pack(sorted(top, reverse=True)) for top in tops.get((cls, kind), [[] for _ in ODDS])]
-                for kind in range(len(MARKS))
+                [_pack(sorted(top, reverse=True)) for top in tops.get((cls, kind), [[] for _ in ODDS_RATIOS])]
+                for kind in range(len(FAULT_KINDS))
             ]
-            found[f"{SUMS}{cls}"] = encode(Row(digest, sorted(stages.items()), kinds))
+            found[f"{SUMS}{cls}"] = encode(ZoneSummary(digest, sorted(stages.items()), kinds))
         return found
 
-    def down(self, parts: Mapping[str, Mapping[str, bytes]], now_ms: float) -> tuple[bool, bytes]:
+    def broadcast(self, parts: Mapping[str, Mapping[str, bytes]], now_ms: float) -> tuple[bool, bytes]:
         """Return that nothing is wanted of anybody."""
         return False, b""
 
@@ -297,7 +306,9 @@
     return list(struct.unpack(f"<{len(data) // 4}f", data[: len(data) // 4 * 4]))
 
 
-def fuller(held: dict[str, dict[str, bytes]], parts: Mapping[str, Mapping[str, bytes]], digest: str) -> None:
+def keep_fullest(
+    held: dict[str, dict[str, bytes]], parts: Mapping[str, Mapping[str, bytes]], digest: str
+) -> None:
     """Keep of each zone's rows the fullest that was heard: counts only grow, so that is the newest.
 
     Danger: with a collector's death a zone's rows are away for a moment, or are fewer after.  Looked at again
@@ -326,15 +337,15 @@
     return (sum(sum(t.trials) for _, t in row.stages), 0) if row.digest == digest else None
 
 
-class Summed:
+class FleetSummary:
     """The view of a seat that has collectors' sums; rows of other candidates, or unreadable, do not count."""
 
     def __init__(self, digest: str, parts: Mapping[str, Mapping[str, bytes]]) -> None:
         """`parts`: rows' bytes by zone and key."""
         wanted = bytes.fromhex(digest)
-        self.sums: dict[tuple[int, int], Tally] = {}
-        self.zones: dict[str, dict[int, Tally]] = {}
-        self.backs: dict[str, str] = {}  # some of those who went back, and why
+        self.totals: dict[tuple[int, int], OutcomeCounts] = {}
+        self.zones: dict[str, dict[int, OutcomeCounts]] = {}
+        self.rollback_reasons: dict[str, str] = {}  # some of those who went back, and why
         self._backs = self._processes = self.refused = 0
         self._tops: dict[Place, list[list[list[float]]]] = {}  # by odds, of each zone
         for zone, rows in sorted(parts.items()):
@@ -345,7 +356,7 @@
                         if gone.digest == wanted:
                             self._backs += gone.backs
                             self._processes += gone.processes
-                            self.backs |= gone.why
+                            self.rollback_reasons |= gone.why
                     elif key.startswith(SUMS) and key[len(SUMS) :].isdecimal():
                         row = read_row(value)
                         if row.digest == wanted:
@@ -353,33 +364,33 @@
                 except RolloutError:
                     self.refused += 1
 
-    def _add(self, zone: str, cls: int, row: Row) -> None:
-        mine = self.zones.setdefault(zone, {}).setdefault(cls, Tally.empty())
+    def _add(self, zone: str, cls: int, row: ZoneSummary) -> None:
+        mine = self.zones.setdefault(zone, {}).setdefault(cls, OutcomeCounts.empty())
         for stage, tally in row.stages:
             mine.add(tally)
-            self.sums.setdefault((cls, stage), Tally.empty()).add(tally)
-        for kind, odds in enumerate(row.tops[: len(MARKS)]):
-            held = self._tops.setdefault((cls, kind), [[] for _ in ODDS])
-            for index, data in enumerate(odds[: len(ODDS)]):
+            self.totals.setdefault((cls, stage), OutcomeCounts.empty()).add(tally)
+        for kind, odds in enumerate(row.tops[: len(FAULT_KINDS)]):
+            held = self._tops.setdefault((cls, kind), [[] for _ in ODDS_RATIOS])
+            for index, data in enumerate(odds[: len(ODDS_RATIOS)]):
                 held[index].append(_unpack(data))
 
-    def total(self) -> dict[int, Tally]:
+    def totals_by_class(self) -> dict[int, OutcomeCounts]:
         """Return the sums by class."""
-        return by_class(self.sums)
+        return by_class(self.totals)
 
-    def answered(self, stage: int) -> int:
+    def candidate_trials(self, stage: int) -> int:
         """Return the trials under the candidate in a stage."""
-        return sum(tally.trials[0] for (_, at), tally in self.sums.items() if at == stage)
+        return sum(tally.trials[0] for (_, at), tally in self.totals.items() if at == stage)
 
-    def gone_back(self) -> int:
+    def rollback_count(self) -> int:
         """Return how many processes went back alone."""
         return self._backs
 
-    def processes(self) -> int:
+    def process_count(self) -> int:
         """Return how many processes these sums are of."""
         return self._processes
 
-    def tops(self, course: Course, classes: int, count: int) -> dict[Place, list[list[float]]]:
+    def top_factors(self, course: RolloutPlan, classes: int, count: int) -> dict[Place, list[list[float]]]:
         """Return the greatest logs of single processes, of all zones together.
 
         Where a zone has told as many as a row holds, further ones may be as great as the smallest of these:
@@ -390,35 +401,41 @@
             mine = found[place] = [[] for _ in odds]
             for index, zones in enumerate(odds):
                 for tops in zones:
-                    more = count - MOST_TOPS if len(tops) >= MOST_TOPS else 0
+                    more = count - MAX_TOP_FACTORS if len(tops) >= MAX_TOP_FACTORS else 0
                     mine[index] += tops + tops[-1:] * max(0, more)
         return found
 
 
 def _gather(
-    into: dict[tuple[int, int], list[float]], cls: int, tally: Tally, beside: float, tolerate: float
+    into: dict[tuple[int, int], list[float]], cls: int, tally: OutcomeCounts, beside: float, tolerate: float
 ) -> None:
-    for kind, mark in enumerate(tally.marks[: len(MARKS)]):
+    for kind, mark in enumerate(tally.faults[: len(FAULT_KINDS)]):
         if mark[0] or mark[1]:
-            held = into.setdefault((cls, kind), [0.0] * len(ODDS))
-            for index, log in enumerate(bets(tally, kind, beside, tolerate)):
+            held = into.setdefault((cls, kind), [0.0] * len(ODDS_RATIOS))
+            for index, log in enumerate(log_wealths(tally, kind, beside, tolerate)):
                 held[index] += log
 
 
-def _accusation(cls: int, kind: int, wealth: float, tally: Tally) -> Accusation:
-    bad, other = tally.marks[kind]
-    return Accusation(cls, MARKS[kind], wealth, (bad, tally.trials[0]), (other, tally.trials[1]))
+def _accusation(cls: int, kind: int, wealth: float, tally: OutcomeCounts) -> Accusation:
+    bad, other = tally.faults[kind]
+    return Accusation(cls, FAULT_KINDS[kind], wealth, (bad, tally.trials[0]), (other, tally.trials[1]))
 
 
-def far_worse(own: Own, course: Course, classes: int) -> Accusation | None:
+def local_accusation(own: LocalCounts, course: RolloutPlan, classes: int) -> Accusation | None:
     """Return why this process alone goes back: the same test, of its own answers, beyond far greater odds."""
-    levels = course.levels
+    levels = course.thresholds
     wealth: dict[tuple[int, int], list[float]] = {}
-    for (cls, stage), tally in own.tallies.items():
+    for (cls, stage), tally in own.counts.items():
         if stage < len(course.stages):
-            _gather(wealth, cls, tally, course.stages[stage].beside, max(levels.far, levels.tolerate))
-    sums = by_class(own.tallies)
+            _gather(
+                wealth,
+                cls,
+                tally,
+                course.stages[stage].control_fraction,
+                max(levels.rollback_odds_ratio, levels.tolerated_odds_ratio),
+            )
+    sums = by_class(own.counts)
     for (cls, kind), logs in sorted(wealth.items()):
-        if (value := mixed(logs)) >= needed(levels, classes):
+        if (value := log_mean(logs)) >= accusation_threshold(levels, classes):
             return _accusation(cls, kind, value, sums[cls])
     return None
--- a/cressrock/brain.py
+++ b/cressrock/scheduler/scheduler.py
@@ -15,22 +15,22 @@
 from cressrock.interface import (
     Action,
     Arrival,
+    AttemptEnded,
     Cancel,
     ClientLeft,
-    Counted,
-    Effect,
-    Ended,
+    DeduplicationScope,
     Event,
     Fail,
-    Group,
-    Lent,
+    Idempotency,
+    LimitLease,
     ListKind,
     Log,
     Node,
     NodeList,
     NodeState,
     Outcome,
-    Refuse,
+    Reject,
+    RetryBudgetUsage,
     Send,
     SetTimer,
     Settings,
@@ -65,7 +65,7 @@
 COLD_DRAWN = 0.5  # of what a cold node bears: what lots drawn by many hosts give it in the mean
 LOG_LINES = 100  # for a whole life
 
-NEVER_RAN = (Outcome.FULL, Outcome.NO_CONNECTION, Outcome.MOOT)
+NEVER_RAN = (Outcome.FULL, Outcome.NO_CONNECTION, Outcome.ABANDONED)
 MAY_STILL_RUN = (Outcome.TIMEOUT, Outcome.RESET, Outcome.CANCELLED)
 FOREVER = float("inf")
 
@@ -98,7 +98,7 @@
         self.taken_at = now
         self.clock = 0.0  # the lane's virtual time when it joined
         self.end_at = now + arrival.remaining_ms
-        self.attempts = arrival.attempts
+        self.attempts = arrival.earlier_attempts
         self.node: _Node | None = None  # where an attempt is out
         self.ran: tuple[float, Node] | None = None  # first attempt that may have run
         self.ended = False
@@ -176,7 +176,7 @@
         self.rest_until = 0.0
 
 
-class Brain:
+class Scheduler:
     """One host's decisions: hand it each batch's events in order, carry out the actions it returns."""
 
     def __init__(self, settings: Settings, seed: int, now_ms: float) -> None:
@@ -212,7 +212,7 @@
         # What lies beyond a reserve waits the sooner the less it earns; where it earns the same, never.
         less = 1 - settings.share_worth if any(plan.reserve for plan in settings.plans) else 0.0
         self.gate = GUARDED / less if less > 0 else FOREVER
-        self.aim = min(c.aim_ms for c in settings.classes)
+        self.aim = min(c.latency_objective_ms for c in settings.classes)
 
     def act(self, now_ms: float, events: list[Event]) -> list[Action]:
         """Take in a batch's events, then send what may leave, answer what is due and set the timer."""
@@ -221,19 +221,19 @@
         for event in events:
             if isinstance(event, Arrival):
                 self._arrive(event)
-            elif isinstance(event, Ended):
+            elif isinstance(event, AttemptEnded):
                 self._outcome(event)
             elif isinstance(event, NodeList):
                 self._list(event)
             elif isinstance(event, ClientLeft):
                 self._client_left(event)
-            elif isinstance(event, Lent):
+            elif isinstance(event, LimitLease):
                 volume = self.volumes.setdefault(event.volume, _Volume(self.born))
-                heapq.heappush(volume.lent, (event.until_ms, event.units))
+                heapq.heappush(volume.lent, (event.expires_at_ms, event.units))
                 volume.limit += event.units
-            elif isinstance(event, Counted):
-                self.extra = deque(sorted((*self.extra, *event.extra)))
-                self.taken = deque(sorted((*self.taken, *event.taken)))
+            elif isinstance(event, RetryBudgetUsage):
+                self.extra = deque(sorted((*self.extra, *event.retried_at_ms)))
+                self.taken = deque(sorted((*self.taken, *event.arrived_at_ms)))
         self._expire()
         if now_ms >= self.period_end:
             self._compensate()
@@ -260,8 +260,8 @@
         volume = self.volumes.get(event.volume)
         if volume is None:
             volume = self.volumes[event.volume] = _Volume(self.born)
-            volume.reserve = self.set.plans[event.plan].reserve / max(1, event.writers)
-        volume.writers = max(volume.writers, event.writers)
+            volume.reserve = self.set.plans[event.plan].reserve / max(1, event.sharing_hosts)
+        volume.writers = max(volume.writers, event.sharing_hosts)
         index, left = event.request_class, event.remaining_ms
         cls = self.set.classes[index]
         request = _Request(event, volume, now)
@@ -270,15 +270,15 @@
         # The part of its deadline that a client's later try lacks is time its user has waited already.
         # Danger: impatient clients come with less than the aim; these are fresh, worth all until they leave.
         longest = self.longest[index] = max(self.longest[index], left)
-        waited = longest - left if left > cls.aim_ms else 0.0
+        waited = longest - left if left > cls.latency_objective_ms else 0.0
         if event.waited_ms >= 0:
             waited = event.waited_ms
-        request.aim_at = now + min(left, cls.aim_ms - waited)
+        request.aim_at = now + min(left, cls.latency_objective_ms - waited)
         self.requests[event.request] = request
-        if self.set.budget_window_ms and not event.counted:
+        if self.set.budget_window_ms and not event.counted_in_budget:
             self.taken.append(now)
             self._in_budget()  # forgets what the window has passed
-        if cls.in_turn and event.key:
+        if cls.ordered and event.key:
             self.turns.setdefault(event.key, _Turn()).queue.append(request)
         self._watch(request)
         self._place(request)
@@ -345,7 +345,7 @@
         flow = lane.flows[request.arrival.volume]
         (flow.waiting if request in flow.waiting else lane.late).remove(request)
 
-    def _outcome(self, event: Ended) -> None:
+    def _outcome(self, event: AttemptEnded) -> None:
         request = self.requests.get(event.request)
         if request is None or request.node is None or event.attempt != request.attempts - 1:
             return
@@ -358,8 +358,8 @@
                 self.lost = max(SURELY, self.lost * UNLIKE)
             elif outcome in (Outcome.OK, Outcome.ERROR):
                 self.lost = min(LOST, self.lost / UNLIKE)
-        self._health(node, request, outcome, event.lag_ms)
-        if outcome in MAY_STILL_RUN and request.cls.in_turn and request.arrival.key in self.turns:
+        self._health(node, request, outcome, event.latency_ms)
+        if outcome in MAY_STILL_RUN and request.cls.ordered and request.arrival.key in self.turns:
             self.turns[request.arrival.key].rest_until = now + self.set.order_settle_ms
         if outcome not in NEVER_RAN and request.ran is None:
             request.ran = (request.sent_at, node.line)
@@ -367,16 +367,16 @@
         if lane is not None:
             self.live_lanes[node.line.shard] = lane
             flow = lane.flows.setdefault(request.arrival.volume, _Flow())
-            flow.served += event.elsewhere + (request.arrival.units if outcome is Outcome.OK else 0)
-        self._settle(request, event.reached)
+            flow.served += event.units_elsewhere + (request.arrival.units if outcome is Outcome.OK else 0)
+        self._settle(request, event.charged)
         if event.settled or request.ended or outcome is Outcome.OK:
             request.ended = True
             self._forget(request)
         elif not self._may_try(request):
             self._end(request)
         else:
-            if request.ran is not None and request.cls.effect is Effect.KEYED:
-                window = request.ran[0] + request.cls.repeat_window_ms
+            if request.ran is not None and request.cls.idempotency is Idempotency.KEYED:
+                window = request.ran[0] + request.cls.deduplication_window_ms
                 if window < request.end_at:
                     request.end_at = window
                     self._watch(request)
@@ -386,24 +386,27 @@
         """Whether a further attempt can be lawful at all; when and where is looked at when it leaves."""
         if request.attempts >= self.set.max_attempts or self.now >= request.end_at - 2 * self.set.tick_ms:
             return False
-        if request.ran is None or request.cls.effect is Effect.REPEATABLE:
+        if request.ran is None or request.cls.idempotency is Idempotency.ALWAYS:
             return True
-        return request.cls.effect is Effect.KEYED and (
-            self.now < request.ran[0] + request.cls.repeat_window_ms - 2 * self.set.tick_ms
+        return request.cls.idempotency is Idempotency.KEYED and (
+            self.now < request.ran[0] + request.cls.deduplication_window_ms - 2 * self.set.tick_ms
         )
 
     def _may_refuse(self, request: _Request) -> bool:
         """A refusal promises that a new try is harmless: only where nothing ran, or repeats are dropped."""
-        if request.cls.effect is Effect.REPEATABLE or (request.ran is None and request.node is None):
+        if request.cls.idempotency is Idempotency.ALWAYS or (request.ran is None and request.node is None):
             return True
-        return request.cls.effect is Effect.KEYED and request.cls.group is Group.ALL
+        return (
+            request.cls.idempotency is Idempotency.KEYED
+            and request.cls.deduplication_scope is DeduplicationScope.ALL
+        )
 
     def _end(self, request: _Request) -> None:
         """Give the final answer."""
         name, away = request.arrival.request, self._away(request)
         self._leave(request)
         request.ended = True
-        self.actions.append(Refuse(name, away) if self._may_refuse(request) else Fail(name))
+        self.actions.append(Reject(name, away) if self._may_refuse(request) else Fail(name))
         self._forget(request)
 
     def _away(self, request: _Request) -> float:
@@ -433,7 +436,7 @@
         if request.node is not None:
             return
         self.requests.pop(request.arrival.request, None)
-        turn = self.turns.get(request.arrival.key) if request.cls.in_turn else None
+        turn = self.turns.get(request.arrival.key) if request.cls.ordered else None
         if turn is not None and request in turn.queue:
             turn.queue.remove(request)
 
@@ -463,10 +466,10 @@
         if event.kind is not ListKind.CHANGES:
             for name in [n for n in self.nodes if n not in listed]:
                 old = self.nodes[name].line
-                self.nodes[name].line = Node(name, old.shard, old.zone, old.up_since_ms, NodeState.GONE)
+                self.nodes[name].line = Node(name, old.shard, old.zone, old.started_at_ms, NodeState.GONE)
         for name, line in listed.items():
             node = self.nodes.setdefault(name, _Node(max(1.0, DEPTH / self.set.hosts), self.random.random()))
-            if node.line is not None and node.line.up_since_ms != line.up_since_ms:
+            if node.line is not None and node.line.started_at_ms != line.started_at_ms:
                 # A restarted process has forgotten its jam: its trial ends, D starts low.
                 node.closed_until, node.backoff, node.depth, node.lot = 0.0, 0.0, 1.0, self.random.random()
                 node.seen = node.wide = 0.0
@@ -484,7 +487,7 @@
         for node in self.nodes.values():
             if node.line.state is NodeState.READY:
                 lane = self.lanes.setdefault(node.line.shard, _Lane())
-                if lane.node is None or node.line.up_since_ms > lane.node.line.up_since_ms:
+                if lane.node is None or node.line.started_at_ms > lane.node.line.started_at_ms:
                     lane.node = node
         for lane in list(self.lanes.values()):
             if lane.node is None and lane.waiting:
@@ -502,7 +505,7 @@
         """Steer D by the answers, and by what fails how soon a closed node is tried again."""
         now = self.now
         easy = self._uncrowded(node, request.arrival.units)
-        ratio = max(0.0, lag - easy) / request.cls.aim_ms if node.seen else 0.0
+        ratio = max(0.0, lag - easy) / request.cls.latency_objective_ms if node.seen else 0.0
         answered = outcome in (Outcome.OK, Outcome.ERROR)
         if answered:
             node.backoff, node.closed_until, node.heard = 0.0, 0.0, now
@@ -512,18 +515,20 @@
         # how much an aim was missed says nothing, but would keep the node from being tried again for longer.
         # What later attempts overtook was lost on the way, which is no sign of a jam.
         missed = outcome in MAY_STILL_RUN and request.sent_at >= node.overtaken
-        long = max(LAG_TARGET * request.cls.aim_ms, QUIET * easy) if node.seen else self.aim / 4
+        long = max(LAG_TARGET * request.cls.latency_objective_ms, QUIET * easy) if node.seen else self.aim / 4
         missed = missed and lag - easy > long
         if outcome is Outcome.OK:
             self._learn(node, request.arrival.units, lag)
         if missed or ratio > 1:
-            lag, ratio = request.cls.aim_ms, 1.0
+            lag, ratio = request.cls.latency_objective_ms, 1.0
         if answered or missed:
             # Over a round of answers: with many out single ones say little.
             weight = min(SMOOTH, 1 / node.depth) if node.lag else 1.0
             node.lag += weight * (lag - node.lag)
             node.ratio += weight * (ratio - node.ratio)
-            node.target += weight * (max(LAG_TARGET, self.room * easy / request.cls.aim_ms) - node.target)
+            node.target += weight * (
+                max(LAG_TARGET, self.room * easy / request.cls.latency_objective_ms) - node.target
+            )
             # Over the target D falls to one, and under one only where the node is clearly crowded.
             floor = 1.0 if node.ratio <= CROWDED else 1.0 / DEPTH
             if node.wide:
@@ -603,7 +608,7 @@
 
     def _expected(self, node: _Node, request: _Request) -> float:
         """Answer time to expect of a request at a node."""
-        wait = (node.ratio or LAG_TARGET) * request.cls.aim_ms
+        wait = (node.ratio or LAG_TARGET) * request.cls.latency_objective_ms
         return max(node.lag if not node.seen else 0.0, self._uncrowded(node, request.arrival.units) + wait)
 
     def _strays(self, node: _Node) -> None:
@@ -618,7 +623,10 @@
             expected = self._expected(node, request)
             if self.now - request.sent_at > self.lost * expected:
                 node.strays[name] = node.out.pop(name)
-                again = request.cls.effect is not Effect.UNSAFE and request.attempts < self.set.max_attempts
+                again = (
+                    request.cls.idempotency is not Idempotency.NEVER
+                    and request.attempts < self.set.max_attempts
+                )
                 if again and self.set.may_cancel and not request.ended:
                     if self.now + expected < request.aim_at and self._in_budget():
                         self.actions.append(Cancel(name, request.attempts - 1))
@@ -660,7 +668,9 @@
             if not flow.waiting:
                 continue
             late = [  # as in _late, which costs too much for each that waits
-                r for r in flow.waiting if r.aim_at < none + slope * r.arrival.units + ratio * r.cls.aim_ms
+                r
+                for r in flow.waiting
+                if r.aim_at < none + slope * r.arrival.units + ratio * r.cls.latency_objective_ms
             ]
             for request in late:
                 flow.waiting.remove(request)
@@ -688,14 +698,14 @@
 
     def _late(self, node: _Node, request: _Request) -> bool:
         """Whether a request sent now would miss its aim."""
-        wait = node.ratio * request.cls.aim_ms
+        wait = node.ratio * request.cls.latency_objective_ms
         return request.aim_at < self.now + self._uncrowded(node, request.arrival.units) + wait
 
     def _first(self, waiting: list[_Request], node: _Node, room: float) -> _Request | None:
         """Pick a volume's head: most worth first, then nearest aim, among those that may leave now."""
         head, least = None, (FOREVER, FOREVER)
         for request in waiting:
-            rank = (-request.cls.worth, request.aim_at)
+            rank = (-request.cls.priority_weight, request.aim_at)
             if rank < least and self._may_leave(request, node, room):
                 head, least = request, rank
         return head
@@ -791,15 +801,15 @@
                 spare = FOREVER if any(flow and flow.waiting for flow in flows) else 0.0
             if request.volume.limit < units + spare:
                 return False
-        if request.ran is not None and request.cls.effect is Effect.KEYED:
+        if request.ran is not None and request.cls.idempotency is Idempotency.KEYED:
             home = request.ran[1]
-            if request.cls.group is Group.SHARD and node.line.shard != home.shard:
+            if request.cls.deduplication_scope is DeduplicationScope.SHARD and node.line.shard != home.shard:
                 return False
-            if request.cls.group is Group.ZONE and node.line.zone != home.zone:
+            if request.cls.deduplication_scope is DeduplicationScope.ZONE and node.line.zone != home.zone:
                 return False
         if request.attempts and not self._in_budget():
             return False
-        if request.cls.in_turn and request.arrival.key:
+        if request.cls.ordered and request.arrival.key:
             turn = self.turns[request.arrival.key]
             return turn.queue[0] is request and (request.attempts > 0 or self.now >= turn.rest_until)
         return True
@@ -858,8 +868,8 @@
         window, line, hosts, usual = self.set.cold_window_ms, node.line, self.set.hosts, self.set.usual_units
         while node.recent and node.recent[0][0] <= self.now - window - self.set.tick_ms:
             node.recent.popleft()
-        age, node.drawn = self.now - line.up_since_ms, 1.0
-        if not line.up_since_ms or age >= self.set.warm_up_ms + window:
+        age, node.drawn = self.now - line.started_at_ms, 1.0
+        if not line.started_at_ms or age >= self.set.warm_up_ms + window:
             return FOREVER
         if self.now < self.born + window:
             return 0.0  # a former life of this host may have spent its part just now
--- a/cressrock/settings/reference.py
+++ b/cressrock/settings/reference.py
@@ -9,10 +9,10 @@
 import msgspec
 from msgspec import inspect as shapes
 
-from cressrock.dispatch.nodeclient import PoolBounds
+from cressrock.dispatch.node_client import PoolBounds
+from cressrock.failover.decision import FailoverSettings, ZoneSettings
 from cressrock.http.server import ServerBounds
 from cressrock.settings import types
-from cressrock.zones.terms import Zone, Zones
 
 HEAD = """# Settings
 
@@ -40,8 +40,8 @@
     ("pair", types.Pair),
     ("presence", types.PresenceSettings),
     ("rollout", types.RolloutSettings),
-    ("zones", Zones),
-    ("zones.zones.NAME", Zone),
+    ("zones", FailoverSettings),
+    ("zones.zones.NAME", ZoneSettings),
 )
 
 
--- a/cressrock/settings/rules.py
+++ b/cressrock/settings/rules.py
@@ -19,8 +19,8 @@
 from msgspec import Meta, Struct
 
 from cressrock import interface
-from cressrock.errors.rollout import RulesDiffer, RulesNewer, RulesWrong
-from cressrock.rollout.stages import MAX_DOCUMENT, Course, digest_of
+from cressrock.errors.rollout import IncompatibleRulesError, InvalidRulesError, UnknownRulesVersionError
+from cressrock.rollout.lifecycle import MAX_DOCUMENT_BYTES, RolloutPlan, document_digest
 from cressrock.settings.types import METHODS, Gateway, Positive, interface_settings
 
 VERSION = 1
@@ -64,7 +64,7 @@
     version: Annotated[int, Meta(ge=1, le=65535)] = VERSION
     note: Text = ""
     rules: Rules
-    course: Course
+    course: RolloutPlan
 
 
 _json = msgspec.json.Decoder(Document)
@@ -72,8 +72,8 @@
 
 def read(data: bytes) -> Document:
     """Read a document's JSON.  Raises RulesWrong with the place, RulesNewer for another version."""
-    if len(data) > MAX_DOCUMENT:
-        raise RulesWrong(f"a document of {len(data)} bytes; one decree takes {MAX_DOCUMENT}")
+    if len(data) > MAX_DOCUMENT_BYTES:
+        raise InvalidRulesError(f"a document of {len(data)} bytes; one decree takes {MAX_DOCUMENT_BYTES}")
     try:
         found = _json.decode(data)
     except (msgspec.DecodeError, RecursionError, UnicodeDecodeError) as wrong:
@@ -83,12 +83,12 @@
             head = None
         version = head.get("version", VERSION) if isinstance(head, dict) else VERSION
         if not isinstance(version, int) or version <= VERSION:
-            raise RulesWrong(f"document: {str(wrong)[:300]}") from None
+            raise InvalidRulesError(f"document: {str(wrong)[:300]}") from None
     else:
         if found.version <= VERSION:
             return found
         version = found.version
-    raise RulesNewer(f"a document of version {version}; version {VERSION} is known")
+    raise UnknownRulesVersionError(f"a document of version {version}; version {VERSION} is known")
 
 
 def canonical(document: Document) -> bytes:
@@ -97,7 +97,7 @@
     return msgspec.json.encode(_json.decode(msgspec.json.encode(document)), order="sorted")
 
 
-def of_settings(settings: Gateway, course: Course, note: str = "") -> Document:
+def of_settings(settings: Gateway, course: RolloutPlan, note: str = "") -> Document:
     """Return the settings' own rules as a document, to begin from."""
     classes = [
         ClassRules(
@@ -118,10 +118,10 @@
     names = [c.name for c in settings.classes]
     given = [c.name for c in rules.classes]
     if given != names:
-        raise RulesDiffer(f"rules.classes: {given} are not the settings' {names}, in their order")
+        raise IncompatibleRulesError(f"rules.classes: {given} are not the settings' {names}, in their order")
     if sorted(rules.plans) != sorted(settings.plans):
         known = sorted(settings.plans)
-        raise RulesDiffer(f"rules.plans: {sorted(rules.plans)} are not the settings' {known}")
+        raise IncompatibleRulesError(f"rules.plans: {sorted(rules.plans)} are not the settings' {known}")
     classes = [
         msgspec.structs.replace(
             own, methods=c.methods, max_bytes=c.max_bytes, aim_ms=c.aim_ms, deadline_ms=c.deadline_ms
@@ -135,7 +135,7 @@
     try:
         return msgspec.structs.replace(settings, classes=classes, plans=plans)
     except ValueError as wrong:
-        raise RulesWrong(f"rules.{wrong}") from None
+        raise InvalidRulesError(f"rules.{wrong}") from None
 
 
 def compare(good: Gateway, rules: Rules, settings: Gateway) -> Gateway:
@@ -153,19 +153,21 @@
     for index, cls in enumerate(found.classes):
         place = f"rules.classes[{index}].deadline_ms"
         if cls.deadline_ms > longest:
-            raise RulesWrong(f"{place}: {cls.deadline_ms:g} is above front.longest_wait_s ({longest:g} ms)")
+            raise InvalidRulesError(
+                f"{place}: {cls.deadline_ms:g} is above front.longest_wait_s ({longest:g} ms)"
+            )
         if cls.effect == "keyed" and cls.deadline_ms > settings.front.key_memory_ms:
-            raise RulesDiffer(
+            raise IncompatibleRulesError(
                 f"{place}: {cls.deadline_ms:g} is above front.key_memory_ms; a key would be forgotten before"
             )
         if cls.aim_ms > cls.deadline_ms:
-            raise RulesWrong(f"rules.classes[{index}].aim_ms: {cls.aim_ms:g} is above the deadline")
+            raise InvalidRulesError(f"rules.classes[{index}].aim_ms: {cls.aim_ms:g} is above the deadline")
     for method, size in _samples(good, found):
         one, other = (s.classes[s.class_of(method, size)] for s in (good, found))
         for field in ("effect", "group", "repeat_window_ms", "in_turn"):
             if getattr(one, field) != getattr(other, field):
                 what = "of any size" if size is None else f"of {size} bytes"
-                raise RulesDiffer(
+                raise IncompatibleRulesError(
                     f"rules.classes: {method} {what} is {other.name!r} with {field} "
                     f"{getattr(other, field)!r}; under the good version {getattr(one, field)!r}"
                 )
@@ -216,21 +218,23 @@
         """Return the digests of all versions that are held, the settings' own apart."""
         return tuple(v.digest for v in self.slots[1:] if v is not None)
 
-    def check(self, data: bytes, good: str) -> tuple[bytes, Course]:
+    def check(self, data: bytes, good: str) -> tuple[bytes, RolloutPlan]:
         """Return a new document's canonical bytes and its course, if it may live beside the good version.
 
         Raises RulesWrong, RulesNewer, RulesDiffer.
         """
         document, beside = read(data), self.get(good)
         if beside is None:
-            raise RulesWrong(f"the good version {good} is not known here yet")
+            raise InvalidRulesError(f"the good version {good} is not known here yet")
         compare(beside.settings, document.rules, self.settings)
         found = canonical(document)
-        if len(found) > MAX_DOCUMENT:
-            raise RulesWrong(f"a document of {len(found)} bytes; one decree takes {MAX_DOCUMENT}")
+        if len(found) > MAX_DOCUMENT_BYTES:
+            raise InvalidRulesError(
+                f"a document of {len(found)} bytes; one decree takes {MAX_DOCUMENT_BYTES}"
+            )
         return found, document.course
 
-    def course(self, data: bytes) -> Course:
+    def course(self, data: bytes) -> RolloutPlan:
         """Return a document's course.  Raises RulesWrong, RulesNewer."""
         return read(data).course
 
@@ -249,7 +253,7 @@
                 beside = self.get(good) or self.own
                 try:
                     self._place(now, digest, compare(beside.settings, read(data).rules, self.settings))
-                except (RulesWrong, RulesNewer, RulesDiffer) as why:
+                except (InvalidRulesError, UnknownRulesVersionError, IncompatibleRulesError) as why:
                     wrong.append(f"{digest}: {why.text}")
         good = good if self.get(good) is not None else ""
         live = [v for v in self.slots if v is not None and (v.digest in documents or v.digest == good)]
@@ -270,7 +274,9 @@
                 )
                 self.used = max(self.used, index + 1)
                 return
-        raise RulesWrong(f"all {len(self.slots)} places are in use; one is free in {self.keep_ms:g} ms")
+        raise InvalidRulesError(
+            f"all {len(self.slots)} places are in use; one is free in {self.keep_ms:g} ms"
+        )
 
     def rows(self, base: interface.Settings) -> interface.Settings:
         """Return a decision module's settings with all versions' classes and plans in them."""
@@ -298,4 +304,4 @@
 
 def digest(document: Document) -> str:
     """Return a document's name."""
-    return digest_of(canonical(document))
+    return document_digest(canonical(document))
--- a/cressrock/settings/types.py
+++ b/cressrock/settings/types.py
@@ -8,9 +8,9 @@
 from msgspec import Meta, Struct
 
 from cressrock import interface
-from cressrock.dispatch.nodeclient import PoolBounds
+from cressrock.dispatch.node_client import PoolBounds
+from cressrock.failover.decision import FailoverSettings
 from cressrock.http.server import ServerBounds
-from cressrock.zones.terms import Zones
 
 Milliseconds = Annotated[float, Meta(ge=0, le=1e9)]
 Positive = Annotated[float, Meta(gt=0, le=1e9)]
@@ -272,7 +272,7 @@
     council: CouncilSettings | None = None
     presence: PresenceSettings | None = None  # unset: no rooms
     rollout: RolloutSettings | None = None  # unset: the rules are the settings', and nothing is told of them
-    zones: Zones | None = None  # unset: no read goes anywhere else because of where nodes stand
+    zones: FailoverSettings | None = None  # unset: no read goes anywhere else because of where nodes stand
     stop_after_ms: Positive = 30000.0  # SIGTERM: how long what is owed may take
 
     def __post_init__(self) -> None:
@@ -373,7 +373,7 @@
         if presence.gone_ms <= presence.silent_ms:
             raise ValueError("presence.gone_ms: not above silent_ms; members would be gone before unsure")
 
-    def _check_zones(self, zones: Zones) -> None:
+    def _check_zones(self, zones: FailoverSettings) -> None:
         """Check the zones against the fleet.  Raises ValueError naming the place."""
         if self.fleet is None:
             raise ValueError("zones: needs `fleet`, by which evidence and decrees are told")
@@ -424,15 +424,15 @@
     """Put the settings into the decision module's terms.  Raises ValueError naming a field."""
     classes = tuple(
         interface.RequestClass(
-            aim_ms=c.aim_ms,
+            latency_objective_ms=c.aim_ms,
             deadline_ms=c.deadline_ms,
-            worth=c.worth,
-            late_worth=c.late_worth,
-            effect=interface.Effect(c.effect),
-            group=interface.Group(c.group),
-            repeat_window_ms=c.repeat_window_ms,
-            in_turn=c.in_turn,
-            writes=c.effect != "repeatable",
+            priority_weight=c.worth,
+            late_priority_weight=c.late_worth,
+            idempotency=interface.Idempotency(c.effect),
+            deduplication_scope=interface.DeduplicationScope(c.group),
+            deduplication_window_ms=c.repeat_window_ms,
+            ordered=c.in_turn,
+            is_write=c.effect != "repeatable",
         )
         for c in settings.classes
     )
--- a/cressrock/webdav/compose.py
+++ b/cressrock/webdav/compose.py
@@ -17,13 +17,13 @@
 from typing import Any
 
 from cressrock.dispatch.ledger import Verdict
-from cressrock.dispatch.operation import Body, Incoming, Reply, Result
+from cressrock.dispatch.operation import Body, IncomingPayload, Reply, Result
 from cressrock.dispatch.reasons import Reason
-from cressrock.dispatch.transport import Denied
+from cressrock.dispatch.transport import Denial
 from cressrock.http.channel import Headers, header
 from cressrock.webdav import conditions, xml
 from cressrock.webdav.conditions import State
-from cressrock.webdav.paths import BadPath, Path, parse
+from cressrock.webdav.paths import InvalidPathError, Path, parse
 from cressrock.webdav.placement import home
 from cressrock.webdav.request import Request
 from cressrock.webdav.xml import D, Response
@@ -80,7 +80,7 @@
     status: int
     headers: Headers = field(default_factory=list)
     body: bytes = b""
-    stream: Incoming | None = None
+    stream: IncomingPayload | None = None
     reason: Reason | None = None
 
 
@@ -117,7 +117,7 @@
 Members = Generator[list[Call], list[Result], list[tuple[Path, Reply]]]
 
 
-class Stop(Exception):
+class CompositionFinishedError(Exception):
     """A composition is over before its end, with this answer."""
 
     def __init__(self, answer: Answer) -> None:
@@ -130,7 +130,7 @@
     """Return the composition of a request whose volume is known."""
     try:
         answer: Answer = yield from _METHODS[request.method](request, site)
-    except Stop as stop:
+    except CompositionFinishedError as stop:
         return stop.answer
     return answer
 
@@ -138,12 +138,12 @@
 # --- results to answers
 
 
-def denied(result: Denied, *, harmless: bool = True) -> Answer:
+def denied(result: Denial, *, harmless: bool = True) -> Answer:
     """Turn a denial into an answer: 503 promises that a retry is harmless, 502 and 504 nothing."""
-    if result.verdict is Verdict.REFUSED and harmless:
+    if result.verdict is Verdict.REJECTED and harmless:
         seconds = max(1, -(-int(result.retry_after_ms) // 1000))
         return Answer(503, [(b"retry-after", str(seconds).encode())], reason=result.reason)
-    reason = result.reason if result.verdict is not Verdict.REFUSED else Reason.HALF_DONE
+    reason = result.reason if result.verdict is not Verdict.REJECTED else Reason.HALF_DONE
     status = 504 if reason in (Reason.DEADLINE, Reason.OVERDUE) else 502
     return Answer(status, reason=reason)
 
@@ -164,8 +164,8 @@
 def _one(call: Call, *, harmless: bool = True) -> Generator[list[Call], list[Result], Reply]:
     """Make one call; stop with a refusal or failure where it is denied."""
     (result,) = yield [call]
-    if isinstance(result, Denied):
-        raise Stop(denied(result, harmless=harmless))
+    if isinstance(result, Denial):
+        raise CompositionFinishedError(denied(result, harmless=harmless))
     return result
 
 
@@ -176,8 +176,8 @@
     results = yield calls
     replies: list[Reply] = []
     for result in results:
-        if isinstance(result, Denied):
-            raise Stop(denied(result, harmless=harmless))
+        if isinstance(result, Denial):
+            raise CompositionFinishedError(denied(result, harmless=harmless))
         replies.append(result)
     return replies
 
@@ -206,7 +206,7 @@
     replies = yield from _all(calls, harmless=True)
     states = {tag: _state(reply) for tag, reply in zip(tags, replies, strict=True)}
     if not conditions.holds(request.ifs, states):
-        raise Stop(Answer(412))
+        raise CompositionFinishedError(Answer(412))
     return _tokens(request)
 
 
@@ -238,10 +238,10 @@
 def _responses(reply: Reply) -> list[Response]:
     try:
         found = xml.read_multistatus(reply.body)
-    except xml.BadXML:
-        raise Stop(Answer(502, reason=Reason.NODE_ANSWER)) from None
+    except xml.InvalidXMLError:
+        raise CompositionFinishedError(Answer(502, reason=Reason.NODE_ANSWER)) from None
     if not found:
-        raise Stop(Answer(502, reason=Reason.NODE_ANSWER))
+        raise CompositionFinishedError(Answer(502, reason=Reason.NODE_ANSWER))
     return found
 
 
@@ -322,7 +322,7 @@
     fields: Headers = [(b"depth", depth.encode())]
     own = yield from _one(Call("PROPFIND", path, site.home(path), fields, body))
     if own.status != 207:
-        raise Stop(passed(own))
+        raise CompositionFinishedError(passed(own))
     first, *members = _responses(own)
     if depth == "0" or not _is_collection(own):
         return [first, *members]
@@ -343,8 +343,8 @@
 def _path_of(href: str) -> Path:
     try:
         return parse(href)
-    except BadPath:
-        raise Stop(Answer(502, reason=Reason.NODE_ANSWER)) from None
+    except InvalidPathError:
+        raise CompositionFinishedError(Answer(502, reason=Reason.NODE_ANSWER)) from None
 
 
 # --- collections
@@ -609,7 +609,7 @@
                 problem = yield from _make_there(there, site, tokens, stat, changed=True)
             else:
                 problem = yield from _copy_member(member, there, site, tokens, stat)
-        except Stop as stop:
+        except CompositionFinishedError as stop:
             problem = stop.answer
         if problem is not None:
             lost.append(member)
@@ -633,7 +633,7 @@
     found: list[tuple[Path, Reply]] = []
     for shard, reply in zip(shards, replies, strict=True):
         if reply.status != 207:
-            raise Stop(passed(reply))
+            raise CompositionFinishedError(passed(reply))
         for response in _responses(reply)[1:]:
             member = _path_of(response.href)
             if site.home(member) == shard:
@@ -649,7 +649,7 @@
     """Make a collection as part of a copy, with its properties."""
     try:
         made = yield from _make(path, site, tokens)
-    except Stop as stop:
+    except CompositionFinishedError as stop:
         if changed and stop.answer.status == 503:
             return Answer(502, reason=Reason.HALF_DONE)
         return stop.answer
--- a/cressrock/webdav/conditions.py
+++ b/cressrock/webdav/conditions.py
@@ -12,7 +12,7 @@
 NO_LOCK = "DAV:no-lock"
 
 
-class BadHeader(ValueError):
+class InvalidHeaderError(ValueError):
     """A field that cannot be read; the text names it."""
 
 
@@ -60,30 +60,30 @@
         match = _IF.match(value, position)
         if match is None:
             if value[position:].strip():
-                raise BadHeader(f"If: cannot be read at character {position}")
+                raise InvalidHeaderError(f"If: cannot be read at character {position}")
             break
         position = match.end()
         kind = match.lastgroup
         if inside is None:
             if kind == "tag":
                 if lists and not tagged:
-                    raise BadHeader("If: tagged and untagged lists are mixed")
+                    raise InvalidHeaderError("If: tagged and untagged lists are mixed")
                 resource, tagged = match["tag"][1:-1], True
             elif kind == "open":
                 inside = []
             else:
-                raise BadHeader("If: a list was expected")
+                raise InvalidHeaderError("If: a list was expected")
             continue
         if kind == "close":
             if not inside or negated:
-                raise BadHeader("If: a list is empty or ends after Not")
+                raise InvalidHeaderError("If: a list is empty or ends after Not")
             lists.append(StateList(resource, tuple(inside)))
             inside = None
             if len(lists) > max_lists:
-                raise BadHeader(f"If: more than {max_lists} lists")
+                raise InvalidHeaderError(f"If: more than {max_lists} lists")
         elif kind == "not":
             if negated:
-                raise BadHeader("If: Not is doubled")
+                raise InvalidHeaderError("If: Not is doubled")
             negated = True
         elif kind == "tag":
             inside.append(Condition(negated, token=match["tag"][1:-1]))
@@ -92,12 +92,12 @@
             inside.append(Condition(negated, etag=match["etag"]))
             negated = False
         else:
-            raise BadHeader("If: a list within a list")
+            raise InvalidHeaderError("If: a list within a list")
         total += 1
         if total > max_conditions:
-            raise BadHeader(f"If: more than {max_conditions} conditions")
+            raise InvalidHeaderError(f"If: more than {max_conditions} conditions")
     if inside is not None or not lists:
-        raise BadHeader("If: a list is not closed or missing")
+        raise InvalidHeaderError("If: a list is not closed or missing")
     return tuple(lists)
 
 
@@ -136,7 +136,7 @@
         return ["*"]
     found = re.findall(r'(?:W/)?"[^"]*"', value)
     if not found:
-        raise BadHeader("an entity tag was expected")
+        raise InvalidHeaderError("an entity tag was expected")
     return found
 
 
@@ -213,7 +213,7 @@
     """Read Depth: "0", "1" or "infinity".  Raises BadHeader."""
     found = default if value is None else value.strip().lower()
     if found not in ("0", "1", "infinity"):
-        raise BadHeader(f"Depth: {value!r} is none of 0, 1, infinity")
+        raise InvalidHeaderError(f"Depth: {value!r} is none of 0, 1, infinity")
     return found
 
 
@@ -221,7 +221,7 @@
     """Read Overwrite; absent means T.  Raises BadHeader."""
     found = "T" if value is None else value.strip().upper()
     if found not in ("T", "F"):
-        raise BadHeader(f"Overwrite: {value!r} is neither T nor F")
+        raise InvalidHeaderError(f"Overwrite: {value!r} is neither T nor F")
     return found == "T"
 
 
@@ -240,7 +240,7 @@
     """Read `<url>`.  Raises BadHeader."""
     text = value.strip()
     if not (text.startswith("<") and text.endswith(">")) or len(text) < 3 or re.search(r"\s", text):
-        raise BadHeader(f"{name}: <URL> was expected")
+        raise InvalidHeaderError(f"{name}: <URL> was expected")
     return text[1:-1]
 
 
