--- a/cressrock/webdav/front.py
+++ b/cressrock/webdav/front.py
@@ -16,24 +16,24 @@
 import anyio
 import h11
 
-from cressrock.copies.carrier import READS, WRITES, Copies
 from cressrock.dispatch.ledger import Verdict
-from cressrock.dispatch.operation import Cut, Incoming, Operation, Reply, Result
+from cressrock.dispatch.operation import IncomingPayload, Operation, PayloadTruncatedError, Reply, Result
 from cressrock.dispatch.reasons import Reason
-from cressrock.dispatch.spool import Spool, Store, whole
-from cressrock.dispatch.tasks import TaskDriver
-from cressrock.dispatch.transport import Denied
-from cressrock.http.channel import Gone, Headers, header
+from cressrock.dispatch.spool import PayloadStore, Spool, complete_spool
+from cressrock.dispatch.task_driver import TaskDriver
+from cressrock.dispatch.transport import Denial
+from cressrock.http.channel import ConnectionLostError, Headers, header
 from cressrock.http.server import Exchange
 from cressrock.observe.metrics import Metrics
-from cressrock.rollout.carrier import Choice
-from cressrock.rollout.evidence import Ended
+from cressrock.replication.service import READ_METHODS, WRITE_METHODS, ReplicatedVolumes
+from cressrock.rollout.evidence import RequestOutcome
+from cressrock.rollout.service import VersionChoice
 from cressrock.settings.rules import Version
 from cressrock.settings.types import Gateway
 from cressrock.webdav import compose, xml
 from cressrock.webdav.compose import Answer, Call, Site, Volume
 from cressrock.webdav.paths import Path
-from cressrock.webdav.request import METHODS, BadRequest, Request, read
+from cressrock.webdav.request import METHODS, InvalidRequestError, Request, read
 from cressrock.webdav.xml import D
 
 TEXT: Headers = [(b"content-type", b"text/plain; charset=utf-8")]
@@ -41,11 +41,11 @@
 _LABEL = re.compile(rb"[A-Za-z0-9._-]{1,64}\Z")
 
 
-def ended_of(answer: Answer) -> Ended:
+def ended_of(answer: Answer) -> RequestOutcome:
     """Return how a request ended, by what its client is shown."""
     if answer.reason is None:
-        return Ended.SERVED
-    return Ended.REFUSED if answer.status in (429, 503) else Ended.FAILED
+        return RequestOutcome.SERVED
+    return RequestOutcome.REJECTED if answer.status in (429, 503) else RequestOutcome.FAILED
 
 
 def _size(request: Request) -> int | None:
@@ -63,7 +63,7 @@
         self,
         settings: Gateway,
         driver: TaskDriver,
-        store: Store,
+        store: PayloadStore,
         metrics: Metrics,
         *,
         source: random.Random,
@@ -80,16 +80,18 @@
         self.count = 0
         self.served: Callable[[str], None] | None = None  # told of each request's volume
         self.locked: Callable[[str, str, bool], None] | None = None  # session, lock token, taken or given up
-        self.copies: Copies | None = None  # of the volumes that have some; set by the program
+        self.copies: ReplicatedVolumes | None = None  # of the volumes that have some; set by the program
         # Keys must differ between lives of a dispatcher: a rack would drop new work as a repeat.
         self.life = f"{settings.name}-{source.getrandbits(48):012x}"
-        self.choose: Callable[[str], Choice[Version]] = lambda volume: self.alone  # by a request's volume
+        self.choose: Callable[[str], VersionChoice[Version]] = lambda volume: (
+            self.alone
+        )  # by a request's volume
         self.reload(settings)
 
     def reload(self, settings: Gateway) -> None:
         """Serve by other settings from the next request on."""
         self.settings = settings
-        self.alone = Choice(Version(settings), Version(settings))
+        self.alone = VersionChoice(Version(settings), Version(settings))
         volumes = {name: Volume(name, tuple(v.shards)) for name, v in settings.volumes.items()}
         self.site = Site(volumes, self._new_token, settings.front.longest_lock_s)
         self.plans = {name: settings.plan_index(v.plan) for name, v in settings.volumes.items()}
@@ -135,20 +137,20 @@
                 max_put_bytes=front.max_put_bytes,
             )
             if request.path is not None and request.path.volume not in self.site.volumes:
-                raise BadRequest(404, f"there is no volume {request.path.volume!r}")
+                raise InvalidRequestError(404, f"there is no volume {request.path.volume!r}")
             if self.served is not None and request.path is not None:
                 self.served(request.path.volume)
             if self.copies is not None and self._beyond_copies(request, self.copies):
-                raise BadRequest(501, f"{request.method} is not offered on a volume with copies")
+                raise InvalidRequestError(501, f"{request.method} is not offered on a volume with copies")
             if self.open >= front.max_requests:
                 return await self._answer(
                     exchange,
-                    compose.denied(Denied(Verdict.REFUSED, Reason.FULL, front.retry_after_ms)),
+                    compose.denied(Denial(Verdict.REJECTED, Reason.FULL, front.retry_after_ms)),
                     label,
                 )
             if request.method in _XML_BODY:
                 request.content = await self._xml(exchange, request)
-        except BadRequest as wrong:
+        except InvalidRequestError as wrong:
             exchange.close_after = exchange.close_after or wrong.status in (400, 413, 501)
             return await self._answer(exchange, Answer(wrong.status, TEXT, f"{wrong}\n".encode()), label)
         if request.method == "OPTIONS" or request.path is None:
@@ -176,11 +178,11 @@
             self.locked(session.decode("latin-1"), lock, request.method == "LOCK")
 
     @staticmethod
-    def _beyond_copies(request: Request, copies: Copies) -> bool:
+    def _beyond_copies(request: Request, copies: ReplicatedVolumes) -> bool:
         """Whether a request would write what copies do not take over: see docs/copies.md."""
         paths = [p for p in (request.path, request.destination) if p is not None]
-        known = any(copies.has(p.volume) for p in paths)
-        return known and request.method not in READS | WRITES
+        known = any(copies.is_replicated(p.volume) for p in paths)
+        return known and request.method not in READ_METHODS | WRITE_METHODS
 
     async def _xml(self, exchange: Exchange, request: Request) -> bytes:
         """Read an XML body and check it, before anything is asked of a node."""
@@ -190,7 +192,7 @@
         while data := await exchange.read():
             size += len(data)
             if size > front.max_xml_bytes:
-                raise BadRequest(413, f"an XML body may have at most {front.max_xml_bytes} bytes")
+                raise InvalidRequestError(413, f"an XML body may have at most {front.max_xml_bytes} bytes")
             parts.append(data)
         content = b"".join(parts)
         bounds = {"max_bytes": front.max_xml_bytes, "max_depth": front.max_xml_depth}
@@ -201,8 +203,8 @@
                 xml.proppatch(content, **bounds)
             else:
                 xml.lockinfo(content, **bounds)
-        except xml.BadXML as wrong:
-            raise BadRequest(400, str(wrong)) from None
+        except xml.InvalidXMLError as wrong:
+            raise InvalidRequestError(400, str(wrong)) from None
         return content
 
     def _root(self, request: Request) -> Answer:
@@ -259,7 +261,7 @@
                     return
                 spool.append(data)
             spool.finish()
-        except (Gone, h11.RemoteProtocolError, OSError):
+        except (ConnectionLostError, h11.RemoteProtocolError, OSError):
             spool.fail()
 
     # --- the composition
@@ -267,8 +269,8 @@
     async def _compose(self, request: Request, name: str, label: str, spools: list[Spool]) -> Answer:
         """Have a request answered by one version of the rules, chosen here and now."""
         assert request.path is not None
-        choice, since, ended = self.choose(request.path.volume), self.clock(), Ended.LEFT
-        if choice.over is None:
+        choice, since, ended = self.choose(request.path.volume), self.clock(), RequestOutcome.CLIENT_LEFT
+        if choice.on_complete is None:
             return await self._by(choice.version, request, name, label, spools)
         cls = choice.good.settings.class_of(request.method, _size(request))
         try:
@@ -276,7 +278,7 @@
             ended = ended_of(answer)
             return answer
         finally:
-            choice.over(cls, ended, self.clock() - since)
+            choice.on_complete(cls, ended, self.clock() - since)
 
     async def _by(
         self, version: Version, request: Request, name: str, label: str, spools: list[Spool]
@@ -327,7 +329,7 @@
         label: str,
         spools: list[Spool],
     ) -> Result:
-        if self.copies is not None and self.copies.has(op.volume):
+        if self.copies is not None and self.copies.is_replicated(op.volume):
             return await self._copied(self.copies, call, name, index, op, deadline, since, label, spools)
         result = await self.driver.perform(name, index, op, deadline, label, since)
         if isinstance(result, Reply) and call.collect and result.stream is not None:
@@ -336,7 +338,7 @@
 
     async def _copied(
         self,
-        copies: Copies,
+        copies: ReplicatedVolumes,
         call: Call,
         name: str,
         index: int,
@@ -395,7 +397,7 @@
         """Return an operation that brings a copy up to another, or looks at it, in its own class."""
         body = call.body
         if isinstance(body, bytes):
-            body = whole(self.store, body)
+            body = complete_spool(self.store, body)
             spools.append(body)
         size = 0 if body is None else body.length
         index = self.settings.class_of(call.method, size)
@@ -412,7 +414,7 @@
             stream=call.collect,
         )
 
-    async def _collect(self, reply: Reply, stream: Incoming, spools: list[Spool]) -> Result:
+    async def _collect(self, reply: Reply, stream: IncomingPayload, spools: list[Spool]) -> Result:
         """Keep an answer's payload, to be sent on to another shard."""
         length = header(reply.headers, b"content-length")
         spool = Spool(self.store, int(length) if length is not None else None)
@@ -420,8 +422,8 @@
         try:
             while data := await stream.chunk():
                 spool.append(bytes(data))
-        except (Cut, OSError):
-            return Denied(Verdict.FAILED, Reason.ATTEMPTS)
+        except (PayloadTruncatedError, OSError):
+            return Denial(Verdict.FAILED, Reason.ATTEMPTS)
         finally:
             stream.abandon()
         spool.finish()
@@ -433,7 +435,7 @@
         settings = self.settings
         body = call.body
         if isinstance(body, bytes):
-            body = whole(self.store, body)
+            body = complete_spool(self.store, body)
             spools.append(body)
         size = 0 if body is None else body.length
         volume = call.path.volume
@@ -476,17 +478,19 @@
         await self._stream(exchange, answer.status, headers, answer.stream)
         return answer.status
 
-    async def _stream(self, exchange: Exchange, status: int, headers: Headers, stream: Incoming) -> None:
+    async def _stream(
+        self, exchange: Exchange, status: int, headers: Headers, stream: IncomingPayload
+    ) -> None:
         """Pass a payload on; where the node breaks off, the client's connection is cut too."""
         try:
             await exchange.start(status, headers)
             while data := await stream.chunk():
                 await exchange.send(data)
             await exchange.finish()
-        except Cut as cut:
-            raise Gone("the node broke off its answer") from cut
+        except PayloadTruncatedError as cut:
+            raise ConnectionLostError("the node broke off its answer") from cut
         except h11.LocalProtocolError as short:
-            raise Gone("the node's answer is shorter than it announced") from short
+            raise ConnectionLostError("the node's answer is shorter than it announced") from short
         finally:
             stream.abandon()
 
--- a/cressrock/webdav/paths.py
+++ b/cressrock/webdav/paths.py
@@ -11,7 +11,7 @@
 SAFE = "/!$&'()*+,;=:@-._~"
 
 
-class BadPath(ValueError):
+class InvalidPathError(ValueError):
     """A target that names no resource here; the text says why."""
 
 
@@ -37,7 +37,7 @@
     def parent(self) -> Path:
         """The collection that holds it.  Raises BadPath for a volume's root."""
         if not self.segments:
-            raise BadPath("a volume's root has no parent")
+            raise InvalidPathError("a volume's root has no parent")
         return Path(self.volume, self.segments[:-1], True)
 
     def under(self, other: Path) -> bool:
@@ -56,11 +56,11 @@
     bytes that are not UTF-8, and anything over the bounds: what two servers could read differently.
     """
     if not target.startswith("/"):
-        raise BadPath("the path is not absolute")
+        raise InvalidPathError("the path is not absolute")
     if len(target) > max_bytes:
-        raise BadPath(f"the path is longer than {max_bytes} bytes")
+        raise InvalidPathError(f"the path is longer than {max_bytes} bytes")
     if "#" in target:
-        raise BadPath("a fragment does not belong in a request")
+        raise InvalidPathError("a fragment does not belong in a request")
     target = target.split("?", 1)[0]
     slash = target.endswith("/")
     segments: list[str] = []
@@ -69,22 +69,22 @@
             continue  # doubled slashes are one
         data = unquote_to_bytes(raw) if "%" in raw else raw.encode("latin-1", "replace")
         if "%" in raw and raw.count("%") != _escapes(raw):
-            raise BadPath("a percent sign does not begin an escape")
+            raise InvalidPathError("a percent sign does not begin an escape")
         try:
             text = data.decode("utf-8")
         except UnicodeDecodeError:
-            raise BadPath("the path is not UTF-8") from None
+            raise InvalidPathError("the path is not UTF-8") from None
         if "/" in text or "\\" in text:
-            raise BadPath("an encoded slash names no resource")
+            raise InvalidPathError("an encoded slash names no resource")
         if text in (".", ".."):
-            raise BadPath("dot segments are not followed")
+            raise InvalidPathError("dot segments are not followed")
         if any(ord(c) < 32 or ord(c) == 127 for c in text):
-            raise BadPath("control characters are not allowed")
+            raise InvalidPathError("control characters are not allowed")
         segments.append(text)
     if len(segments) > max_depth:
-        raise BadPath(f"the path is deeper than {max_depth} segments")
+        raise InvalidPathError(f"the path is deeper than {max_depth} segments")
     if not segments:
-        raise BadPath("the path names no volume")
+        raise InvalidPathError("the path names no volume")
     return Path(segments[0], tuple(segments[1:]), slash)
 
 
@@ -103,9 +103,9 @@
     try:
         parts = urlsplit(url)
     except ValueError:
-        raise BadPath("the URL cannot be read") from None
+        raise InvalidPathError("the URL cannot be read") from None
     if parts.scheme not in ("http", "https") or not parts.netloc:
-        raise BadPath("the URL is not absolute")
+        raise InvalidPathError("the URL is not absolute")
     if parts.username is not None or parts.netloc.lower() != host.lower():
         return None
     return parse(parts.path or "/")
--- a/cressrock/webdav/request.py
+++ b/cressrock/webdav/request.py
@@ -8,7 +8,7 @@
 from cressrock.dispatch.operation import Body
 from cressrock.http.channel import Headers
 from cressrock.webdav import conditions
-from cressrock.webdav.paths import BadPath, Path, parse, parse_url
+from cressrock.webdav.paths import InvalidPathError, Path, parse, parse_url
 
 METHODS = (
     "OPTIONS",
@@ -31,7 +31,7 @@
 _KEY = re.compile(r"[\x21-\x7e]{1,255}\Z")
 
 
-class BadRequest(ValueError):
+class InvalidRequestError(ValueError):
     """A request that gets its answer without any storage operation.  `status` is its code."""
 
     def __init__(self, status: int, text: str) -> None:
@@ -64,14 +64,14 @@
     """Check a request's head.  Raises BadRequest."""
     name = method.decode("ascii", "replace")
     if name not in METHODS:
-        raise BadRequest(501, f"method {name[:32]} is not known")
+        raise InvalidRequestError(501, f"method {name[:32]} is not known")
     headers = _headers(fields)
     host = headers.get("host", "")
     length: int | None = 0
     if "transfer-encoding" in headers:
         # Danger (smuggling): two framings, of which another server on the way may believe the other one.
         if "content-length" in headers:
-            raise BadRequest(400, "Content-Length and Transfer-Encoding together")
+            raise InvalidRequestError(400, "Content-Length and Transfer-Encoding together")
         length = None
     elif "content-length" in headers:
         length = int(headers["content-length"])
@@ -86,16 +86,16 @@
             request.destination = _destination(request)
         if name == "UNLOCK":
             conditions.coded_url(headers.get("lock-token", ""), "Lock-Token")
-    except (BadPath, conditions.BadHeader) as wrong:
-        raise BadRequest(400, str(wrong)) from None
+    except (InvalidPathError, conditions.InvalidHeaderError) as wrong:
+        raise InvalidRequestError(400, str(wrong)) from None
     key = headers.get("idempotency-key", "").strip().strip('"')
     if key and not _KEY.match(key):
-        raise BadRequest(400, "Idempotency-Key: 1 to 255 visible characters were expected")
+        raise InvalidRequestError(400, "Idempotency-Key: 1 to 255 visible characters were expected")
     request.key = key
     if length is not None and length > max_put_bytes:
-        raise BadRequest(413, f"a body may have at most {max_put_bytes} bytes")
+        raise InvalidRequestError(413, f"a body may have at most {max_put_bytes} bytes")
     if name == "PUT" and "content-range" in headers:
-        raise BadRequest(400, "a PUT of a part is not offered (Content-Range)")
+        raise InvalidRequestError(400, "a PUT of a part is not offered (Content-Range)")
     return request
 
 
@@ -105,7 +105,7 @@
         name = raw.decode("ascii")
         if name in headers:
             if raw in ONCE:
-                raise BadRequest(400, f"{name} is given twice")
+                raise InvalidRequestError(400, f"{name} is given twice")
             headers[name] += ", " + value.decode("latin-1")
         else:
             headers[name] = value.decode("latin-1")
@@ -119,7 +119,7 @@
     if not text.startswith("/"):
         found = parse_url(text, host)
         if found is None:
-            raise BadRequest(421, "the request names another host")
+            raise InvalidRequestError(421, "the request names another host")
         return found
     if not text.split("?", 1)[0].strip("/"):
         return None
@@ -135,11 +135,11 @@
     )
     request.depth = conditions.depth(given, default)
     if request.method in ("LOCK", "COPY") and request.depth == "1":
-        raise conditions.BadHeader(f"Depth: 1 is not allowed with {request.method}")
+        raise conditions.InvalidHeaderError(f"Depth: 1 is not allowed with {request.method}")
     if request.method in ("MOVE", "DELETE") and request.depth != "infinity":
         # Clients give 0 for plain resources, which means the same there; on a collection it is refused later.
         if request.depth == "1":
-            raise conditions.BadHeader(f"Depth: 1 is not allowed with {request.method}")
+            raise conditions.InvalidHeaderError(f"Depth: 1 is not allowed with {request.method}")
 
 
 def _conditions(request: Request) -> None:
@@ -159,17 +159,17 @@
         else:
             found = parse_url(one.resource, request.host)
             if found is None:
-                raise conditions.BadHeader("If: a resource on another host")
+                raise conditions.InvalidHeaderError("If: a resource on another host")
             request.resources[one.resource] = found
     if len(request.resources) > 16:
-        raise conditions.BadHeader("If: more than 16 resources")
+        raise conditions.InvalidHeaderError("If: more than 16 resources")
 
 
 def _destination(request: Request) -> Path:
     value = request.headers.get("destination")
     if value is None:
-        raise BadRequest(400, "Destination is missing")
+        raise InvalidRequestError(400, "Destination is missing")
     found = parse_url(value.strip(), request.host)
     if found is None:
-        raise BadRequest(502, "Destination is on another host")
+        raise InvalidRequestError(502, "Destination is on another host")
     return found
--- a/cressrock/webdav/xml.py
+++ b/cressrock/webdav/xml.py
@@ -12,7 +12,7 @@
 XML_TYPE = b'application/xml; charset="utf-8"'
 
 
-class BadXML(ValueError):
+class InvalidXMLError(ValueError):
     """A body that is not well-formed, too large or too deep, or not what the method asks for."""
 
 
@@ -56,7 +56,7 @@
     Danger: entities that grow or read files, and depth that overflows: any DOCTYPE is refused.
     """
     if len(data) > max_bytes:
-        raise BadXML(f"the XML body is longer than {max_bytes} bytes")
+        raise InvalidXMLError(f"the XML body is longer than {max_bytes} bytes")
     parser = etree.XMLParser(
         resolve_entities=False,
         no_network=True,
@@ -68,23 +68,23 @@
     try:
         root = etree.fromstring(data, parser)
     except (etree.XMLSyntaxError, ValueError) as wrong:
-        raise BadXML(f"the XML body is not well-formed: {str(wrong)[:200]}") from None
+        raise InvalidXMLError(f"the XML body is not well-formed: {str(wrong)[:200]}") from None
     docinfo: Any = root.getroottree().docinfo
     if docinfo.doctype:
-        raise BadXML("a DOCTYPE is not accepted")
+        raise InvalidXMLError("a DOCTYPE is not accepted")
     deepest, todo = 0, [(root, 1)]
     while todo:
         element, level = todo.pop()
         deepest = max(deepest, level)
         if deepest > max_depth:
-            raise BadXML(f"the XML body is deeper than {max_depth}")
+            raise InvalidXMLError(f"the XML body is deeper than {max_depth}")
         for child in element:
             if not isinstance(child.tag, str):
-                raise BadXML("an entity reference is not accepted")
+                raise InvalidXMLError("an entity reference is not accepted")
             todo.append((child, level + 1))
     for element in root.iter():
         if element.prefix and not etree.QName(element).namespace:
-            raise BadXML("a namespace prefix has no name")
+            raise InvalidXMLError("a namespace prefix has no name")
     return root
 
 
@@ -94,7 +94,7 @@
         return PropFind("allprop")
     root = parse(data, **bounds)
     if root.tag != D + "propfind":
-        raise BadXML("DAV:propfind was expected")
+        raise InvalidXMLError("DAV:propfind was expected")
     for child in root:
         if child.tag == D + "propname":
             return PropFind("propname")
@@ -104,14 +104,14 @@
             return PropFind("allprop", names)
         if child.tag == D + "prop":
             return PropFind("prop", tuple(p.tag for p in child))
-    raise BadXML("DAV:propfind holds none of prop, allprop, propname")
+    raise InvalidXMLError("DAV:propfind holds none of prop, allprop, propname")
 
 
 def proppatch(data: bytes, **bounds: int) -> list[PropPatch]:
     """Read a PROPPATCH body; instructions in document order."""
     root = parse(data, **bounds)
     if root.tag != D + "propertyupdate":
-        raise BadXML("DAV:propertyupdate was expected")
+        raise InvalidXMLError("DAV:propertyupdate was expected")
     found: list[PropPatch] = []
     for instruction in root:
         if instruction.tag not in (D + "set", D + "remove"):
@@ -123,7 +123,7 @@
                 else:
                     found.append(PropPatch(element.tag, detached(element)))
     if not found:
-        raise BadXML("DAV:propertyupdate holds no property")
+        raise InvalidXMLError("DAV:propertyupdate holds no property")
     return found
 
 
@@ -145,12 +145,12 @@
         return None
     root = parse(data, **bounds)
     if root.tag != D + "lockinfo":
-        raise BadXML("DAV:lockinfo was expected")
+        raise InvalidXMLError("DAV:lockinfo was expected")
     if root.find(f"{D}locktype/{D}write") is None:
-        raise BadXML("only write locks are known")
+        raise InvalidXMLError("only write locks are known")
     exclusive = root.find(f"{D}lockscope/{D}exclusive") is not None
     if not exclusive and root.find(f"{D}lockscope/{D}shared") is None:
-        raise BadXML("DAV:lockscope holds neither exclusive nor shared")
+        raise InvalidXMLError("DAV:lockscope holds neither exclusive nor shared")
     owner = root.find(D + "owner")
     return LockInfo(exclusive, detached(owner) if owner is not None else None)
 
@@ -159,7 +159,7 @@
     """Read a 207 body of a node.  Raises BadXML."""
     root = parse(data, max_bytes=max_bytes)
     if root.tag != D + "multistatus":
-        raise BadXML("DAV:multistatus was expected")
+        raise InvalidXMLError("DAV:multistatus was expected")
     found = []
     for element in root.findall(D + "response"):
         response = Response(element.findtext(D + "href") or "", {})
@@ -180,7 +180,7 @@
 def _status(line: str) -> int:
     parts = line.split()
     if len(parts) < 2 or not parts[1].isdigit():
-        raise BadXML(f"a status line cannot be read: {line!r}")
+        raise InvalidXMLError(f"a status line cannot be read: {line!r}")
     return int(parts[1])
 
 
--- a/tests/broken_edge.py
+++ b/tests/broken_edge.py
@@ -3,7 +3,7 @@
 from dataclasses import replace
 
 from cressrock.cli.main import app
-from cressrock.dispatch.nodeclient import NodeClient
+from cressrock.dispatch.node_client import NodeClient
 
 exchange = NodeClient.exchange
 
--- a/tests/compatibility/benchlink_cases.py
+++ b/tests/compatibility/benchlink_cases.py
@@ -9,8 +9,8 @@
 from typing import Any
 
 from cressrock.benchlink import Link, action_line
-from cressrock.config import settings_from
-from cressrock.interface import Cancel, Fail, Log, Refuse, Send, SetTimer, Subscribe
+from cressrock.config import parse_settings
+from cressrock.interface import Cancel, Fail, Log, Reject, Send, SetTimer, Subscribe
 from tests.compatibility.canonical import canonical
 
 FIXTURE = "benchlink"
@@ -22,8 +22,8 @@
     SetTimer(0.0, 1),
     SetTimer(36810.1231, 7),
     SetTimer(5e9 + 0.0004, 123456),
-    Refuse("t/b"),
-    Refuse("t/b", 99.9996),
+    Reject("t/b"),
+    Reject("t/b", 99.9996),
     Fail("t/c"),
     Cancel("t/d", 2),
     Subscribe(),
@@ -140,7 +140,7 @@
 def settings_of(config: dict[str, Any]) -> Any:
     """Read a settings object; return its values in order, or the error's text."""
     try:
-        return canonical(settings_from(config))
+        return canonical(parse_settings(config))
     except ValueError as error:
         return {"error": str(error)}
 
--- a/tests/compatibility/collect_cases.py
+++ b/tests/compatibility/collect_cases.py
@@ -14,15 +14,31 @@
 
 import anyio
 
-from cressrock.collect import words
-from cressrock.collect.carrier import Evidence
-from cressrock.collect.collector import Collect, Folds, Merged, Peer
-from cressrock.collect.teller import Out, Teller, Times, Way, most_in_spread, ranked, spread_pace_ms
-from cressrock.collect.words import Entry, Got, Had, Held, Summary, Tell, Words
-from cressrock.errors.collect import CollectError
-from cressrock.errors.spread import SpreadOriginFull
-from cressrock.fleet.members import Member
-from cressrock.fleet.messages import State
+from cressrock.aggregation import messages
+from cressrock.aggregation.channel import EvidenceChannel
+from cressrock.aggregation.collector import MemberInfo, MergedSummaries, ReportCollector, SummarizerRegistry
+from cressrock.aggregation.messages import (
+    Handover,
+    HandoverAck,
+    HeldEntry,
+    Report,
+    ReportAck,
+    ReportEntry,
+    ZoneSummary,
+)
+from cressrock.aggregation.sender import (
+    AggregationTimings,
+    DeliveryMode,
+    OutgoingMessage,
+    ReportSender,
+    derive_max_gossip_senders,
+    gossip_interval_ms,
+    rank_collectors,
+)
+from cressrock.errors.aggregation import AggregationError
+from cressrock.errors.gossip import OriginFullError
+from cressrock.membership.membership import Member
+from cressrock.membership.packets import MemberState
 from tests.compatibility import collect_virtual as virtual
 from tests.compatibility.canonical import Digest
 from tests.compatibility.collect_virtual import now_ms
@@ -32,36 +48,38 @@
 # --- wire
 
 
-def examples() -> dict[str, words.Any]:
+def examples() -> dict[str, messages.AnyMessage]:
     """Return messages by name."""
     entries = [
-        Entry("zones/0", 3, b"v"),
-        Entry("zones/1", 4, None, 12.5),
-        Entry("k" * 64, 2**53, b"\xff" * 640, 1e12),
+        ReportEntry("zones/0", 3, b"v"),
+        ReportEntry("zones/1", 4, None, 12.5),
+        ReportEntry("k" * 64, 2**53, b"\xff" * 640, 1e12),
     ]
     return {
-        "report": Tell(7, entries),
-        "report, empty": Tell(2**53),
-        "answer": Got([7, 8], 9, True, 1.5, 500.0, True, b"down"),
-        "answer, defaults": Got([], 0, False, 0.0, 0.0),
-        "handover": Words(3, "a", [Held("e1", 5, entries[0]), Held("n" * 64, 2**53, entries[1])]),
-        "handover, empty": Words(0, "", []),
-        "handover's answer": Had(3),
-        "summary": Summary("a", 1, 2, 1, 3, 4.5, ["e8", "e9"], {"zones/a": b"r", "rollout/0": b""}, 0, 2),
-        "summary, defaults": Summary("z" * 64, 2**53, 0, 0, 0, 0.0, [], {}),
+        "report": Report(7, entries),
+        "report, empty": Report(2**53),
+        "answer": ReportAck([7, 8], 9, True, 1.5, 500.0, True, b"down"),
+        "answer, defaults": ReportAck([], 0, False, 0.0, 0.0),
+        "handover": Handover(
+            3, "a", [HeldEntry("e1", 5, entries[0]), HeldEntry("n" * 64, 2**53, entries[1])]
+        ),
+        "handover, empty": Handover(0, "", []),
+        "handover's answer": HandoverAck(3),
+        "summary": ZoneSummary("a", 1, 2, 1, 3, 4.5, ["e8", "e9"], {"zones/a": b"r", "rollout/0": b""}, 0, 2),
+        "summary, defaults": ZoneSummary("z" * 64, 2**53, 0, 0, 0, 0.0, [], {}),
     }
 
 
 # What other programs may send: older ones leave the last elements out, newer ones append some.
 FOREIGN = {
-    "report, short": ("01920107", Tell(7)),
-    "report, short entry": ("01930107" + "9193a16b01c40176", Tell(7, [Entry("k", 1, b"v")])),
-    "report, newer": ("0194010790c0", Tell(7, [])),
-    "report, newer entry": ("0193010791" + "95a16b01c000c3", Tell(7, [Entry("k", 1, None, 0)])),
-    "answer, short": ("01960290" + "01c30203", Got([], 1, True, 2, 3)),
-    "answer, newer": ("0199029001c30203c2c400c0", Got([], 1, True, 2, 3)),
-    "handover's answer, newer": ("01930405c0", Had(5)),
-    "summary, short": ("019905a1610102010304" + "9080", Summary("a", 1, 2, 1, 3, 4, [], {})),
+    "report, short": ("01920107", Report(7)),
+    "report, short entry": ("01930107" + "9193a16b01c40176", Report(7, [ReportEntry("k", 1, b"v")])),
+    "report, newer": ("0194010790c0", Report(7, [])),
+    "report, newer entry": ("0193010791" + "95a16b01c000c3", Report(7, [ReportEntry("k", 1, None, 0)])),
+    "answer, short": ("01960290" + "01c30203", ReportAck([], 1, True, 2, 3)),
+    "answer, newer": ("0199029001c30203c2c400c0", ReportAck([], 1, True, 2, 3)),
+    "handover's answer, newer": ("01930405c0", HandoverAck(5)),
+    "summary, short": ("019905a1610102010304" + "9080", ZoneSummary("a", 1, 2, 1, 3, 4, [], {})),
 }
 
 # Bytes that are no message, nor what comes down.
@@ -89,11 +107,11 @@
     found = []
     for data in UNREADABLE:
         codes = []
-        for read in (words.decode, words.decode_down):
+        for read in (messages.decode, messages.decode_broadcast):
             try:
                 read(bytes.fromhex(data))
                 codes.append("")
-            except CollectError as error:
+            except AggregationError as error:
                 codes.append(error.code)
         found.append(codes)
     return found
@@ -101,8 +119,10 @@
 
 def sizes() -> list[int]:
     """Return the bytes that elements take."""
-    entries = [Entry("k", 1, None), Entry("zones/0", 70000, b"x" * 300, 12.5)]
-    return [words.size(e) for e in entries] + [words.size(Held("e1", 1, e)) for e in entries]
+    entries = [ReportEntry("k", 1, None), ReportEntry("zones/0", 70000, b"x" * 300, 12.5)]
+    return [messages.encoded_size(e) for e in entries] + [
+        messages.encoded_size(HeldEntry("e1", 1, e)) for e in entries
+    ]
 
 
 # --- decisions
@@ -141,17 +161,17 @@
     """Return ranks of collectors and the derived limits."""
     collectors = [(f"p{n}", n % 3) for n in range(7)]
     return [
-        [list(map(list, ranked(zone, collectors))) for zone in ("", "a", "zone-b", "ü")],
-        [most_in_spread(renew) for renew in (1000.0, 10000.0, 60000.0)],
-        [most_in_spread(10000.0, changes) for changes in (0.0, 0.1, 5.0)],
-        [spread_pace_ms(n, 40.0, 10000.0) for n in (0, 1, 230, 400, 401, 4800)],
+        [list(map(list, rank_collectors(zone, collectors))) for zone in ("", "a", "zone-b", "ü")],
+        [derive_max_gossip_senders(renew) for renew in (1000.0, 10000.0, 60000.0)],
+        [derive_max_gossip_senders(10000.0, changes) for changes in (0.0, 0.1, 5.0)],
+        [gossip_interval_ms(n, 40.0, 10000.0) for n in (0, 1, 230, 400, 401, 4800)],
     ]
 
 
 def ways(seed: int) -> str:
     """Return the digest of which way evidence takes while members come and go."""
     source = random.Random(seed)
-    way, digest, now = Way(source.choice([1, 20, 38]), 10000.0), Digest(), 0.0
+    way, digest, now = DeliveryMode(source.choice([1, 20, 38]), 10000.0), Digest(), 0.0
     tellers, collectors, dumb = 10, 3, ()
     for _ in range(400):
         now += source.choice([250.0, 500.0, 3000.0])
@@ -161,17 +181,17 @@
                 source.choice([0, 3, 3, 3]),
                 source.choice([(), (), (), ("p2", "p0", "p1", "p3")]),
             )
-        digest.add([way.look(now, tellers, collectors, dumb), way.why, way.collecting])
+        digest.add([way.update(now, tellers, collectors, dumb), way.reason, way.collecting])
     return digest.hex()
 
 
-def _sent(outs: list[Out]) -> list[Any]:
-    return [[out.name, words.encode(out.message)] for out in outs]
+def _sent(outs: list[OutgoingMessage]) -> list[Any]:
+    return [[out.recipient, messages.encode(out.message)] for out in outs]
 
 
-def _summary(source: random.Random, number: int) -> Summary:
+def _summary(source: random.Random, number: int) -> ZoneSummary:
     pieces = source.choice([1, 1, 2, 3])
-    return Summary(
+    return ZoneSummary(
         source.choice("ab"),
         number,
         source.randrange(9),
@@ -188,21 +208,21 @@
 def merged(seed: int) -> str:
     """Return the digest of collectors' summaries, merged."""
     source = random.Random(seed)
-    view, digest, now = Merged(Times()), Digest(), 0.0
+    view, digest, now = MergedSummaries(AggregationTimings()), Digest(), 0.0
     collectors = [("p0", 1), ("p1", 1), ("p1", 2)]
     for step in range(250):
         now += source.choice([0.0, 50.0, 250.0, 900.0 if source.random() < 0.2 else 0.0])
-        view.take(now, source.choice(collectors), _summary(source, step // 6 + source.randrange(3)))
+        view.receive(now, source.choice(collectors), _summary(source, step // 6 + source.randrange(3)))
         if source.random() < 0.02:
-            view.keep(source.sample(collectors, 2))
+            view.retain(source.sample(collectors, 2))
         digest.add(
             [
-                [zone, list(t.by), t.at_ms, words.encode(t.summary)]
-                for zone, t in sorted(view.chosen(now).items())
+                [zone, list(t.collector), t.received_at_ms, messages.encode(t.summary)]
+                for zone, t in sorted(view.current(now).items())
             ]
         )
         digest.add(
-            [view.others(("p0", 1)), sorted((z, sorted(p.items())) for z, p in view.parts(now).items())]
+            [view.has_others(("p0", 1)), sorted((z, sorted(p.items())) for z, p in view.sums(now).items())]
         )
     return digest.hex()
 
@@ -221,35 +241,37 @@
         self.alive = set(self.lives)
         self.names = ("p0", "p1", "p2")
         self.collects = {"p0", "p1"}
-        self.collectors: dict[str, Collect] = {}
+        self.collectors: dict[str, ReportCollector] = {}
         for name in self.names:
-            folds = Folds()
+            folds = SummarizerRegistry()
             folds.add("listing", Listing())
-            self.collectors[name] = Collect((name, 1), Times(), folds, 0.0)
+            self.collectors[name] = ReportCollector((name, 1), AggregationTimings(), folds, 0.0)
         self.roster()
 
     def roster(self) -> None:
         """Tell all collectors of the members."""
         peers = [
-            Peer(name, life, self.zone_of[name], name in self.alive, self.source.random() < 0.98, True, False)
+            MemberInfo(
+                name, life, self.zone_of[name], name in self.alive, self.source.random() < 0.98, True, False
+            )
             for name, life in self.lives.items()
         ]
-        peers += [Peer(name, 1, "x", True, True, False, name in self.collects) for name in self.names]
+        peers += [MemberInfo(name, 1, "x", True, True, False, name in self.collects) for name in self.names]
         for collector in self.collectors.values():
-            collector.roster(peers, self.names, self.now)
+            collector.update_members(peers, self.names, self.now)
 
-    def _carry(self, sender: str, outs: list[Out]) -> None:
+    def _carry(self, sender: str, outs: list[OutgoingMessage]) -> None:
         self.digest.add([sender, _sent(outs)])
         todo = [(sender, out) for out in outs]
         while todo:
             name, out = todo.pop(self.source.randrange(len(todo)))
-            if out.name not in self.collectors or self.source.random() < self.loss:
+            if out.recipient not in self.collectors or self.source.random() < self.loss:
                 continue
             for _ in range(1 + (self.source.random() < 0.1)):
-                message = words.decode(words.encode(out.message))
-                answers = self.collectors[out.name].receive(self.now, name, 1, message)
+                message = messages.decode(messages.encode(out.message))
+                answers = self.collectors[out.recipient].receive(self.now, name, 1, message)
                 self.digest.add(_sent(answers))
-                todo += [(out.name, answer) for answer in answers]
+                todo += [(out.recipient, answer) for answer in answers]
 
     def _tell(self) -> None:
         source = self.source
@@ -259,11 +281,13 @@
             self.numbers[name] += 1
             value = source.choice([None, b"v", bytes([source.randrange(256)]) * source.randrange(500)])
             number = max(1, self.numbers[name] - source.choice([0, 0, 0, 2]))
-            entries.append(Entry(f"k{source.randrange(4)}", number, value, source.choice([0.0, 0.0, 700.0])))
+            entries.append(
+                ReportEntry(f"k{source.randrange(4)}", number, value, source.choice([0.0, 0.0, 700.0]))
+            )
         life = self.lives[name] - (source.random() < 0.05)
         to = source.choice(sorted(self.collectors))
         self.digest.add(
-            _sent(self.collectors[to].receive(self.now, name, life, Tell(self.numbers[name], entries)))
+            _sent(self.collectors[to].receive(self.now, name, life, Report(self.numbers[name], entries)))
         )
 
     def _change(self) -> None:
@@ -291,9 +315,9 @@
             name = source.choice(sorted(self.lives))
             value = source.choice([None, b"spread", b"other"])
             for collector in self.collectors.values():
-                collector.spread(self.now, name, self.lives[name], f"k{source.randrange(4)}", value)
+                collector.receive_gossip(self.now, name, self.lives[name], f"k{source.randrange(4)}", value)
         if source.random() < 0.1:
-            self.collectors["p0"].spent(source.randrange(300), source.uniform(0, 90))
+            self.collectors["p0"].record_cost(source.randrange(300), source.uniform(0, 90))
         self._change()
         for name, collector in self.collectors.items():
             if source.random() < 0.95:
@@ -302,8 +326,10 @@
     def look(self) -> None:
         """Take what each collector says of itself into the digest."""
         for collector in self.collectors.values():
-            self.digest.add([collector.status(self.now), collector.zones(), collector.unheard(self.now)])
-            self.digest.add([collector.active(), collector.held(), collector.word_ms])
+            self.digest.add(
+                [collector.status(self.now), collector.zones(), collector.incomplete_zones(self.now)]
+            )
+            self.digest.add([collector.is_active(), collector.origin_count(), collector.entry_cost_ms])
             self.digest.add([list(collector.owner(zone)) for zone in "abcx"])
 
 
@@ -320,14 +346,14 @@
 def teller(seed: int) -> str:
     """Return the digest of what one teller sends to collectors that come, go, answer and are silent."""
     source = random.Random(seed)
-    one, digest, now = Teller("a", Times(), random.Random(seed + 1), 0.0), Digest(), 0.0
+    one, digest, now = ReportSender("a", AggregationTimings(), random.Random(seed + 1), 0.0), Digest(), 0.0
     everybody = [(f"p{n}", life) for n in range(3) for life in (1, 2)]
     there, silent, at = everybody[:1], set[str](), 0
     for step in range(700):
         now += source.choice([5.0, 20.0, 100.0, 400.0])
         if source.random() < 0.02 or step == 0:
             there = source.sample(everybody, source.choice([0, 1, 2, 3, 3]))
-            one.roster(there, now)
+            one.update_collectors(there, now)
         if source.random() < 0.02:
             silent = set(source.sample(["p0", "p1", "p2"], source.choice([0, 0, 1, 2, 3])))
         if source.random() < 0.1:
@@ -336,15 +362,15 @@
             )
             try:
                 one.put(source.choice(["k0", "k1", "k2", "k" * 64, "k" * 65]), value, now)
-            except CollectError as error:
+            except AggregationError as error:
                 digest.add(error.code)
         outs = one.tick(now)
         digest.add([now, _sent(outs)])
         for out in outs:
-            if out.name in silent or source.random() < 0.1:
+            if out.recipient in silent or source.random() < 0.1:
                 continue
             at += source.choice([0, 1, 1])
-            answer = Got(
+            answer = ReportAck(
                 [out.message.number],
                 at,
                 source.random() < 0.2,
@@ -353,17 +379,29 @@
                 source.random() < 0.05,
                 bytes([at % 5]),
             )
-            for name, life in (one.to, ("p9", 1)) if one.to is not None else ():
+            for name, life in (one.collector, ("p9", 1)) if one.collector is not None else ():
                 digest.add(one.receive(now + 3, name, life, answer))
-        if source.random() < 0.05 and one.to is not None:
-            push = Got(
+        if source.random() < 0.05 and one.collector is not None:
+            push = ReportAck(
                 [], at + source.choice([0, 2]), source.random() < 0.5, 300.0, 800.0, source.random() < 0.2
             )
-            digest.add(one.receive(now, *one.to, push))
-        due = one.next_due()
-        digest.add([list(one.to) if one.to else None, due if due < math.inf else "never", one.down])
+            digest.add(one.receive(now, *one.collector, push))
+        due = one.next_due_ms()
         digest.add(
-            [one.stirred(now), one.pace_ms(), one.answered(), one.idle(), sorted(one.entries().items())]
+            [
+                list(one.collector) if one.collector else None,
+                due if due < math.inf else "never",
+                one.broadcast,
+            ]
+        )
+        digest.add(
+            [
+                one.is_evidence_requested(now),
+                one.update_interval_ms(),
+                one.is_acknowledged(),
+                one.is_empty(),
+                sorted(one.entries().items()),
+            ]
         )
         digest.add(dict(one.counts))
     return digest.hex()
@@ -379,7 +417,7 @@
     def put(self, key: str, value: bytes) -> None:
         """Set an entry; now and then there is no room."""
         if len(self.entries) >= 3 and key not in self.entries:
-            raise SpreadOriginFull("no room")
+            raise OriginFullError("no room")
         self.entries[key] = value
 
     def remove(self, key: str) -> None:
@@ -413,21 +451,21 @@
         self.view: tuple[Member, ...] = ()
         self.change()
 
-    def _carrier(self, name: str, most: int) -> Evidence:
+    def _carrier(self, name: str, most: int) -> EvidenceChannel:
         collects = name in self.planners
-        one = Evidence(
+        one = EvidenceChannel(
             (name, 1),
             "ab"[len(self.spreads) % 2],
             self.spreads[name],
             clock=now_ms,
             source=random.Random(name),
             log=NoLog(),
-            seats=self.planners,
-            tells=not collects,
-            collects=collects,
-            most=most,
+            replicas=self.planners,
+            sends_reports=not collects,
+            is_collector=collects,
+            max_gossip_senders=most,
         )
-        one.folds.add("listing", Listing())
+        one.summarizers.add("listing", Listing())
         one.send = lambda to, data: self._send(name, to, data)
         one.members = lambda: self.view
         return one
@@ -441,14 +479,16 @@
         """Tell all processes of who is there."""
         found = []
         for name in self.all:
-            announced = words.CAPABLE if name in self.planners and name not in self.silent else b""
-            state = State.GONE if name in self.dead else State.ALIVE
+            announced = messages.CAPABILITY if name in self.planners and name not in self.silent else b""
+            state = MemberState.DEAD if name in self.dead else MemberState.ALIVE
             role = "edge" if name in self.edges else "planner"
             found.append(Member(name, 1, role, "ab"[len(name) % 2], "", "", state, 0.0, announced))
-        found += [Member(f"x{n}", 1, "edge", "c", "", "", State.ALIVE, 0.0, b"") for n in range(self.extra)]
+        found += [
+            Member(f"x{n}", 1, "edge", "c", "", "", MemberState.ALIVE, 0.0, b"") for n in range(self.extra)
+        ]
         self.view = tuple(found)
         for one in self.all.values():
-            one.changed()
+            one.on_members_changed()
 
     def _happen(self) -> None:
         source, name = self.source, self.source.choice(self.edges)
@@ -456,10 +496,10 @@
             f"k{source.randrange(4)}",
             source.choice([None, b"v", bytes([source.randrange(256)]), b"x" * 700]),
         )
-        self.all[name].put(key, value)
+        self.all[name].publish(key, value)
         if source.random() < 0.3:
             for planner in self.planners:
-                self.all[planner].heard((name, 1), key, value)
+                self.all[planner].receive_gossip((name, 1), key, value)
         if source.random() < 0.1:
             self.all[source.choice(self.planners)].receive(name, 1, b"\x02")
         if source.random() < 0.15:
@@ -469,8 +509,19 @@
 
     def _look(self) -> None:
         for name, one in self.all.items():
-            self.digest.add([name, one.collecting, one.stirred(), one.pace_ms(), one.least_ms(), one.tellers])
-            self.digest.add([one.untold, dict(one.refused), one.down("listing"), one.down("nobody")])
+            self.digest.add(
+                [
+                    name,
+                    one.uses_collectors,
+                    one.is_evidence_requested(),
+                    one.update_interval_ms(),
+                    one.min_interval_ms(),
+                    one.sender_count,
+                ]
+            )
+            self.digest.add(
+                [one.unsent, dict(one.rejected), one.broadcast("listing"), one.broadcast("nobody")]
+            )
             self.digest.add([sorted(self.spreads[name].entries.items()), one.status()])
 
     async def run(self) -> None:
--- a/tests/compatibility/consensus_streams.py
+++ b/tests/compatibility/consensus_streams.py
@@ -9,17 +9,18 @@
 
 import msgspec
 
-from cressrock.council import decrees, messages, news, wire
-from cressrock.council.log import HardState, Snapshot, Stored, first, force_new
-from cressrock.council.messages import Entry
-from cressrock.council.raft import Ready, Role, Seat, Timing
+from cressrock.consensus import decision_gossip, decisions, wire
+from cressrock.consensus.raft import messages
+from cressrock.consensus.raft.log import HardState, Snapshot, StoredState, force_single_voter, initial_state
+from cressrock.consensus.raft.messages import LogEntry
+from cressrock.consensus.raft.node import RaftNode, RaftSettings, Ready, Role
 from cressrock.errors import CressrockError
 from tests.compatibility.canonical import Digest
 
 ROLES = {
     Role.LEARNER: "learner",
     Role.FOLLOWER: "follower",
-    Role.ASKING: "pre-candidate",
+    Role.PRE_CANDIDATE: "pre-candidate",
     Role.CANDIDATE: "candidate",
     Role.LEADER: "leader",
 }
@@ -41,12 +42,12 @@
 class MemoryDisk:
     """What one replica's disk holds; batches are written in the documented order."""
 
-    def __init__(self, stored: Stored) -> None:
-        self.hard, self.snapshot = stored.hard, stored.snapshot
+    def __init__(self, stored: StoredState) -> None:
+        self.hard, self.snapshot = stored.hard_state, stored.snapshot
         self.entries = list(stored.entries)
 
-    def load(self) -> Stored:
-        return Stored(self.hard, self.snapshot, tuple(self.entries))
+    def load(self) -> StoredState:
+        return StoredState(self.hard, self.snapshot, tuple(self.entries))
 
     def write(self, ready: Ready) -> None:
         if ready.truncate_from is not None:
@@ -60,11 +61,11 @@
         for entry in ready.entries:
             self.entries = [held for held in self.entries if held.index < entry.index]
             self.entries.append(entry)
-        if ready.hard is not None:
-            self.hard = ready.hard
+        if ready.hard_state is not None:
+            self.hard = ready.hard_state
 
 
-def plain_entry(entry: Entry) -> list[Any]:
+def plain_entry(entry: LogEntry) -> list[Any]:
     return [entry.term, entry.index, entry.kind, entry.data]
 
 
@@ -73,55 +74,55 @@
 
 
 def plain_snapshot(snapshot: Snapshot | None) -> list[Any] | None:
-    return snapshot and [snapshot.index, snapshot.term, list(snapshot.seats), snapshot.data]
+    return snapshot and [snapshot.index, snapshot.term, list(snapshot.voters), snapshot.data]
 
 
-def plain_message(receiver: str, message: messages.SeatMessage) -> list[Any]:
+def plain_message(receiver: str, message: messages.RaftMessage) -> list[Any]:
     """Return a message as its bytes on the wire, without the words of a reason."""
-    if isinstance(message, messages.Refused):
+    if isinstance(message, messages.StaleGeneration):
         message = msgspec.structs.replace(message, reason="")
     return [receiver, messages.encode("c", "s", receiver, message)]
 
 
 def plain_batch(ready: Ready) -> list[Any]:
     return [
-        plain_hard(ready.hard),
+        plain_hard(ready.hard_state),
         plain_snapshot(ready.snapshot),
-        ready.restore,
+        ready.restore_snapshot,
         ready.truncate_from,
         [plain_entry(entry) for entry in ready.entries],
         [plain_message(to, message) for to, message in ready.messages],
         [plain_entry(entry) for entry in ready.committed],
-        [[read.token, read.index] for read in ready.reads],
+        [[read.token, read.index] for read in ready.confirmed_reads],
         list(ready.lost_reads),
-        ready.to_keep,
+        ready.must_persist,
     ]
 
 
-def draw_timing(source: random.Random) -> Timing:
+def draw_timing(source: random.Random) -> RaftSettings:
     """Return times and bounds; half of the streams have bounds so narrow that they are met all the time."""
     narrow = source.random() < 0.5
     if not narrow:
-        return Timing(election_ms=100.0, heartbeat_ms=source.choice([10.0, 30.0]), max_behind=8)
-    return Timing(
+        return RaftSettings(election_ms=100.0, heartbeat_ms=source.choice([10.0, 30.0]), max_learner_lag=8)
+    return RaftSettings(
         election_ms=100.0,
         heartbeat_ms=20.0,
-        stick_ms=source.choice([None, 60.0]),
-        lease_ms=source.choice([None, 150.0]),
+        leader_stickiness_ms=source.choice([None, 60.0]),
+        leader_lease_ms=source.choice([None, 150.0]),
         pre_vote=source.random() < 0.7,
-        max_entries=source.choice([1, 3]),
-        max_bytes=64,
-        max_entry=40,
-        max_inflight=source.choice([1, 2, 3]),
-        max_uncommitted=200,
-        max_apply=source.choice([1, 4]),
-        snapshot_piece=7,
-        max_snapshot=300,
-        max_outbox=source.choice([3, 20]),
-        max_reads=2,
+        max_append_entries=source.choice([1, 3]),
+        max_append_bytes=64,
+        max_entry_bytes=40,
+        max_inflight_appends=source.choice([1, 2, 3]),
+        max_uncommitted_bytes=200,
+        max_apply_entries=source.choice([1, 4]),
+        snapshot_chunk_bytes=7,
+        max_snapshot_bytes=300,
+        max_outbox_messages=source.choice([3, 20]),
+        max_pending_reads=2,
         max_learners=1,
-        max_behind=2,
-        forget_elections=3.0,
+        max_learner_lag=2,
+        learner_timeout_elections=3.0,
     )
 
 
@@ -137,22 +138,22 @@
         self.names = [f"n{number}" for number in range(count + 2)]
         self.founders = tuple(self.names[:count])
         self.disks: dict[str, MemoryDisk] = {}
-        self.replicas: dict[str, Seat] = {}
+        self.replicas: dict[str, RaftNode] = {}
         self.applied: dict[str, bytes] = {}
-        self.under_way: list[tuple[str, str, messages.SeatMessage]] = []
+        self.under_way: list[tuple[str, str, messages.RaftMessage]] = []
         self.cut: set[str] = set()
         self.loss = self.chance.choice([0.0, 0.02, 0.15])
         self.tokens = 0
         self.chaos = self.chance.choice([0.2, 1.0])
         for name in self.names:
-            stored = first(self.founders) if name in self.founders else Stored()
+            stored = initial_state(self.founders) if name in self.founders else StoredState()
             self.disks[name] = MemoryDisk(stored)
             self.start(name)
 
     def start(self, name: str) -> None:
         stored = self.disks[name].load()
         source = random.Random(self.chance.getrandbits(32))
-        self.replicas[name] = Seat(name, stored, self.timing, source, self.now)
+        self.replicas[name] = RaftNode(name, stored, self.timing, source, self.now)
         self.applied[name] = stored.snapshot.data if stored.snapshot else b""
 
     def record(self, name: str) -> None:
@@ -166,18 +167,18 @@
                 replica.leader,
                 replica.commit,
                 replica.generation,
-                bool(replica.turned_away),
-                list(replica.seats),
+                bool(replica.excluded_reason),
+                list(replica.voters),
                 replica.has_ready(),
-                replica.next_due(),
-                sorted(replica.counts.items()),
+                replica.next_deadline_ms(),
+                sorted(replica.drop_counts.items()),
             ]
         )
 
     # --- what may happen
 
     def pass_time(self) -> None:
-        due = min((replica.next_due() for replica in self.replicas.values()), default=self.now + 10)
+        due = min((replica.next_deadline_ms() for replica in self.replicas.values()), default=self.now + 10)
         if self.chance.random() < 0.7 and due < self.now + 1000:
             self.now = max(self.now, due)
         else:
@@ -199,7 +200,7 @@
             if not lost and receiver in self.replicas:
                 self.receive(receiver, sender, message)
 
-    def receive(self, receiver: str, sender: str, message: messages.SeatMessage) -> None:
+    def receive(self, receiver: str, sender: str, message: messages.RaftMessage) -> None:
         answer = attempt(lambda: self.replicas[receiver].receive(self.now, sender, message))
         if answer is not None:
             self.digest.add([receiver, answer])
@@ -220,7 +221,7 @@
                 self.start(name)  # kept, and never sent
                 return
             self.under_way += [(name, to, message) for to, message in ready.messages]
-            if ready.restore and ready.snapshot is not None:
+            if ready.restore_snapshot and ready.snapshot is not None:
                 self.applied[name] = ready.snapshot.data
             for entry in ready.committed:
                 self.applied[name] = (self.applied[name] + entry.data)[-90:]
@@ -250,13 +251,13 @@
                 self.tokens += 1
                 answer = attempt(lambda: replica.read_index(self.now, self.tokens))
             case "add":
-                answer = attempt(lambda: replica.change_seats(self.now, add=other))
+                answer = attempt(lambda: replica.change_voters(self.now, add=other))
             case "remove":
-                answer = attempt(lambda: replica.change_seats(self.now, remove=other))
+                answer = attempt(lambda: replica.change_voters(self.now, remove=other))
             case "both":
-                answer = attempt(lambda: replica.change_seats(self.now, add=other, remove=name))
+                answer = attempt(lambda: replica.change_voters(self.now, add=other, remove=name))
             case "transfer":
-                answer = attempt(lambda: replica.transfer(self.now, other))
+                answer = attempt(lambda: replica.transfer_leadership(self.now, other))
             case "campaign":
                 answer = replica.campaign(self.now, transfer=self.chance.random() < 0.3)
             case "compact":
@@ -292,13 +293,13 @@
             case "forge" if name in self.replicas:
                 self.receive(name, self.chance.choice(self.names), self.forged(self.replicas[name]))
             case "force":
-                self.disks[name] = MemoryDisk(force_new(self.disks[name].load(), name))
+                self.disks[name] = MemoryDisk(force_single_voter(self.disks[name].load(), name))
                 self.start(name)
             case "lose":
-                self.disks[name] = MemoryDisk(Stored())
+                self.disks[name] = MemoryDisk(StoredState())
                 self.start(name)
 
-    def forged(self, replica: Seat) -> messages.SeatMessage:
+    def forged(self, replica: RaftNode) -> messages.RaftMessage:
         """Return a message that no correct replica need have sent."""
         chance = self.chance
         term = max(0, replica.term + chance.randint(-1, 1))
@@ -306,21 +307,23 @@
         index = max(0, replica.commit + chance.randint(-3, 3))
         make = chance.choice(
             [
-                lambda: messages.Append(
+                lambda: messages.AppendEntries(
                     **head,
                     previous_index=index,
                     previous_term=term,
                     commit=index,
                     round=chance.randint(0, 9),
                     entries=(
-                        Entry(term, index + chance.randint(0, 2), chance.choice(["command", "seats"]), b"f"),
+                        LogEntry(
+                            term, index + chance.randint(0, 2), chance.choice(["command", "seats"]), b"f"
+                        ),
                     ),
                 ),
-                lambda: messages.Append(
+                lambda: messages.AppendEntries(
                     **head, previous_index=index, previous_term=max(0, term - 1), commit=index
                 ),
-                lambda: messages.AppendReply(**head, accepted=True, match=index + 100, round=1),
-                lambda: messages.AppendReply(
+                lambda: messages.AppendEntriesReply(**head, accepted=True, match=index + 100, round=1),
+                lambda: messages.AppendEntriesReply(
                     **head,
                     accepted=False,
                     previous_index=index,
@@ -350,10 +353,12 @@
                     **head, index=index, offset=chance.randint(0, 9), round=1
                 ),
                 lambda: messages.TimeoutNow(**head),
-                lambda: messages.Vote(
+                lambda: messages.RequestVote(
                     **head, last_index=index, last_term=term, transfer=chance.random() < 0.5
                 ),
-                lambda: messages.Refused(generation=replica.generation + 1, term=term, reason="forged"),
+                lambda: messages.StaleGeneration(
+                    generation=replica.generation + 1, term=term, reason="forged"
+                ),
             ]
         )
         return make()
@@ -396,42 +401,42 @@
 # --- the state machine of decisions
 
 
-def plain_outcome(outcome: decrees.Outcome | None) -> Any:
+def plain_outcome(outcome: decisions.Outcome | None) -> Any:
     if outcome is None:
         return None
-    if isinstance(outcome, decrees.Done):
-        return ["done", outcome.number]
-    if isinstance(outcome, decrees.Clash):
-        return ["clash", outcome.number]
+    if isinstance(outcome, decisions.Done):
+        return ["done", outcome.version]
+    if isinstance(outcome, decisions.VersionConflict):
+        return ["clash", outcome.version]
     return ["refused", outcome.reason]
 
 
-def plain_decision(decree: decrees.Decree | None) -> bytes | None:
-    return decree and decrees.encode(decree)
+def plain_decision(decree: decisions.Decision | None) -> bytes | None:
+    return decree and decisions.encode(decree)
 
 
-def draw_command(chance: random.Random, state: decrees.Decrees) -> decrees.Command | None:
+def draw_command(chance: random.Random, state: decisions.DecisionState) -> decisions.Command | None:
     topic = f"topic/{chance.randint(0, 8)}"
     request = f"r{max(0, state.applied + chance.choice([0, 0, 0, 0, -1, -2, -9]))}"
     asked_at = max(0, state.applied - chance.choice([0, 0, 1, 3, 12]))
     standing = state.get(topic)
-    number = standing.number if standing else 0
+    number = standing.version if standing else 0
     if_number = chance.choice([None, None, None, number, 0, number + 1])
     match chance.choices(["decide", "drop", "ground", "none"], [70, 15, 5, 8])[0]:
         case "decide":
             value = chance.randbytes(chance.choice([0, 3, 12, 30, 45]))
-            return decrees.Decide(
+            return decisions.Decide(
                 topic, value, chance.choice([0.5, 300.0]), "p", request, asked_at, if_number
             )
         case "drop":
-            return decrees.Drop(topic, request, asked_at, if_number)
+            return decisions.Drop(topic, request, asked_at, if_number)
         case "ground":
-            limits = decrees.Limits(
+            limits = decisions.DecisionLimits(
                 chance.randint(1, 9), chance.randint(10, 60), chance.randint(50, 300), chance.randint(1, 20)
             )
             sure = chance.choice([None, max(0, state.applied - 4)])
-            ground = state.number + chance.randint(-50, 2000)
-            return decrees.Ground(max(0, ground), chance.choice([None, limits]), sure)
+            ground = state.version + chance.randint(-50, 2000)
+            return decisions.SetVersionBase(max(0, ground), chance.choice([None, limits]), sure)
     return None
 
 
@@ -439,11 +444,11 @@
     """Return the digest of one log applied to the state machine, with snapshots taken and restored."""
     chance = random.Random(seed)
     digest = Digest()
-    state = decrees.Decrees(chance.choice([None, decrees.Limits(4, 40, 120, 6)]))
+    state = decisions.DecisionState(chance.choice([None, decisions.DecisionLimits(4, 40, 120, 6)]))
     for _ in range(250):
         command = draw_command(chance, state)
         index = state.applied + (2 if chance.random() < 0.01 else 1)
-        data = decrees.encode(command) if command is not None else b""
+        data = decisions.encode(command) if command is not None else b""
         if data and chance.random() < 0.02:
             data = chance.choice(
                 [bytes((9,)) + data[1:], bytes((0,)) + data[1:], data[:-1], data + b"x", b"\x01"]
@@ -451,19 +456,19 @@
         answer = attempt(partial(state.apply, index, data))
         if isinstance(answer, tuple):
             applied, outcome = answer
-            digest.add([decrees.encode(applied), plain_outcome(outcome)])
-            if not isinstance(applied, decrees.Ground):
+            digest.add([decisions.encode(applied), plain_outcome(outcome)])
+            if not isinstance(applied, decisions.SetVersionBase):
                 digest.add(plain_outcome(state.outcome(applied.request)))
                 digest.add(plain_decision(state.get(applied.topic)))
         else:
             digest.add(answer)
-        digest.add([state.applied, state.number, state.offset])
+        digest.add([state.applied, state.version, state.version_offset])
         if chance.random() < 0.1:
             kept = state.snapshot()
-            digest.add([kept, [plain_decision(decree) for decree in state.all()]])
-            state = decrees.Decrees.restore(kept, state.applied)
-    digest.add(attempt(lambda: decrees.Decrees.restore(b"\x07bad")))
-    digest.add([decrees.Decrees.restore(b"", 7).applied, state.snapshot()])
+            digest.add([kept, [plain_decision(decree) for decree in state.all_decisions()]])
+            state = decisions.DecisionState.restore(kept, state.applied)
+    digest.add(attempt(lambda: decisions.DecisionState.restore(b"\x07bad")))
+    digest.add([decisions.DecisionState.restore(b"", 7).applied, state.snapshot()])
     return digest.hex()
 
 
@@ -471,10 +476,10 @@
 
 
 def plain_reading(answer: Any) -> Any:
-    if isinstance(answer, decrees.Decree):
+    if isinstance(answer, decisions.Decision):
         return ["counts", plain_decision(answer)]
-    if isinstance(answer, decrees.Expired):
-        return ["expired", plain_decision(answer.decree), answer.since]
+    if isinstance(answer, decisions.Expired):
+        return ["expired", plain_decision(answer.decision), answer.expired_at_ms]
     return answer
 
 
@@ -483,11 +488,11 @@
     chance = random.Random(seed)
     digest = Digest()
     limit = chance.choice([1000, 60])
-    tellers = [news.Teller(limit) for _ in range(3)]
-    taker = news.Taker(chance.choice([1000, 5]))
-    reader = decrees.Reader(max_topics=chance.choice([1000, 6]))
-    renewals = decrees.Beats(chance.choice([2048, 2]))
-    standing: dict[str, decrees.Decree] = {}
+    tellers = [decision_gossip.DecisionPublisher(limit) for _ in range(3)]
+    taker = decision_gossip.DecisionSubscriber(chance.choice([1000, 5]))
+    reader = decisions.DecisionReader(max_topics=chance.choice([1000, 6]))
+    renewals = decisions.LeaseRenewals(chance.choice([2048, 2]))
+    standing: dict[str, decisions.Decision] = {}
     entries: list[tuple[str, bytes]] = []
     number, now, term, tokens = 100, 0.0, 1, [0]
     topics = [f"t{at}" for at in range(chance.choice([4, 130]))]
@@ -497,16 +502,16 @@
         for topic in chance.sample(topics, chance.choice([0, 1, 3])):
             number += 1
             value = chance.randbytes(chance.choice([1, 10, 80]))
-            standing[topic] = decrees.Decree(topic, number, value, chance.choice([50.0, 400.0]), "p")
+            standing[topic] = decisions.Decision(topic, number, value, chance.choice([50.0, 400.0]), "p")
         if standing and chance.random() < 0.1:
             del standing[chance.choice(sorted(standing))]
         tokens.append(renewals.ask(term, now))
-        beat = renewals.confirmed(chance.choice(tokens[-3:]), term, now + chance.choice([0.0, 30.0]), 25.0)
+        beat = renewals.confirm(chance.choice(tokens[-3:]), term, now + chance.choice([0.0, 30.0]), 25.0)
         digest.add(beat)
         seen_at_teller = [decree for decree in standing.values() if chance.random() < 0.95]
         if beat and chance.random() < 0.3:
-            seen_at_teller = list(decrees.renewed(seen_at_teller, beat))
-        for change in chance.choice(tellers).tell(seen_at_teller, beat or 0):
+            seen_at_teller = list(decisions.with_renewal(seen_at_teller, beat))
+        for change in chance.choice(tellers).publish(seen_at_teller, beat or 0):
             digest.add([change.key, change.value])
             if change.value is not None:
                 entries.append((change.key, change.value))
@@ -517,28 +522,30 @@
         for _ in range(chance.choice([0, 3, 10])):
             if entries:
                 key, value = chance.choice(entries)
-                answer = attempt(lambda key=key, value=value: taker.take(key, value))
+                answer = attempt(lambda key=key, value=value: taker.receive_entry(key, value))
                 receive(digest, reader, answer, now)
         if standing and chance.random() < 0.2:
             answered = chance.choice(sorted(standing.values(), key=lambda decree: decree.topic))
-            receive(digest, reader, (taker.found(answered), []), now)
+            receive(digest, reader, (taker.receive_decision(answered), []), now)
         topic = chance.choice(topics)
-        digest.add([plain_reading(reader.get(topic, now)), reader.next_end(now), reader.number(topic)])
+        digest.add(
+            [plain_reading(reader.get(topic, now)), reader.next_expiry_ms(now), reader.last_version(topic)]
+        )
         if chance.random() < 0.03:
-            seen = reader.seen()
+            seen = reader.to_bytes()
             digest.add([seen, list(reader.topics())])
-            reader = decrees.Reader(seen, max_topics=reader.max_topics)
-    digest.add(attempt(lambda: decrees.Reader(b"\x01bad").topics()))
-    digest.add(attempt(lambda: decrees.Reader(b"\x05").topics()))
+            reader = decisions.DecisionReader(seen, max_topics=reader.max_topics)
+    digest.add(attempt(lambda: decisions.DecisionReader(b"\x01bad").topics()))
+    digest.add(attempt(lambda: decisions.DecisionReader(b"\x05").topics()))
     return digest.hex()
 
 
-def receive(digest: Digest, reader: decrees.Reader, answer: Any, now: float) -> None:
+def receive(digest: Digest, reader: decisions.DecisionReader, answer: Any, now: float) -> None:
     """Pass decisions on to the reader; record what was returned at each step."""
     if isinstance(answer, tuple):
         found, wanted = answer
         digest.add([[plain_decision(decree) for decree in found], list(wanted)])
-        digest.add([reader.take(decree, now) for decree in found])
+        digest.add([reader.receive(decree, now) for decree in found])
     else:
         digest.add(answer)
 
--- a/tests/compatibility/copies_cases.py
+++ b/tests/compatibility/copies_cases.py
@@ -12,27 +12,40 @@
 import trio
 import trio.testing
 
-from cressrock.copies import carrier, keeper, model, nodes, reach, repair, sets, write
-from cressrock.council import decrees as d
-from cressrock.council.client import Kept
+from cressrock.consensus import decisions as d
+from cressrock.consensus.client import DecisionCache
 from cressrock.dispatch.ledger import Verdict
-from cressrock.dispatch.nodeclient import NoConnection
+from cressrock.dispatch.node_client import NoConnectionError
 from cressrock.dispatch.operation import Operation, Reply, Result
 from cressrock.dispatch.reasons import Reason
-from cressrock.dispatch.transport import Denied
+from cressrock.dispatch.transport import Denial
 from cressrock.errors import CressrockError
-from cressrock.errors.copies import NotAllowed
-from cressrock.errors.council import Conflict, NoQuorum
-from cressrock.fleet.members import Member
-from cressrock.fleet.messages import State as MemberState
+from cressrock.errors.consensus import DecisionConflictError, NoQuorumError
+from cressrock.errors.replication import TransitionNotAllowedError
 from cressrock.http.channel import Headers
 from cressrock.interface import ListKind, Node, NodeList, NodeState, Outcome
 from cressrock.lab.copysim import Text
 from cressrock.lab.rack import Done, Rack, Task
+from cressrock.membership.membership import Member
+from cressrock.membership.packets import MemberState
+from cressrock.replication import (
+    in_sync_set,
+    manager,
+    node_protocol,
+    reachability,
+    repair,
+    service,
+    transitions,
+    write,
+)
 from cressrock.webdav.paths import parse
 from tests.compatibility.canonical import Digest, canonical
 
-STATES = (model.State.IN, model.State.JOINING, model.State.OWED)
+STATES = (
+    in_sync_set.ReplicaState.IN_SYNC,
+    in_sync_set.ReplicaState.JOINING,
+    in_sync_set.ReplicaState.OUT_OF_SYNC,
+)
 
 # --- wire
 
@@ -66,30 +79,37 @@
 
 def wire_cases() -> list[WireCase]:
     """Return sets and pages, some with their optional fields unset."""
-    copy, state = model.Copy, model.State
-    three = (copy("a", state.IN, "a0"), copy("b", state.JOINING, "b0", 2, 1), copy("c", state.OWED, "", 0, 9))
-    lost = (model.Lost("a", 0, 4), model.Lost("b", 7, 2**62))
-    entry = model.Entry
+    copy, state = in_sync_set.Replica, in_sync_set.ReplicaState
+    three = (
+        copy("a", state.IN_SYNC, "a0"),
+        copy("b", state.JOINING, "b0", 2, 1),
+        copy("c", state.OUT_OF_SYNC, "", 0, 9),
+    )
+    lost = (in_sync_set.AcceptedLoss("a", 0, 4), in_sync_set.AcceptedLoss("b", 7, 2**62))
+    entry = in_sync_set.RecordEntry
     entries = (
         entry("/v/x", "1.2", "file", "1.2", True),
         entry("/v/größe/z", "3.1", "collection", "0.0", False),
         entry("/v/y", "9223372036854775807.1", "gone", "9.9", True),
     )
     sync = [
-        ("one copy", model.Sync(1, "a", (copy("a", state.IN),))),
-        ("three copies", model.Sync(3, "a", three)),
-        ("three copies, one loss", model.Sync(2**62, "a", three, lost[:1], 2**40)),
-        ("eight losses", model.Sync(9, "a", three, lost * 4, 9)),
-        ("eight copies", model.Sync(7, "z3", tuple(copy(f"z{n}", state.IN, f"s{n}") for n in range(8)))),
+        ("one copy", in_sync_set.InSyncSet(1, "a", (copy("a", state.IN_SYNC),))),
+        ("three copies", in_sync_set.InSyncSet(3, "a", three)),
+        ("three copies, one loss", in_sync_set.InSyncSet(2**62, "a", three, lost[:1], 2**40)),
+        ("eight losses", in_sync_set.InSyncSet(9, "a", three, lost * 4, 9)),
+        (
+            "eight copies",
+            in_sync_set.InSyncSet(7, "z3", tuple(copy(f"z{n}", state.IN_SYNC, f"s{n}") for n in range(8))),
+        ),
     ]
     pages = [
-        ("empty page", model.Page(())),
-        ("page", model.Page(entries, True)),
-        ("last page", model.Page(entries[:1], False)),
+        ("empty page", in_sync_set.RecordPage(())),
+        ("page", in_sync_set.RecordPage(entries, True)),
+        ("last page", in_sync_set.RecordPage(entries[:1], False)),
     ]
     return [
-        *(WireCase(name, value, model.encode, model.decode) for name, value in sync),
-        *(WireCase(name, value, model.encode_page, model.decode_page) for name, value in pages),
+        *(WireCase(name, value, in_sync_set.encode_set, in_sync_set.decode_set) for name, value in sync),
+        *(WireCase(name, value, in_sync_set.encode_page, in_sync_set.decode_page) for name, value in pages),
     ]
 
 
@@ -122,36 +142,36 @@
         ("no page", "x"),
     ]
     return [
-        *(ReadCase(f"set: {name}", b"\x01" + pack(value), model.decode) for name, value in values),
-        *(ReadCase(f"page: {name}", b"\x01" + pack(value), model.decode_page) for name, value in pages),
+        *(ReadCase(f"set: {name}", b"\x01" + pack(value), in_sync_set.decode_set) for name, value in values),
+        *(ReadCase(f"page: {name}", b"\x01" + pack(value), in_sync_set.decode_page) for name, value in pages),
         *(
             ReadCase(f"broken {index} for reader {n}", data, reader)
             for index, data in enumerate((b"", b"\x00", b"\x01", b"\x02", b"\x02x", b"\x01\xc1", b"\xff" * 9))
-            for n, reader in enumerate((model.decode, model.decode_page))
+            for n, reader in enumerate((in_sync_set.decode_set, in_sync_set.decode_page))
         ),
     ]
 
 
-def operations() -> list[write.Op]:
+def operations() -> list[write.ReplicaOperation]:
     """Return operations of every kind, with and without what they may carry."""
-    kind, version = write.Kind, model.Version
+    kind, version = write.OperationKind, in_sync_set.Version
     record = write.Record("/v/x", version(3, 4))
     full = write.Record("/v/x", version(3, 4), "file", version(2, 1), True, "1000 2000")
-    folder = write.Record("/v/d", version(5, 1), "collection", model.NONE, False)
+    folder = write.Record("/v/d", version(5, 1), "collection", in_sync_set.NO_VERSION, False)
     gone = write.Record("/v/g", version(5, 2), "gone", version(5, 2))
     other = write.Record("/v/o", version(5, 2), "unknown")
-    payload = nodes.Payload(Text("abc"), b"text/plain")
+    payload = node_protocol.Payload(Text("abc"), b"text/plain")
     return [
-        write.Op("a", "first", 7, "a0", kind.CLIENT),
-        write.Op("a", "in", 7, "", kind.CLIENT, record),
-        write.Op("b", "joining", 2**60, "life", kind.APPLY, record),
-        write.Op("b", "joining", 8, "life", kind.APPLY, full, payload),
-        write.Op("b", "in", 8, "life", kind.APPLY, full, nodes.Payload(Text(""), b"")),
-        write.Op("b", "in", 8, "life", kind.APPLY, folder),
-        write.Op("b", "in", 8, "life", kind.APPLY, gone),
-        write.Op("b", "in", 8, "life", kind.APPLY, other),
-        write.Op("c", "owed", 0, "", kind.LOOK),
-        write.Op("c", "owed", 1, "x", kind.LOOK, full),
+        write.ReplicaOperation("a", "first", 7, "a0", kind.CLIENT),
+        write.ReplicaOperation("a", "in", 7, "", kind.CLIENT, record),
+        write.ReplicaOperation("b", "joining", 2**60, "life", kind.APPLY, record),
+        write.ReplicaOperation("b", "joining", 8, "life", kind.APPLY, full, payload),
+        write.ReplicaOperation("b", "in", 8, "life", kind.APPLY, full, node_protocol.Payload(Text(""), b"")),
+        write.ReplicaOperation("b", "in", 8, "life", kind.APPLY, folder),
+        write.ReplicaOperation("b", "in", 8, "life", kind.APPLY, gone),
+        write.ReplicaOperation("b", "in", 8, "life", kind.APPLY, other),
+        write.ReplicaOperation("c", "owed", 0, "", kind.INSPECT),
+        write.ReplicaOperation("c", "owed", 1, "x", kind.INSPECT, full),
     ]
 
 
@@ -190,44 +210,61 @@
     ]
 
 
-def answer_values(got: write.Got) -> Any:
+def answer_values(got: write.ReplicaResult) -> Any:
     """Return what was read of an answer."""
-    return [got.ran, got.gone, got.failed, canonical(got.refused), got.epoch, canonical(got.record)]
+    return [
+        got.may_have_run,
+        got.unreachable,
+        got.failed,
+        canonical(got.rejection),
+        got.epoch,
+        canonical(got.record),
+    ]
 
 
 def names() -> dict[str, Any]:
     """Return the names under which sets and words are found by others."""
     regions = {"a": "r0", "b": "r0", "c": "r1", "d": ""}
     return {
-        "topics": [model.topic("v", 0), model.topic("a volume", 17)],
-        "words": canonical([reach.GONE, reach.STORE, reach.WELL, carrier.KEY]),
-        "refusals": [refusal.value for refusal in model.Refusal],
-        "states": [state.value for state in model.State],
-        "versions": [str(model.NONE), str(model.Version(3, 2**40))],
+        "topics": [in_sync_set.set_topic("v", 0), in_sync_set.set_topic("a volume", 17)],
+        "words": canonical(
+            [
+                reachability.UNREACHABLE,
+                reachability.OTHER_STORE,
+                reachability.REACHABLE,
+                service.REACHABILITY_KEY_PREFIX,
+            ]
+        ),
+        "refusals": [refusal.value for refusal in in_sync_set.Rejection],
+        "states": [state.value for state in in_sync_set.ReplicaState],
+        "versions": [str(in_sync_set.NO_VERSION), str(in_sync_set.Version(3, 2**40))],
         "read versions": [
-            outcome(model.version, text) for text in ("0.0", " 1.2 ", "1", "a.b", "1.2.3", "", "1.-2")
+            outcome(in_sync_set.parse_version, text)
+            for text in ("0.0", " 1.2 ", "1", "a.b", "1.2.3", "", "1.-2")
         ],
         "headers": [
             [
-                canonical(nodes.fields(op)),
-                canonical(nodes.fields(op, [model.Version(1, 1), model.NONE])),
-                canonical(nodes.fence(op)),
-                canonical(nodes.method(op)),
+                canonical(node_protocol.fields(op)),
+                canonical(node_protocol.fields(op, [in_sync_set.Version(1, 1), in_sync_set.NO_VERSION])),
+                canonical(node_protocol.fence(op)),
+                canonical(node_protocol.method(op)),
             ]
             for op in operations()
         ],
         "answers": [
-            answer_values(nodes.got(None, status, headers, key)) for status, headers, key in answers()
+            answer_values(node_protocol.got(None, status, headers, key)) for status, headers, key in answers()
+        ],
+        "nearest": [
+            canonical(in_sync_set.by_distance("dcba", own, regions)) for own in ("a", "b", "c", "d", "x")
         ],
-        "nearest": [canonical(model.nearest("dcba", own, regions)) for own in ("a", "b", "c", "d", "x")],
-        "back after": [sets.back_after_ms(times, 100.0, 9000.0) for times in (0, 1, 2, 7, 8, 1000)],
+        "back after": [transitions.rejoin_delay_ms(times, 100.0, 9000.0) for times in (0, 1, 2, 7, 8, 1000)],
     }
 
 
 def stored() -> list[Any]:
     """Have a stand-in node keep some records; return what it answers, and its list of what it keeps."""
     rack, found = Rack(0, window_ms=0.0, life="s0"), []
-    op, kind = write.Op, write.Kind
+    op, kind = write.ReplicaOperation, write.OperationKind
     first = [
         ("MKCOL", "/v/d", None),
         ("PUT", "/v/d/x", "1"),
@@ -238,16 +275,19 @@
         ("GET", "/v/none", None),
     ]
     for number, (method, key, text) in enumerate(first):
-        fields = nodes.fields(op("a", "first", 1 + number // 3, "s0", kind.CLIENT))
+        fields = node_protocol.fields(op("a", "first", 1 + number // 3, "s0", kind.CLIENT))
         found.append(_executed(rack, method, key, fields, text))
     for asked in operations():
         key = asked.record.path if asked.record is not None else "/v"
         text = "abc" if asked.record is not None and asked.record.kind == "file" else None
-        fields = nodes.fields(asked, [model.Version(1, 1)])
-        found.append(_executed(rack, nodes.method(asked).decode(), key, fields, text))
+        fields = node_protocol.fields(asked, [in_sync_set.Version(1, 1)])
+        found.append(_executed(rack, node_protocol.method(asked).decode(), key, fields, text))
     for since, after in (("0", ""), ("2", ""), ("0", "/v/d")):
-        fields = nodes.fields(op("a", "first", 2**60, "", kind.LOOK))
-        fields += [(model.OWED, since.encode()), (model.AFTER, after.encode().hex().encode())]
+        fields = node_protocol.fields(op("a", "first", 2**60, "", kind.INSPECT))
+        fields += [
+            (in_sync_set.MISSING_SINCE_HEADER, since.encode()),
+            (in_sync_set.AFTER_HEADER, after.encode().hex().encode()),
+        ]
         found.append(_executed(rack, "GET", "/v", fields, None))
     return found
 
@@ -262,18 +302,20 @@
 # --- decisions: the pure modules
 
 
-def draw_set(draw: random.Random) -> model.Sync:
+def draw_set(draw: random.Random) -> in_sync_set.InSyncSet:
     """Draw a set of two to four copies, of which one at least is in."""
     zones = "abcd"[: draw.randrange(2, 5)]
     copies = []
     for index, zone in enumerate(zones):
-        state = model.State.IN if not index else draw.choice((STATES[0], *STATES))
-        since = 0 if state is model.State.IN else draw.randrange(4)
-        copies.append(model.Copy(zone, state, f"{zone}{draw.randrange(2)}", since, draw.randrange(3)))
-    inside = [copy.zone for copy in copies if copy.state is model.State.IN]
+        state = in_sync_set.ReplicaState.IN_SYNC if not index else draw.choice((STATES[0], *STATES))
+        since = 0 if state is in_sync_set.ReplicaState.IN_SYNC else draw.randrange(4)
+        copies.append(
+            in_sync_set.Replica(zone, state, f"{zone}{draw.randrange(2)}", since, draw.randrange(3))
+        )
+    inside = [copy.zone for copy in copies if copy.state is in_sync_set.ReplicaState.IN_SYNC]
     draw.shuffle(copies)
     epoch = draw.randrange(4, 9)
-    return model.Sync(epoch, draw.choice(inside), tuple(copies), (), draw.randrange(1, epoch + 1))
+    return in_sync_set.InSyncSet(epoch, draw.choice(inside), tuple(copies), (), draw.randrange(1, epoch + 1))
 
 
 def sets_digest(seed: int) -> str:
@@ -284,17 +326,21 @@
         zone = draw.choice("abcde")
         life = f"{zone}{draw.randrange(2)}"
         order = draw.sample("abcd", draw.randrange(5))
-        proof = sets.Proof(zone, sync.epoch - draw.choice((0, 0, 0, 1)), life)
+        proof = transitions.CatchUpProof(zone, sync.epoch - draw.choice((0, 0, 0, 1)), life)
         name, change, args = draw.choice(
             (
-                ("put out", sets.put_out, (sync, zone)),
-                ("first lost", sets.first_lost, (sync, zone, order)),
-                ("first lost", sets.first_lost, (sync, sync.first)),
-                ("joined", sets.joined, (sync, zone, life)),
-                ("came back", sets.came_back, (sync, proof)),
-                ("faded", sets.faded, (sync, zone)),
-                ("taken over", sets.taken_over, (sync, zone, life)),
-                ("founded", sets.founded, (zone, {"b": "b0", "a": life}, [draw.choice((0, 0, 3))])),
+                ("put out", transitions.evict, (sync, zone)),
+                ("first lost", transitions.replace_primary, (sync, zone, order)),
+                ("first lost", transitions.replace_primary, (sync, sync.primary)),
+                ("joined", transitions.begin_joining, (sync, zone, life)),
+                ("came back", transitions.readmit, (sync, proof)),
+                ("faded", transitions.forget_evictions, (sync, zone)),
+                ("taken over", transitions.force_primary, (sync, zone, life)),
+                (
+                    "founded",
+                    transitions.initial_set,
+                    (zone, {"b": "b0", "a": life}, [draw.choice((0, 0, 3))]),
+                ),
             )
         )
         digest.add([name, outcome(change, *args)])
@@ -303,30 +349,36 @@
         except CressrockError:
             continue
         if name not in ("founded", "taken over") or draw.random() < 0.05:
-            sync = found if found.first in found.reads else sync
-        shown = [sync.writes, sync.reads, sync.zones(*STATES[1:]), sync.copy(zone), sync.copy("a") is None]
-        digest.add([canonical(shown), model.encode(sync)])
+            sync = found if found.primary in found.read_zones else sync
+        shown = [
+            sync.write_zones,
+            sync.read_zones,
+            sync.zones_in(*STATES[1:]),
+            sync.replica(zone),
+            sync.replica("a") is None,
+        ]
+        digest.add([canonical(shown), in_sync_set.encode_set(sync)])
     return digest.hex()
 
 
 def _asked(value: Any) -> Any:
     """Return what a machine asks for as plain values, behind the name under which it was recorded."""
     match value:
-        case write.Do(ops):
+        case write.PerformOperations(ops):
             return ["do", [canonical(op) for op in ops]]
-        case write.Fetch(op):
+        case write.FetchRecord(op):
             return ["fetch", canonical(op)]
-        case write.PutOut(zones, sync):
+        case write.EvictReplicas(zones, sync):
             return ["put out", list(zones), canonical(sync)]
-        case write.Refresh(epoch):
+        case write.RefreshSet(epoch):
             return ["refresh", epoch]
-        case write.Sure(sync, at):
+        case write.MarkCommitted(sync, at):
             return ["sure", canonical(sync), canonical(at)]
-        case repair.List(op, since, after):
+        case repair.ListMissing(op, since, after):
             return ["list", canonical(op), since, after]
-        case repair.Look(op):
+        case repair.InspectStore(op):
             return ["look", canonical(op)]
-        case repair.Decide(old, new):
+        case repair.ProposeSet(old, new):
             return ["decide", canonical(old), canonical(new)]
     raise TypeError(value)
 
@@ -338,49 +390,55 @@
         self.status = status
 
 
-def _draw_record(draw: random.Random, op: write.Op, sync: model.Sync) -> write.Record | None:
+def _draw_record(
+    draw: random.Random, op: write.ReplicaOperation, sync: in_sync_set.InSyncSet
+) -> write.Record | None:
     if draw.random() < 0.1:
         return None
     if op.record is not None and draw.random() < 0.7:
         if draw.random() < 0.8:
             return op.record
         return _beside(op.record, draw)
-    at = model.Version(draw.randrange(1, sync.epoch + 2), draw.randrange(5))
-    cleared = model.Version(draw.randrange(2), draw.randrange(3))
+    at = in_sync_set.Version(draw.randrange(1, sync.epoch + 2), draw.randrange(5))
+    cleared = in_sync_set.Version(draw.randrange(2), draw.randrange(3))
     path, kind = draw.choice(("/v/x", "/v/x", "/v")), draw.choice(("file", "file", "collection", "gone"))
     return write.Record(path, at, kind, cleared, draw.random() < 0.3, draw.choice(("", "1 2")))
 
 
 def _beside(record: write.Record, draw: random.Random) -> write.Record:
     """Return a record that stands a little before or after another."""
-    at = model.Version(record.at.epoch, max(0, record.at.number + draw.choice((-1, 1))))
-    return write.Record(record.path, at, record.kind, record.cleared, draw.random() < 0.5, record.times)
+    at = in_sync_set.Version(record.version.epoch, max(0, record.version.number + draw.choice((-1, 1))))
+    return write.Record(
+        record.path, at, record.kind, record.cleared_version, draw.random() < 0.5, record.timestamps
+    )
 
 
-def _draw_got(draw: random.Random, op: write.Op, sync: model.Sync, trouble: float) -> write.Got:
+def _draw_got(
+    draw: random.Random, op: write.ReplicaOperation, sync: in_sync_set.InSyncSet, trouble: float
+) -> write.ReplicaResult:
     if draw.random() < trouble:
         chance = draw.random()
         if chance < 0.3:
-            refusal = draw.choice(tuple(model.Refusal))
-            return write.Got(_Status(409), refused=refusal, epoch=sync.epoch + draw.randrange(3))
+            refusal = draw.choice(tuple(in_sync_set.Rejection))
+            return write.ReplicaResult(_Status(409), rejection=refusal, epoch=sync.epoch + draw.randrange(3))
         if chance < 0.6:
-            return write.Got(ran=draw.random() < 0.5, gone=draw.random() < 0.5)
+            return write.ReplicaResult(may_have_run=draw.random() < 0.5, unreachable=draw.random() < 0.5)
         if chance < 0.8:
-            return write.Got(_Status(500), ran=True, failed=True, epoch=sync.epoch)
-        return write.Got()
+            return write.ReplicaResult(_Status(500), may_have_run=True, failed=True, epoch=sync.epoch)
+        return write.ReplicaResult()
     status = draw.choice((201, 204, 204, 200, 404, 412))
     epoch = sync.epoch + (draw.random() < 0.1)
-    return write.Got(_Status(status), epoch=epoch, record=_draw_record(draw, op, sync))
+    return write.ReplicaResult(_Status(status), epoch=epoch, record=_draw_record(draw, op, sync))
 
 
-def _later(draw: random.Random, sync: model.Sync) -> model.Sync:
+def _later(draw: random.Random, sync: in_sync_set.InSyncSet) -> in_sync_set.InSyncSet:
     """Return a set as it may stand some changes later."""
     for _ in range(draw.randrange(1, 3)):
         zone = draw.choice("abcd")
-        options: list[tuple[Callable[..., model.Sync], Any]] = [
-            (sets.put_out, (sync, zone)),
-            (sets.first_lost, (sync, sync.first)),
-            (sets.joined, (sync, zone, f"{zone}{draw.randrange(2)}")),
+        options: list[tuple[Callable[..., in_sync_set.InSyncSet], Any]] = [
+            (transitions.evict, (sync, zone)),
+            (transitions.replace_primary, (sync, sync.primary)),
+            (transitions.begin_joining, (sync, zone, f"{zone}{draw.randrange(2)}")),
         ]
         change, args = draw.choice(options)
         try:
@@ -390,44 +448,48 @@
     return sync
 
 
-def _reply(draw: random.Random, asked: Any, sync: model.Sync, trouble: float) -> tuple[Any, model.Sync]:
+def _reply(
+    draw: random.Random, asked: Any, sync: in_sync_set.InSyncSet, trouble: float
+) -> tuple[Any, in_sync_set.InSyncSet]:
     """Return an answer to what a machine asked, and the set that stands then."""
     match asked:
-        case write.Do(ops):
+        case write.PerformOperations(ops):
             return [_draw_got(draw, op, sync, trouble) for op in ops], sync
-        case write.Fetch(op):
+        case write.FetchRecord(op):
             record = op.record if draw.random() < 0.8 else _draw_record(draw, op, sync)
             return (None if record is None or draw.random() < trouble else (record, "payload")), sync
-        case write.PutOut(zones, _):
+        case write.EvictReplicas(zones, _):
             try:
                 for zone in zones:
-                    sync = sets.put_out(sync, zone)
-            except NotAllowed:
+                    sync = transitions.evict(sync, zone)
+            except TransitionNotAllowedError:
                 return None, sync
             return (None if draw.random() < trouble else sync), sync
-        case write.Refresh():
+        case write.RefreshSet():
             sync = _later(draw, sync)
             return (None if draw.random() < trouble else sync), sync
-        case repair.List():
+        case repair.ListMissing():
             if draw.random() < trouble / 4:
                 return None, sync
             count, first = draw.choice((0, 1, 3, 70)), draw.randrange(4)
             entries = tuple(_entry(draw, first + n) for n in range(count))
-            return model.Page(entries, draw.random() < 0.3), sync
-        case repair.Look():
-            return (None if draw.random() < trouble else f"{asked.op.zone}{draw.randrange(2)}"), sync
-        case repair.Decide():
+            return in_sync_set.RecordPage(entries, draw.random() < 0.3), sync
+        case repair.InspectStore():
+            return (None if draw.random() < trouble else f"{asked.operation.zone}{draw.randrange(2)}"), sync
+        case repair.ProposeSet():
             return draw.random() >= trouble, sync
     return None, sync
 
 
-def _entry(draw: random.Random, number: int) -> model.Entry:
+def _entry(draw: random.Random, number: int) -> in_sync_set.RecordEntry:
     at = draw.choice(("1.1", "2.3", "5.1", "5.1", "5.1")) if draw.random() < 0.995 else "broken"
     kind, cleared = draw.choice(("file", "collection", "gone")), draw.choice(("0.0", "0.0", "1.1"))
-    return model.Entry(f"/v/{number:03}", at, kind, cleared, draw.random() < 0.5)
+    return in_sync_set.RecordEntry(f"/v/{number:03}", at, kind, cleared, draw.random() < 0.5)
 
 
-def _drive(draw: random.Random, digest: Digest, steps: Any, sync: model.Sync, trouble: float) -> Any:
+def _drive(
+    draw: random.Random, digest: Digest, steps: Any, sync: in_sync_set.InSyncSet, trouble: float
+) -> Any:
     """Answer a machine to its end; returns what it returned."""
     value: Any = None
     while True:
@@ -444,36 +506,42 @@
     draw, digest = random.Random(f"requests/{seed}"), Digest()
     for _ in range(120):
         sync, trouble = draw_set(draw), draw.choice((0.0, 0.1, 0.3, 0.6))
-        rules = write.RULES if draw.random() < 0.9 else write.Rules(draw.random() < 0.5, draw.random() < 0.5)
+        rules = (
+            write.DEFAULT_SAFETY_RULES
+            if draw.random() < 0.9
+            else write.SafetyRules(draw.random() < 0.5, draw.random() < 0.5)
+        )
         if draw.random() < 0.5:
             payload = draw.choice((None, "payload"))
             gone = [zone for zone in "abcd" if draw.random() < 0.1]
             stands = None if draw.random() < 0.03 else sync
-            steps = write.write(stands, payload, rules, gone)
+            steps = write.write_replicated(stands, payload, rules, gone)
         else:
             order = draw.sample("abcd", draw.randrange(5))
-            steps = write.read(sync, order, counts=draw.random() < 0.9, rules=rules)
-        result: write.Outcome = _drive(draw, digest, steps, sync, trouble)
+            steps = write.read_replicated(sync, order, lease_valid=draw.random() < 0.9, rules=rules)
+        result: write.OperationOutcome = _drive(draw, digest, steps, sync, trouble)
         got = None
-        if result.got is not None:
-            got = [getattr(result.got.reply, "status", None), *answer_values(result.got)]
-        digest.add([result.end.value, got])
+        if result.result is not None:
+            got = [getattr(result.result.reply, "status", None), *answer_values(result.result)]
+        digest.add([result.disposition.value, got])
     return digest.hex()
 
 
 def repair_digest(seed: int) -> str:
     """Drive plans that bring a copy back, and their pace."""
     draw, digest = random.Random(f"repair/{seed}"), Digest()
-    pace = repair.Pace(share=draw.choice((0.1, 0.5, 1.0)), rate=draw.choice((10.0, 200.0)))
+    pace = repair.RepairPacer(share=draw.choice((0.1, 0.5, 1.0)), rate=draw.choice((10.0, 200.0)))
     now = 0.0
     for _ in range(25):
         sync, zone = draw_set(draw), draw.choice("abcd")
-        plan = repair.repair(sync, zone, early=draw.random() < 0.1)
+        plan = repair.repair_replica(sync, zone, skip_last_pass=draw.random() < 0.1)
         report = _drive(draw, digest, plan, sync, draw.choice((0.0, 0.01, 0.1, 0.5)))
         digest.add([report.back, report.moved])
         now += draw.choice((0.0, 3.0, 100.0))
         digest.add(pace.wait_ms(now))
-        pace.done(now, draw.choice((0.0, 2.0, 30.0)), refused=draw.random() < 0.2, load=draw.random())
+        pace.record_operation(
+            now, draw.choice((0.0, 2.0, 30.0)), refused=draw.random() < 0.2, load=draw.random()
+        )
         digest.add(pace.wait_ms(now + draw.choice((0.0, 1.0, 300.0))))
     return digest.hex()
 
@@ -481,26 +549,31 @@
 def reach_digest(seed: int) -> str:
     """Drive what attempts say of copies, and what many say together."""
     draw, digest = random.Random(f"reach/{seed}"), Digest()
-    found, now = reach.Reach(), 0.0
+    found, now = reachability.ReachabilityTracker(), 0.0
     if seed % 2:
-        found = reach.Reach(least=1, over_ms=0.0, fresh_ms=300.0, absent_ms=50.0)
+        found = reachability.ReachabilityTracker(least=1, over_ms=0.0, fresh_ms=300.0, absent_ms=50.0)
     for _ in range(400):
         now += draw.choice((0.0, 20.0, 60.0, 400.0))
         shard, act = draw.randrange(4), draw.random()
         if act < 0.6:
             bad = draw.random() < 0.6
             ended = draw.choice((Outcome.TIMEOUT, Outcome.RESET, Outcome.NO_CONNECTION)) if bad else None
-            found.ended(shard, ended or draw.choice(tuple(Outcome)), now)
+            found.record_outcome(shard, ended or draw.choice(tuple(Outcome)), now)
         elif act < 0.75:
-            found.listed({n for n in range(4) if draw.random() < 0.9}, range(3), now)
+            found.record_node_list({n for n in range(4) if draw.random() < 0.9}, range(3), now)
         elif act < 0.8:
-            found.forgive(shard)
+            found.reset(shard)
         else:
-            found.store(shard, other=draw.random() < 0.2)
+            found.record_store(shard, other=draw.random() < 0.2)
         asked = draw.random() < 0.5
-        digest.add([[found.gone(n, now), canonical(found.word(n, now, asked))] for n in range(5)])
-        words = {f"p{n}": draw.choice((reach.GONE, reach.STORE, reach.WELL, b"?")) for n in range(4)}
-        digest.add([reach.lost(words, least) for least in (0, 1, 2, 3)])
+        digest.add([[found.is_unreachable(n, now), canonical(found.report(n, now, asked))] for n in range(5)])
+        words = {
+            f"p{n}": draw.choice(
+                (reachability.UNREACHABLE, reachability.OTHER_STORE, reachability.REACHABLE, b"?")
+            )
+            for n in range(4)
+        }
+        digest.add([reachability.is_lost(words, least) for least in (0, 1, 2, 3)])
     return digest.hex()
 
 
@@ -513,8 +586,8 @@
 
 
 PLACED = {
-    "v": carrier.Placed((0, 1), {"a": (0, 1), "b": (2, 3), "c": (4, 5)}),
-    "w": carrier.Placed((3,), {"a": (1,), "b": (3,)}),
+    "v": service.ReplicaPlacement((0, 1), {"a": (0, 1), "b": (2, 3), "c": (4, 5)}),
+    "w": service.ReplicaPlacement((3,), {"a": (1,), "b": (3,)}),
 }
 ZONES, REGIONS = ("a", "b", "c"), {"a": "r0", "b": "r0", "c": "r1"}
 
@@ -524,42 +597,42 @@
 
     def __init__(self, cluster: Cluster) -> None:
         self.cluster, self.number, self.failing = cluster, 100, False
-        self.stands: dict[str, d.Decree] = {}
+        self.stands: dict[str, d.Decision] = {}
 
-    def asked_by(self, kept: Kept) -> _Asked:
+    def asked_by(self, kept: DecisionCache) -> _Asked:
         return _Asked(self, kept)
 
 
 class _Asked:
     """The council as one process asks it."""
 
-    def __init__(self, council: _Council, kept: Kept) -> None:
+    def __init__(self, council: _Council, kept: DecisionCache) -> None:
         self.council, self.kept = council, kept
 
     async def decide(
         self, topic: str, value: bytes, hold_ms: float, if_number: int | None = None, **_: Any
-    ) -> d.Decree:
+    ) -> d.Decision:
         council = self.council
         await anyio.sleep(0.004)
         council.cluster.digest.add(["decide", topic, canonical(value), hold_ms, if_number])
         if council.failing:
-            raise NoQuorum("none")
+            raise NoQuorumError("none")
         stands = council.stands.get(topic)
-        if if_number is not None and if_number != (stands.number if stands is not None else 0):
-            raise Conflict("another stands")
+        if if_number is not None and if_number != (stands.version if stands is not None else 0):
+            raise DecisionConflictError("another stands")
         council.number += 1
-        decree = council.stands[topic] = d.Decree(topic, council.number, value, hold_ms, "", council.number)
-        self.kept.take(decree)
+        decree = council.stands[topic] = d.Decision(topic, council.number, value, hold_ms, "", council.number)
+        self.kept.receive(decree)
         council.cluster.spread_decree(decree)
         return decree
 
-    async def read(self, topic: str, *_: Any, **__: Any) -> d.Decree | None:
+    async def read(self, topic: str, *_: Any, **__: Any) -> d.Decision | None:
         await anyio.sleep(0.002)
         if self.council.failing:
-            raise NoQuorum("none")
+            raise NoQuorumError("none")
         decree = self.council.stands.get(topic)
         if decree is not None:
-            self.kept.take(decree)
+            self.kept.receive(decree)
         return decree
 
 
@@ -583,13 +656,13 @@
     """A process's surroundings."""
 
     def __init__(self, cluster: Cluster, name: str) -> None:
-        self.kept = Kept(None, cluster.clock)
+        self.kept = DecisionCache(None, cluster.clock)
         self.council = cluster.council.asked_by(self.kept)
         self.spread = _Words(cluster.words, name)
         self.cluster, self.leading = cluster, True
 
     def members(self) -> tuple[Member, ...]:
-        states = [("e0", MemberState.ALIVE), ("e1", MemberState.ALIVE), ("e9", MemberState.UNSURE)]
+        states = [("e0", MemberState.ALIVE), ("e1", MemberState.ALIVE), ("e9", MemberState.SUSPECT)]
         return tuple(Member(name, 1, "edge", "a", "r0", "x:1", state, 0.0, b"") for name, state in states)
 
 
@@ -635,7 +708,7 @@
         )
         reply = await self.cluster.execute(shard, op.method.decode(), op.key, op.headers, op.body)
         if reply is None:
-            raise NoConnection(node)
+            raise NoConnectionError(node)
         if self.cluster.draw.random() < 0.05:
             return Reply(503, reply.headers), None
         load = (b"endpoint-load-metrics", b'JSON {"cpu_utilization": 0.9}')
@@ -655,13 +728,13 @@
         self.cut: set[tuple[int, int]] = set()  # (gateway, shard)
         self.words: dict[str, dict[Any, bytes]] = {}
         self.abandoned = 0
-        self.late: list[tuple[float, Kept, d.Decree]] = []
+        self.late: list[tuple[float, DecisionCache, d.Decision]] = []
         self.council = _Council(self)
         self.grounds = [_Ground(self, name) for name in ("e0", "e1", "planner")]
-        self.reach = [reach.Reach(), reach.Reach()]
-        shares = carrier.Shares(first=0.5, follow=0.6, told_ms=5.0, ask_ms=100.0, hold_ms=400.0)
+        self.reach = [reachability.ReachabilityTracker(), reachability.ReachabilityTracker()]
+        shares = service.DeadlineShares(first=0.5, follow=0.6, told_ms=5.0, ask_ms=100.0, hold_ms=400.0)
         self.gateways = [
-            carrier.Copies(
+            service.ReplicatedVolumes(
                 PLACED,
                 self.grounds[n],
                 shares,
@@ -674,7 +747,7 @@
             )
             for n, zone in enumerate(("a", "c"))
         ]
-        figures = keeper.Figures(
+        figures = manager.ManagerSettings(
             look_ms=20.0,
             witnesses=2,
             back_least_ms=50.0,
@@ -686,7 +759,7 @@
             busy=0.8,
             pause_ms=20.0,
         )
-        self.keeper = keeper.Keeper(
+        self.keeper = manager.ReplicaManager(
             PLACED,
             self.grounds[2],
             _Client(self),
@@ -694,14 +767,14 @@
             regions=REGIONS,
             clock=self.clock,
             log=_Log(),
-            life="planner-7",
+            incarnation="planner-7",
         )
 
     def clock(self) -> float:
         """Return simulated milliseconds."""
         return trio.current_time() * 1000
 
-    def spread_decree(self, decree: d.Decree) -> None:
+    def spread_decree(self, decree: d.Decision) -> None:
         """Have processes hear of a decree, each some time later; now and then one does not."""
         for ground in self.grounds:
             if self.draw.random() < 0.9:
@@ -724,7 +797,7 @@
         )
         return Reply(done.status, done.headers, content)
 
-    def _send(self, gateway: int, method: str, key: str) -> carrier.Send:
+    def _send(self, gateway: int, method: str, key: str) -> service.Send:
         """Return what performs one client's storage operations."""
 
         async def send(
@@ -743,17 +816,17 @@
             if (gateway, shard) not in self.cut:
                 reply = await self.execute(shard, asked, own_key or key, headers, body)
             if reply is not None:
-                self.reach[gateway].ended(shard, Outcome.OK, self.clock())
+                self.reach[gateway].record_outcome(shard, Outcome.OK, self.clock())
                 if asked == "GET" and not collect and self.draw.random() < 0.5:
                     return Reply(reply.status, reply.headers, stream=_Stream(self))
                 if self.draw.random() < 0.03:
-                    return Denied(Verdict.FAILED, Reason.DEADLINE)
+                    return Denial(Verdict.FAILED, Reason.DEADLINE)
                 return reply
-            self.reach[gateway].ended(shard, Outcome.NO_CONNECTION, self.clock())
+            self.reach[gateway].record_outcome(shard, Outcome.NO_CONNECTION, self.clock())
             await anyio.sleep(max(0.0, min(0.02, (deadline - self.clock()) / 1000)))
             if self.draw.random() < 0.6:
-                return Denied(Verdict.REFUSED, Reason.SCHEDULER, 50.0)
-            return Denied(Verdict.FAILED, Reason.ATTEMPTS)
+                return Denial(Verdict.REJECTED, Reason.SCHEDULER, 50.0)
+            return Denial(Verdict.FAILED, Reason.ATTEMPTS)
 
         return send
 
@@ -768,7 +841,7 @@
             method, key = draw.choice(methods), f"/{volume}/{draw.choice('xyz')}"
             body = Text(f"{number}") if method == "PUT" else None
             copies = self.gateways[gateway]
-            assert copies.has(volume) and not copies.has("u")
+            assert copies.is_replicated(volume) and not copies.is_replicated("u")
             result = await copies.perform(
                 volume,
                 shard,
@@ -838,14 +911,14 @@
             await anyio.sleep(0.01)
             now = self.clock()
             for at_ms, kept, decree in [one for one in self.late if one[0] <= now]:
-                kept.take(decree)
+                kept.receive(decree)
                 self.late.remove((at_ms, kept, decree))
             if self.draw.random() < 0.2 and not self.council.failing:
                 self.council.number += 1
                 for decree in list(self.council.stands.values()):
                     for ground in self.grounds:
                         if self.draw.random() < 0.7:
-                            ground.kept.take(msgspec.structs.replace(decree, renewed=self.council.number))
+                            ground.kept.receive(msgspec.structs.replace(decree, renewal=self.council.number))
             self.list_nodes()
 
     def list_nodes(self) -> None:
@@ -858,9 +931,9 @@
         complete = draw.random() < 0.9
         kind = ListKind.COMPLETE if complete else draw.choice((ListKind.CHANGES, ListKind.FAILED))
         some = [node for node in listed if complete or draw.random() < 0.5]
-        self.keeper.listed(NodeList(kind, tuple(some)))
+        self.keeper.on_node_list(NodeList(kind, tuple(some)))
         for gateway in self.gateways:
-            gateway.listed(listed)
+            gateway.on_node_list(listed)
 
     async def play(self) -> str:
         """Run for some seconds; return the digest of all that was sent, decided and answered."""
@@ -869,7 +942,7 @@
             tasks.start_soon(self.news)
             tasks.start_soon(self.trouble)
             for gateway, ground in zip(self.gateways, self.grounds, strict=False):
-                tasks.start_soon(carrier.Telling(gateway, ground.spread, 20.0).run)
+                tasks.start_soon(service.ReachabilityPublisher(gateway, ground.spread, 20.0).run)
             await anyio.sleep(0.1)
             async with anyio.create_task_group() as clients:
                 for _ in range(3):
--- a/tests/compatibility/denial_cases.py
+++ b/tests/compatibility/denial_cases.py
@@ -6,7 +6,7 @@
 
 from cressrock.dispatch.ledger import Verdict
 from cressrock.dispatch.reasons import Reason
-from cressrock.dispatch.transport import Denied
+from cressrock.dispatch.transport import Denial
 from cressrock.lab.simnet import SimStream
 from cressrock.webdav.compose import denied
 from tests.rig import Rig, run
@@ -19,11 +19,11 @@
 def denials() -> list[list[object]]:
     """Return the answer to every kind of denial."""
     rows: list[list[object]] = []
-    for verdict in (Verdict.REFUSED, Verdict.FAILED):
+    for verdict in (Verdict.REJECTED, Verdict.FAILED):
         for reason in Reason:
             for harmless in (True, False):
                 for wait_ms in WAITS_MS if reason is Reason.SCHEDULER else WAITS_MS[:1]:
-                    answer = denied(Denied(verdict, reason, wait_ms), harmless=harmless)
+                    answer = denied(Denial(verdict, reason, wait_ms), harmless=harmless)
                     headers = [[name.decode(), value.decode()] for name, value in answer.headers]
                     carried = answer.reason.value if answer.reason is not None else None
                     rows.append(
--- a/tests/compatibility/dispatch_cases.py
+++ b/tests/compatibility/dispatch_cases.py
@@ -13,27 +13,27 @@
 
 import anyio
 
-from cressrock.dispatch.answers import load_of, outcome_of
 from cressrock.dispatch.driver import Driver
-from cressrock.dispatch.keys import KeyMemory
-from cressrock.dispatch.ledger import Attempt, Ledger, Tripped, Verdict
-from cressrock.dispatch.lending import Lending, life_ms
-from cressrock.dispatch.nodeclient import NodeClient, PoolBounds
-from cressrock.dispatch.nodelist import ListError, ListState
+from cressrock.dispatch.idempotency import IdempotencyKeys
+from cressrock.dispatch.ledger import Attempt, FenceTrip, Ledger, Verdict
+from cressrock.dispatch.node_client import NodeClient, PoolBounds
+from cressrock.dispatch.node_list import NodeListError, NodeListState
+from cressrock.dispatch.node_list_watch import NodeListWatch
+from cressrock.dispatch.node_response import outcome_of, reported_load
 from cressrock.dispatch.operation import Operation, Reply
+from cressrock.dispatch.quota import EdgeQuota, lease_duration_ms
 from cressrock.dispatch.reasons import Fence, Reason
-from cressrock.dispatch.spool import Store, whole
-from cressrock.dispatch.tasks import TaskDriver
-from cressrock.dispatch.transport import Denied, Ending
-from cressrock.dispatch.watch import Watch
+from cressrock.dispatch.spool import PayloadStore, complete_spool
+from cressrock.dispatch.task_driver import TaskDriver
+from cressrock.dispatch.transport import AttemptResult, Denial
 from cressrock.interface import (
     Arrival,
+    AttemptEnded,
     Cancel,
     ClientLeft,
-    Effect,
-    Ended,
+    DeduplicationScope,
     Fail,
-    Group,
+    Idempotency,
     ListKind,
     Log,
     Node,
@@ -41,29 +41,47 @@
     NodeState,
     Outcome,
     Plan,
-    Refuse,
+    Reject,
     RequestClass,
     Send,
     SetTimer,
     Subscribe,
-    Wake,
+    TimerFired,
 )
 from tests.compatibility.canonical import FIXTURES, Digest
 
 LABELS = {
     Arrival: "arrival",
-    Ended: "ended",
+    AttemptEnded: "ended",
     ClientLeft: "client left",
-    Wake: "wake",
+    TimerFired: "wake",
     NodeList: "node list",
     Node: "node",
-    Denied: "denied",
+    Denial: "denied",
 }
 CLASSES = (
-    RequestClass(aim_ms=300, deadline_ms=1500, effect=Effect.REPEATABLE),
-    RequestClass(300, 3000, effect=Effect.KEYED, group=Group.SHARD, repeat_window_ms=1500),
-    RequestClass(300, 3000, effect=Effect.KEYED, group=Group.ZONE, repeat_window_ms=900),
-    RequestClass(300, 3000, effect=Effect.KEYED, group=Group.ALL, repeat_window_ms=2500),
+    RequestClass(latency_objective_ms=300, deadline_ms=1500, idempotency=Idempotency.ALWAYS),
+    RequestClass(
+        300,
+        3000,
+        idempotency=Idempotency.KEYED,
+        deduplication_scope=DeduplicationScope.SHARD,
+        deduplication_window_ms=1500,
+    ),
+    RequestClass(
+        300,
+        3000,
+        idempotency=Idempotency.KEYED,
+        deduplication_scope=DeduplicationScope.ZONE,
+        deduplication_window_ms=900,
+    ),
+    RequestClass(
+        300,
+        3000,
+        idempotency=Idempotency.KEYED,
+        deduplication_scope=DeduplicationScope.ALL,
+        deduplication_window_ms=2500,
+    ),
     RequestClass(500, 4000),
 )
 NODES = tuple(Node(f"n{i}:70{i}", i % 3, i % 2) for i in range(6))
@@ -74,17 +92,17 @@
     """Return a report of some nodes in drawn states."""
     states = (NodeState.READY, NodeState.READY, NodeState.READY, NodeState.DRAINING, NodeState.GONE)
     return tuple(
-        Node(n.name, n.shard, n.zone, n.up_since_ms, draw.choice(states))
+        Node(n.name, n.shard, n.zone, n.started_at_ms, draw.choice(states))
         for n in NODES
         if draw.random() < 0.8
     )
 
 
-def sent_form(result: Attempt | Tripped) -> list[Any]:
+def sent_form(result: Attempt | FenceTrip) -> list[Any]:
     """Return what an order to send became."""
-    if isinstance(result, Tripped):
+    if isinstance(result, FenceTrip):
         return ["tripped", result.fence, result.operation, result.number]
-    return ["attempt", result.number, result.node.name, result.sent_at]
+    return ["attempt", result.number, result.node.name, result.sent_at_ms]
 
 
 def ledger_stream(seed: int) -> str:
@@ -96,7 +114,7 @@
         max_open=draw.choice((5, 100)),
         max_nodes=draw.choice((4, 100)),
     )
-    ledger.news(NODES, 0.0, complete=True)
+    ledger.update_nodes(NODES, 0.0, complete=True)
     now, count, names, number = 0.0, 0, ["never"], 0
     for _ in range(900):
         now += draw.choice((0.0, 1.0, 10.0, 200.0)) * draw.random()
@@ -115,47 +133,47 @@
         if kind == "take":
             count += 1
             names.append(f"r{count}")
-            taken = ledger.take(names[-1], "x", draw.choice(CLASSES), now + draw.choice((300, 2000)), now)
-            result = None if taken is None else [taken.name, taken.taken_at, taken.deadline]
+            taken = ledger.accept(names[-1], "x", draw.choice(CLASSES), now + draw.choice((300, 2000)), now)
+            result = None if taken is None else [taken.name, taken.accepted_at_ms, taken.deadline_ms]
         elif kind == "again" and entry is not None:
             try:
-                ledger.take(name, "x", CLASSES[0], now, now)
+                ledger.accept(name, "x", CLASSES[0], now, now)
             except ValueError:
                 result = "held"
         elif kind == "send":
             result = sent_form(ledger.send(name, draw.choice((node, node, node, "nowhere:1")), now))
         elif kind == "ended":
             try:
-                settled = ledger.ended(name, number, draw.choice(list(Outcome)))
-                result = [settled.over, settled.now]
+                settled = ledger.record_outcome(name, number, draw.choice(list(Outcome)))
+                result = [settled.is_answered, settled.answered_now]
             except ValueError:
                 result = "not out"
-        elif kind == "commit" and entry is not None and entry.out() is not None:
+        elif kind == "commit" and entry is not None and entry.attempt_in_flight() is not None:
             result = ledger.commit(name)
         elif kind == "refuse" and draw.random() < 0.5:
-            result = ledger.refuse(name, draw.choice((Reason.SCHEDULER, Reason.STOPPING)))
+            result = ledger.reject(name, draw.choice((Reason.SCHEDULER, Reason.STOPPING)))
         elif kind == "fail" and draw.random() < 0.5:
             result = ledger.fail(name, draw.choice((Reason.DEADLINE, Reason.ATTEMPTS)))
         elif kind == "left" and draw.random() < 0.5:
-            result = ledger.left(name)
+            result = ledger.client_left(name)
         elif kind == "overdue":
             result = [[late, ledger.fail(late, Reason.OVERDUE)] for late in ledger.overdue(now)]
         elif kind == "news":
-            ledger.news(node_report(draw), now, complete=draw.random() < 0.5)
+            ledger.update_nodes(node_report(draw), now, complete=draw.random() < 0.5)
             extra = [Node(f"x{count}:1", 9)] if draw.random() < 0.3 else []
-            ledger.news(extra, now, complete=False)
+            ledger.update_nodes(extra, now, complete=False)
             result = [[n.name, n.state] for n in ledger.nodes.values()]
         elif kind == "may leave":
             result = ledger.may_leave(name, number, now)
         elif kind == "leave by":
             result = [ledger.leave_by(name, number), ledger.barred(node, now)]
-        digest.add([kind, result, ledger.next_due(), len(ledger.entries)])
+        digest.add([kind, result, ledger.next_overdue_ms(), len(ledger.entries)])
         if entry is not None:
             digest.add(
-                [entry.verdict, entry.reason, [a.outcome for a in entry.attempts], ledger.may_refuse(entry)]
+                [entry.verdict, entry.reason, [a.outcome for a in entry.attempts], ledger.may_reject(entry)]
             )
-    digest.add([[fence, ledger.trips[fence]] for fence in Fence])
-    digest.add([[verdict, ledger.answers[verdict]] for verdict in Verdict])
+    digest.add([[fence, ledger.fence_trips[fence]] for fence in Fence])
+    digest.add([[verdict, ledger.answer_counts[verdict]] for verdict in Verdict])
     return digest.hex()
 
 
@@ -168,8 +186,10 @@
         Plan(),
     )
     edges = {"v0": 1, "v1": 3, "v2": 0}
-    lending = Lending(plans, lambda volume: edges[volume], draw.choice((400.0, 1000.0)), 10.0)
-    digest.add([[life_ms(plan, 400.0), lending.limited(index)] for index, plan in enumerate(plans)])
+    lending = EdgeQuota(plans, lambda volume: edges[volume], draw.choice((400.0, 1000.0)), 10.0)
+    digest.add(
+        [[lease_duration_ms(plan, 400.0), lending.is_limited(index)] for index, plan in enumerate(plans)]
+    )
     now, out = 10.0, []
     for _ in range(400):
         now += draw.choice((0.0, 1.0, 30.0, 500.0)) * draw.random()
@@ -177,13 +197,13 @@
         plan = int(volume[1]) % 2
         kind = draw.choice(("lend", "lend", "sent", "over", "edges"))
         if kind == "lend":
-            digest.add(lending.lend(volume, plan, draw.choice((0.5, 4.0, 60.0)), now))
+            digest.add(lending.lease(volume, plan, draw.choice((0.5, 4.0, 60.0)), now))
         elif kind == "sent":
             units = draw.choice((1.0, 3.5))
             out.append((volume, plan, units))
-            lending.sent(volume, plan, units, now)
+            lending.record_sent(volume, plan, units, now)
         elif kind == "over" and out:
-            lending.over(*out.pop(draw.randrange(len(out))), now)
+            lending.record_outcome(*out.pop(draw.randrange(len(out))), now)
         elif kind == "edges" and draw.random() < 0.1:
             edges[volume] = draw.randrange(5)
     return digest.hex()
@@ -192,17 +212,17 @@
 def key_stream(seed: int) -> str:
     """Drive the memory of idempotency keys; return the digest of what it remembered."""
     draw, digest = random.Random(seed), Digest()
-    keys = KeyMemory(keep_ms=draw.choice((300.0, 1e9)), most=draw.choice((4, 30)))
+    keys = IdempotencyKeys(keep_ms=draw.choice((300.0, 1e9)), max_keys=draw.choice((4, 30)))
     now, sent = 0.0, []
     for _ in range(400):
         now += draw.choice((0.0, 5.0, 100.0)) * draw.random()
         key, kind = f"k{draw.randrange(12)}", draw.choice(("sent", "first", "never ran"))
         if kind == "sent":
-            keys.sent(key, now)
+            keys.record_sent(key, now)
             sent.append((key, now))
         elif kind == "never ran" and sent:
-            keys.never_ran(*draw.choice(sent[-5:]))
-        digest.add([keys.first(key, now), len(keys)])
+            keys.retract_sent(*draw.choice(sent[-5:]))
+        digest.add([keys.first_sent_ms(key, now), len(keys)])
     return digest.hex()
 
 
@@ -262,7 +282,7 @@
 def node_list_stream(seed: int) -> str:
     """Hand drawn discovery responses to the list; return the digest of requests, reports and state."""
     draw, digest = random.Random(seed), Digest(LABELS)
-    state = ListState("storage", max_nodes=draw.choice((3, 100)))
+    state = NodeListState("storage", max_nodes=draw.choice((3, 100)))
     now, version = 5000.0, 0
     for index in range(150):
         now += draw.random() * 1000
@@ -272,7 +292,7 @@
         body, cached = discovery_response(draw, text), index == 0 or draw.random() < 0.05
         try:
             news = state.receive(body, now, now + draw.choice((0.0, 90000.0)), cached=cached)
-        except ListError:
+        except NodeListError:
             digest.add("refused")
         else:
             digest.add(None if news is None else [news.report, news.version, len(news.warnings)])
@@ -301,7 +321,7 @@
         if draw.random() < 0.8:
             headers.append((b"endpoint-load-metrics", text))
         status = draw.choice((200, 201, 207, 304, 404, 412, 423, 500, 502, 503, 503, 504, 507))
-        digest.add([outcome_of(status, headers), list(load_of(headers))])
+        digest.add([outcome_of(status, headers), list(reported_load(headers))])
     return digest.hex()
 
 
@@ -322,7 +342,7 @@
             if kind == "send":
                 orders.append(Send(name, draw.choice(NODES).name, draw.choice((0.0, 0.0, 100.0))))
             elif kind == "refuse":
-                orders.append(Refuse(name, draw.choice((0.0, 700.0))))
+                orders.append(Reject(name, draw.choice((0.0, 700.0))))
             elif kind == "fail":
                 orders.append(Fail(name))
             elif kind == "cancel":
@@ -343,7 +363,7 @@
     def __init__(self, digest: Digest) -> None:
         self.digest = digest
 
-    def tripped(self, trip: Tripped) -> None:
+    def fence_tripped(self, trip: FenceTrip) -> None:
         self.digest.add(["tripped", trip.fence, trip.operation, trip.number])
 
     def attempt_ended(self, attempt: Attempt, outcome: Outcome, lag_ms: float, text: str) -> None:
@@ -352,7 +372,7 @@
     def answered(self, request_class: int, verdict: Verdict, reason: Reason | None, ms: float) -> None:
         self.digest.add(["answered", request_class, verdict, reason, ms])
 
-    def woke(self, events: int, late_ms: float, act_ms: float) -> None:
+    def batch_processed(self, events: int, late_ms: float, act_ms: float) -> None:
         self.digest.add(["woke", events, late_ms, act_ms])
 
     def line(self, text: str) -> None:
@@ -411,15 +431,15 @@
         RecordingObserver(digest),
         clock=lambda: now[0],
         retry_after_ms=draw.choice((0.0, 1000.0)),
-        keys=KeyMemory(keep_ms=60000.0, most=100) if draw.random() < 0.8 else None,
+        keys=IdempotencyKeys(keep_ms=60000.0, max_keys=100) if draw.random() < 0.8 else None,
         subscribe=lambda: digest.add("subscribe"),
-        wake=lambda: digest.add("wake wanted"),
+        request_wakeup=lambda: digest.add("wake wanted"),
     )
-    driver.listed(NodeList(ListKind.COMPLETE, NODES))
+    driver.receive_node_list(NodeList(ListKind.COMPLETE, NODES))
     absent: set[str] = set()
 
     def take(name: str) -> None:
-        denied = driver.take(
+        denied = driver.submit(
             name,
             "x",
             drawn_operation(draw),
@@ -442,31 +462,33 @@
         call = draw.choice(transport.calls) if transport.calls else None
         if kind == "take":
             take(f"r{index}")
-        elif kind == "turn" or now[0] >= driver.due():
-            driver.turn()
+        elif kind == "turn" or now[0] >= driver.next_batch_ms():
+            driver.process_batch()
         elif kind == "end" and call is not None:
             transport.calls.remove(call)
             outcome = draw.choice(list(Outcome))
-            call.end(Ending(outcome, draw.random() * 100, "reply", draw.randrange(3), draw.random(), "text"))
+            call.end(
+                AttemptResult(outcome, draw.random() * 100, "reply", draw.randrange(3), draw.random(), "text")
+            )
         elif kind == "begin" and call is not None:
             digest.add(["began", call.begin("reply")])
         elif kind == "may leave" and call is not None:
             digest.add(["may leave", call.may_leave()])
         elif kind == "left":
-            digest.add(["left", driver.left(f"r{draw.randrange(index + 1)}")])
+            digest.add(["left", driver.client_left(f"r{draw.randrange(index + 1)}")])
         elif kind == "absent":
             absent.add(f"r{draw.randrange(index + 1)}")
         elif kind == "listed":
             report = NodeList(draw.choice(list(ListKind)), node_report(draw))
-            driver.listed(report)
+            driver.receive_node_list(report)
         elif kind == "poke":
-            driver.poke()
-        digest.add([driver.due(), len(driver.slots), len(driver.out)])
-    driver.stop()
+            driver.request_batch()
+        digest.add([driver.next_batch_ms(), len(driver.pending), len(driver.in_flight)])
+    driver.abort_pending()
     for call in list(transport.calls):
-        call.end(Ending(Outcome.RESET, 1.0))
-    digest.add([[fence, ledger.trips[fence]] for fence in Fence])
-    digest.add([len(ledger.entries), len(driver.slots), len(driver.out)])
+        call.end(AttemptResult(Outcome.RESET, 1.0))
+    digest.add([[fence, ledger.fence_trips[fence]] for fence in Fence])
+    digest.add([len(ledger.entries), len(driver.pending), len(driver.in_flight)])
     return digest.hex()
 
 
@@ -531,14 +553,14 @@
     fields = {"volume": "v", "key": "/a", "shard": 0, "request_class": 0, "units": 1.0} | OPERATIONS[name]
     body = fields.pop("body", None)
     stream = ScriptedStream([ANSWER])
-    store = Store(memory_bytes=1 << 20, spill_bytes=1 << 20)
+    store = PayloadStore(memory_bytes=1 << 20, spill_bytes=1 << 20)
 
     async def program() -> list[Any]:
         async def connect(host: str, port: int) -> ScriptedStream:
             assert (host, port) == ("n0", 700)
             return stream
 
-        op = Operation(**fields, body=None if body is None else whole(store, body))
+        op = Operation(**fields, body=None if body is None else complete_spool(store, body))
         async with NodeClient(connect, PoolBounds(), user_agent="cressrock/me") as nodes:
             ledger = Ledger(drain_grace_ms=250.0, answer_slack_ms=8.0, max_open=10)
             driver = TaskDriver(
@@ -546,7 +568,7 @@
             )
             async with anyio.create_task_group() as tasks:
                 tasks.start_soon(driver.run)
-                driver.listed(NodeList(ListKind.COMPLETE, NODES))
+                driver.receive_node_list(NodeList(ListKind.COMPLETE, NODES))
                 result = await driver.perform("exchange", 3, op, driver.clock() + 5000.0, "label")
                 tasks.cancel_scope.cancel()
         assert isinstance(result, Reply)
@@ -584,17 +606,17 @@
         return lambda *args, **fields: None
 
 
-def watch(client: Any, cache: Path | None, reports: list[NodeList]) -> Watch:
+def watch(client: Any, cache: Path | None, reports: list[NodeList]) -> NodeListWatch:
     """Return what follows the list `storage`, with its reports in a list."""
-    return Watch(
-        ListState("storage", max_nodes=100),
+    return NodeListWatch(
+        NodeListState("storage", max_nodes=100),
         client,
         address="list:1",
         node_id="me",
         poll_ms=60000.0,
         timeout_ms=2000.0,
         cache=None if cache is None else str(cache),
-        listed=reports.append,
+        on_report=reports.append,
         wall_ms=lambda: 1e12,
         log=Silent(),
     )
--- a/tests/compatibility/exchange_cases.py
+++ b/tests/compatibility/exchange_cases.py
@@ -7,11 +7,11 @@
 
 import anyio
 
-from cressrock.fleet import messages as m
-from cressrock.fleet.carrier import Fleet, FleetSettings, World
-from cressrock.fleet.members import Identity, MembersSettings
-from cressrock.fleet.messages import About, Claim, State
-from cressrock.fleet.spread import Spread, SpreadSettings
+from cressrock.gossip.store import GossipStore, GossipStoreSettings
+from cressrock.gossip.transport import ClusterTransport, ClusterTransportSettings, TransportEnvironment
+from cressrock.membership import packets as m
+from cressrock.membership.membership import Identity, MembershipSettings
+from cressrock.membership.packets import About, MemberState, MemberUpdate
 from tests.compatibility.canonical import canonical
 from tests.compatibility.gossip_cases import look, remover
 
@@ -58,26 +58,30 @@
 def incoming() -> list[list[bytes]]:
     """Return what other sides send, each in the pieces in which it arrives."""
     claims = [
-        Claim("n9", 4, 0, State.ALIVE, "", About("n9:1", "edge", "z")),
-        Claim("n8", 4, 2, State.GONE, "n9", About("n8:1", "planner")),
-        Claim("n7", 4, 2, State.LEFT),
+        MemberUpdate("n9", 4, 0, MemberState.ALIVE, "", About("n9:1", "edge", "z")),
+        MemberUpdate("n8", 4, 2, MemberState.DEAD, "n9", About("n8:1", "planner")),
+        MemberUpdate("n7", 4, 2, MemberState.LEFT),
     ]
-    spread = remover().full(None, 4096)[0]
-    plain = b"".join(_frames(m.Piece(claims), m.Piece(last=True)))
+    spread = remover().full_state(None, 4096)[0]
+    plain = b"".join(_frames(m.ExchangePart(claims), m.ExchangePart(last=True)))
     whole = b"".join(
-        _frames(m.Piece(claims, whole=True), m.Piece(spread=spread, whole=True), m.Piece(last=True))
+        _frames(
+            m.ExchangePart(claims, whole=True),
+            m.ExchangePart(spread=spread, whole=True),
+            m.ExchangePart(last=True),
+        )
     )
     return [
         [plain],
         [whole],
         [whole[i : i + 7] for i in range(0, len(whole), 7)],
-        [*_frames(m.Piece(claims, spread=b"bad")), *_frames(m.Piece(last=True))],
-        _frames(m.Piece(claims), m.Who()),
-        _frames(m.Piece(claims), m.Piece()),
-        _frames(*[m.Piece()] * 4, m.Piece(last=True)),
-        [(m.MAX_FRAME + 1).to_bytes(4, "big") + b"x"],
+        [*_frames(m.ExchangePart(claims, spread=b"bad")), *_frames(m.ExchangePart(last=True))],
+        _frames(m.ExchangePart(claims), m.Who()),
+        _frames(m.ExchangePart(claims), m.ExchangePart()),
+        _frames(*[m.ExchangePart()] * 4, m.ExchangePart(last=True)),
+        [(m.MAX_FRAME_BYTES + 1).to_bytes(4, "big") + b"x"],
         [m.frame(b"no message")],
-        [m.frame(m.encode("d", "n9", 4, m.Piece(last=True)))],
+        [m.frame(m.encode("d", "n9", 4, m.ExchangePart(last=True)))],
     ]
 
 
@@ -87,11 +91,13 @@
     fleet = _process()
 
     async def play() -> None:
-        fleet.members.receive(0.0, "n2:1", m.Letter("n2", 8, m.Rumours([_KNOWN])))
+        fleet.membership.receive(0.0, "n2:1", m.Letter("n2", 8, m.Updates([_KNOWN])))
         await fleet.serve(stream)
 
     anyio.run(play)
-    held = canonical([fleet.members.view(0.0), fleet.dropped, fleet.rounds.refused, look(fleet.spread)[0]])  # type: ignore[arg-type]
+    held = canonical(
+        [fleet.membership.view(0.0), fleet.drop_counts, fleet.rounds.refused, look(fleet.spread)[0]]
+    )  # type: ignore[arg-type]
     return [stream.sent.hex(), held]
 
 
@@ -101,7 +107,7 @@
     fleet = _process(stream)
 
     async def play() -> None:
-        fleet.members.receive(0.0, "n2:1", m.Letter("n2", 8, m.Welcome([_KNOWN])))
+        fleet.membership.receive(0.0, "n2:1", m.Letter("n2", 8, m.Welcome([_KNOWN])))
         with anyio.move_on_after(0.2):
             await fleet.run()
 
@@ -109,18 +115,20 @@
     return stream.sent.hex()
 
 
-_KNOWN = Claim("n2", 8, 1, State.ALIVE, "", About("n2:1", "edge", "z", "r"))
+_KNOWN = MemberUpdate("n2", 8, 1, MemberState.ALIVE, "", About("n2:1", "edge", "z", "r"))
 
 
-def _process(stream: _Stream | None = None) -> Fleet:
+def _process(stream: _Stream | None = None) -> ClusterTransport:
     async def connect(host: str, port: int) -> Any:
         if stream is None:
             raise OSError("nobody there")
         return stream
 
-    spread = Spread("n1", 7, SpreadSettings(), random.Random(1))
+    spread = GossipStore("n1", 7, GossipStoreSettings(), random.Random(1))
     spread.put("key", b"value")
     spread.add("map", "item", b"x")
-    settings = FleetSettings(seeds=("seed:1",), members=MembersSettings(cluster=CLUSTER), exchange_pieces=4)
-    world = World(_Datagrams(), connect, lambda: 0.0)
-    return Fleet(settings, Identity("n1", 7, "n1:1"), world, spread, random.Random(1), _Log())
+    settings = ClusterTransportSettings(
+        seeds=("seed:1",), membership=MembershipSettings(cluster=CLUSTER), exchange_pieces=4
+    )
+    world = TransportEnvironment(_Datagrams(), connect, lambda: 0.0)
+    return ClusterTransport(settings, Identity("n1", 7, "n1:1"), world, spread, random.Random(1), _Log())
--- a/tests/compatibility/gossip_cases.py
+++ b/tests/compatibility/gossip_cases.py
@@ -8,20 +8,20 @@
 import msgspec
 
 from cressrock.errors import CressrockError
-from cressrock.fleet import messages as m
-from cressrock.fleet.members import Identity, Members, MembersSettings, ToSend
-from cressrock.fleet.messages import About, Claim, State
-from cressrock.fleet.rounds import Rounds, RoundsSettings
-from cressrock.fleet.spread import Origin, Spread, SpreadSettings, pieces
-from cressrock.fleet.viewing import Viewing
+from cressrock.gossip.anti_entropy import AntiEntropy, AntiEntropySettings
+from cressrock.gossip.store import GossipStore, GossipStoreSettings, Origin, full_state_parts
+from cressrock.membership import packets as m
+from cressrock.membership.membership import Identity, Membership, MembershipSettings, OutgoingMessage
+from cressrock.membership.packets import About, MemberState, MemberUpdate
+from cressrock.membership.view_cache import ViewCache
 from tests.compatibility.canonical import Digest, canonical
 
 STORE_SEEDS = range(24)
 ROUNDS_SEEDS = range(8)
 
-SMALL = SpreadSettings(
+SMALL = GossipStoreSettings(
     max_key=16,
-    max_value=60,
+    max_value_bytes=60,
     max_origin_bytes=2500,
     max_origins=5,
     max_total_bytes=9000,
@@ -33,13 +33,13 @@
     lag_digests=2,
     entry_bytes=100,
 )
-ROOMY = SpreadSettings(keep_removed=3, max_rumours=20, max_ahead=3)
+ROOMY = GossipStoreSettings(keep_removed=3, max_rumours=20, max_ahead=3)
 KEYS = ("", "a", "b", "key", "map", "much-longer-than-16-characters")
 
 
-def example_store() -> Spread:
+def example_store() -> GossipStore:
     """Return a store with every kind of entry of its own."""
-    store = Spread("n1", 7, SpreadSettings(), random.Random(1))
+    store = GossipStore("n1", 7, GossipStoreSettings(), random.Random(1))
     store.put("color", b"red")
     store.put("color", b"blue")
     store.put("size", b"")
@@ -54,35 +54,44 @@
     return store
 
 
-def remover() -> Spread:
+def remover() -> GossipStore:
     """Return a store that removed another's item, so that it has every kind of entry."""
-    store = Spread("n2", 8, SpreadSettings(), random.Random(2))
-    store.merge(example_store().full(None, 4096)[0])
+    store = GossipStore("n2", 8, GossipStoreSettings(), random.Random(2))
+    store.merge(example_store().full_state(None, 4096)[0])
     store.discard("nodes", "b")
     return store
 
 
 def encoded() -> list[bytes]:
     """Return digests, deltas, fresh changes and full pieces of two stores."""
-    one, two, empty = example_store(), remover(), Spread("n3", 9, SpreadSettings(), random.Random(3))
-    late = Spread("n4", 10, SpreadSettings(keep_removed=1), random.Random(4))
+    one, two, empty = (
+        example_store(),
+        remover(),
+        GossipStore("n3", 9, GossipStoreSettings(), random.Random(3)),
+    )
+    late = GossipStore("n4", 10, GossipStoreSettings(keep_removed=1), random.Random(4))
     for number in range(6):
         late.put(f"k{number}", b"v")
         late.remove(f"k{number}")
     late.put("left", b"v")
     found = [empty.digest(1200), one.digest(1200), two.digest(1200), two.digest(320)]
     found += one.deltas(empty.digest(1200), 1200, 4) + two.deltas(empty.digest(1200), 100, 8)
-    found += [two.delta(one.digest(1200), 1200), one.fresh(1200), two.fresh(120), two.fresh(1200)]
-    found += list(pieces(two, 120)) + list(pieces(late, 4096))
-    reader = Spread("n5", 11, SpreadSettings(), random.Random(5))
-    reader.merge(late.full(None, 130)[0])
-    return [*found, reader.digest(1200), late.fresh(1200)]
+    found += [
+        two.delta(one.digest(1200), 1200),
+        one.recent_changes(1200),
+        two.recent_changes(120),
+        two.recent_changes(1200),
+    ]
+    found += list(full_state_parts(two, 120)) + list(full_state_parts(late, 4096))
+    reader = GossipStore("n5", 11, GossipStoreSettings(), random.Random(5))
+    reader.merge(late.full_state(None, 130)[0])
+    return [*found, reader.digest(1200), late.recent_changes(1200)]
 
 
 def malformed() -> list[bytes]:
     """Return bytes that `merge` refuses, each for its reason."""
     encode = msgspec.msgpack.Encoder().encode
-    good = remover().full(None, 4096)[0]
+    good = remover().full_state(None, 4096)[0]
 
     def piece(after: int, upto: int, entries: list[Any], *rest: Any) -> bytes:
         return encode((1, 1, [("n", 1, after, upto, 0, True, entries, *rest)]))
@@ -114,7 +123,7 @@
 
 def merge_refusal(data: bytes) -> str:
     """Return the code of the error with which bytes are refused, empty if they are merged."""
-    return _code(Spread("n9", 1, SpreadSettings(), random.Random(1)).merge, data)
+    return _code(GossipStore("n9", 1, GossipStoreSettings(), random.Random(1)).merge, data)
 
 
 def digest_refusal(data: bytes) -> str:
@@ -134,11 +143,11 @@
 
 def merged(data: bytes) -> list[Any]:
     """Return what an empty store holds after these bytes, or the code of the error."""
-    store = Spread("n9", 1, SpreadSettings(), random.Random(1))
+    store = GossipStore("n9", 1, GossipStoreSettings(), random.Random(1))
     code = _code(store.merge, data)
     if code:
         return [code]
-    found = canonical([look(store)[0], store.changes()])
+    found = canonical([look(store)[0], store.drain_changes()])
     assert isinstance(found, list)
     return found
 
@@ -146,25 +155,25 @@
 # --- several stores that write, forget, restart and exchange
 
 
-def look(store: Spread) -> tuple[Any, ...]:
+def look(store: GossipStore) -> tuple[Any, ...]:
     """Return all that can be read from a store."""
     entries: list[Any] = []
-    for origin, (known, floor, slots) in sorted(store.held().items()):
+    for origin, (known, floor, slots) in sorted(store.snapshot().items()):
         entries.append((origin, known, floor, sorted(slots.items())))
     return (
         entries,
-        store.size(),
+        store.size_bytes(),
         store.sweeps,
         store.refused,
-        store.tellings(),
-        [(sorted(store.get(key).items()), store.origins(key)) for key in KEYS],
+        store.max_transmissions(),
+        [(sorted(store.values(key).items()), store.origins(key)) for key in KEYS],
         [(sorted(store.counts(key).items()), store.total(key)) for key in KEYS],
         [[(item, sorted(by.items())) for item, by in sorted(store.items(key).items())] for key in KEYS],
-        [(store.mark((f"n{i}", 1)), store.value("a", (f"n{i}", 1))) for i in range(4)],
+        [(store.known_version((f"n{i}", 1)), store.value_of("a", (f"n{i}", 1))) for i in range(4)],
     )
 
 
-def _write(draw: random.Random, store: Spread) -> str:
+def _write(draw: random.Random, store: GossipStore) -> str:
     key, item = draw.choice(KEYS), draw.choice(["x", "y", "z"])
     value = bytes([draw.randrange(4)]) * draw.choice([0, 3, 3, 20, 20, 61])
     match draw.randrange(9):
@@ -190,7 +199,7 @@
     settings = SMALL if seed % 2 else ROOMY
     names = [f"n{i}" for i in range(draw.choice([2, 3, 5, 7]))]
     lives = dict.fromkeys(names, 1)
-    stores = {name: Spread(name, 1, settings, random.Random(f"{name} {seed}")) for name in names}
+    stores = {name: GossipStore(name, 1, settings, random.Random(f"{name} {seed}")) for name in names}
     waiting: list[tuple[str, bytes]] = []
     digest = Digest()
     loss = draw.choice([0.0, 0.3])
@@ -203,7 +212,7 @@
             case 0 | 1 | 2 | 3:
                 told = [_write(draw, store) for _ in range(draw.randrange(1, 6))]
             case 4 | 5 | 6:
-                told = store.fresh(draw.choice([80, 200, 1100]))
+                told = store.recent_changes(draw.choice([80, 200, 1100]))
                 if told:
                     waiting.append((other, told))
             case 7 | 8 | 9 | 10 | 11:
@@ -220,21 +229,21 @@
                         if draw.random() < 0.1:
                             waiting.append((draw.choice(names), data))
             case 17:
-                told = list(pieces(store, draw.choice([150, 400, 3000])))
+                told = list(full_state_parts(store, draw.choice([150, 400, 3000])))
                 if draw.random() < 0.5:
                     for data in told:
                         digest.add(_code(stores[other].merge, data))
             case 18:
                 if draw.random() < 0.3:
                     lives[name] += draw.choice([0, 1, 1])
-                    stores[name] = Spread(name, lives[name], settings, random.Random(f"{name} {step}"))
+                    stores[name] = GossipStore(name, lives[name], settings, random.Random(f"{name} {step}"))
             case 19:
                 kept: list[Origin] = [
                     (o, lives[o] - (draw.random() < 0.2)) for o in names if draw.random() < 0.8
                 ]
-                store.admit(kept)
+                store.retain_origins(kept)
                 told = kept
-        digest.add((step, name, told, store.changes() if draw.random() < 0.3 else None))
+        digest.add((step, name, told, store.drain_changes() if draw.random() < 0.3 else None))
         if step % 13 == 0:
             digest.add([look(stores[n]) for n in names])
     for _ in range(3):
@@ -253,11 +262,11 @@
     """Return the digest of what the gossip's rounds send, beside members that come and go."""
     draw = random.Random(seed)
     source = random.Random(seed + 1)
-    members = Members(Identity("me", 1, "me:1"), MembersSettings(cluster="c"), (), source, 0.0)
-    store = Spread("me", 1, SMALL if seed % 2 else ROOMY, source)
-    limits = RoundsSettings(bytes_s=draw.choice([500, 20_000]), burst=draw.choice([500, 3000, 20_000]))
-    rounds = Rounds(members, store, limits, source, 0.0)
-    others = {name: Spread(name, 1, ROOMY, random.Random(name)) for name in ("a", "b", "c", "d")}
+    members = Membership(Identity("me", 1, "me:1"), MembershipSettings(cluster="c"), (), source, 0.0)
+    store = GossipStore("me", 1, SMALL if seed % 2 else ROOMY, source)
+    limits = AntiEntropySettings(bytes_s=draw.choice([500, 20_000]), burst=draw.choice([500, 3000, 20_000]))
+    rounds = AntiEntropy(members, store, limits, source, 0.0)
+    others = {name: GossipStore(name, 1, ROOMY, random.Random(name)) for name in ("a", "b", "c", "d")}
     digest = Digest()
     now = 0.0
     for step in range(250):
@@ -268,46 +277,48 @@
         _write(draw, store)
         _write(draw, others[name])
         if step % 10 == 0:
-            state = draw.choice([State.ALIVE, State.ALIVE, State.LEFT])
-            claim = Claim(name, 1, step, state, "", About(f"{name}:1", "edge"))
-            members.receive(now, f"{name}:1", m.Letter("a", 1, m.Rumours([claim])))
+            state = draw.choice([MemberState.ALIVE, MemberState.ALIVE, MemberState.LEFT])
+            claim = MemberUpdate(name, 1, step, state, "", About(f"{name}:1", "edge"))
+            members.receive(now, f"{name}:1", m.Letter("a", 1, m.Updates([claim])))
         body = draw.choice(
             [
-                m.Delta(others[name].fresh(900)),
-                m.Digest(others[name].digest(900)),
-                m.Digest(others[name].digest(900)),
-                m.Digest(b"no digest"),
-                m.Delta(b"no delta"),
+                m.GossipDelta(others[name].recent_changes(900)),
+                m.GossipDigest(others[name].digest(900)),
+                m.GossipDigest(others[name].digest(900)),
+                m.GossipDigest(b"no digest"),
+                m.GossipDelta(b"no delta"),
                 m.Who(),
             ]
         )
         sends += rounds.receive(now, m.Letter(name, 1, body))
         if draw.random() < 0.1:
-            rounds.take_piece(next(pieces(others[name], 2000), b""))
+            rounds.merge_full_state(next(full_state_parts(others[name], 2000), b""))
         digest.add([_sent(send) for send in sends])
-        digest.add((rounds.next_due(), sorted(rounds.refused.items())))
-        members.take_sends()
+        digest.add((rounds.next_tick_ms(), sorted(rounds.refused.items())))
+        members.drain_messages()
     digest.add(look(store))
     members.receive(now, "me:2", m.Letter("me", 2, m.Who()))
-    digest.add((rounds.next_due(), len(rounds.tick(now + 5000))))
+    digest.add((rounds.next_tick_ms(), len(rounds.tick(now + 5000))))
     return digest.hex()
 
 
-def _sent(send: ToSend) -> tuple[str | None, str, bytes]:
+def _sent(send: OutgoingMessage) -> tuple[str | None, str, bytes]:
     return send.name, send.address, m.encode("c", "me", 1, send.message)
 
 
 def viewing_steps() -> list[Any]:
     """Return when views of few and of many members are made anew, over a scripted series of changes."""
-    members = Members(Identity("me", 1, "me:1"), MembersSettings(cluster="c"), (), random.Random(1), 0.0)
+    members = Membership(
+        Identity("me", 1, "me:1"), MembershipSettings(cluster="c"), (), random.Random(1), 0.0
+    )
     few = members.view(0.0)
     found: list[Any] = []
     for view in (few, few * 512, few * 513):
-        viewing = Viewing()
-        found.append(viewing.due(0.0))
+        viewing = ViewCache()
+        found.append(viewing.is_stale(0.0))
         for now, took in ((10.0, 0.0), (20.0, 3.0), (500.0, 90.0)):
-            viewing.made(view, now, now + took)
-            found.append([viewing.due(now + wait) for wait in (0.0, 1.0, 149.0, 150.0, 999.0, 1000.0)])
-        viewing.changed()
-        found += [viewing.due(501.0), len(viewing.view)]
+            viewing.store(view, now, now + took)
+            found.append([viewing.is_stale(now + wait) for wait in (0.0, 1.0, 149.0, 150.0, 999.0, 1000.0)])
+        viewing.invalidate()
+        found += [viewing.is_stale(501.0), len(viewing.view)]
     return found
--- a/tests/compatibility/link_cases.py
+++ b/tests/compatibility/link_cases.py
@@ -8,7 +8,7 @@
 import msgspec
 
 from cressrock.link import messages as m
-from cressrock.link.protocol import Bounds, Closed, Link, Opened, OutOfCredit, Role, State
+from cressrock.link.protocol import Closed, Link, LinkLimits, Opened, OutOfCredit, Role, State
 from tests.compatibility.canonical import Digest
 
 SEEDS = range(60)
@@ -52,22 +52,22 @@
             "trial-7",
         ),
         m.Request(7, 1e15, "r" * 128, "v", "k" * 512, 1e9, 1e15, 1, 1, 0, 1, -1.0, 0, True),
-        m.Ended(3, 17.25, "r-1", 0, "ok", True, 4.5),
-        m.Ended(4, 18.0, "r-2", 2, "no connection", False, 0.0, 12, 3.5),
+        m.AttemptEnded(3, 17.25, "r-1", 0, "ok", True, 4.5),
+        m.AttemptEnded(4, 18.0, "r-2", 2, "no connection", False, 0.0, 12, 3.5),
         m.Left(5, 19.0, "r-1"),
         m.Barred(6, 20.0, "n0:7000"),
         m.Counted(7, 21.0, [], []),
         m.Counted(8, 22.0, [0, 17, 10**9], [1, 70000]),
-        m.Lend(9, 23.0, "v", 1, 4.5, 12),
+        m.LimitLease(9, 23.0, "v", 1, 4.5, 12),
         m.Tick(10, 24.0),
         m.Grant(1, 7, "r-1", 0, "n0:7000", 400.0),
         m.Grant(2**53, 2**53, "r-2", 3, "n1", 1e15, 250.5),
         m.Answer(7, "r-1", True),
         m.Answer(7, "r-1", False, 1500.0),
         m.CallOff(7, "r-1", 1),
-        m.Stamp(12),
-        m.Rules([]),
-        m.Rules(["trial-7"]),
+        m.ClockStamp(12),
+        m.RuleVersions([]),
+        m.RuleVersions(["trial-7"]),
     ]
 
 
@@ -75,7 +75,7 @@
     *, edge_versions: tuple[int, ...] = (2,), planner_versions: tuple[int, ...] = (2,)
 ) -> tuple[Link, Link]:
     """Return an edge's and a planner's end with different capabilities."""
-    edge = Link(Role.EDGE, "e", 0.0, life="l1", capabilities=("a", "b"), versions=edge_versions)
+    edge = Link(Role.EDGE, "e", 0.0, incarnation="l1", capabilities=("a", "b"), versions=edge_versions)
     planner = Link(Role.PLANNER, "p", 0.0, epoch=7, capabilities=("b", "c"), versions=planner_versions)
     return edge, planner
 
@@ -195,7 +195,7 @@
         (
             m.Left(number, float(number), f"r{number}"),
             m.Tick(number, 1.5 * number),
-            m.Ended(number, float(number), f"r{number}", 0, "reset", False, 2.0),
+            m.AttemptEnded(number, float(number), f"r{number}", 0, "reset", False, 2.0),
             m.Request(number, float(number), f"r{number}", "v", "k", 1.0, 99.0, 0, 0, -1, 1),
         )
     )
@@ -204,7 +204,7 @@
 def _drawn_order(draw: random.Random, number: int) -> m.Order:
     return draw.choice(
         (
-            m.Stamp(number),
+            m.ClockStamp(number),
             m.Grant(number, 7, f"r{number}", 0, "n", 50.0),
             m.Answer(7, f"r{number}", True, 5.0),
         )
@@ -230,9 +230,11 @@
     """Drive two ends by a seed over a stream that splits, delays and at times corrupts; return the digest."""
     draw = random.Random(f"link/{seed}")
     digest = Digest()
-    bounds = Bounds(credit=draw.choice((4, 16, 256)), ping_ms=draw.choice((50.0, 500.0)), silent_ms=2000.0)
+    bounds = LinkLimits(
+        credit=draw.choice((4, 16, 256)), ping_ms=draw.choice((50.0, 500.0)), silent_ms=2000.0
+    )
     ends = {
-        "e": Link(Role.EDGE, "e", 0.0, life=f"l{seed}", capabilities=("a", "b"), bounds=bounds),
+        "e": Link(Role.EDGE, "e", 0.0, incarnation=f"l{seed}", capabilities=("a", "b"), bounds=bounds),
         "p": Link(Role.PLANNER, "p", 0.0, epoch=seed, capabilities=("b",), bounds=bounds),
     }
     pipes = {"e": b"", "p": b""}  # bytes on the way to that end
--- a/tests/compatibility/membership_cases.py
+++ b/tests/compatibility/membership_cases.py
@@ -7,35 +7,35 @@
 from collections.abc import Callable
 from typing import Any
 
-from cressrock.errors.fleet import DatagramError
-from cressrock.fleet import messages as m
-from cressrock.fleet.members import (
-    Alive,
+from cressrock.errors.membership import DatagramError
+from cressrock.membership import packets as m
+from cressrock.membership.membership import (
+    DuplicateIdentity,
     Exchange,
     Fenced,
-    Gone,
     Identity,
-    Joined,
-    Left,
-    Members,
-    MembersSettings,
-    NewLife,
-    ToSend,
-    Twin,
-    Unsure,
+    MemberDead,
+    MemberJoined,
+    MemberLeft,
+    MemberRecovered,
+    MemberRestarted,
+    Membership,
+    MembershipSettings,
+    MemberSuspected,
+    OutgoingMessage,
 )
-from cressrock.fleet.messages import About, Claim, State
+from cressrock.membership.packets import About, MemberState, MemberUpdate
 from tests.compatibility.canonical import Digest
 
 LABELS: dict[type, str] = {
-    Joined: "joined",
-    Unsure: "suspected",
-    Alive: "alive",
-    Left: "left",
-    Gone: "dead",
-    NewLife: "new-life",
+    MemberJoined: "joined",
+    MemberSuspected: "suspected",
+    MemberRecovered: "alive",
+    MemberLeft: "left",
+    MemberDead: "dead",
+    MemberRestarted: "new-life",
     Fenced: "fenced",
-    Twin: "duplicate",
+    DuplicateIdentity: "duplicate",
 }
 CLUSTER = "play"
 FLEET_SEEDS = range(18)
@@ -43,13 +43,18 @@
 
 # --- wire
 
-SUSPECTED = Claim("a", 5, 2, State.UNSURE, "b")
-SHORT = Claim("a.b-c_d", 2**53, 0, State.ALIVE)
-LEFT = Claim("a", 5, 3, State.LEFT)
-DEAD = Claim("host-1", 1_700_000_000_000, 4, State.GONE, "host-2")
-FULL = Claim("a", 5, 0, State.ALIVE, "", About("h:1", "edge", "z", "r", b"x"))
-PLAIN = Claim("b", 6, 1, State.UNSURE, "c", About("[2001:db8::1]:7400", "planner"))
-CLAIM_LISTS: tuple[list[Claim], ...] = ([], [SUSPECTED], [FULL, SHORT, LEFT], [DEAD, PLAIN, FULL, SUSPECTED])
+SUSPECTED = MemberUpdate("a", 5, 2, MemberState.SUSPECT, "b")
+SHORT = MemberUpdate("a.b-c_d", 2**53, 0, MemberState.ALIVE)
+LEFT = MemberUpdate("a", 5, 3, MemberState.LEFT)
+DEAD = MemberUpdate("host-1", 1_700_000_000_000, 4, MemberState.DEAD, "host-2")
+FULL = MemberUpdate("a", 5, 0, MemberState.ALIVE, "", About("h:1", "edge", "z", "r", b"x"))
+PLAIN = MemberUpdate("b", 6, 1, MemberState.SUSPECT, "c", About("[2001:db8::1]:7400", "planner"))
+CLAIM_LISTS: tuple[list[MemberUpdate], ...] = (
+    [],
+    [SUSPECTED],
+    [FULL, SHORT, LEFT],
+    [DEAD, PLAIN, FULL, SUSPECTED],
+)
 
 
 def messages() -> list[m.Any]:
@@ -60,20 +65,20 @@
         m.Ack(2**30),
         m.Ask(3, "a", "h:1"),
         m.Nack(3),
-        m.Rumours(),
+        m.Updates(),
         m.Hello(FULL),
         m.Hello(PLAIN),
         m.Welcome(),
         m.Who(),
-        m.Digest(b""),
-        m.Digest(b"\x94\x01\x00"),
-        m.Delta(b"d" * 40),
-        m.Delta(b""),
-        m.Piece(),
-        m.Piece(last=True),
-        m.Piece(spread=b"some", whole=True),
-        m.Collect(b""),
-        m.Collect(bytes(range(64))),
+        m.GossipDigest(b""),
+        m.GossipDigest(b"\x94\x01\x00"),
+        m.GossipDelta(b"d" * 40),
+        m.GossipDelta(b""),
+        m.ExchangePart(),
+        m.ExchangePart(last=True),
+        m.ExchangePart(spread=b"some", whole=True),
+        m.CollectorMessage(b""),
+        m.CollectorMessage(bytes(range(64))),
     ]
     for claims in CLAIM_LISTS:
         found += [
@@ -81,10 +86,10 @@
             m.Ack(7, claims, 12345),
             m.Ask(7, "b", "10.0.0.1:7400", claims),
             m.Nack(7, claims),
-            m.Rumours(claims),
+            m.Updates(claims),
             m.Welcome(claims),
-            m.Piece(claims),
-            m.Piece(claims, b"\x00\x01", True, True),
+            m.ExchangePart(claims),
+            m.ExchangePart(claims, b"\x00\x01", True, True),
         ]
     return found
 
@@ -107,7 +112,7 @@
         b"\x95\x02" + good[2:],
         m.encode("c", "not a name", 7, m.Who()),
         m.encode("c", "n", 7, m.Ping(3, "")),
-        m.encode("c", "n", 7, m.Rumours([Claim("x" * 65, 1, 1, State.ALIVE)])),
+        m.encode("c", "n", 7, m.Updates([MemberUpdate("x" * 65, 1, 1, MemberState.ALIVE)])),
         m.encode("c", "n", -1, m.Who()),
         good + b"\x00" * 1200,
         bytes.fromhex("9501a163a16e079163"),
@@ -125,25 +130,25 @@
 
 # --- settings
 
-DRIVEN = MembersSettings(
+DRIVEN = MembershipSettings(
     cluster=CLUSTER,
     keep_ms=20_000.0,
-    exchange_ms=6000.0,
+    exchange_interval_ms=6000.0,
     replies=12,
 )
-SMALL = MembersSettings(
+SMALL = MembershipSettings(
     cluster=CLUSTER,
-    period_ms=500.0,
-    probes=2,
+    protocol_period_ms=500.0,
+    probes_per_period=2,
     helpers=2,
-    gossip_ms=150.0,
+    gossip_interval_ms=150.0,
     gossip_fan=2,
     confirmations=1,
     health_worst=4,
-    max_datagram=320,
+    max_datagram_bytes=320,
     max_members=6,
     keep_ms=4000.0,
-    exchange_ms=3000.0,
+    exchange_interval_ms=3000.0,
     exchange_size=3,
     replies=3,
     retry_worst_ms=2000.0,
@@ -153,15 +158,19 @@
 # --- what one process decided
 
 
-def _bytes_of(members: Members, send: ToSend) -> tuple[str | None, str, bytes]:
-    return send.name, send.address, m.encode(CLUSTER, members.me.name, members.me.life, send.message)
+def _bytes_of(members: Membership, send: OutgoingMessage) -> tuple[str | None, str, bytes]:
+    return (
+        send.name,
+        send.address,
+        m.encode(CLUSTER, members.local.name, members.local.process_incarnation, send.message),
+    )
 
 
-def _look(members: Members, now: float) -> tuple[Any, ...]:
+def _look(members: Membership, now: float) -> tuple[Any, ...]:
     return (
         members.view(now),
-        members.live(),
-        members.lives(),
+        members.live_names(),
+        members.process_ids(),
         members.incarnation,
         members.health,
         members.fenced_by,
@@ -170,7 +179,7 @@
         members.lives_changed,
         members.size(),
         members.shortest_ms(),
-        members.next_due(),
+        members.next_tick_ms(),
         sorted(members.counts.items()),
     )
 
@@ -179,10 +188,10 @@
     """One simulated process: its state machine, and whether it runs."""
 
     def __init__(
-        self, identity: Identity, settings: MembersSettings, seeds: tuple[str, ...], now: float
+        self, identity: Identity, settings: MembershipSettings, seeds: tuple[str, ...], now: float
     ) -> None:
-        source = random.Random(f"{identity.name} {identity.life} {identity.address}")
-        self.members = Members(identity, settings, seeds, source, now)
+        source = random.Random(f"{identity.name} {identity.process_incarnation} {identity.address}")
+        self.members = Membership(identity, settings, seeds, source, now)
         self.stopped_until = 0.0
         self.wakes_at = float("inf")
         self.ended = False
@@ -217,7 +226,7 @@
         self._wake(address, process)
 
     def _wake(self, address: str, process: _Process) -> None:
-        due = max(process.members.next_due(), self.now)
+        due = max(process.members.next_tick_ms(), self.now)
         if due < process.wakes_at:
             process.wakes_at = due
             self.at(due, lambda: self._tick(address, process, due))
@@ -236,14 +245,14 @@
 
     def carry_out(self, address: str, process: _Process) -> None:
         members = process.members
-        for send in members.take_sends():
+        for send in members.drain_messages():
             entry = _bytes_of(members, send)
             self.digest.add((self.now, address, entry))
             self._transmit(address, send.address, entry[2])
-        for event in members.take_events():
+        for event in members.drain_events():
             self.digest.add((self.now, address, event))
-        for exchange in members.take_exchanges():
-            self.digest.add((self.now, address, exchange.name, exchange.address, exchange.whole))
+        for exchange in members.drain_exchanges():
+            self.digest.add((self.now, address, exchange.name, exchange.address, exchange.with_gossip_state))
             self.at(self.now + self.random.uniform(2, 40), self._exchange_call(address, process, exchange))
 
     def _transmit(self, sender: str, receiver: str, data: bytes) -> None:
@@ -260,7 +269,7 @@
         if process.stopped_until > self.now:
             self.at(process.stopped_until, lambda: self._arrive(sender, receiver, data))
             return
-        letter = m.decode(data, CLUSTER, self.settings.max_datagram + 200)
+        letter = m.decode(data, CLUSTER, self.settings.max_datagram_bytes + 200)
         process.members.receive(self.now, sender, letter)
         self.carry_out(receiver, process)
         self._wake(receiver, process)
@@ -281,13 +290,19 @@
         )
         if reached and other is not None:
             mine, theirs = process.members, other.members
-            for piece in mine.pieces(self.random.choice([100, 400, 32768])):
-                self.digest.add([m.encode(CLUSTER, mine.me.name, mine.me.life, m.Piece(piece))])
-                theirs.take_piece(self.now, mine.me.name, piece)
-            for piece in theirs.pieces():
-                mine.take_piece(self.now, theirs.me.name, piece)
+            for piece in mine.state_batches(self.random.choice([100, 400, 32768])):
+                self.digest.add(
+                    [
+                        m.encode(
+                            CLUSTER, mine.local.name, mine.local.process_incarnation, m.ExchangePart(piece)
+                        )
+                    ]
+                )
+                theirs.merge_remote_state(self.now, mine.local.name, piece)
+            for piece in theirs.state_batches():
+                mine.merge_remote_state(self.now, theirs.local.name, piece)
             self.carry_out(exchange.address, other)
-        process.members.exchange_ended(self.now, reached)
+        process.members.record_exchange_result(self.now, reached)
         self.carry_out(address, process)
 
     def run(self, until: float) -> None:
@@ -301,7 +316,7 @@
             self.digest.add((self.now, address, _look(process.members, self.now)))
             if not process.ended:
                 self.digest.add((process.members.draw(2), process.members.address("n0")))
-                self.digest.add((process.members.address("nobody"), process.members.next_due()))
+                self.digest.add((process.members.address("nobody"), process.members.next_tick_ms()))
 
 
 def fleet_digest(seed: int) -> str:
@@ -332,7 +347,7 @@
     addresses = sorted(network.processes)
     address = draw.choice(addresses)
     process = network.processes[address]
-    name, life = process.members.me.name, process.members.me.life
+    name, life = process.members.local.name, process.members.local.process_incarnation
     match draw.choice(
         ["restart", "stop", "cut", "heal", "kill", "leave", "twin", "loss", "same", "older", "none"]
     ):
@@ -370,7 +385,7 @@
     draw = random.Random(1000 + seed)
     settings = SMALL if seed % 2 else DRIVEN
     me = Identity("me", 50, "me:1", extra=b"own")
-    members = Members(me, settings, ("me:1", "a:1", "s:1") if seed % 4 else (), random.Random(seed), 0.0)
+    members = Membership(me, settings, ("me:1", "a:1", "s:1") if seed % 4 else (), random.Random(seed), 0.0)
     digest = Digest(LABELS)
     now = 0.0
     for step in range(350):
@@ -389,21 +404,21 @@
             members.receive(now, f"{sender}:{draw.choice([1, 1, 1, 2])}", letter)
         elif draw.random() < 0.8:
             claims = [_any_claim(draw) for _ in range(draw.randrange(4))]
-            members.take_piece(now, draw.choice(["a", "b", "c"]), claims)
+            members.merge_remote_state(now, draw.choice(["a", "b", "c"]), claims)
         else:
-            members.exchange_ended(now, draw.random() < 0.5)
+            members.record_exchange_result(now, draw.random() < 0.5)
         if step == 250 and seed % 8 == 0:
             members.leave(now)
-        digest.add([_bytes_of(members, send) for send in members.take_sends()])
-        digest.add(members.take_events())
-        digest.add([(item.name, item.address, item.whole) for item in members.take_exchanges()])
+        digest.add([_bytes_of(members, send) for send in members.drain_messages()])
+        digest.add(members.drain_events())
+        digest.add([(item.name, item.address, item.with_gossip_state) for item in members.drain_exchanges()])
         if step % 20 == 0:
             digest.add(_look(members, now))
-    digest.add([m.encode(CLUSTER, "me", 50, m.Piece(piece)) for piece in members.pieces(300)])
+    digest.add([m.encode(CLUSTER, "me", 50, m.ExchangePart(piece)) for piece in members.state_batches(300)])
     return digest.hex()
 
 
-def _any_claim(draw: random.Random, *, own: bool = True) -> Claim:
+def _any_claim(draw: random.Random, *, own: bool = True) -> MemberUpdate:
     name = draw.choice(["a", "b", "c", "d", "e", "f", "g", "h", *(["me"] if own else [])])
     about = About(f"{name}:{draw.choice([1, 1, 1, 1, 2])}", "edge", "z", "r")
     if draw.random() < 0.4:
@@ -414,12 +429,20 @@
     if name == "me":
         about = About(draw.choice(["me:1", "me:1", "me:0"]), "edge") if about is not None else None
     state = draw.choice(
-        [State.ALIVE, State.ALIVE, State.ALIVE, State.UNSURE, State.UNSURE, State.GONE, State.LEFT]
+        [
+            MemberState.ALIVE,
+            MemberState.ALIVE,
+            MemberState.ALIVE,
+            MemberState.SUSPECT,
+            MemberState.SUSPECT,
+            MemberState.DEAD,
+            MemberState.LEFT,
+        ]
     )
-    if state is State.LEFT and draw.random() < 0.7:
-        state = State.ALIVE
+    if state is MemberState.LEFT and draw.random() < 0.7:
+        state = MemberState.ALIVE
     by = draw.choice(["", "a", "b", "c", "d", "x"])
-    return Claim(name, life, draw.randrange(5), state, by, about)
+    return MemberUpdate(name, life, draw.randrange(5), state, by, about)
 
 
 def _any_body(draw: random.Random, sender: str) -> m.Any:
@@ -436,10 +459,10 @@
         case 4:
             return m.Nack(number, claims)
         case 5 | 6 | 7:
-            return m.Rumours(claims)
+            return m.Updates(claims)
         case 8:
-            own = Claim(sender, 50, 0, State.ALIVE, "", About(f"{sender}:1", "edge"))
+            own = MemberUpdate(sender, 50, 0, MemberState.ALIVE, "", About(f"{sender}:1", "edge"))
             return m.Hello(draw.choice([own, own, _any_claim(draw, own=False)]))
         case 9:
             return m.Welcome(claims)
-    return draw.choice([m.Who(), m.Digest(b"x"), m.Collect(b"x")])
+    return draw.choice([m.Who(), m.GossipDigest(b"x"), m.CollectorMessage(b"x")])
--- a/tests/compatibility/pair_cases.py
+++ b/tests/compatibility/pair_cases.py
@@ -6,40 +6,58 @@
 from dataclasses import replace
 
 from cressrock import interface as i
-from cressrock.dispatch.ledger import Ledger, Tripped
-from cressrock.dispatch.lending import Lending
+from cressrock.dispatch.ledger import FenceTrip, Ledger
+from cressrock.dispatch.quota import EdgeQuota
 from cressrock.dispatch.reasons import Reason
-from cressrock.edge.core import EdgeDecisions
+from cressrock.edge.attempt_history import Record
+from cressrock.edge.decisions import EdgeDecisions
+from cressrock.edge.disposition import (
+    DisconnectedPolicy,
+    ReconnectBackoff,
+    fate,
+    next_look,
+    offers,
+    retry_after,
+)
 from cressrock.edge.grants import Grants, Unused
-from cressrock.edge.orphans import Away, Reconnect, fate, next_look, offers, retry_after
-from cressrock.edge.record import Record
-from cressrock.edge.turns import Turns
+from cressrock.edge.ordering import KeyOrdering
 from cressrock.link import messages as m
-from cressrock.planner.core import Bounds, Planner
 from cressrock.planner.epochs import next_epoch
+from cressrock.planner.planner import Planner, PlannerLimits
 from tests.compatibility.canonical import Digest
 
 SEEDS = range(48)
 LABELS: dict[type, str] = {
     i.NodeList: "node list",
     i.Arrival: "arrival",
-    i.Ended: "ended",
+    i.AttemptEnded: "ended",
     i.ClientLeft: "client left",
-    i.Lent: "lent",
-    i.Counted: "counted",
-    i.Wake: "wake",
+    i.LimitLease: "lent",
+    i.RetryBudgetUsage: "counted",
+    i.TimerFired: "wake",
     i.Send: "send",
-    i.Refuse: "reject",
+    i.Reject: "reject",
     i.Fail: "fail",
     i.Cancel: "cancel",
     i.SetTimer: "set timer",
     i.Subscribe: "subscribe",
 }
 CLASSES = (
-    i.RequestClass(aim_ms=300, deadline_ms=4000, effect=i.Effect.REPEATABLE),
-    i.RequestClass(aim_ms=500, deadline_ms=4000, effect=i.Effect.KEYED, repeat_window_ms=4000, in_turn=True),
-    i.RequestClass(aim_ms=500, deadline_ms=4000, effect=i.Effect.KEYED, repeat_window_ms=4000),
-    i.RequestClass(aim_ms=500, deadline_ms=4000),
+    i.RequestClass(latency_objective_ms=300, deadline_ms=4000, idempotency=i.Idempotency.ALWAYS),
+    i.RequestClass(
+        latency_objective_ms=500,
+        deadline_ms=4000,
+        idempotency=i.Idempotency.KEYED,
+        deduplication_window_ms=4000,
+        ordered=True,
+    ),
+    i.RequestClass(
+        latency_objective_ms=500,
+        deadline_ms=4000,
+        idempotency=i.Idempotency.KEYED,
+        deduplication_window_ms=4000,
+    ),
+    i.RequestClass(latency_objective_ms=500, deadline_ms=4000),
 )
 PLANS = (i.Plan(), i.Plan(limit_rate=24.0, limit_burst=48.0, limit_slack=8.0))
 NODES = ("n0", "n1", "n2")
@@ -60,8 +78,8 @@
             self.heard.add([now_ms, event])
             match event:
                 case i.Arrival():
-                    self.open[event.request] = [event.attempts, False]
-                case i.Ended():
+                    self.open[event.request] = [event.earlier_attempts, False]
+                case i.AttemptEnded():
                     if event.settled:
                         self.open.pop(event.request, None)
                     elif event.request in self.open:
@@ -79,7 +97,7 @@
                 actions.append(i.Send(name, self.draw.choice(NODES), self.draw.choice((0.0, 250.0))))
             elif kind < 0.65:
                 del self.open[name]
-                actions.append(i.Refuse(name, self.draw.choice((0.0, 700.0))))
+                actions.append(i.Reject(name, self.draw.choice((0.0, 700.0))))
             elif kind < 0.7:
                 del self.open[name]
                 actions.append(i.Fail(name))
@@ -106,22 +124,24 @@
         self.digest = Digest(LABELS)
         self.now = 0.0
         self.ledger = Ledger(drain_grace_ms=250, answer_slack_ms=8, max_open=400)
-        self.ledger.news((i.Node(name, index) for index, name in enumerate(NODES)), 0.0, complete=True)
+        self.ledger.update_nodes(
+            (i.Node(name, index) for index, name in enumerate(NODES)), 0.0, complete=True
+        )
         self.edge = EdgeDecisions(
             self.ledger,
-            Away(),
+            DisconnectedPolicy(),
             random.Random(f"edge/{seed}/jitter"),
-            turns=Turns(CLASSES, 300.0) if seed % 4 else None,
-            own=DrawnDecisions(random.Random(f"edge/{seed}/own"), self.digest) if seed % 3 else None,
-            lending=Lending(PLANS, lambda volume: 2, 1000.0, 0.0) if seed % 2 else None,
+            ordering=KeyOrdering(CLASSES, 300.0) if seed % 4 else None,
+            local=DrawnDecisions(random.Random(f"edge/{seed}/own"), self.digest) if seed % 3 else None,
+            quota=EdgeQuota(PLANS, lambda volume: 2, 1000.0, 0.0) if seed % 2 else None,
             max_outbox=draw.choice((20, 100000)),
             tick_ms=100.0,
-            late_ms=1.0,
-            budget_ms=5000.0,
+            uncounted_after_ms=1.0,
+            budget_window_ms=5000.0,
         )
         if seed % 5 == 0:
-            self.edge.versioned, self.edge.plans = True, 2
-            self.edge.version = lambda a: ("trial" if a.units > 2 else "", a.request_class, a.plan)
+            self.edge.knows_versions, self.edge.plans_per_version = True, 2
+            self.edge.version_of = lambda a: ("trial" if a.units > 2 else "", a.request_class, a.plan)
         self.planner: tuple[str, int] | None = None
         self.epochs = {"p:1": 5, "q:1": 9}
         self.count = self.grants = 0
@@ -141,14 +161,14 @@
     def _change_planner(self) -> None:
         kind = self.draw.random()
         if kind < 0.03:
-            self.edge.lost(self.now)
+            self.edge.planner_lost(self.now)
             self.planner = None
             self.offered.clear()
         elif kind < 0.06 and self.planner is None:
             name = self.draw.choice(("p:1", "q:1"))
             epoch = self.epochs[name] = self.epochs[name] + self.draw.choice((0, 1, 1, -1))
             versioned = self.draw.random() < 0.5
-            joined = self.edge.joined(name, epoch, self.now, versioned=versioned)
+            joined = self.edge.planner_joined(name, epoch, self.now, versioned=versioned)
             self.digest.add(["joined", joined])
             if joined:
                 self.planner = (name, epoch)
@@ -167,17 +187,17 @@
                 attempt = attempts + (draw.random() < 0.03)
                 node = draw.choice((*NODES, "never listed") if draw.random() < 0.1 else NODES)
                 until = self.now + draw.choice((400.0, 400.0, 400.0, -1.0))
-                self.edge.order(name, m.Grant(number, epoch, operation, attempt, node, until, 250.0))
+                self.edge.receive_order(name, m.Grant(number, epoch, operation, attempt, node, until, 250.0))
                 self.offered[operation] = attempts + 1
             elif kind < 0.33:
-                self.edge.order(name, m.Answer(epoch, operation, draw.random() < 0.5, 900.0))
+                self.edge.receive_order(name, m.Answer(epoch, operation, draw.random() < 0.5, 900.0))
                 del self.offered[operation]
             elif kind < 0.36:
-                self.edge.order(name, m.CallOff(epoch, operation, max(0, attempts - 1)))
+                self.edge.receive_order(name, m.CallOff(epoch, operation, max(0, attempts - 1)))
         if draw.random() < 0.1:
-            self.edge.order(name, m.Stamp(draw.randrange(1, 1000)))
+            self.edge.receive_order(name, m.ClockStamp(draw.randrange(1, 1000)))
         if draw.random() < 0.05:
-            self.edge.order(name, m.Rules(draw.choice((["trial"], []))))
+            self.edge.receive_order(name, m.RuleVersions(draw.choice((["trial"], []))))
 
     def _events(self) -> list[i.Event]:
         draw = self.draw
@@ -186,7 +206,7 @@
             name, index = f"r{self.count}", draw.randrange(len(CLASSES))
             self.count += 1
             remaining = draw.choice((4000.0, 900.0))
-            if self.ledger.take(name, "x", CLASSES[index], self.now + remaining, self.now) is None:
+            if self.ledger.accept(name, "x", CLASSES[index], self.now + remaining, self.now) is None:
                 continue
             plan = draw.randrange(len(PLANS))
             key = draw.choice(("", "k1", "k2"))
@@ -197,19 +217,21 @@
                 )
             )
         for entry in list(self.ledger.entries.values()):
-            out = entry.out()
+            out = entry.attempt_in_flight()
             if out is not None and draw.random() < 0.25:
                 outcome = draw.choice(list(i.Outcome))
-                settled = self.ledger.ended(entry.name, out.number, outcome)
-                events.append(i.Ended(entry.name, out.number, outcome, settled.over, 2.0, 3, 0.5))
-            elif entry.verdict is None and draw.random() < 0.01 and self.ledger.left(entry.name):
+                settled = self.ledger.record_outcome(entry.name, out.number, outcome)
+                events.append(
+                    i.AttemptEnded(entry.name, out.number, outcome, settled.is_answered, 2.0, 3, 0.5)
+                )
+            elif entry.verdict is None and draw.random() < 0.01 and self.ledger.client_left(entry.name):
                 events.append(i.ClientLeft(entry.name))
         if draw.random() < 0.05:
             nodes = _nodes(draw)
-            self.ledger.news(nodes, self.now, complete=True)
+            self.ledger.update_nodes(nodes, self.now, complete=True)
             events.append(i.NodeList(i.ListKind.COMPLETE, nodes))
         if draw.random() < 0.1:
-            events.append(i.Wake(draw.randrange(4)))
+            events.append(i.TimerFired(draw.randrange(4)))
         return events
 
     def _act(self, events: list[i.Event]) -> None:
@@ -218,13 +240,13 @@
             match action:
                 case i.Send(request, node):
                     attempt = self.ledger.send(request, node, self.now)
-                    if isinstance(attempt, Tripped):
+                    if isinstance(attempt, FenceTrip):
                         self.digest.add(["fenced", attempt.fence])
-                        moot = i.Ended(request, attempt.number, i.Outcome.MOOT, False, 0.0)
+                        moot = i.AttemptEnded(request, attempt.number, i.Outcome.ABANDONED, False, 0.0)
                         for answer in self.edge.act(self.now, [moot]):
                             self.digest.add([self.now, answer])
-                case i.Refuse(request):
-                    self.ledger.refuse(request, Reason.SCHEDULER)
+                case i.Reject(request):
+                    self.ledger.reject(request, Reason.SCHEDULER)
                 case i.Fail(request):
                     self.ledger.fail(request, Reason.ATTEMPTS)
 
@@ -242,7 +264,7 @@
                     self.offered[event.operation] = event.attempts
                 case m.Left():
                     self.offered.pop(event.operation, None)
-                case m.Ended() if event.settled:
+                case m.AttemptEnded() if event.settled:
                     self.offered.pop(event.operation, None)
 
 
@@ -256,10 +278,10 @@
     draw = random.Random(f"planner/{seed}")
     digest = Digest(LABELS)
     module = DrawnDecisions(random.Random(f"planner/{seed}/module"), digest)
-    bounds = Bounds(max_inside=draw.choice((10, 200)), max_edges=3, lend_ms=draw.choice((0.0, 400.0)))
+    bounds = PlannerLimits(max_inside=draw.choice((10, 200)), max_edges=3, lease_ms=draw.choice((0.0, 400.0)))
     planner = Planner(module, CLASSES, 77 + seed, bounds, PLANS)
     if seed % 4 == 0:
-        planner.widen(CLASSES * 2, PLANS * 2, {"": (0, 0), "trial": (len(CLASSES), len(PLANS))})
+        planner.set_rule_versions(CLASSES * 2, PLANS * 2, {"": (0, 0), "trial": (len(CLASSES), len(PLANS))})
     sessions: dict[str, int] = {}
     sequences = dict.fromkeys(("a", "b", "c", "d"), 0)
     known: dict[str, dict[str, int]] = {name: {} for name in sequences}
@@ -277,14 +299,14 @@
         elif kind < 0.04:
             digest.add(["leave", planner.leave(name, sessions[name] - (draw.random() < 0.3))])
         elif kind < 0.07:
-            planner.listed(i.NodeList(draw.choice(list(i.ListKind)), _nodes(draw)))
+            planner.receive_node_list(i.NodeList(draw.choice(list(i.ListKind)), _nodes(draw)))
         else:
             for _ in range(draw.choice((1, 1, 4))):
                 sequences[name] += draw.choice((1, 1, 1, 1, 1, 0))
                 event = _event_up(draw, sequences[name], clock, count, known[name])
                 count += 1
                 session = sessions[name] - (draw.random() < 0.01)
-                digest.add(["event", planner.event(name, session, event, now)])
+                digest.add(["event", planner.receive_event(name, session, event, now)])
         if draw.random() < 0.7:
             outcome = planner.step(now)
             for edge, orders in outcome.orders.items():
@@ -327,13 +349,13 @@
     if kind < 0.75:
         outcome = draw.choice([*(o.value for o in i.Outcome), "not known yet"])
         attempt = known.get(operation, 0) + (draw.random() < 0.05)
-        return m.Ended(sequence, clock, operation, attempt, outcome, draw.random() < 0.4, 3.0, 2, 0.5)
+        return m.AttemptEnded(sequence, clock, operation, attempt, outcome, draw.random() < 0.4, 3.0, 2, 0.5)
     if kind < 0.82:
         return m.Left(sequence, clock, operation)
     if kind < 0.86:
         return m.Barred(sequence, clock, draw.choice((*NODES, "never listed")))
     if kind < 0.92:
-        return m.Lend(sequence, clock, "v1", draw.choice((1, 1, 7)), 3.0, draw.randrange(12))
+        return m.LimitLease(sequence, clock, "v1", draw.choice((1, 1, 7)), 3.0, draw.randrange(12))
     if kind < 0.95:
         return m.Counted(sequence, clock, [100, 40], [300])
     return m.Tick(sequence, clock)
@@ -344,7 +366,7 @@
     draw = random.Random(f"grants/{seed}")
     digest = Digest(LABELS)
     ledger = Ledger(drain_grace_ms=250, answer_slack_ms=8, max_open=400)
-    ledger.news((i.Node(name, index) for index, name in enumerate(NODES)), 0.0, complete=True)
+    ledger.update_nodes((i.Node(name, index) for index, name in enumerate(NODES)), 0.0, complete=True)
     grants = Grants(ledger, max_used=draw.choice((8, 65536)))
     now, number = 0.0, 0
     for step in range(400):
@@ -355,14 +377,14 @@
         elif kind < 0.05:
             grants.away()
         elif kind < 0.1:
-            ledger.news(_nodes(draw), now, complete=True)
+            ledger.update_nodes(_nodes(draw), now, complete=True)
         elif kind < 0.4:
-            ledger.take(f"r{step}", "x", draw.choice(CLASSES), now + 4000, now)
+            ledger.accept(f"r{step}", "x", draw.choice(CLASSES), now + 4000, now)
         elif kind < 0.55:
             for entry in list(ledger.entries.values()):
-                out = entry.out()
+                out = entry.attempt_in_flight()
                 if out is not None and draw.random() < 0.5:
-                    ledger.ended(entry.name, out.number, draw.choice(list(i.Outcome)))
+                    ledger.record_outcome(entry.name, out.number, draw.choice(list(i.Outcome)))
         else:
             number += 1
             names = sorted(ledger.entries)
@@ -387,7 +409,7 @@
                 match used:
                     case Unused():
                         digest.add([used.reason, used.operation])
-                    case Tripped():
+                    case FenceTrip():
                         digest.add(["fenced", used.fence, used.operation, used.number])
                     case _:
                         digest.add(["attempt", used.number, used.node.name])
@@ -400,19 +422,23 @@
     """Draw requests with attempts and ask what becomes of them without a planner and with a new one."""
     draw = random.Random(f"without planner/{seed}")
     digest = Digest(LABELS)
-    figures = Away(answer_margin_ms=draw.choice((100.0, 20.0)), retry_least_ms=500.0, retry_most_ms=4000.0)
+    figures = DisconnectedPolicy(
+        answer_margin_ms=draw.choice((100.0, 20.0)), retry_least_ms=500.0, retry_most_ms=4000.0
+    )
     ledger = Ledger(drain_grace_ms=250, answer_slack_ms=8, max_open=400)
-    ledger.news((i.Node(name, index) for index, name in enumerate(NODES)), 0.0, complete=True)
+    ledger.update_nodes((i.Node(name, index) for index, name in enumerate(NODES)), 0.0, complete=True)
     for index in range(60):
         name = f"r{index}"
-        entry = ledger.take(name, "x", draw.choice(CLASSES), draw.uniform(500, 4000), 0.0)
+        entry = ledger.accept(name, "x", draw.choice(CLASSES), draw.uniform(500, 4000), 0.0)
         assert entry is not None
         for _ in range(draw.choice((0, 1, 2))):
-            if isinstance(ledger.send(name, draw.choice(NODES), draw.uniform(0, 100)), Tripped):
+            if isinstance(ledger.send(name, draw.choice(NODES), draw.uniform(0, 100)), FenceTrip):
                 break
-            out = entry.out()
+            out = entry.attempt_in_flight()
             if out is not None and draw.random() < 0.7:
-                ledger.ended(name, out.number, draw.choice([o for o in i.Outcome if o is not i.Outcome.OK]))
+                ledger.record_outcome(
+                    name, out.number, draw.choice([o for o in i.Outcome if o is not i.Outcome.OK])
+                )
     entries = list(ledger.entries.values())
     for _ in range(40):
         now = draw.uniform(0, 4200)
@@ -422,7 +448,9 @@
         digest.add([entry.name for entry in offers(entries, now, figures, most=draw.choice((1, 20, 100)))])
         digest.add(retry_after(now * draw.random(), now, figures, draw))
     digest.add(next_look([], 0.0, figures))
-    reconnect = Reconnect(("p:1", "q:1", "r:1")[: 1 + seed % 3], draw, least_ms=100.0, most_ms=8000.0)
+    reconnect = ReconnectBackoff(
+        ("p:1", "q:1", "r:1")[: 1 + seed % 3], draw, min_wait_ms=100.0, max_wait_ms=8000.0
+    )
     for _ in range(60):
         now += draw.uniform(0, 2000)
         if draw.random() < 0.2:
@@ -439,7 +467,7 @@
     digest = Digest(LABELS)
     record = Record(draw.choice((0.0, 200.0, 5000.0)))
     deciders = [f"d{index}" for index in range(80 if seed % 6 == 0 else 3)]
-    turns = Turns(CLASSES, 300.0)
+    turns = KeyOrdering(CLASSES, 300.0)
     out: list[i.Arrival] = []
     now = 0.0
     for step in range(600):
--- a/tests/compatibility/pair_link_cases.py
+++ b/tests/compatibility/pair_link_cases.py
@@ -9,18 +9,18 @@
 import anyio
 
 from cressrock import interface as i
-from cressrock.dispatch.ledger import Ledger, Tripped
-from cressrock.dispatch.lending import Lending
+from cressrock.dispatch.ledger import FenceTrip, Ledger
+from cressrock.dispatch.quota import EdgeQuota
 from cressrock.dispatch.reasons import Reason
-from cressrock.edge.carrier import PlannerLink
-from cressrock.edge.core import EdgeDecisions
-from cressrock.edge.orphans import Away, Reconnect
-from cressrock.edge.turns import Turns
+from cressrock.edge.decisions import EdgeDecisions
+from cressrock.edge.disposition import DisconnectedPolicy, ReconnectBackoff
+from cressrock.edge.ordering import KeyOrdering
+from cressrock.edge.planner_link import PlannerLink
 from cressrock.lab.day import simulate
 from cressrock.lab.simnet import SimNet, SimStream
-from cressrock.link.protocol import Bounds as LinkBounds
-from cressrock.planner.carrier import PlannerServer
-from cressrock.planner.core import Bounds, Planner
+from cressrock.link.protocol import LinkLimits as LinkBounds
+from cressrock.planner.planner import Planner, PlannerLimits
+from cressrock.planner.server import PlannerServer
 from tests.compatibility.canonical import Digest
 from tests.compatibility.pair_cases import CLASSES, NODES, PLANS, DrawnDecisions
 
@@ -74,27 +74,31 @@
         self.epoch = 10
         self.count = 0
         self.ledger = Ledger(drain_grace_ms=250, answer_slack_ms=8, max_open=400)
-        self.ledger.news((i.Node(name, index) for index, name in enumerate(NODES)), 0.0, complete=True)
+        self.ledger.update_nodes(
+            (i.Node(name, index) for index, name in enumerate(NODES)), 0.0, complete=True
+        )
         self.edge = EdgeDecisions(
             self.ledger,
-            Away(),
+            DisconnectedPolicy(),
             random.Random(f"scene/{seed}/jitter"),
-            turns=Turns(CLASSES, 300.0),
-            own=DrawnDecisions(random.Random(f"scene/{seed}/own"), Digest()),
-            lending=Lending(PLANS, lambda volume: 2, 1000.0, 0.0) if lends else None,
-            late_ms=1.0,
-            budget_ms=5000.0,
+            ordering=KeyOrdering(CLASSES, 300.0),
+            local=DrawnDecisions(random.Random(f"scene/{seed}/own"), Digest()),
+            quota=EdgeQuota(PLANS, lambda volume: 2, 1000.0, 0.0) if lends else None,
+            uncounted_after_ms=1.0,
+            budget_window_ms=5000.0,
         )
         self.poked = anyio.Event()
         self.link = PlannerLink(
             self.edge,
-            Reconnect(("p:1", "q:1"), random.Random(f"scene/{seed}/reconnect"), least_ms=50.0, most_ms=400.0),
+            ReconnectBackoff(
+                ("p:1", "q:1"), random.Random(f"scene/{seed}/reconnect"), min_wait_ms=50.0, max_wait_ms=400.0
+            ),
             self.connect,
             lambda: self.poked.set(),
             name="edge-1",
-            life="0a1b2c",
+            incarnation="0a1b2c",
             clock=self.clock,
-            bounds=LinkBounds(ping_ms=100.0, silent_ms=400.0),
+            limits=LinkBounds(ping_ms=100.0, silent_ms=400.0),
             log=_NoLog(),
         )
 
@@ -109,17 +113,17 @@
     def start_planner(self, address: str, *, epoch: int | None = None) -> None:
         self.epoch += 1
         module = DrawnDecisions(random.Random(f"{address}/{self.epoch}"), Digest())
-        bounds = Bounds(lend_ms=400.0 if self.planner_lends else 0.0)
+        bounds = PlannerLimits(lease_ms=400.0 if self.planner_lends else 0.0)
         planner = Planner(module, CLASSES, epoch or self.epoch, bounds, PLANS)
-        planner.listed(i.NodeList(i.ListKind.COMPLETE, tuple(self.ledger.nodes.values())))
+        planner.receive_node_list(i.NodeList(i.ListKind.COMPLETE, tuple(self.ledger.nodes.values())))
         server = PlannerServer(
             planner,
             address,
             clock=self.clock,
-            bounds=LinkBounds(ping_ms=100.0, silent_ms=400.0, credit=16),
+            limits=LinkBounds(ping_ms=100.0, silent_ms=400.0, credit=16),
             log=_NoLog(),
         )
-        server.versioned = self.epoch % 2 == 0
+        server.knows_versions = self.epoch % 2 == 0
         scope = anyio.CancelScope()
 
         async def run() -> None:
@@ -139,7 +143,7 @@
         """Take requests and carry out the edge's orders until cancelled."""
         next_arrival = 0.0
         ends: list[tuple[float, str, int, i.Outcome]] = []
-        stopped: list[i.Ended] = []
+        stopped: list[i.AttemptEnded] = []
         while True:
             due = min([next_arrival, *(end[0] for end in ends)])
             with anyio.move_on_at(due / 1000 + 1e-6):
@@ -151,8 +155,8 @@
             for end in sorted((e for e in ends if e[0] <= now), key=lambda e: e[:3]):
                 ends.remove(end)
                 _, name, number, outcome = end
-                settled = self.ledger.ended(name, number, outcome)
-                events.append(i.Ended(name, number, outcome, settled.over, 20.0, 1, 0.5))
+                settled = self.ledger.record_outcome(name, number, outcome)
+                events.append(i.AttemptEnded(name, number, outcome, settled.is_answered, 20.0, 1, 0.5))
             if now >= next_arrival:
                 next_arrival = now + 23.7
                 events.append(self._arrival(now))
@@ -160,23 +164,25 @@
                 match action:
                     case i.Send(request, node):
                         attempt = self.ledger.send(request, node, now)
-                        if isinstance(attempt, Tripped):
-                            stopped.append(i.Ended(request, attempt.number, i.Outcome.MOOT, False, 0.0))
+                        if isinstance(attempt, FenceTrip):
+                            stopped.append(
+                                i.AttemptEnded(request, attempt.number, i.Outcome.ABANDONED, False, 0.0)
+                            )
                             self.poked.set()
                             continue
                         outcome = self.draw.choice(
                             (i.Outcome.OK, i.Outcome.OK, i.Outcome.FULL, i.Outcome.RESET)
                         )
                         ends.append((now + self.draw.uniform(5, 60), request, attempt.number, outcome))
-                    case i.Refuse(request):
-                        self.ledger.refuse(request, Reason.SCHEDULER)
+                    case i.Reject(request):
+                        self.ledger.reject(request, Reason.SCHEDULER)
                     case i.Fail(request):
                         self.ledger.fail(request, Reason.ATTEMPTS)
 
     def _arrival(self, now: float) -> i.Arrival:
         name, index = f"r{self.count}", self.draw.choice((0, 1, 2))
         self.count += 1
-        self.ledger.take(name, "x", CLASSES[index], now + 1000, now)
+        self.ledger.accept(name, "x", CLASSES[index], now + 1000, now)
         plan = self.draw.randrange(len(PLANS))
         return i.Arrival(name, f"v{plan}", self.draw.choice(("", "k")), 1.0, 1000.0, plan, index, 0, 1)
 
@@ -267,17 +273,19 @@
 
 
 async def _rules(stage: _Scene) -> None:
-    stage.edge.versioned, stage.edge.plans = True, len(PLANS)
-    stage.edge.version = lambda a: ("trial" if a.plan else "", a.request_class, a.plan)
+    stage.edge.knows_versions, stage.edge.plans_per_version = True, len(PLANS)
+    stage.edge.version_of = lambda a: ("trial" if a.plan else "", a.request_class, a.plan)
     stage.kill_planner("p:1")
     stage.start_planner("p:1")
     server, _ = stage.servers["p:1"]
-    server.planner.widen(CLASSES * 2, PLANS * 2, {"": (0, 0), "trial": (len(CLASSES), len(PLANS))})
+    server.planner.set_rule_versions(
+        CLASSES * 2, PLANS * 2, {"": (0, 0), "trial": (len(CLASSES), len(PLANS))}
+    )
     await anyio.sleep(1)
-    server.tell_rules(("trial",))
+    server.announce_rule_versions(("trial",))
     await anyio.sleep(1)
-    server.tell_rules(("trial",))
-    server.tell_rules(())
+    server.announce_rule_versions(("trial",))
+    server.announce_rule_versions(())
     await anyio.sleep(1)
 
 
