--- a/tests/compatibility/presence_cases.py
+++ b/tests/compatibility/presence_cases.py
@@ -8,7 +8,7 @@
 
 from cressrock.errors import known
 from cressrock.errors.presence import PresenceError
-from cressrock.presence import names, rooms, words
+from cressrock.presence import agreed_names, liveness, rooms
 from tests.compatibility.canonical import Digest
 
 # --- wire
@@ -29,15 +29,15 @@
         ("unwatch", rooms.Unwatch("docs/handbook")),
         ("page", rooms.Page("docs", 4, True, False, [ENTRY, BARE_ENTRY, ENDED_ENTRY])),
         ("last page", rooms.Page("docs", 4, False, True, [], [("a", 2, 3)])),
-        ("no changes", rooms.Changes("docs", [])),
+        ("no changes", rooms.ChangeBatch("docs", [])),
         (
             "changes",
-            rooms.Changes(
+            rooms.ChangeBatch(
                 "docs", [CHANGE, rooms.Change(4, "b.1.2", BARE_ENTRY), rooms.Change(5, "b.1.2", None)]
             ),
         ),
-        ("change with a reason", rooms.Changes("docs", [rooms.Change(6, "b.1.1", None, "silent")])),
-        ("beat", rooms.Beat()),
+        ("change with a reason", rooms.ChangeBatch("docs", [rooms.Change(6, "b.1.1", None, "silent")])),
+        ("beat", rooms.Heartbeat()),
         ("keep", rooms.Keep(9, "docs", (1 << 62) - 1)),
         ("move", rooms.Move(10, "docs", "b.1.1", b"s" * 16)),
         ("taken", rooms.Taken("docs", "b.1.1", 1, 12)),
@@ -58,7 +58,7 @@
     (
         "change of three fields",
         "9304a4646f6373919305a5622e312e32c0",
-        rooms.Changes("docs", [rooms.Change(5, "b.1.2", None)]),
+        rooms.ChangeBatch("docs", [rooms.Change(5, "b.1.2", None)]),
     ),
     (
         "entry of its id alone",
@@ -74,11 +74,11 @@
     return ["0000000193", "00000003c10000", "7fffffff", size.to_bytes(4, "big").hex(), "00000002930b"]
 
 
-def holders() -> list[names.Holder]:
+def holders() -> list[agreed_names.Holder]:
     """Return example values of a decree on an agreed name."""
     return [
-        names.Holder(1, "docs", "n", "b.1.1", "b", 1),
-        names.Holder(
+        agreed_names.Holder(1, "docs", "n", "b.1.1", "b", 1),
+        agreed_names.Holder(
             1, "docs/handbook/ü", "editor", "edge-0001.1a0c5ee4400.7", "edge-0001", 1_790_000_000_000
         ),
     ]
@@ -86,13 +86,21 @@
 
 def hashes() -> list[Any]:
     """Return what rooms, secrets and names come to where they are sent, stored or compared."""
-    table = rooms.Rooms(("edge-0001", 77), rooms.RoomsSettings(), b"key of this life")
+    table = rooms.Rooms(("edge-0001", 77), rooms.RoomSettings(), b"key of this life")
     return [
         [rooms.room_hash(room).hex() for room in ("", "docs", "docs/handbook/ü")],
         [rooms.digest(secret).hex() for secret in (b"", b"s" * 16)],
         [table.secret(member, hop).hex() for member, hop in (("edge-0001.4d.1", 0), ("edge-0001.4d.1", 3))],
-        [names.topic(room, name) for room, name in (("docs", "n"), ("docs/handbook/ü", "editor"))],
-        [rooms.FORMAT, rooms.BUCKETS, rooms.PREFIX, rooms.HASH, rooms.MAX_FRAME, names.FORMAT, names.BEGIN],
+        [agreed_names.topic(room, name) for room, name in (("docs", "n"), ("docs/handbook/ü", "editor"))],
+        [
+            rooms.FORMAT,
+            rooms.BUCKETS,
+            rooms.PREFIX,
+            rooms.HASH,
+            rooms.MAX_FRAME,
+            agreed_names.FORMAT,
+            agreed_names.BEGIN,
+        ],
     ]
 
 
@@ -106,9 +114,9 @@
 STATES = ("alive", "unsure", "left", "gone")
 
 
-def _peers(source: random.Random) -> list[words.Peer]:
+def _peers(source: random.Random) -> list[liveness.Peer]:
     return [
-        words.Peer(
+        liveness.Peer(
             f"g{number}",
             source.randrange(1, 4),
             source.choice(("north", "south")),
@@ -125,33 +133,33 @@
     digest = Digest()
     for _ in range(200):
         heard, now = source.uniform(0, 1e5), source.uniform(0, 2e5)
-        digest.add(words.said(source.random() < 0.5, heard, now, 3000.0, 60_000.0))
+        digest.add(liveness.said(source.random() < 0.5, heard, now, 3000.0, 60_000.0))
         peers = _peers(source)
-        digest.add(words.majority("north", peers))
-        digest.add(words.keepers(f"docs/{source.randrange(9)}", "north", peers))
+        digest.add(liveness.majority("north", peers))
+        digest.add(liveness.keepers(f"docs/{source.randrange(9)}", "north", peers))
         telling = [f"g{number}" for number in range(7) if source.random() < 0.7]
         unsure = {f"g{number}": source.uniform(0, 1e5) for number in range(8) if source.random() < 0.2}
         waiting = [f"g{number}" for number in range(7) if source.random() < 0.2]
-        digest.add(words.not_heard(peers, telling, unsure, waiting))
+        digest.add(liveness.not_heard(peers, telling, unsure, waiting))
         name, life = f"g{source.randrange(7)}", source.randrange(1, 4)
-        digest.add(words.gone_for_good(name, life, peers, now, 60_000.0))
-        holder = names.Holder(1, "docs", "n", f"a.1.{source.randrange(2)}", "a", 1)
+        digest.add(liveness.gone_for_good(name, life, peers, now, 60_000.0))
+        holder = agreed_names.Holder(1, "docs", "n", f"a.1.{source.randrange(2)}", "a", 1)
         standing = (holder, source.randrange(1, 99)) if source.random() < 0.8 else None
-        found = names.claim(standing, "a.1.1", source.random() < 0.5, source.random() < 0.5)
+        found = agreed_names.claim(standing, "a.1.1", source.random() < 0.5, source.random() < 0.5)
         digest.add([CLAIM_LABELS[type(found)], found])
-    clock, time = words.Awake(1000.0, 500.0), 1000.0
+    clock, time = liveness.Awake(1000.0, 500.0), 1000.0
     for _ in range(100):
         time += source.choice((0.0, 10.0, 499.0, 500.0, 501.0, 70_000.0, -5.0))
         digest.add([clock.now(time), clock.slept_ms])
     return digest.hex()
 
 
-CLAIM_LABELS: dict[type, str] = {names.Ask: "ask", names.Has: "has", names.Held: "held"}
+CLAIM_LABELS: dict[type, str] = {agreed_names.Ask: "ask", agreed_names.Has: "has", agreed_names.Held: "held"}
 
 # --- decisions: the rooms of several gateways in one process
 
 ROOMS = ("docs", "docs/a", "data/b", "data/c")
-SMALL = rooms.RoomsSettings(
+SMALL = rooms.RoomSettings(
     max_members=14,
     max_room=9,
     max_rooms=3,
@@ -168,7 +176,7 @@
     linger_ms=1500.0,
     page_bytes=160,
 )
-WIDE = rooms.RoomsSettings(
+WIDE = rooms.RoomSettings(
     log=16, feed=64, grace_ms=6000.0, silent_ms=1200.0, gone_ms=7000.0, hold_back_ms=600.0, linger_ms=2500.0
 )
 MESSAGE_LABELS: dict[type, str] = {
@@ -176,8 +184,8 @@
     rooms.Watch: "watch",
     rooms.Unwatch: "unwatch",
     rooms.Page: "page",
-    rooms.Changes: "changes",
-    rooms.Beat: "beat",
+    rooms.ChangeBatch: "changes",
+    rooms.Heartbeat: "beat",
     rooms.Keep: "keep",
     rooms.Move: "move",
     rooms.Taken: "taken",
@@ -198,7 +206,7 @@
     A stream carries its messages in order, after a drawn number of steps, or is lost with it.
     """
 
-    def __init__(self, seed: int, settings: rooms.RoomsSettings) -> None:
+    def __init__(self, seed: int, settings: rooms.RoomSettings) -> None:
         """Begin with all gateways alive."""
         self.source = random.Random(f"presence play {seed}")
         self.settings = settings
@@ -307,22 +315,22 @@
 
     def _watch(self, index: int) -> None:
         table, room = self.gateways[index], self.source.choice(ROOMS)
-        view = table.interest(self.now_ms, room)
+        view = table.open_view(self.now_ms, room)
         if self.source.random() < 0.2:
             view.watchers = self.source.randrange(2)
         self._look(index, room, view)
 
-    def _look(self, index: int, room: str, view: rooms.View) -> None:
+    def _look(self, index: int, room: str, view: rooms.RoomView) -> None:
         table = self.gateways[index]
         cursor = self.cursors.get((index, room), (0, 0))
         # Which of several rooms begins its new epoch first is not decided; that it begins one is.
-        self._add("epoch", view.epoch == cursor[0], view.seq)
-        self._add("events", table.after(view, *cursor))
-        self.cursors[(index, room)] = (view.epoch, view.seq)
+        self._add("epoch", view.epoch == cursor[0], view.last_seq)
+        self._add("events", table.events_after(view, *cursor))
+        self.cursors[(index, room)] = (view.epoch, view.last_seq)
         self._add(
             "view",
             table.members(view),
-            table.unsure(view, self.now_ms),
+            table.unsure_gateways(view, self.now_ms),
             table.unasked(view),
             table.as_of(view, self.now_ms),
         )
@@ -379,16 +387,16 @@
         for other in range(GATEWAYS):
             if other != index and self.alive[other]:
                 for key, value in self.buckets[other].items():
-                    self.gateways[index].told(self.now_ms, self._origin(other), key, value)
+                    self.gateways[index].receive_directory_entry(self.now_ms, self._origin(other), key, value)
 
     def _break(self, numbers: list[int]) -> None:
         for number in numbers:
             one, other = self.streams.pop(number)
             self.in_flight = [message for message in self.in_flight if message[2] != number]
             if self.alive[one]:
-                self.gateways[one].unlinked(self.now_ms, self._origin(other))
+                self.gateways[one].source_disconnected(self.now_ms, self._origin(other))
             if self.alive[other] and number in self.gateways[other].streams():
-                self.gateways[other].closed(number)
+                self.gateways[other].subscriber_disconnected(number)
 
     # --- carrying
 
@@ -406,8 +414,8 @@
             if ticking:
                 table.tick(self.now_ms)
                 self._dial(index)
-            elif self.source.random() < 0.7 and table.dirty:
-                table.flush(self.now_ms)
+            elif self.source.random() < 0.7 and table.has_unpublished_changes:
+                table.publish_changes(self.now_ms)
             self._collect(index)
         self._deliver()
         for index, table in enumerate(self.gateways):
@@ -415,13 +423,13 @@
                 # A stream that still stands carries the other side's heartbeat.
                 for one, other in self.streams.values():
                     if one == index and self.side[one] == self.side[other]:
-                        table.heard(self.now_ms, self._origin(other))
-                self._add("figures", table.figures(), sorted(table.news))
-                table.news.clear()
+                        table.record_contact(self.now_ms, self._origin(other))
+                self._add("figures", table.figures(), sorted(table.changed_rooms))
+                table.changed_rooms.clear()
 
     def _dial(self, index: int) -> None:
         table = self.gateways[index]
-        for origin in sorted(table.wanted()):
+        for origin in sorted(table.desired_sources()):
             other = self._index(origin)
             if (
                 other is None
@@ -431,15 +439,17 @@
                 continue
             number = next(self.numbers)
             self.streams[number] = (index, other)
-            self.gateways[other].opened(number, self._origin(index))
-            table.linked(self.now_ms, origin)
+            self.gateways[other].subscriber_connected(number, self._origin(index))
+            table.source_connected(self.now_ms, origin)
             self._add("idle", table.idle(origin))
 
     def _collect(self, index: int) -> None:
         """Take what a gateway wants sent and told, and put it on its way."""
         table = self.gateways[index]
         # In which order several rooms speak is not decided; each room's own messages are in order.
-        for to, body in sorted(table.take_out(), key=lambda out: (str(out[0]), getattr(out[1], "room", ""))):
+        for to, body in sorted(
+            table.drain_outgoing(), key=lambda out: (str(out[0]), getattr(out[1], "room", ""))
+        ):
             self._add("out", index, to, body)
             if isinstance(to, int):
                 if to in self.streams:
@@ -448,14 +458,14 @@
                 for number, (one, other) in self.streams.items():
                     if one == index and self._origin(other) == to:
                         self._send(number, body, back=False)
-        changed = table.own_buckets(self.source.choice((8, 600)))
+        changed = table.drain_directory_updates(self.source.choice((8, 600)))
         if changed:
             self._add("buckets", index, changed)
             self.buckets[index].update(changed)
         for key, value in changed:
             for other in range(GATEWAYS):
                 if other != index and self.alive[other] and self.source.random() < 0.95:
-                    self.gateways[other].told(self.now_ms, self._origin(index), key, value)
+                    self.gateways[other].receive_directory_entry(self.now_ms, self._origin(index), key, value)
 
     def _deliver(self) -> None:
         ready = sorted(message for message in self.in_flight if message[0] <= self.now_ms)
@@ -471,7 +481,7 @@
                 if back:
                     self._receive_answer(one, other, body)
                 else:
-                    self.gateways[other].asked(self.now_ms, number, body)
+                    self.gateways[other].receive_request(self.now_ms, number, body)
             except PresenceError as error:
                 self._add("parted", error.code, error.text)
                 self._break([number])
@@ -479,10 +489,10 @@
     def _receive_answer(self, one: int, other: int, body: rooms.Body) -> None:
         table = self.gateways[one]
         if isinstance(body, rooms.Answer):
-            table.heard(self.now_ms, self._origin(other))
+            table.record_contact(self.now_ms, self._origin(other))
             self._add("answered", body)
         else:
-            table.take(self.now_ms, self._origin(other), body)
+            table.receive_update(self.now_ms, self._origin(other), body)
 
     def end(self) -> str:
         """Heal everything, let everybody converge, look at every view; return the digest."""
@@ -509,30 +519,30 @@
     """Return the digest of one gateway's many rooms in the spread, and how another one reads them."""
     source = random.Random(f"presence crowd {seed}")
     digest = Digest(MESSAGE_LABELS)
-    settings = rooms.RoomsSettings(max_rooms=4000, linger_ms=100.0)
+    settings = rooms.RoomSettings(max_rooms=4000, linger_ms=100.0)
     one, other = rooms.Rooms(("a", 1), settings, b"a" * 16), rooms.Rooms(("b", 1), settings, b"b" * 16)
     sessions = [one.join(0.0, f"docs/{source.randrange(3000)}") for _ in range(2500)]
     for time in (0.0, 50.0, 5000.0):
-        told = one.own_buckets(source.choice((200, 600)))
+        told = one.drain_directory_updates(source.choice((200, 600)))
         digest.add(told)
         for key, value in told:
-            other.told(time, one.me, key, value)
+            other.receive_directory_entry(time, one.origin, key, value)
         for _ in range(40):
-            view = other.interest(time, f"docs/{source.randrange(4000)}")
+            view = other.open_view(time, f"docs/{source.randrange(4000)}")
             digest.add([view.room, other.unasked(view)])
         for session in source.sample(sessions, 800):
             one.leave(time, session)
         one.tick(time + 1000.0)
-        digest.add([sorted(other.wanted()), one.figures()])
+        digest.add([sorted(other.desired_sources()), one.figures()])
     for key, value in (
         ("presence/zz", b"x"),
         ("presence/7f", b"x"),
         ("presence/00", b"\x02new"),
         ("presence/01", b""),
     ):
-        other.told(6000.0, ("c", 1), key, value)
-    other.told(6000.0, ("c", 1), "presence/00", None)
+        other.receive_directory_entry(6000.0, ("c", 1), key, value)
+    other.receive_directory_entry(6000.0, ("c", 1), "presence/00", None)
     for _ in range(40):
-        view = other.interest(6000.0, f"data/{source.randrange(4000)}")
+        view = other.open_view(6000.0, f"data/{source.randrange(4000)}")
         digest.add([view.room, other.unasked(view)])
     return digest.hex()
--- a/tests/compatibility/presence_cluster.py
+++ b/tests/compatibility/presence_cluster.py
@@ -16,21 +16,21 @@
 from anyio.abc import TaskGroup
 
 from cressrock import presence as library
-from cressrock.council.decrees import Decree
-from cressrock.errors.council import Conflict
+from cressrock.consensus.decisions import Decision
+from cressrock.errors.consensus import DecisionConflictError
 from cressrock.errors.presence import PresenceError
-from cressrock.fleet.members import Member, State
-from cressrock.fleet.spread import Spread, SpreadSettings, pieces
+from cressrock.gossip.store import GossipStore, GossipStoreSettings, full_state_parts
 from cressrock.http.channel import Stream
 from cressrock.lab.day import simulate
 from cressrock.lab.simnet import SimNet
+from cressrock.membership.membership import Member, MemberState
 from cressrock.observe.logs import logger
-from cressrock.presence import carrier, rooms
+from cressrock.presence import rooms, service
 from tests.compatibility.canonical import canonical
 
 NAMES = ("a", "b", "c")
-SETTINGS = carrier.CarrierSettings(beat_ms=300.0, max_body_bytes=900, max_watchers=3, max_names=2)
-ROOM_SETTINGS = rooms.RoomsSettings(silent_ms=1000.0, gone_ms=9000.0, grace_ms=9000.0, max_locks=2)
+SETTINGS = service.ServiceSettings(beat_ms=300.0, max_body_bytes=900, max_watchers=3, max_names=2)
+ROOM_SETTINGS = rooms.RoomSettings(silent_ms=1000.0, gone_ms=9000.0, grace_ms=9000.0, max_locks=2)
 AGES = (
     "as_of_ms_ago",
     "since_ms_ago",
@@ -48,24 +48,26 @@
 class OneCopyCouncil:
     """A council of one process: decides at once, and tells every gateway."""
 
-    def __init__(self, publish: Callable[[Decree], None]) -> None:
+    def __init__(self, publish: Callable[[Decision], None]) -> None:
         """Begin without any decree."""
         self.publish = publish
-        self.standing: dict[str, Decree] = {}
+        self.standing: dict[str, Decision] = {}
         self.number = 0
 
     def _check(self, topic: str, if_number: int | None) -> None:
         standing = self.standing.get(topic)
-        number = standing.number if standing is not None else 0
+        number = standing.version if standing is not None else 0
         if if_number is not None and if_number != number:
-            raise Conflict("another one stands", number)
+            raise DecisionConflictError("another one stands", number)
 
-    async def decide(self, topic: str, value: bytes, hold_ms: float, if_number: int | None = None) -> Decree:
+    async def decide(
+        self, topic: str, value: bytes, hold_ms: float, if_number: int | None = None
+    ) -> Decision:
         """Let a value stand."""
         await anyio.sleep(0.01)
         self._check(topic, if_number)
         self.number += 1
-        decree = self.standing[topic] = Decree(topic, self.number, value, int(hold_ms))
+        decree = self.standing[topic] = Decision(topic, self.number, value, int(hold_ms))
         self.publish(decree)
         return decree
 
@@ -77,7 +79,7 @@
         self.standing.pop(topic, None)
         return self.number
 
-    async def read(self, topic: str) -> Decree | None:
+    async def read(self, topic: str) -> Decision | None:
         """Return what stands."""
         await anyio.sleep(0.01)
         return self.standing.get(topic)
@@ -92,20 +94,22 @@
         self.net = SimNet(tasks, 1)
         self.cut: set[str] = set()  # nobody reaches them, and the fleet knows
         self.silent: set[str] = set()  # nobody reaches them, and the fleet does not know yet
-        self.at: dict[str, carrier.Presence] = {}
+        self.at: dict[str, service.PresenceService] = {}
         self.council = OneCopyCouncil(self._publish) if council else None
-        self.spreads = {name: Spread(name, 1, SpreadSettings(), random.Random(name)) for name in NAMES}
+        self.spreads = {
+            name: GossipStore(name, 1, GossipStoreSettings(), random.Random(name)) for name in NAMES
+        }
         for spread in self.spreads.values():
-            spread.admit([one.me for one in self.spreads.values()])
+            spread.retain_origins([one.local for one in self.spreads.values()])
         for name in NAMES:
             self.at[name] = self._gateway(name)
             self.net.listen(f"{name}:1", lambda stream, to=name: self._serve(to, stream))
 
-    def _publish(self, decree: Decree) -> None:
+    def _publish(self, decree: Decision) -> None:
         for presence in self.at.values():
-            presence.decreed(decree)
+            presence.on_decision(decree)
 
-    def _gateway(self, name: str) -> carrier.Presence:
+    def _gateway(self, name: str) -> service.PresenceService:
         def members() -> tuple[Member, ...]:
             return tuple(
                 Member(
@@ -115,7 +119,7 @@
                     "",
                     "north",
                     f"{other}:1",
-                    State.GONE if {other, name} & self.cut else State.ALIVE,
+                    MemberState.DEAD if {other, name} & self.cut else MemberState.ALIVE,
                     0.0,
                     b"",
                 )
@@ -127,30 +131,30 @@
                 raise OSError("cut")
             return await self.net.connect(host, port)
 
-        def decree(topic: str) -> Decree | None:
+        def decree(topic: str) -> Decision | None:
             return self.council.standing.get(topic) if self.council is not None else None
 
-        place = carrier.Place(
+        place = service.PresenceEnvironment(
             name=name,
-            life=1,
+            incarnation=1,
             region="north",
             cluster="cluster",
             routes={},
-            spread=self.spreads[name],
+            gossip=self.spreads[name],
             members=members,
             connect=connect,
-            council=lambda: self.council,
-            decree=decree,
+            consensus=lambda: self.council,
+            cached_decision=decree,
             volumes=lambda: ["docs", "data"],
-            clock=lambda: anyio.current_time() * 1000,
-            source=random.Random(name),
+            clock_ms=lambda: anyio.current_time() * 1000,
+            rng=random.Random(name),
             log=logger(),
         )
-        return carrier.Presence(SETTINGS, ROOM_SETTINGS, place)
+        return service.PresenceService(SETTINGS, ROOM_SETTINGS, place)
 
     async def _serve(self, name: str, stream: Stream) -> None:
         first = await stream.receive(4)
-        assert first == carrier.MAGIC
+        assert first == service.MAGIC
         await self.at[name].serve(stream, b"")
 
     async def run(self) -> None:
@@ -162,10 +166,10 @@
             for name, spread in self.spreads.items():
                 for other in NAMES:
                     if other != name and not {name, other} & self.cut:
-                        for piece in pieces(self.spreads[other], 60_000):
+                        for piece in full_state_parts(self.spreads[other], 60_000):
                             spread.merge(piece)
-                for origin, key in spread.changes():
-                    self.at[name].spread(origin, key)
+                for origin, key in spread.drain_changes():
+                    self.at[name].on_gossip_change(origin, key)
 
     def cut_off(self, name: str) -> None:
         """Cut a gateway off, its streams with it; the fleet knows at once."""
@@ -298,16 +302,16 @@
 async def moves(script: Transcript) -> None:
     """Near, hand-over, silence, take-over, and the way back."""
     cluster = script.cluster
-    cluster.at["a"].served("docs")
-    cluster.at["b"].served("docs")
-    cluster.at["b"].served("data")
+    cluster.at["a"].record_served_volume("docs")
+    cluster.at["b"].record_served_volume("docs")
+    cluster.at["b"].record_served_volume("data")
     watching = await script.get("c", "watch", room="docs")
     joined = await script.post("a", "join", room="docs", meaning="near")
     await anyio.sleep(0.5)
     await script.get("c", "watch", room="docs", after=watching["cursor"], wait_ms="5000")
     for lock, held in (("urn:1", True), ("urn:2", True), ("urn:1", False)):
-        cluster.at["a"].locked(joined["token"], lock, held)
-    cluster.at["a"].locked("no token", "urn:3", True)
+        cluster.at["a"].record_lock(joined["token"], lock, held)
+    cluster.at["a"].record_lock("no token", "urn:3", True)
     await anyio.sleep(0.5)
     await script.get("c", "rooms/docs")
     moved = await script.post("b", "resume", token=joined["token"], data="Yg==")
@@ -336,7 +340,7 @@
     await script.post("c", "leave", token=taken["token"])
     await anyio.sleep(1)
     await script.get("a", "rooms/docs")
-    cluster.at["a"].close()
+    cluster.at["a"].end_sessions()
 
 
 async def agreed_names(script: Transcript) -> None:
--- a/tests/compatibility/record_collect.py
+++ b/tests/compatibility/record_collect.py
@@ -1,6 +1,6 @@
 """Record bytes and decisions of the collectors: `python -m tests.compatibility.record_collect`, once."""
 
-from cressrock.collect import words
+from cressrock.aggregation import messages
 from tests.compatibility import collect_cases as cases
 from tests.compatibility.canonical import save
 
@@ -10,8 +10,8 @@
     save(
         "collect_wire",
         {
-            "messages": {name: words.encode(value).hex() for name, value in cases.examples().items()},
-            "down": {name: words.encode_down(value).hex() for name, value in cases.DOWN.items()},
+            "messages": {name: messages.encode(value).hex() for name, value in cases.examples().items()},
+            "down": {name: messages.encode_broadcast(value).hex() for name, value in cases.DOWN.items()},
             "refusals": cases.refusals(),
             "sizes": cases.sizes(),
         },
--- a/tests/compatibility/record_consensus.py
+++ b/tests/compatibility/record_consensus.py
@@ -9,7 +9,8 @@
 import tempfile
 from pathlib import Path
 
-from cressrock.council import decrees, messages, wire
+from cressrock.consensus import decisions, wire
+from cressrock.consensus.raft import messages
 from tests.compatibility import consensus_cases as cases
 from tests.compatibility.canonical import FIXTURES, save
 from tests.compatibility.consensus_streams import STREAMS
@@ -24,13 +25,13 @@
                 name: messages.encode(cases.CLUSTER, cases.SENDER, cases.RECEIVER, message).hex()
                 for name, message in cases.seat_messages().items()
             },
-            "seats": messages.pack_seats(("a#1", "b#2")).hex(),
+            "seats": messages.encode_voters(("a#1", "b#2")).hex(),
             "frames": {name: wire.encode(frame).hex() for name, frame in cases.frames().items()},
-            "commands": {name: decrees.encode(command).hex() for name, command in cases.commands().items()},
-            "decisions": {name: decrees.encode(decree).hex() for name, decree in cases.decisions().items()},
+            "commands": {name: decisions.encode(command).hex() for name, command in cases.commands().items()},
+            "decisions": {name: decisions.encode(decree).hex() for name, decree in cases.decisions().items()},
             "told": cases.told_decisions(),
             "state": cases.snapshot().snapshot().hex(),
-            "seen": cases.reader().seen().hex(),
+            "seen": cases.reader().to_bytes().hex(),
             "refused": cases.refused_bytes(),
         },
     )
--- a/tests/compatibility/record_gossip.py
+++ b/tests/compatibility/record_gossip.py
@@ -2,8 +2,8 @@
 
 from __future__ import annotations
 
-from cressrock.fleet.rounds import RoundsSettings
-from cressrock.fleet.spread import SpreadSettings
+from cressrock.gossip.anti_entropy import AntiEntropySettings
+from cressrock.gossip.store import GossipStoreSettings
 from tests.compatibility import gossip_cases as cases
 from tests.compatibility.canonical import canonical, save
 
@@ -18,7 +18,7 @@
             "merge_refusals": [cases.merge_refusal(data) for data in cases.malformed()],
             "digest_refusals": [cases.digest_refusal(data) for data in cases.malformed()],
             "merged": [cases.merged(data) for data in encoded],
-            "settings": canonical([SpreadSettings(), RoundsSettings()]),
+            "settings": canonical([GossipStoreSettings(), AntiEntropySettings()]),
             "viewing": cases.viewing_steps(),
             "stores": {str(seed): cases.store_digest(seed) for seed in cases.STORE_SEEDS},
             "rounds": {str(seed): cases.rounds_digest(seed) for seed in cases.ROUNDS_SEEDS},
--- a/tests/compatibility/record_membership.py
+++ b/tests/compatibility/record_membership.py
@@ -2,8 +2,8 @@
 
 from __future__ import annotations
 
-from cressrock.fleet import messages as m
-from cressrock.fleet.members import MembersSettings
+from cressrock.membership import packets as m
+from cressrock.membership.membership import MembershipSettings
 from tests.compatibility import membership_cases as cases
 from tests.compatibility.canonical import canonical, save
 
@@ -18,7 +18,7 @@
             "sizes": [m.size(claim) for claim in cases.CLAIM_LISTS[3]],
             "room": m.room(1200, "cressrock", "edge-1"),
             "refused": [[data.hex(), cases.refusal(data)] for data in cases.refused_bytes()],
-            "settings": canonical(MembersSettings()),
+            "settings": canonical(MembershipSettings()),
             "fleets": {str(seed): cases.fleet_digest(seed) for seed in cases.FLEET_SEEDS},
             "merges": {str(seed): cases.merge_digest(seed) for seed in cases.MERGE_SEEDS},
         },
--- a/tests/compatibility/record_pair.py
+++ b/tests/compatibility/record_pair.py
@@ -3,7 +3,7 @@
 Run once: python -m tests.compatibility.record_pair
 """
 
-from cressrock.planner.epochs import Store
+from cressrock.planner.epochs import EpochStore
 from tests.compatibility import denial_cases, pair_cases, pair_link_cases
 from tests.compatibility.canonical import FIXTURES, save
 
@@ -17,5 +17,5 @@
     save("denials", denial_cases.denials())
     save("gateway_answers", denial_cases.answers_of_a_gateway())
     for file_name, epoch in EPOCHS.items():
-        Store(str(FIXTURES / file_name)).write(epoch)
+        EpochStore(str(FIXTURES / file_name)).write(epoch)
     save("pair_epoch_values", EPOCHS)
--- a/tests/compatibility/resp_cases.py
+++ b/tests/compatibility/resp_cases.py
@@ -5,10 +5,10 @@
 import random
 from typing import Any
 
-from cressrock.interface import Effect, Group, Plan, RequestClass, Settings
+from cressrock.interface import DeduplicationScope, Idempotency, Plan, RequestClass, Settings
 from cressrock.resp import codec
 from cressrock.resp.answers import load_of, outcome_of
-from cressrock.resp.request import Reader, Refused
+from cressrock.resp.request import InvalidCommandError, Reader
 from tests.compatibility.canonical import canonical
 
 FIXTURE = "resp"
@@ -16,9 +16,9 @@
 HEX = "5c0f6e1a2b3d4c59"
 SETTINGS = Settings(
     (
-        RequestClass(300, 1500, 1.0, 0.0, Effect.REPEATABLE),
-        RequestClass(500, 4000, 1.0, 0.0, Effect.KEYED, Group.SHARD, 0.0, False, True),
-        RequestClass(500, 4000, 1.0, 0.0, Effect.UNSAFE, Group.SHARD, 0.0, False, True),
+        RequestClass(300, 1500, 1.0, 0.0, Idempotency.ALWAYS),
+        RequestClass(500, 4000, 1.0, 0.0, Idempotency.KEYED, DeduplicationScope.SHARD, 0.0, False, True),
+        RequestClass(500, 4000, 1.0, 0.0, Idempotency.NEVER, DeduplicationScope.SHARD, 0.0, False, True),
     ),
     (Plan(), Plan(2)),
     3,
@@ -235,7 +235,7 @@
             parser.feed(piece)
             while (reply := parser.next()) is not None:
                 replies.append(canonical(reply, LABELS))
-    except codec.Malformed as error:
+    except codec.ProtocolError as error:
         return [replies, str(error)]
     return [replies, parser.partial]
 
@@ -244,7 +244,7 @@
     """Read a client's command; return its values and what a storage server gets, or the error's text."""
     try:
         request = reader.read(words)
-    except Refused as error:
+    except InvalidCommandError as error:
         return {"refused": str(error)}
     sent = [request.command(wait_ms).hex() for wait_ms in (0.2, 320.7, -5, 1500.0)]
     return {"request": canonical(request), "sent": sent}
--- a/tests/compatibility/rollout_cases.py
+++ b/tests/compatibility/rollout_cases.py
@@ -13,16 +13,16 @@
 import trio
 import trio.testing
 
-from cressrock.collect.carrier import Evidence
-from cressrock.collect.collector import Collect, Merged
-from cressrock.collect.teller import Times
-from cressrock.council import decrees as d
-from cressrock.council.client import Kept
+from cressrock.aggregation.channel import EvidenceChannel
+from cressrock.aggregation.collector import MergedSummaries, ReportCollector
+from cressrock.aggregation.sender import AggregationTimings
+from cressrock.consensus import decisions as d
+from cressrock.consensus.client import DecisionCache
 from cressrock.errors import CressrockError
-from cressrock.errors.council import Conflict, NoQuorum
-from cressrock.errors.rollout import RulesWrong
-from cressrock.fleet.spread import Spread, SpreadSettings
-from cressrock.rollout import carrier, evidence, stages, verdict
+from cressrock.errors.consensus import DecisionConflictError, NoQuorumError
+from cressrock.errors.rollout import InvalidRulesError
+from cressrock.gossip.store import GossipStore, GossipStoreSettings
+from cressrock.rollout import evidence, lifecycle, service, verdict
 from tests.compatibility.canonical import Digest, canonical
 
 # --- wire
@@ -48,12 +48,12 @@
 
 
 ONE, TWO, THREE = "0102030405060708090a0b0c", "ab" * 12, "f0" * 12
-FULL_TALLY = evidence.Tally([7, 2**53], [[1, 2], [3, 4], [5, 6], [7, 8], [9, 2**40]])
+FULL_TALLY = evidence.OutcomeCounts([7, 2**53], [[1, 2], [3, 4], [5, 6], [7, 8], [9, 2**40]])
 
 
 def wire_cases() -> list[WireCase]:
     """Return a value of every kind of entry and decree, some with their optional fields unset."""
-    state = stages.State
+    state = lifecycle.RolloutState
     states = [
         ("started", state(1, "running", ONE, 0, 0)),
         (
@@ -64,35 +64,43 @@
         ("withdrawn", state(3, "withdrawn", TWO, 1, 0, "", 0, "by an operator", {}, [TWO[:12]])),
         ("expired", state(70000, "expired", TWO, 1, 8, ONE, 0, "stage 8: 0 answers")),
         ("done", state(4, "done", ONE, 0, 1, ONE, 0, "all stages over", {"refused": 0.0})),
-        ("empty", stages.EMPTY),
+        ("empty", lifecycle.EMPTY),
     ]
     pieces = [
-        ("empty counts", evidence.Piece(bytes(12), evidence.Tally.empty())),
-        ("counts", evidence.Piece(bytes.fromhex(ONE), FULL_TALLY)),
-        ("counts of more kinds", evidence.Piece(bytes(12), evidence.Tally([1, 2], [[0, 1]] * 7))),
+        ("empty counts", evidence.CountsEntry(bytes(12), evidence.OutcomeCounts.empty())),
+        ("counts", evidence.CountsEntry(bytes.fromhex(ONE), FULL_TALLY)),
+        (
+            "counts of more kinds",
+            evidence.CountsEntry(bytes(12), evidence.OutcomeCounts([1, 2], [[0, 1]] * 7)),
+        ),
     ]
     backs = [
-        ("report", evidence.Back(bytes.fromhex(TWO), "stopped 3 times under it")),
-        ("report without a reason", evidence.Back(bytes(12), "")),
-        ("report in other letters", evidence.Back(bytes(12), "größer → " + "x" * 190)),
+        ("report", evidence.LocalRollback(bytes.fromhex(TWO), "stopped 3 times under it")),
+        ("report without a reason", evidence.LocalRollback(bytes(12), "")),
+        ("report in other letters", evidence.LocalRollback(bytes(12), "größer → " + "x" * 190)),
     ]
     tops = [[b"", b"", b"", b""], [bytes(range(16)), b"\0\0\x80\x3f", b"", b""]]
     rows = [
-        ("sums", evidence.Row(bytes.fromhex(ONE), [(0, FULL_TALLY), (7, evidence.Tally.empty())], tops)),
-        ("empty sums", evidence.Row(bytes(12), [], [])),
+        (
+            "sums",
+            evidence.ZoneSummary(
+                bytes.fromhex(ONE), [(0, FULL_TALLY), (7, evidence.OutcomeCounts.empty())], tops
+            ),
+        ),
+        ("empty sums", evidence.ZoneSummary(bytes(12), [], [])),
     ]
     gone = [
-        ("reports of a zone", evidence.Gone(bytes.fromhex(ONE), 400, 2, {"p1": "why", "p2": ""})),
-        ("no reports of a zone", evidence.Gone(bytes(12), 0, 0, {})),
+        ("reports of a zone", evidence.ZoneRollbacks(bytes.fromhex(ONE), 400, 2, {"p1": "why", "p2": ""})),
+        ("no reports of a zone", evidence.ZoneRollbacks(bytes(12), 0, 0, {})),
     ]
     kept = [
-        ("nothing kept", carrier.Keep()),
-        ("a start", carrier.Keep(stages.Starts(1, TWO, True, [1e12, 1e12 + 0.5], ""), "", b"")),
-        ("all kept", carrier.Keep(stages.Starts(1, TWO, False, [], "went back"), ONE, b'{"a":1}')),
+        ("nothing kept", service.Keep()),
+        ("a start", service.Keep(lifecycle.Starts(1, TWO, True, [1e12, 1e12 + 0.5], ""), "", b"")),
+        ("all kept", service.Keep(lifecycle.Starts(1, TWO, False, [], "went back"), ONE, b'{"a":1}')),
     ]
-    keep_decoder = msgspec.msgpack.Decoder(carrier.Keep)
+    keep_decoder = msgspec.msgpack.Decoder(service.Keep)
     return [
-        *(WireCase(f"decree {name}", value, stages.encode, stages.decode) for name, value in states),
+        *(WireCase(f"decree {name}", value, lifecycle.encode, lifecycle.decode) for name, value in states),
         *(WireCase(name, value, evidence.encode, evidence.read_piece) for name, value in pieces),
         *(WireCase(name, value, evidence.encode, evidence.read_back) for name, value in backs),
         *(WireCase(name, value, evidence.encode, evidence.read_row) for name, value in rows),
@@ -102,22 +110,35 @@
     ]
 
 
-def read_course(data: bytes) -> stages.Course:
+def read_course(data: bytes) -> lifecycle.RolloutPlan:
     """Read a plan as a document holds it."""
-    return msgspec.json.decode(data, type=stages.Course)
+    return msgspec.json.decode(data, type=lifecycle.RolloutPlan)
 
 
-def courses() -> list[tuple[str, stages.Course]]:
+def courses() -> list[tuple[str, lifecycle.RolloutPlan]]:
     """Return plans as documents hold them."""
-    levels = stages.Levels(error=0.05, tolerate=1.5, far=3.0, accusers=3, reports=4, expire_ms=9000.0)
+    levels = lifecycle.Thresholds(
+        false_halt_probability=0.05,
+        tolerated_odds_ratio=1.5,
+        rollback_odds_ratio=3.0,
+        min_accusers=3,
+        rollbacks_to_halt=4,
+        stage_timeout_ms=9000.0,
+    )
     steps = [
-        stages.Stage(part=0.05, zones=["z1", "z2"], beside=0.25, least_ms=100.0, least=10),
-        stages.Stage(part=0.5, beside=0.1, least_ms=200.0, least=0),
-        stages.Stage(),
+        lifecycle.Stage(
+            volume_fraction=0.05,
+            zones=["z1", "z2"],
+            control_fraction=0.25,
+            min_duration_ms=100.0,
+            min_answers=10,
+        ),
+        lifecycle.Stage(volume_fraction=0.5, control_fraction=0.1, min_duration_ms=200.0, min_answers=0),
+        lifecycle.Stage(),
     ]
     return [
-        ("plan of one stage", stages.Course(stages=[stages.Stage()])),
-        ("plan of three stages", stages.Course(stages=steps, levels=levels)),
+        ("plan of one stage", lifecycle.RolloutPlan(stages=[lifecycle.Stage()])),
+        ("plan of three stages", lifecycle.RolloutPlan(stages=steps, thresholds=levels)),
     ]
 
 
@@ -125,7 +146,13 @@
     """Return bytes of older, newer and broken entries."""
     pack, plain = msgspec.msgpack.encode, msgspec.json.encode
     tally = [[1, 2], [[0, 1]] * 5]
-    readers = [stages.decode, evidence.read_piece, evidence.read_back, evidence.read_row, evidence.read_gone]
+    readers = [
+        lifecycle.decode,
+        evidence.read_piece,
+        evidence.read_back,
+        evidence.read_row,
+        evidence.read_gone,
+    ]
     broken = [
         b"",
         b"\xff",
@@ -138,15 +165,15 @@
         pack([1, 5, 5]),
     ]
     cases = [
-        ReadCase("decree without optional fields", pack([1, 1, "running", ONE, 0, 0]), stages.decode),
-        ReadCase("decree with the good version", pack([1, 1, "done", ONE, 0, 0, TWO, 1]), stages.decode),
+        ReadCase("decree without optional fields", pack([1, 1, "running", ONE, 0, 0]), lifecycle.decode),
+        ReadCase("decree with the good version", pack([1, 1, "done", ONE, 0, 0, TWO, 1]), lifecycle.decode),
         ReadCase(
             "decree with a further field",
             pack([1, 1, "halted", ONE, 0, 0, TWO, 1, "why", {"x": 1.5}, [], "new"]),
-            stages.decode,
+            lifecycle.decode,
         ),
-        ReadCase("decree of an unknown state", pack([1, 1, "paused", ONE, 0, 0]), stages.decode),
-        ReadCase("decree of a later stage", pack([1, 1, "running", ONE, 0, 9]), stages.decode),
+        ReadCase("decree of an unknown state", pack([1, 1, "paused", ONE, 0, 0]), lifecycle.decode),
+        ReadCase("decree of a later stage", pack([1, 1, "running", ONE, 0, 9]), lifecycle.decode),
         ReadCase(
             "counts with a further field", pack([1, bytes(12), [*tally, 1], "new"]), evidence.read_piece
         ),
@@ -183,8 +210,8 @@
     return cases
 
 
-def _read_keep(data: bytes) -> carrier.Keep:
-    return msgspec.msgpack.decode(data, type=carrier.Keep)
+def _read_keep(data: bytes) -> service.Keep:
+    return msgspec.msgpack.decode(data, type=service.Keep)
 
 
 def outcome(call: Callable[..., Any], *args: Any) -> Any:
@@ -200,7 +227,7 @@
 def names() -> dict[str, Any]:
     """Return the names under which rollouts are found by others."""
     places = [(0, 0), (3, 7), (63, 0)]
-    keys = [evidence.key_of(*place) for place in places]
+    keys = [evidence.counts_key(*place) for place in places]
     odd = [
         "rollout/seen/",
         "rollout/seen/1",
@@ -212,11 +239,11 @@
         "x",
     ]
     return {
-        "topics": [stages.TOPIC, *stages.DOCUMENT],
-        "keys": [*keys, evidence.SEEN, evidence.BACK, evidence.SUMS, evidence.GONE],
+        "topics": [lifecycle.ROLLOUT_TOPIC, *lifecycle.DOCUMENT_TOPICS],
+        "keys": [*keys, evidence.SEEN, evidence.ROLLBACK_KEY, evidence.SUMS, evidence.GONE],
         "places": [canonical(evidence.place_of(key)) for key in [*keys, *odd]],
-        "marks": list(evidence.MARKS),
-        "digests": [stages.digest_of(data) for data in (b"", b"{}", b"x" * 5000)],
+        "marks": list(evidence.FAULT_KINDS),
+        "digests": [lifecycle.document_digest(data) for data in (b"", b"{}", b"x" * 5000)],
     }
 
 
@@ -228,70 +255,72 @@
     return None if value is None else [label, canonical(value)]
 
 
-def draw_course(draw: random.Random) -> stages.Course:
+def draw_course(draw: random.Random) -> lifecycle.RolloutPlan:
     """Draw a plan."""
     count = draw.randrange(1, 6)
     parts = sorted(draw.choice((0.05, 0.2, 0.5, 0.9, 1.0)) for _ in range(count - 1))
     steps = [
-        stages.Stage(
-            part=part,
+        lifecycle.Stage(
+            volume_fraction=part,
             zones=draw.choice((None, ["z0"], ["z0", "z1"])),
-            beside=draw.choice((0.02, 0.1, 0.5, 0.95)),
-            least_ms=draw.choice((0.0, 100.0, 400.0)),
-            least=draw.choice((0, 5, 50)),
+            control_fraction=draw.choice((0.02, 0.1, 0.5, 0.95)),
+            min_duration_ms=draw.choice((0.0, 100.0, 400.0)),
+            min_answers=draw.choice((0, 5, 50)),
         )
         for part in parts
     ]
-    last = stages.Stage(beside=draw.choice((0.1, 0.5)), least_ms=100.0, least=draw.choice((0, 20)))
-    levels = stages.Levels(
-        error=draw.choice((0.01, 0.2)),
-        tolerate=draw.choice((1.0, 1.1, 2.0)),
-        far=draw.choice((1.0, 2.0, 4.0)),
-        accusers=draw.choice((1, 2, 3, 7)),
-        reports=draw.choice((1, 2, 3)),
-        expire_ms=draw.choice((1000.0, 3000.0)),
+    last = lifecycle.Stage(
+        control_fraction=draw.choice((0.1, 0.5)), min_duration_ms=100.0, min_answers=draw.choice((0, 20))
+    )
+    levels = lifecycle.Thresholds(
+        false_halt_probability=draw.choice((0.01, 0.2)),
+        tolerated_odds_ratio=draw.choice((1.0, 1.1, 2.0)),
+        rollback_odds_ratio=draw.choice((1.0, 2.0, 4.0)),
+        min_accusers=draw.choice((1, 2, 3, 7)),
+        rollbacks_to_halt=draw.choice((1, 2, 3)),
+        stage_timeout_ms=draw.choice((1000.0, 3000.0)),
     )
-    return stages.Course(stages=[*steps, last], levels=levels)
+    return lifecycle.RolloutPlan(stages=[*steps, last], thresholds=levels)
 
 
 def stages_digest(seed: int) -> str:
     """Drive a leader's steps and operators' orders over several rollouts."""
     draw, digest = random.Random(f"stages/{seed}"), Digest()
-    course, state, pace = draw_course(draw), None, stages.Pace()
-    sure, now, number = stages.Sure(), 0.0, 5
+    course, state, pace = draw_course(draw), None, lifecycle.StagePacer()
+    sure, now, number = lifecycle.ReadLease(), 0.0, 5
     for _ in range(300):
         now += draw.choice((0.0, 10.0, 50.0, 150.0, 700.0))
         act = draw.random()
         if state is None or act < 0.1 or (not state.running and act < 0.6):
             document = b"document %d" % draw.randrange(12)
-            result = outcome_of(stages.start, state, document)
-            course = draw_course(draw) if isinstance(result, stages.State) else course
+            result = outcome_of(lifecycle.start_rollout, state, document)
+            course = draw_course(draw) if isinstance(result, lifecycle.RolloutState) else course
         elif act < 0.13:
             how, why = draw.choice(("halted", "withdrawn", "expired")), "w" * draw.choice((0, 9, 130))
-            result = outcome_of(stages.end, state, how, why, {"a": 1.0})
+            result = outcome_of(lifecycle.end_rollout, state, how, why, {"a": 1.0})
         elif act < 0.16:
             pace.forget()
             result = None
         elif act < 0.2:
-            sure.read(number - draw.choice((0, 0, 1)), now - draw.choice((0.0, 90.0)), 500.0)
+            sure.record_read(number - draw.choice((0, 0, 1)), now - draw.choice((0.0, 90.0)), 500.0)
             result = None
         else:
-            findings = stages.Findings(
+            findings = lifecycle.LeaderFindings(
                 draw.choice((0, 4, 5, 60)),
                 "class a: late" if draw.random() < 0.01 else "",
                 draw.choice((0, 0, 0, 0, 0, 1, 2)),
                 draw.choice((None, {"trials": 3.0})),
             )
-            result = outcome_of(pace.look, now, number, state, course, findings)
-        if isinstance(result, stages.State):
+            result = outcome_of(pace.next_state, now, number, state, course, findings)
+        if isinstance(result, lifecycle.RolloutState):
             state, number = result, number + draw.choice((1, 3))
         digest.add(canonical(result))
         volume, zone = f"v{draw.randrange(40)}", draw.choice(("z0", "z1", "z2"))
-        digest.add(canonical(stages.eligible(state, course, volume, zone)))
-        digest.add(stages.in_part(f"{seed:024x}", volume, draw.choice((0.01, 0.5, 0.99, 1.0))))
-        digest.add(sure.counts(number, now))
-    digest.add(canonical(stages.eligible(None, course, "v", "z0")))
-    digest.add(canonical(stages.eligible(state, None, "v", "z0")))
+        digest.add(canonical(lifecycle.eligible_stage(state, course, volume, zone)))
+        digest.add(lifecycle.selects_volume(f"{seed:024x}", volume, draw.choice((0.01, 0.5, 0.99, 1.0))))
+        digest.add(sure.is_valid(number, now))
+    digest.add(canonical(lifecycle.eligible_stage(None, course, "v", "z0")))
+    digest.add(canonical(lifecycle.eligible_stage(state, None, "v", "z0")))
     return digest.hex()
 
 
@@ -306,11 +335,11 @@
 def starts_digest(seed: int) -> str:
     """Drive what a process keeps of its starts under candidates."""
     draw, digest = random.Random(f"starts/{seed}"), Digest()
-    kept, wall = stages.Starts(), 1e12
+    kept, wall = lifecycle.Starts(), 1e12
     for _ in range(120):
         wall += draw.choice((10.0, 1000.0, 40000.0, -500.0))
         name = draw.choice((ONE, ONE, ONE, TWO)) if draw.random() < 0.3 else kept.digest or ONE
-        kept = stages.began(kept, name, wall, most=draw.choice((1, 3, 20)), within_ms=60000.0)
+        kept = lifecycle.began(kept, name, wall, most=draw.choice((1, 3, 20)), within_ms=60000.0)
         digest.add(canonical(kept))
         if draw.random() < 0.4:
             kept = msgspec.structs.replace(kept, open=False)
@@ -322,10 +351,17 @@
     if found is None:
         return None
     names_ = [f"class{n}" for n in range(8)]
-    return [found.cls, found.kind, found.wealth, list(found.candidate), list(found.good), found.text(names_)]
+    return [
+        found.request_class,
+        found.fault_kind,
+        found.log_wealth,
+        list(found.candidate),
+        list(found.good),
+        found.describe(names_),
+    ]
 
 
-def tallies(counts: dict[Any, evidence.Tally]) -> Any:
+def tallies(counts: dict[Any, evidence.OutcomeCounts]) -> Any:
     """Return counts as plain values, in the order of their places."""
     return [[canonical(place), canonical(counts[place])] for place in sorted(counts)]
 
@@ -336,7 +372,7 @@
         tallies(view.sums),
         tallies(view.total()),
         [view.answered(stage) for stage in range(8)],
-        view.gone_back(),
+        view.rollback_count(),
         view.processes(),
         sorted(view.backs.items()),
     ]
@@ -347,14 +383,20 @@
     return [[canonical(place), [sorted(odds) for odds in tops[place]]] for place in sorted(tops)]
 
 
-def _trial(draw: random.Random, own: evidence.Own, worse: float, classes: int) -> None:
+def _trial(draw: random.Random, own: evidence.LocalCounts, worse: float, classes: int) -> None:
     candidate = draw.random() < 0.5
     chance = 0.05 * (worse if candidate else 1.0)
-    ended = evidence.Ended.SERVED
+    ended = evidence.RequestOutcome.SERVED
     if draw.random() < chance:
-        ended = draw.choice((evidence.Ended.REFUSED, evidence.Ended.FAILED, evidence.Ended.LEFT))
+        ended = draw.choice(
+            (
+                evidence.RequestOutcome.REJECTED,
+                evidence.RequestOutcome.FAILED,
+                evidence.RequestOutcome.CLIENT_LEFT,
+            )
+        )
     ms = draw.choice((10.0, 50.0, 60.0, 120.0)) * (worse if candidate and draw.random() < chance else 1.0)
-    own.count(draw.randrange(classes), draw.randrange(2), candidate, ended, ms, 100.0)
+    own.record(draw.randrange(classes), draw.randrange(2), candidate, ended, ms, 100.0)
 
 
 def evidence_digest(seed: int) -> str:
@@ -364,8 +406,8 @@
     worse = draw.choice((1.0, 1.0, 3.0, 8.0))
     sick = draw.choice((0, 0, 1))  # processes that alone fare badly
     lives = [(f"p{n % 6}", 1 + n // 6) for n in range(8)]
-    owns = {origin: evidence.Own(ONE) for origin in lives}
-    heard, sums, late = evidence.Heard(ONE), verdict.Sums(), verdict.Sums()
+    owns = {origin: evidence.LocalCounts(ONE) for origin in lives}
+    heard, sums, late = evidence.FleetCounts(ONE), verdict.ZoneSummarizer(), verdict.ZoneSummarizer()
     sums.follow(ONE, course, classes)
     rows: dict[str, dict[str, bytes]] = {}
     entries: list[tuple[tuple[str, int], str, bytes]] = []
@@ -373,20 +415,20 @@
         for index, (origin, own) in enumerate(owns.items()):
             for _ in range(draw.randrange(30)):
                 _trial(draw, own, 20.0 if index < sick else worse, classes)
-            told = own.told()
+            told = own.drain_changes()
             digest.add([[key, value] for key, value in told])
             entries += [(origin, key, value) for key, value in told]
             if draw.random() < 0.02:
-                value = evidence.encode(evidence.Back(bytes.fromhex(ONE), f"far worse {origin[0]}"))
-                entries.append((origin, evidence.BACK, value))
-            digest.add(accusation(verdict.far_worse(own, course, classes)))
-        entries += [(lives[0], "zones/x", b"other"), (lives[1], evidence.key_of(0, 0), _of_other())]
+                value = evidence.encode(evidence.LocalRollback(bytes.fromhex(ONE), f"far worse {origin[0]}"))
+                entries.append((origin, evidence.ROLLBACK_KEY, value))
+            digest.add(accusation(verdict.local_accusation(own, course, classes)))
+        entries += [(lives[0], "zones/x", b"other"), (lives[1], evidence.counts_key(0, 0), _of_other())]
         if draw.random() < 0.3:
-            entries.append((lives[2], evidence.key_of(0, 1), b"broken"))
+            entries.append((lives[2], evidence.counts_key(0, 1), b"broken"))
         draw.shuffle(entries)
         for origin, key, value in entries[: 1 + len(entries) * 3 // 4]:
-            digest.add(outcome(heard.take, origin, key, value))
-            digest.add([sums.take(origin, key, value, 0.0), late.take(origin, key, value, 0.0)])
+            digest.add(outcome(heard.merge, origin, key, value))
+            digest.add([sums.receive(origin, key, value, 0.0), late.receive(origin, key, value, 0.0)])
         entries = entries[len(entries) // 2 :]
         if turn == 5:
             late.follow(ONE, course, classes)
@@ -394,45 +436,47 @@
         if turn == 7:
             gone = draw.choice(lives)
             sums.forget(gone)
-            digest.add(sums.take(gone, evidence.BACK, None, 0.0))
-            digest.add(sums.take(lives[0], evidence.key_of(0, 0), None, 0.0))
+            digest.add(sums.receive(gone, evidence.ROLLBACK_KEY, None, 0.0))
+            digest.add(sums.receive(lives[0], evidence.counts_key(0, 0), None, 0.0))
         digest.add(view_values(heard))
-        digest.add([accusation(a) for a in verdict.judge(heard, course, classes)])
-        digest.add([[zone, tallies(c)] for zone, c in sorted(heard.by_group(lambda n: n[-1:]).items())])
+        digest.add([accusation(a) for a in verdict.accusations_from_counts(heard, course, classes)])
+        digest.add(
+            [[zone, tallies(c)] for zone, c in sorted(heard.totals_by_group(lambda n: n[-1:]).items())]
+        )
         digest.add(evidence_rows(draw, digest, sums, lives, rows, course, classes))
-        digest.add([sums.refused, late.refused, canonical(sums.down(rows, 0.0))])
+        digest.add([sums.refused, late.refused, canonical(sums.broadcast(rows, 0.0))])
     late.follow("", None, 0)
-    digest.add(sorted(late.parts("z0", lives, 0.0).items()))
+    digest.add(sorted(late.summarize("z0", lives, 0.0).items()))
     digest.add([own_key for origin in lives for own_key in owns[origin].keys()])
     return digest.hex()
 
 
 def _of_other() -> bytes:
-    return evidence.encode(evidence.Piece(bytes.fromhex(TWO), FULL_TALLY))
+    return evidence.encode(evidence.CountsEntry(bytes.fromhex(TWO), FULL_TALLY))
 
 
 def evidence_rows(
     draw: random.Random,
     digest: Digest,
-    sums: verdict.Sums,
+    sums: verdict.ZoneSummarizer,
     lives: list[tuple[str, int]],
     rows: dict[str, dict[str, bytes]],
-    course: stages.Course,
+    course: lifecycle.RolloutPlan,
     classes: int,
 ) -> Any:
     """Return what a leader makes of collectors' sums; `rows` are the fullest so far."""
     split = draw.randrange(1, len(lives))
-    parts = {"z0": sums.parts("z0", lives[:split], 0.0), "z1": sums.parts("z1", lives[split:], 0.0)}
+    parts = {"z0": sums.summarize("z0", lives[:split], 0.0), "z1": sums.summarize("z1", lives[split:], 0.0)}
     for zone, part in sorted(parts.items()):
         digest.add([zone, list(part.items())])
     if draw.random() < 0.2:
         parts["z1"] = {}
     if draw.random() < 0.2:
         parts["z2"] = {"rollout/sum/0": b"broken", "rollout/gone": b"broken", "rollout/sum/x": b"", "y": b""}
-    verdict.fuller(rows, parts, ONE)
-    summed = verdict.Summed(ONE, {**rows, "broken": {"rollout/sum/0": b"broken"}})
-    foreign = verdict.Summed(TWO, rows)
-    tops = odds_of(summed.tops(course, classes, course.levels.accusers - 1))
+    verdict.keep_fullest(rows, parts, ONE)
+    summed = verdict.FleetSummary(ONE, {**rows, "broken": {"rollout/sum/0": b"broken"}})
+    foreign = verdict.FleetSummary(TWO, rows)
+    tops = odds_of(summed.top_factors(course, classes, course.thresholds.min_accusers - 1))
     return [
         [[zone, list(kept.items())] for zone, kept in sorted(rows.items())],
         view_values(summed),
@@ -440,7 +484,7 @@
         summed.refused,
         tops,
         [[zone, tallies(counts)] for zone, counts in sorted(summed.zones.items())],
-        [accusation(a) for a in verdict.weigh(summed, course, classes)],
+        [accusation(a) for a in verdict.accusations(summed, course, classes)],
     ]
 
 
@@ -455,28 +499,28 @@
 class _Council:
     """A register with compare-and-set: numbers grow; now and then nothing can be decided."""
 
-    def __init__(self, kept: Kept) -> None:
+    def __init__(self, kept: DecisionCache) -> None:
         self.kept, self.number, self.failing, self.asked = kept, 100, False, []
-        self.stands: dict[str, d.Decree] = {}
+        self.stands: dict[str, d.Decision] = {}
         self.asked: list[Any] = []
 
     async def decide(
         self, topic: str, value: bytes, hold_ms: float, if_number: int | None = None, **_: Any
-    ) -> d.Decree:
+    ) -> d.Decision:
         self.asked.append([topic, value, hold_ms, if_number])
         if self.failing:
-            raise NoQuorum("none")
+            raise NoQuorumError("none")
         stands = self.stands.get(topic)
-        if if_number is not None and if_number != (stands.number if stands is not None else 0):
-            raise Conflict("another stands")
+        if if_number is not None and if_number != (stands.version if stands is not None else 0):
+            raise DecisionConflictError("another stands")
         self.number += 1
-        decree = self.stands[topic] = d.Decree(topic, self.number, value, hold_ms, "", self.number)
-        self.kept.take(decree)
+        decree = self.stands[topic] = d.Decision(topic, self.number, value, hold_ms, "", self.number)
+        self.kept.receive(decree)
         return decree
 
-    async def read(self, topic: str, *_: Any, **__: Any) -> d.Decree | None:
+    async def read(self, topic: str, *_: Any, **__: Any) -> d.Decision | None:
         if self.failing:
-            raise NoQuorum("none")
+            raise NoQuorumError("none")
         return self.stands.get(topic)
 
 
@@ -492,19 +536,19 @@
     def get(self, digest: str) -> str | None:
         return self.own if not digest else digest if digest in self.documents else None
 
-    def check(self, data: bytes, good: str) -> tuple[bytes, stages.Course]:
+    def check(self, data: bytes, good: str) -> tuple[bytes, lifecycle.RolloutPlan]:
         return data, self._read(data)
 
-    def course(self, data: bytes) -> stages.Course:
-        if stages.digest_of(data).endswith(("1", "9")):
-            raise RulesWrong("not read")
+    def course(self, data: bytes) -> lifecycle.RolloutPlan:
+        if lifecycle.document_digest(data).endswith(("1", "9")):
+            raise InvalidRulesError("not read")
         return self._read(data)
 
-    def _read(self, data: bytes) -> stages.Course:
+    def _read(self, data: bytes) -> lifecycle.RolloutPlan:
         try:
-            return msgspec.json.decode(data, type=stages.Course)
+            return msgspec.json.decode(data, type=lifecycle.RolloutPlan)
         except msgspec.DecodeError as error:
-            raise RulesWrong(str(error)) from None
+            raise InvalidRulesError(str(error)) from None
 
     def aim_ms(self, version: str, cls: int) -> float:
         return 100.0 + cls
@@ -524,18 +568,18 @@
 
     def __init__(self, clock: Callable[[], float], seed: str, collects: bool) -> None:
         source = random.Random(seed)
-        self.spread = Spread("me", 1, SpreadSettings(), source)
-        self.kept = Kept(None, clock)
+        self.spread = GossipStore("me", 1, GossipStoreSettings(), source)
+        self.kept = DecisionCache(None, clock)
         self.council = _Council(self.kept)
-        self.evidence = Evidence(
-            ("me", 1), "z0", self.spread, clock=clock, source=source, log=_Log(), collects=collects
+        self.evidence = EvidenceChannel(
+            ("me", 1), "z0", self.spread, clock=clock, source=source, log=_Log(), is_collector=collects
         )
         self.when_spread: list[Any] = []
         self.when_leaving: list[Any] = []
         self.leading = False
 
 
-class _Merged(Merged):
+class _Merged(MergedSummaries):
     """Sums that a stream sets."""
 
     found: dict[str, dict[str, bytes]]
@@ -544,7 +588,7 @@
         return self.found
 
 
-class _Collect(Collect):
+class _Collect(ReportCollector):
     """A collector that others tell; of which zones it heard nothing a stream sets."""
 
     silent: list[str]
@@ -589,40 +633,42 @@
         self.badness, self.requests = ((0.3, 12), (0.9, 60))[seed % 3 == 1]
         self.ground, self.book, self.rollout = self.begin()
 
-    def begin(self) -> tuple[_Ground, _Book, carrier.Rollout[str]]:
+    def begin(self) -> tuple[_Ground, _Book, service.RolloutService[str]]:
         """Begin a life; what the council decided stands."""
         ground, book = _Ground(lambda: self.now, f"{self.draw.random()}", self.judges), _Book()
         if self.collects:
-            collect = ground.evidence.collect = _Collect(("me", 1), Times(), ground.evidence.folds, 0.0)
-            collect.merged, collect.silent = _Merged(Times()), []
-            collect.merged.found = {}
+            collect = ground.evidence.collector = _Collect(
+                ("me", 1), AggregationTimings(), ground.evidence.summarizers, 0.0
+            )
+            collect.summaries, collect.silent = _Merged(AggregationTimings()), []
+            collect.summaries.found = {}
         former = getattr(self, "ground", None)
         if former is not None:
             ground.council.stands, ground.council.number = former.council.stands, former.council.number
             for decree in ground.council.stands.values():
-                ground.kept.take(decree)
-        settings = carrier.Settings(
+                ground.kept.receive(decree)
+        settings = service.ProcessSettings(
             "me",
             "z0",
             ["small", "read"],
             500.0,
             str(self.keep_file) if self.keep_file else None,
-            look_ms=10.0,
-            tell_ms=20.0,
-            starts=3,
-            starts_within_ms=600000.0,
+            poll_interval_ms=10.0,
+            report_interval_ms=20.0,
+            max_starts=3,
+            starts_window_ms=600000.0,
         )
-        rollout: carrier.Rollout[str] = carrier.Rollout(
+        rollout: service.RolloutService[str] = service.RolloutService(
             ground,
             book,
             settings,
             clock=lambda: self.now,
             wall_ms=lambda: self.wall,  # type: ignore[arg-type]
-            source=random.Random(self.draw.random()),
+            rng=random.Random(self.draw.random()),
             log=_Log(),
-            widened=self.live.append,
-            decides=lambda digest: self.ready,
-            judges=self.judges,
+            on_versions_changed=self.live.append,
+            planner_has_version=lambda digest: self.ready,
+            may_lead=self.judges,
             zone_of=lambda name: f"z{name[-1:]}",
         )
         return ground, book, rollout
@@ -688,28 +734,28 @@
         council.asked.clear()
         self.digest.add(msgspec.json.encode(self.rollout.status()))
 
-    def decided(self) -> stages.State | None:
+    def decided(self) -> lifecycle.RolloutState | None:
         """Return what the council has decided."""
-        decree = self.ground.council.stands.get(stages.TOPIC)
-        return stages.decode(decree.value) if decree is not None else None
+        decree = self.ground.council.stands.get(lifecycle.ROLLOUT_TOPIC)
+        return lifecycle.decode(decree.value) if decree is not None else None
 
     def hear_other(self) -> None:
         """Hear a decree that another leader had decided: a step, an end, or one that cannot be read."""
         draw, council = self.draw, self.ground.council
-        stands = council.stands.get(stages.TOPIC)
+        stands = council.stands.get(lifecycle.ROLLOUT_TOPIC)
         if stands is None:
             return
-        state = stages.decode(stands.value) if draw.random() < 0.95 else None
+        state = lifecycle.decode(stands.value) if draw.random() < 0.95 else None
         value = b"broken"
         if state is not None and state.running:
-            plan = read_course(council.stands[stages.DOCUMENT[state.place]].value)
-            value = stages.encode(
+            plan = read_course(council.stands[lifecycle.DOCUMENT_TOPICS[state.document_slot]].value)
+            value = lifecycle.encode(
                 draw.choice(
                     (
                         msgspec.structs.replace(state, stage=min(state.stage + 1, len(plan.stages) - 1)),
-                        stages.end(state, "halted", "by another", {}),
+                        lifecycle.end_rollout(state, "halted", "by another", {}),
                         msgspec.structs.replace(
-                            state, state="done", good=state.digest, good_place=state.place
+                            state, status="done", good_digest=state.digest, good_slot=state.document_slot
                         ),
                     )
                 )
@@ -717,23 +763,23 @@
         elif state is not None:
             value = stands.value
         council.number += 1
-        decree = d.Decree(stages.TOPIC, council.number, value, 500.0, "", council.number)
+        decree = d.Decision(lifecycle.ROLLOUT_TOPIC, council.number, value, 500.0, "", council.number)
         if state is not None:
-            council.stands[stages.TOPIC] = decree
-        self.ground.kept.take(decree)
+            council.stands[lifecycle.ROLLOUT_TOPIC] = decree
+        self.ground.kept.receive(decree)
 
     def request(self) -> None:
         """Let requests come and end."""
         draw = self.draw
         for _ in range(draw.randrange(self.requests)):
             choice = self.rollout.choose(f"v{draw.randrange(20)}")
-            self.digest.add([choice.version, choice.good, choice.over is not None])
-            if choice.over is not None:
-                self.open.append((choice.over, choice.version == choice.good))
+            self.digest.add([choice.version, choice.good, choice.on_complete is not None])
+            if choice.on_complete is not None:
+                self.open.append((choice.on_complete, choice.version == choice.good))
         while self.open and draw.random() < 0.9:
             over, good = self.open.pop(draw.randrange(len(self.open)))
             bad = draw.random() < (0.05 if good else self.badness)
-            ended = evidence.Ended.FAILED if bad else evidence.Ended.SERVED
+            ended = evidence.RequestOutcome.FAILED if bad else evidence.RequestOutcome.SERVED
             over(draw.randrange(2), ended, draw.choice((10.0, 60.0, 150.0)))
 
     def tell(self) -> None:
@@ -743,22 +789,22 @@
             return
         origin = (f"p{draw.randrange(4)}", 1)
         digest = bytes.fromhex(draw.choice((state.digest, state.digest, TWO)))
-        other = Spread(origin[0], origin[1], SpreadSettings(), random.Random(1))
+        other = GossipStore(origin[0], origin[1], GossipStoreSettings(), random.Random(1))
         if draw.random() < 0.05:
-            other.put(evidence.BACK, evidence.encode(evidence.Back(digest, "far worse")))
+            other.put(evidence.ROLLBACK_KEY, evidence.encode(evidence.LocalRollback(digest, "far worse")))
         elif draw.random() < 0.05:
-            other.put(evidence.key_of(0, 0), b"broken")
+            other.put(evidence.counts_key(0, 0), b"broken")
         else:
             trials = draw.randrange(1, 400)
             marks = [[draw.randrange(1 + trials // 8), draw.randrange(1 + trials // 9)] for _ in range(5)]
-            tally = evidence.Tally([trials, draw.randrange(1, 400)], marks)
-            key = evidence.key_of(draw.randrange(2), draw.randrange(3))
-            other.put(key, evidence.encode(evidence.Piece(digest, tally)))
-        self.told += [(origin, key, value) for key in _KEYS for value in other.get(key).values()]
-        self.ground.spread.admit([origin])
-        data, _ = other.full(None, 1 << 20)
+            tally = evidence.OutcomeCounts([trials, draw.randrange(1, 400)], marks)
+            key = evidence.counts_key(draw.randrange(2), draw.randrange(3))
+            other.put(key, evidence.encode(evidence.CountsEntry(digest, tally)))
+        self.told += [(origin, key, value) for key in _KEYS for value in other.values(key).values()]
+        self.ground.spread.retain_origins([origin])
+        data, _ = other.full_state(None, 1 << 20)
         self.ground.spread.merge(data)
-        for changed in self.ground.spread.changes():
+        for changed in self.ground.spread.drain_changes():
             for listener in self.ground.when_spread:
                 listener(*changed)
         if draw.random() < 0.05:
@@ -768,35 +814,35 @@
     async def look(self) -> None:
         """Let the process's own tasks run for a moment; the decree may be renewed meanwhile."""
         draw, council = self.draw, self.ground.council
-        stands = council.stands.get(stages.TOPIC)
+        stands = council.stands.get(lifecycle.ROLLOUT_TOPIC)
         if stands is not None and draw.random() < 0.7:
             council.number += 1
-            renewed = msgspec.structs.replace(stands, renewed=council.number)
-            self.ground.kept.take(renewed)
+            renewed = msgspec.structs.replace(stands, renewal=council.number)
+            self.ground.kept.receive(renewed)
         self.sum_up()
         with anyio.move_on_after(0.012):
             await self.rollout.run()
 
     def sum_up(self) -> None:
         """Have a collector sum up what others told, where there is one."""
-        state, collect = self.decided(), self.ground.evidence.collect
-        if state is None or not isinstance(collect, _Collect) or not isinstance(collect.merged, _Merged):
+        state, collect = self.decided(), self.ground.evidence.collector
+        if state is None or not isinstance(collect, _Collect) or not isinstance(collect.summaries, _Merged):
             return
-        data = self.ground.council.stands[stages.DOCUMENT[state.place]].value
-        sums = verdict.Sums()
+        data = self.ground.council.stands[lifecycle.DOCUMENT_TOPICS[state.document_slot]].value
+        sums = verdict.ZoneSummarizer()
         sums.follow(state.digest, read_course(data), 2)
         for origin, key, value in self.told:
-            sums.take(origin, key, value, 0.0)
+            sums.receive(origin, key, value, 0.0)
         origins = sorted({origin for origin, _, _ in self.told})
         split = len(origins) // 2
-        collect.merged.found = {
-            "z0": sums.parts("z0", origins[:split], 0.0),
-            "z1": sums.parts("z1", origins[split:], 0.0),
+        collect.summaries.found = {
+            "z0": sums.summarize("z0", origins[:split], 0.0),
+            "z1": sums.summarize("z1", origins[split:], 0.0),
         }
         collect.silent = ["z9"] if self.draw.random() < 0.1 else []
 
 
-_KEYS = [evidence.BACK, *(evidence.key_of(cls, stage) for cls in range(2) for stage in range(3))]
+_KEYS = [evidence.ROLLBACK_KEY, *(evidence.counts_key(cls, stage) for cls in range(2) for stage in range(3))]
 
 
 async def _play(process: Process, steps: int) -> str:
@@ -854,10 +900,14 @@
     """Have the council decide that the candidate is the good version now."""
     council, state = process.ground.council, process.decided()
     assert state is not None
-    value = stages.encode(stages.forward(msgspec.structs.replace(state, stage=1), read_course(PLAN), {}))
+    value = lifecycle.encode(
+        lifecycle.advance(msgspec.structs.replace(state, stage=1), read_course(PLAN), {})
+    )
     council.number += 1
-    decree = council.stands[stages.TOPIC] = d.Decree(stages.TOPIC, council.number, value, 500.0)
-    process.ground.kept.take(decree)
+    decree = council.stands[lifecycle.ROLLOUT_TOPIC] = d.Decision(
+        lifecycle.ROLLOUT_TOPIC, council.number, value, 500.0
+    )
+    process.ground.kept.receive(decree)
 
 
 async def write_kept(name: str, path: Path) -> None:
@@ -884,7 +934,7 @@
     process = Process(2, path)
     found = [msgspec.json.encode(process.rollout.status())]
     choice = process.rollout.choose("v")
-    found.append([choice.version, choice.good, choice.over is not None, path.read_bytes()])
+    found.append([choice.version, choice.good, choice.on_complete is not None, path.read_bytes()])
     await _start(process, PLAN)
     found += [msgspec.json.encode(process.rollout.status()), path.read_bytes()]
     await _start(process, OTHER_PLAN)
--- a/tests/compatibility/scheduler_cases.py
+++ b/tests/compatibility/scheduler_cases.py
@@ -12,19 +12,17 @@
 from dataclasses import replace
 from typing import Any
 
-from cressrock.brain import Brain
 from cressrock.interface import (
     Action,
     Arrival,
+    AttemptEnded,
     Cancel,
     ClientLeft,
-    Counted,
-    Effect,
-    Ended,
+    DeduplicationScope,
     Event,
     Fail,
-    Group,
-    Lent,
+    Idempotency,
+    LimitLease,
     ListKind,
     Log,
     Node,
@@ -32,14 +30,16 @@
     NodeState,
     Outcome,
     Plan,
-    Refuse,
+    Reject,
     RequestClass,
+    RetryBudgetUsage,
     Send,
     SetTimer,
     Settings,
     Subscribe,
-    Wake,
+    TimerFired,
 )
+from cressrock.scheduler.scheduler import Scheduler
 from tests.compatibility.canonical import Digest
 
 FIXTURE = "scheduler_decisions"
@@ -47,13 +47,13 @@
 EVENTS = 2000
 LABELS = {
     Send: "send",
-    Refuse: "refuse",
+    Reject: "refuse",
     Fail: "fail",
     Cancel: "cancel",
     SetTimer: "timer",
     Subscribe: "subscribe",
 }
-UNANSWERED = (Outcome.TIMEOUT, Outcome.RESET, Outcome.CANCELLED, Outcome.NO_CONNECTION, Outcome.MOOT)
+UNANSWERED = (Outcome.TIMEOUT, Outcome.RESET, Outcome.CANCELLED, Outcome.NO_CONNECTION, Outcome.ABANDONED)
 ENDS = [outcome for outcome in Outcome if outcome is not Outcome.OK]
 
 
@@ -65,8 +65,8 @@
         deadline,
         rng.choice([0.3, 1.0, 3.0]),
         rng.choice([0.0, 0.1]),
-        rng.choice(list(Effect)),
-        rng.choice(list(Group)),
+        rng.choice(list(Idempotency)),
+        rng.choice(list(DeduplicationScope)),
         rng.choice([0.0, 300.0, 2000.0, 6000.0]),
         rng.random() < (0.1 if calm else 0.25),
         rng.random() < 0.3,
@@ -135,7 +135,7 @@
         self.digest = Digest(LABELS)
         self.sent = self.refused = self.events = 0
         self.numbers = 0
-        self.scheduler = Brain(self.settings, seed, self.now)
+        self.scheduler = Scheduler(self.settings, seed, self.now)
         self.open: dict[str, Arrival] = {}
         self.attempts: dict[str, int] = {}
         self.pending: dict[str, tuple[int, float]] = {}  # (attempt, sent at)
@@ -179,7 +179,7 @@
                 self.attempts[name] = attempt + 1
                 self.pending[name] = (attempt, self.now)
                 self.end_later(name, attempt, node)
-            case Refuse(name, _) | Fail(name):
+            case Reject(name, _) | Fail(name):
                 self.refused += 1
                 self.open.pop(name, None)
             case Cancel(name, attempt):
@@ -216,7 +216,7 @@
     def draw_events(self) -> list[Event]:
         """Draw what comes in the next batch: timers, outcomes, arrivals, and now and then all else."""
         rng, now = self.rng, self.now
-        events: list[Event] = [Wake(token) for at, token in self.timers if at <= now]
+        events: list[Event] = [TimerFired(token) for at, token in self.timers if at <= now]
         self.timers = [timer for timer in self.timers if timer[0] > now]
         while self.ends and self.ends[0][0] <= now:
             _, _, name, attempt, outcome = heapq.heappop(self.ends)
@@ -237,9 +237,9 @@
             events.append(self.counted())
         if self.settings.limits_lent and rng.random() < 0.2:
             units = rng.choice([2.0, 9.0, 30.0])
-            events.append(Lent(f"v{rng.randrange(6)}", units, now + rng.choice([40.0, 900.0, 3000.0])))
+            events.append(LimitLease(f"v{rng.randrange(6)}", units, now + rng.choice([40.0, 900.0, 3000.0])))
         if rng.random() < 0.01:
-            events.append(Ended("stranger", 0, Outcome.OK, True, 5.0))
+            events.append(AttemptEnded("stranger", 0, Outcome.OK, True, 5.0))
         if rng.random() < 0.002:
             self.widen()
         if rng.random() < 0.0015:
@@ -269,10 +269,10 @@
             rng.random() < 0.1,
         )
         self.open[request.request] = request
-        self.attempts[request.request] = request.attempts
+        self.attempts[request.request] = request.earlier_attempts
         return request
 
-    def ended(self, name: str, attempt: int, outcome: Outcome) -> Ended:
+    def ended(self, name: str, attempt: int, outcome: Outcome) -> AttemptEnded:
         """Report how an attempt ended."""
         _, sent_at = self.pending.pop(name)
         settled = name not in self.open or outcome is Outcome.OK
@@ -282,7 +282,7 @@
             self.open.pop(name, None)
         reached: bool | None = self.rng.choice([True, False, None]) if outcome in UNANSWERED else True
         used, elsewhere = self.rng.randint(0, 300), self.rng.choice([0.0, 0.0, 3.0, 40.0])
-        return Ended(name, attempt, outcome, settled, self.now - sent_at, used, elsewhere, reached)
+        return AttemptEnded(name, attempt, outcome, settled, self.now - sent_at, used, elsewhere, reached)
 
     def node_list(self) -> NodeList:
         """Draw a report of the list: a failed one, changed lines, the whole, or a kept copy with gaps."""
@@ -294,7 +294,7 @@
         old = self.nodes[name]
         state = rng.choice([NodeState.READY] * 4 + list(NodeState))
         started = rng.choice(
-            [old.up_since_ms, old.up_since_ms, max(1.0, self.now - 10), max(1.0, self.now - 900)]
+            [old.started_at_ms, old.started_at_ms, max(1.0, self.now - 10), max(1.0, self.now - 900)]
         )
         self.nodes[name] = line = Node(name, old.shard, old.zone, started, state)
         if kind is ListKind.CHANGES:
@@ -302,10 +302,10 @@
         absent = rng.choice([None, None, name])
         return NodeList(kind, tuple(node for node in self.nodes.values() if node.name != absent))
 
-    def counted(self) -> Counted:
+    def counted(self) -> RetryBudgetUsage:
         """Draw what others counted against the budget."""
         times = [self.now - self.rng.uniform(0, 1500) for _ in range(self.rng.randint(0, 12))]
-        return Counted(tuple(times[:2]), tuple(times[2:]))
+        return RetryBudgetUsage(tuple(times[:2]), tuple(times[2:]))
 
     def widen(self) -> None:
         """Give the scheduler one further class and one further plan."""
@@ -318,7 +318,7 @@
         """Kill the host and start it anew: all that it held is over."""
         self.open, self.attempts, self.pending, self.timers = {}, {}, {}, []
         self.ends = []
-        self.scheduler = Brain(self.settings, self.rng.getrandbits(40), self.now)
+        self.scheduler = Scheduler(self.settings, self.rng.getrandbits(40), self.now)
 
 
 def play(seed: int) -> dict[str, Any]:
--- a/tests/compatibility/test_collect.py
+++ b/tests/compatibility/test_collect.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from cressrock.collect import words
+from cressrock.aggregation import messages
 from tests.compatibility import collect_cases as cases
 from tests.compatibility.canonical import load
 
@@ -13,8 +13,8 @@
 @pytest.mark.parametrize("name", sorted(WIRE["messages"]))
 def test_messages_are_written_and_read_as_recorded(name):
     message, recorded = cases.examples()[name], bytes.fromhex(WIRE["messages"][name])
-    assert words.encode(message) == recorded
-    assert words.decode(recorded) == message
+    assert messages.encode(message) == recorded
+    assert messages.decode(recorded) == message
 
 
 def test_every_example_is_recorded():
@@ -24,14 +24,14 @@
 @pytest.mark.parametrize("name", sorted(cases.FOREIGN))
 def test_messages_of_older_and_newer_programs_are_read(name):
     data, message = cases.FOREIGN[name]
-    assert words.decode(bytes.fromhex(data)) == message
+    assert messages.decode(bytes.fromhex(data)) == message
 
 
 @pytest.mark.parametrize("name", sorted(WIRE["down"]))
 def test_what_comes_down_is_written_and_read_as_recorded(name):
     recorded = bytes.fromhex(WIRE["down"][name])
-    assert words.encode_down(cases.DOWN[name]) == recorded
-    assert words.decode_down(recorded) == cases.DOWN[name]
+    assert messages.encode_broadcast(cases.DOWN[name]) == recorded
+    assert messages.decode_broadcast(recorded) == cases.DOWN[name]
 
 
 def test_unreadable_bytes_are_refused_with_the_recorded_codes():
--- a/tests/compatibility/test_consensus.py
+++ b/tests/compatibility/test_consensus.py
@@ -4,12 +4,13 @@
 
 import pytest
 
-from cressrock.council import decrees, messages, news, recover, wire
-from cressrock.council.client import Kept
-from cressrock.council.log import HardState
-from cressrock.council.messages import Entry
-from cressrock.council.store import Store
-from cressrock.errors.council import MessageRefused, StoreForeign, StoreLost
+from cressrock.consensus import decision_gossip, decisions, recover, wire
+from cressrock.consensus.client import DecisionCache
+from cressrock.consensus.raft import messages
+from cressrock.consensus.raft.log import HardState
+from cressrock.consensus.raft.messages import LogEntry
+from cressrock.consensus.store import ReplicaStore
+from cressrock.errors.consensus import ForeignStoreError, InvalidMessageError, StoreMissingError
 from cressrock.planner import epochs
 from tests.compatibility import consensus_cases as cases
 from tests.compatibility.canonical import FIXTURES, load
@@ -45,15 +46,15 @@
 
 @pytest.mark.parametrize("name", WIRE["refused"])
 def test_recorded_bytes_that_are_no_message_are_refused_for_their_recorded_reason(name):
-    with pytest.raises(MessageRefused) as caught:
+    with pytest.raises(InvalidMessageError) as caught:
         messages.decode(bytes.fromhex(WIRE["refused"][name]), cases.CLUSTER)
     assert caught.value.reason == name.split()[0]
 
 
 def test_a_membership_entry_has_its_recorded_bytes():
     recorded = bytes.fromhex(WIRE["seats"])
-    assert messages.pack_seats(("a#1", "b#2")) == recorded
-    assert messages.unpack_seats(recorded) == ("a#1", "b#2")
+    assert messages.encode_voters(("a#1", "b#2")) == recorded
+    assert messages.decode_voters(recorded) == ("a#1", "b#2")
 
 
 @pytest.mark.parametrize("name", WIRE["frames"])
@@ -92,54 +93,54 @@
 @pytest.mark.parametrize("name", WIRE["commands"])
 def test_a_command_of_the_log_has_its_recorded_bytes(name):
     command, recorded = cases.commands()[name], bytes.fromhex(WIRE["commands"][name])
-    assert decrees.encode(command) == recorded
-    assert decrees.decode_command(recorded) == command
+    assert decisions.encode(command) == recorded
+    assert decisions.decode_command(recorded) == command
 
 
 @pytest.mark.parametrize("name", WIRE["decisions"])
 def test_a_decision_has_its_recorded_bytes(name):
     decision, recorded = cases.decisions()[name], bytes.fromhex(WIRE["decisions"][name])
-    assert decrees.encode(decision) == recorded
-    assert decrees.decode_decree(recorded) == decision
+    assert decisions.encode(decision) == recorded
+    assert decisions.decode_decision(recorded) == decision
 
 
 def test_what_is_published_by_gossip_has_its_recorded_keys_and_bytes():
     assert cases.told_decisions() == WIRE["told"]
-    assert decrees.spread_key("zone/a") == "decree/zone/a"
+    assert decisions.gossip_key("zone/a") == "decree/zone/a"
 
 
 def test_recorded_gossip_is_read_as_the_decisions_that_were_published():
-    taker = news.Taker()
+    taker = decision_gossip.DecisionSubscriber()
     for step in WIRE["told"]:
-        standing = [decrees.decode_decree(bytes.fromhex(data)) for data in step["standing"]]
+        standing = [decisions.decode_decision(bytes.fromhex(data)) for data in step["standing"]]
         by_topic = {decree.topic: decree for decree in standing}
         for key, value in step["changes"]:
             if value is None:
                 continue
-            found, wanted = taker.take(key, bytes.fromhex(value))
+            found, wanted = taker.receive_entry(key, bytes.fromhex(value))
             for topic in wanted:
-                found = taker.found(by_topic[topic])
+                found = taker.receive_decision(by_topic[topic])
             for decree in found:
                 stands = by_topic[decree.topic]
-                assert (decree.number, decree.value, decree.hold_ms) == (
-                    stands.number,
+                assert (decree.version, decree.value, decree.lease_ms) == (
+                    stands.version,
                     stands.value,
-                    stands.hold_ms,
+                    stands.lease_ms,
                 )
-                assert decree.renewed in (step["beat"], stands.renewed)
+                assert decree.renewal in (step["beat"], stands.renewal)
 
 
 def test_a_state_snapshot_has_its_recorded_bytes_and_is_restored_from_them():
     recorded = bytes.fromhex(WIRE["state"])
     assert cases.snapshot().snapshot() == recorded
-    assert decrees.Decrees.restore(recorded).snapshot() == recorded
-    assert decrees.Decrees.restore(recorded).all() == cases.snapshot().all()
+    assert decisions.DecisionState.restore(recorded).snapshot() == recorded
+    assert decisions.DecisionState.restore(recorded).all_decisions() == cases.snapshot().all_decisions()
 
 
 def test_a_readers_memory_has_its_recorded_bytes_and_is_read_from_them():
     recorded = bytes.fromhex(WIRE["seen"])
-    assert cases.reader().seen() == recorded
-    assert decrees.Reader(recorded, max_topics=2).seen() == recorded
+    assert cases.reader().to_bytes() == recorded
+    assert decisions.DecisionReader(recorded, max_topics=2).to_bytes() == recorded
 
 
 # --- stored files
@@ -168,8 +169,10 @@
 
 def test_a_recorded_store_is_written_on(stored):
     path = stored("consensus-store")
-    store = Store(path, cluster=cases.CLUSTER, seat="a", expect=True)
-    store.write(HardState(4, "b#2", 11, 1), None, [Entry(4, 12, "empty"), Entry(4, 13, "command", b"x")], 12)
+    store = ReplicaStore(path, cluster=cases.CLUSTER, replica="a", must_exist=True)
+    store.write(
+        HardState(4, "b#2", 11, 1), None, [LogEntry(4, 12, "empty"), LogEntry(4, 13, "command", b"x")], 12
+    )
     store.close()
     before = STORES["consensus-store"]
     after = cases.store_content(path, "a")
@@ -179,12 +182,14 @@
 
 
 def test_a_recorded_store_is_that_of_one_cluster_and_seat(stored):
-    with pytest.raises(StoreForeign):
-        Store(stored("consensus-store"), cluster="cluster-2", seat="a")
-    with pytest.raises(StoreForeign):
-        Store(stored("consensus-store"), cluster=cases.CLUSTER, seat="b")
-    with pytest.raises(StoreLost):
-        Store(stored("consensus-store").with_name("none"), cluster=cases.CLUSTER, seat="a", expect=True)
+    with pytest.raises(ForeignStoreError):
+        ReplicaStore(stored("consensus-store"), cluster="cluster-2", replica="a")
+    with pytest.raises(ForeignStoreError):
+        ReplicaStore(stored("consensus-store"), cluster=cases.CLUSTER, replica="b")
+    with pytest.raises(StoreMissingError):
+        ReplicaStore(
+            stored("consensus-store").with_name("none"), cluster=cases.CLUSTER, replica="a", must_exist=True
+        )
 
 
 def test_a_recorded_store_is_recovered_to_a_group_of_one(stored):
@@ -197,23 +202,23 @@
     identity = before["identity"]
     assert after["hard"] == [4, "", 9, 2]
     assert after["entries"][: len(before["entries"])] == before["entries"]
-    ground = decrees.encode(decrees.Ground(1_900_000_000_000, None, 9))
+    ground = decisions.encode(decisions.SetVersionBase(1_900_000_000_000, None, 9))
     assert after["entries"][len(before["entries"]) :] == [
-        [4, 13, "seats", messages.pack_seats((identity,)).hex()],
+        [4, 13, "seats", messages.encode_voters((identity,)).hex()],
         [4, 14, "command", ground.hex()],
     ]
 
 
 def test_a_recorded_reader_file_is_read_and_written_on(stored):
     path = stored("consensus-reader")
-    kept = Kept(path, lambda: 200.0)
-    assert kept.torn == ""
+    kept = DecisionCache(path, lambda: 200.0)
+    assert kept.corrupt_reason == ""
     for decree in cases.decisions().values():
-        assert kept.reader.number(decree.topic) == decree.number
+        assert kept.reader.last_version(decree.topic) == decree.version
         assert kept.get(decree.topic) is None
-    assert kept.reader.seen() == path.read_bytes()
-    kept.take(decrees.Decree("new", 10, b"v", 1000.0))
-    assert Kept(path, lambda: 300.0).reader.number("new") == 10
+    assert kept.reader.to_bytes() == path.read_bytes()
+    kept.receive(decisions.Decision("new", 10, b"v", 1000.0))
+    assert DecisionCache(path, lambda: 300.0).reader.last_version("new") == 10
 
 
 def test_a_reader_file_written_today_has_the_recorded_bytes(stored, tmp_path):
@@ -224,7 +229,7 @@
 def test_a_recorded_epoch_file_is_read_and_written_on(stored):
     path = stored("consensus-epoch")
     assert path.read_bytes() == b"cressrock-epoch-1 1800000000777\n"
-    store = epochs.Store(str(path))
+    store = epochs.EpochStore(str(path))
     assert store.read() == 1_800_000_000_777
     store.write(1_800_000_000_778)
     assert path.read_bytes() == b"cressrock-epoch-1 1800000000778\n"
--- a/tests/compatibility/test_gossip.py
+++ b/tests/compatibility/test_gossip.py
@@ -4,8 +4,8 @@
 
 import pytest
 
-from cressrock.fleet.rounds import RoundsSettings
-from cressrock.fleet.spread import SpreadSettings
+from cressrock.gossip.anti_entropy import AntiEntropySettings
+from cressrock.gossip.store import GossipStoreSettings
 from tests.compatibility import gossip_cases as cases
 from tests.compatibility.canonical import canonical, load
 
@@ -26,7 +26,7 @@
 
 
 def test_default_settings_are_as_recorded():
-    assert canonical([SpreadSettings(), RoundsSettings()]) == RECORDED["settings"]
+    assert canonical([GossipStoreSettings(), AntiEntropySettings()]) == RECORDED["settings"]
 
 
 def test_views_of_the_members_are_made_anew_when_recorded():
--- a/tests/compatibility/test_membership.py
+++ b/tests/compatibility/test_membership.py
@@ -4,8 +4,8 @@
 
 import pytest
 
-from cressrock.fleet import messages as m
-from cressrock.fleet.members import MembersSettings
+from cressrock.membership import packets as m
+from cressrock.membership.membership import MembershipSettings
 from tests.compatibility import membership_cases as cases
 from tests.compatibility.canonical import canonical, load
 
@@ -32,7 +32,7 @@
 
 
 def test_default_settings_are_as_recorded():
-    assert canonical(MembersSettings()) == RECORDED["settings"]
+    assert canonical(MembershipSettings()) == RECORDED["settings"]
 
 
 @pytest.mark.parametrize("seed", cases.FLEET_SEEDS)
--- a/tests/compatibility/test_pair.py
+++ b/tests/compatibility/test_pair.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from cressrock.planner.epochs import Store
+from cressrock.planner.epochs import EpochStore
 from tests.compatibility import denial_cases, pair_cases, pair_link_cases
 from tests.compatibility.canonical import FIXTURES, load
 
@@ -29,13 +29,13 @@
     recorded = int(load("pair_epoch_values")[name])
     path = tmp_path / "epoch"
     shutil.copyfile(FIXTURES / name, path)
-    store = Store(str(path))
+    store = EpochStore(str(path))
     assert store.read() == recorded
     store.write(recorded)
     assert path.read_bytes() == (FIXTURES / name).read_bytes()
     store.write(recorded + 1)
     assert path.read_bytes() == f"cressrock-epoch-1 {recorded + 1}\n".encode()
-    assert Store(str(path)).read() == recorded + 1
+    assert EpochStore(str(path)).read() == recorded + 1
     assert [file.name for file in tmp_path.iterdir()] == ["epoch"]
 
 
@@ -45,9 +45,9 @@
     path = tmp_path / "epoch"
     for content in (*(whole[:size] for size in range(len(whole))), b"cressrock-epoch-2 7\n", b"\xff 1\n"):
         path.write_bytes(content)
-        assert Store(str(path)).read() is None
-    assert Store(None).read() is None
-    assert Store(str(tmp_path / "missing")).read() is None
+        assert EpochStore(str(path)).read() is None
+    assert EpochStore(None).read() is None
+    assert EpochStore(str(tmp_path / "missing")).read() is None
 
 
 @pytest.mark.parametrize("name", pair_link_cases.SCENES)
--- a/tests/compatibility/test_presence.py
+++ b/tests/compatibility/test_presence.py
@@ -4,8 +4,8 @@
 
 import pytest
 
-from cressrock.errors.presence import FrameRefused
-from cressrock.presence import names, rooms
+from cressrock.errors.presence import PresenceFrameError
+from cressrock.presence import agreed_names, rooms
 from tests.compatibility import presence_cases as cases
 from tests.compatibility import presence_cluster as cluster
 from tests.compatibility.canonical import load
@@ -24,7 +24,7 @@
 )
 def test_messages_between_gateways(label: str, message: rooms.Body) -> None:
     recorded = bytes.fromhex(WIRE["messages"][label])
-    assert rooms.frame(message) == recorded
+    assert rooms.encode_frame(message) == recorded
     received = bytearray(recorded + recorded[:3])
     assert rooms.unframe(received) == message
     assert received == recorded[:3]
@@ -39,19 +39,19 @@
 
 @pytest.mark.parametrize("frame", cases.refused_frames())
 def test_frames_that_are_refused(frame: str) -> None:
-    with pytest.raises(FrameRefused):
+    with pytest.raises(PresenceFrameError):
         rooms.unframe(bytearray.fromhex(frame))
 
 
 def test_decrees_on_agreed_names() -> None:
-    assert [names.write(holder).hex() for holder in cases.holders()] == WIRE["holders"]
-    assert [names.read(bytes.fromhex(value)) for value in WIRE["holders"]] == cases.holders()
+    assert [agreed_names.write(holder).hex() for holder in cases.holders()] == WIRE["holders"]
+    assert [agreed_names.read(bytes.fromhex(value)) for value in WIRE["holders"]] == cases.holders()
 
 
 @pytest.mark.parametrize("value", ["", "9102", "c0", WIRE["holders"][0].replace("9601", "9602", 1)])
 def test_decrees_of_another_form_are_refused(value: str) -> None:
-    with pytest.raises(FrameRefused):
-        names.read(bytes.fromhex(value))
+    with pytest.raises(PresenceFrameError):
+        agreed_names.read(bytes.fromhex(value))
 
 
 def test_hashes_and_constants() -> None:
--- a/tests/compatibility/test_zones.py
+++ b/tests/compatibility/test_zones.py
@@ -5,7 +5,7 @@
 import msgspec
 import pytest
 
-from cressrock.zones.terms import Zones
+from cressrock.failover.decision import FailoverSettings
 from tests.compatibility import zones_cases as cases
 from tests.compatibility.canonical import load
 
@@ -39,7 +39,7 @@
 def test_settings_keep_their_keys(name):
     text = WIRE["settings"][name]
     assert cases.settings_texts()[name] == text
-    assert msgspec.json.encode(msgspec.json.decode(text, type=Zones)).decode() == text
+    assert msgspec.json.encode(msgspec.json.decode(text, type=FailoverSettings)).decode() == text
 
 
 def test_contradicting_settings_are_refused_with_the_recorded_text():
--- a/tests/compatibility/zones_cases.py
+++ b/tests/compatibility/zones_cases.py
@@ -12,15 +12,30 @@
 
 import msgspec
 
-from cressrock.council.decrees import Decree, Expired
-from cressrock.errors.zones import MoveRefused, ZonesError
+from cressrock.consensus.decisions import Decision, Expired
+from cressrock.errors.failover import FailoverError, WriteMoveRejectedError
+from cressrock.failover import decision, evidence, summary
+from cressrock.failover.decision import (
+    FULL_SHARE,
+    FailoverDecision,
+    FailoverSettings,
+    WriteMove,
+    ZoneDecision,
+    ZoneState,
+)
+from cressrock.failover.evaluation import EvaluationMemory, evaluate, evaluate_reports, record_decision
+from cressrock.failover.evidence import (
+    AttemptResult,
+    FleetEvidence,
+    LocalEvidence,
+    ReportChunk,
+    ZoneHealth,
+    ZoneReport,
+    classify_attempt,
+)
+from cressrock.failover.routing import Route, ZoneRouter
+from cressrock.failover.summary import ReportSummarizer, SummaryRow, SummaryView, ZoneLoads, ZoneMember
 from cressrock.interface import Outcome
-from cressrock.zones import evidence, sums, terms
-from cressrock.zones.evidence import All, Kind, Own, Piece, Said, Word, kind_of
-from cressrock.zones.spill import Choice, Go
-from cressrock.zones.sums import Down, Row, Summed, Sums, Who
-from cressrock.zones.terms import WHOLE, Entry, Move, State, Verdict, Zones
-from cressrock.zones.verdict import Memory, decided, judge, weigh
 from tests.compatibility import zones_cluster
 from tests.compatibility.canonical import Digest
 
@@ -29,10 +44,10 @@
 NEVER_TOLD = 0.15  # of the edges in a stream tell nothing
 
 
-def zone_settings(edges: int = 24, capacity: float = 300.0, **more: Any) -> Zones:
+def zone_settings(edges: int = 24, capacity: float = 300.0, **more: Any) -> FailoverSettings:
     """Return settings of four zones in two regions, read by their outer keys."""
     zones = {name: {"region": region, "capacity": capacity} for name, region in REGIONS.items()}
-    return msgspec.convert({"zones": zones, "edges": edges, **more}, Zones)
+    return msgspec.convert({"zones": zones, "edges": edges, **more}, FailoverSettings)
 
 
 # --- wire
@@ -40,11 +55,11 @@
 
 def versioned(value: msgspec.Struct) -> bytes:
     """Return the bytes of a value of this version."""
-    return bytes((terms.VERSION,)) + msgspec.msgpack.encode(value)
+    return bytes((decision.VERSION,)) + msgspec.msgpack.encode(value)
 
 
-def _piece(beat: int, words: list[Said]) -> Piece:
-    return Piece(beat, words)
+def _piece(beat: int, words: list[ZoneReport]) -> ReportChunk:
+    return ReportChunk(beat, words)
 
 
 COUNTS = [3, 20, 1, 2, 0, 31, 400]
@@ -55,59 +70,82 @@
 def examples() -> dict[str, Example]:
     """Return by name: how a value is written, how its bytes are read, and the value."""
 
-    def write_piece(value: Piece) -> bytes:
-        (data,) = evidence.pieces(value.beat, value.words)
+    def write_piece(value: ReportChunk) -> bytes:
+        (data,) = evidence.encode_reports(value.interval, value.reports)
         return data
 
-    said = [Said("a1", 4, 1, 9, 0, 2, 1.5, 2.5, -9), Said("b1", 1, 9999, 0, 12, 9999, 1e12, 0.0, 9999)]
+    said = [
+        ZoneReport("a1", 4, 1, 9, 0, 2, 1.5, 2.5, -9),
+        ZoneReport("b1", 1, 9999, 0, 12, 9999, 1e12, 0.0, 9999),
+    ]
     entries = [
-        Entry("a1", State.GONE, 0, 2, 77, ["b1", "b2"]),
-        Entry("a2", State.NEAR, WHOLE, 1),
-        Entry("b1", State.BACK, 8, 255, 1 << 20),
-        Entry("b2", State.HALF, 32),
-        Entry("c1", State.SLOW, 16),
-        Entry("c2", State.SPLIT, 0, 3, 4, ["a1"]),
+        ZoneDecision("a1", ZoneState.EVACUATED, 0, 2, 77, ["b1", "b2"]),
+        ZoneDecision("a2", ZoneState.LOCAL, FULL_SHARE, 1),
+        ZoneDecision("b1", ZoneState.RECOVERING, 8, 255, 1 << 20),
+        ZoneDecision("b2", ZoneState.DEGRADED, 32),
+        ZoneDecision("c1", ZoneState.SLOW, 16),
+        ZoneDecision("c2", ZoneState.PARTITIONED, 0, 3, 4, ["a1"]),
     ]
-    verdict = (terms.encode, terms.decode)
-    move = (terms.encode, terms.decode_move)
-    row = (versioned, sums.read_row)
+    verdict = (decision.encode, decision.decode)
+    move = (decision.encode, decision.decode_write_move)
+    row = (versioned, summary.decode_summary_row)
     return {
-        "report chunk, empty": (write_piece, evidence.read_piece, _piece(0, [])),
-        "report chunk": (write_piece, evidence.read_piece, _piece(7, said)),
-        "report chunk, defaults": (write_piece, evidence.read_piece, _piece(2**53, [Said("z" * 64, 0)])),
+        "report chunk, empty": (write_piece, evidence.decode_report_chunk, _piece(0, [])),
+        "report chunk": (write_piece, evidence.decode_report_chunk, _piece(7, said)),
+        "report chunk, defaults": (
+            write_piece,
+            evidence.decode_report_chunk,
+            _piece(2**53, [ZoneReport("z" * 64, 0)]),
+        ),
         "report chunk, each word": (
             write_piece,
-            evidence.read_piece,
-            _piece(300, [Said(f"z{int(w)}", int(w)) for w in Word]),
+            evidence.decode_report_chunk,
+            _piece(300, [ZoneReport(f"z{int(w)}", int(w)) for w in ZoneHealth]),
         ),
-        "decision, empty": (*verdict, Verdict()),
-        "decision": (*verdict, Verdict(entries, {"a2": 1.5, "b2": 0.0}, 3.25)),
-        "decision, room alone": (*verdict, Verdict([], {"a2": 1e12})),
-        "move of writes": (*move, Move("north", "south", 500.0, "op")),
-        "move of writes, defaults": (*move, Move("north", "south", 0.0)),
-        "row of sums": (*row, Row(COUNTS, 4, 5, 12.5, 0.0, 2, 8, [0] * 7)),
-        "row of sums, empty": (*row, Row([0] * 7, 0, 0, 0.0, 0.0, 0, 0, COUNTS)),
+        "decision, empty": (*verdict, FailoverDecision()),
+        "decision": (*verdict, FailoverDecision(entries, {"a2": 1.5, "b2": 0.0}, 3.25)),
+        "decision, room alone": (*verdict, FailoverDecision([], {"a2": 1e12})),
+        "move of writes": (*move, WriteMove("north", "south", 500.0, "op")),
+        "move of writes, defaults": (*move, WriteMove("north", "south", 0.0)),
+        "row of sums": (*row, SummaryRow(COUNTS, 4, 5, 12.5, 0.0, 2, 8, [0] * 7)),
+        "row of sums, empty": (*row, SummaryRow([0] * 7, 0, 0, 0.0, 0.0, 0, 0, COUNTS)),
         "work of zones": (
-            lambda loads: versioned(Down(loads)),
-            sums.read_loads,
+            lambda loads: versioned(ZoneLoads(loads)),
+            summary.decode_zone_loads,
             {"a1": 12.5, "b1": 0.0, "c": 1e15},
         ),
-        "work of zones, none": (lambda loads: versioned(Down(loads)), sums.read_loads, {}),
+        "work of zones, none": (lambda loads: versioned(ZoneLoads(loads)), summary.decode_zone_loads, {}),
     }
 
 
 # What other programs may send: older ones leave the last elements out, newer ones append some.
 FOREIGN = {
-    "report chunk, short words": ("0192079192a2613104", evidence.read_piece, _piece(7, [Said("a1", 4)])),
-    "report chunk, newer": ("0193079193a261310405c0", evidence.read_piece, _piece(7, [Said("a1", 4, 5)])),
-    "decision, short": ("019191" + "93a261310100", terms.decode, Verdict([Entry("a1", State.GONE, 0)])),
-    "decision, no elements": ("0190", terms.decode, Verdict()),
-    "decision, newer": ("01949080" + "00" + "c3", terms.decode, Verdict()),
-    "decision, unknown state": ("019191" + "93a261316340", terms.decode, Verdict([Entry("a1", 99, 64)])),
+    "report chunk, short words": (
+        "0192079192a2613104",
+        evidence.decode_report_chunk,
+        _piece(7, [ZoneReport("a1", 4)]),
+    ),
+    "report chunk, newer": (
+        "0193079193a261310405c0",
+        evidence.decode_report_chunk,
+        _piece(7, [ZoneReport("a1", 4, 5)]),
+    ),
+    "decision, short": (
+        "019191" + "93a261310100",
+        decision.decode,
+        FailoverDecision([ZoneDecision("a1", ZoneState.EVACUATED, 0)]),
+    ),
+    "decision, no elements": ("0190", decision.decode, FailoverDecision()),
+    "decision, newer": ("01949080" + "00" + "c3", decision.decode, FailoverDecision()),
+    "decision, unknown state": (
+        "019191" + "93a261316340",
+        decision.decode,
+        FailoverDecision([ZoneDecision("a1", 99, 64)]),
+    ),
     "move of writes, short": (
         "0193a161a162" + "cb0000000000000000",
-        terms.decode_move,
-        Move("a", "b", 0.0),
+        decision.decode_write_move,
+        WriteMove("a", "b", 0.0),
     ),
 }
 
@@ -117,7 +155,13 @@
 
 def readers() -> list[Callable[[bytes], Any]]:
     """Return all readers of bytes that come from other processes."""
-    return [evidence.read_piece, terms.decode, terms.decode_move, sums.read_row, sums.read_loads]
+    return [
+        evidence.decode_report_chunk,
+        decision.decode,
+        decision.decode_write_move,
+        summary.decode_summary_row,
+        summary.decode_zone_loads,
+    ]
 
 
 def refusals() -> list[list[str]]:
@@ -129,7 +173,7 @@
             try:
                 read(bytes.fromhex(data))
                 codes.append("")
-            except ZonesError as error:
+            except FailoverError as error:
                 codes.append(error.code)
         found.append(codes)
     return found
@@ -191,7 +235,7 @@
 def outcome_kinds() -> list[list[Any]]:
     """Return what each outcome says of a zone, fast and slow."""
     return [
-        [outcome.value, lag, int(kind_of(outcome, lag, 1000.0))]
+        [outcome.value, lag, int(classify_attempt(outcome, lag, 1000.0))]
         for outcome in Outcome
         for lag in (0.0, 999.9, 1000.0, 5000.0)
     ]
@@ -205,9 +249,9 @@
             for lost in (0.0, 100.0):
                 for behind in (None, 0.0, 50.0, 100.0, 200.0):
                     try:
-                        terms.check_move(REGIONS, Move(source, target, lost), behind)
+                        decision.check_write_move(REGIONS, WriteMove(source, target, lost), behind)
                         answer = "moved"
-                    except MoveRefused as error:
+                    except WriteMoveRejectedError as error:
                         answer = error.code
                     found.append([source, target, lost, behind, answer])
     return found
@@ -223,26 +267,28 @@
     source = random.Random(seed)
     digest = Digest()
     settings = zone_settings(source.choice([1, 24, 230]), window=source.choice([1, 4, 8]))
-    own = Own(settings, 0.0)
+    own = LocalEvidence(settings, 0.0)
     now, failing, slow = 0.0, _fault(source), source.random() < 0.4
     for _ in range(300):
         now += source.choice([1.0, 20.0, 150.0, 150.0, 700.0, 15000.0 if source.random() < 0.1 else 5.0])
         if source.random() < 0.03:
             failing, slow = _fault(source), source.random() < 0.4
-        own.turn(now)
+        own.advance(now)
         zone = source.choice([*NAMES, *NAMES, "elsewhere"])
-        kind = Kind.FAILED if source.random() < failing.get(zone, 0) else Kind.REACHED
-        if kind is Kind.REACHED and slow and source.random() < 0.7:
-            kind = Kind.SLOW
-        own.ended(zone, Kind.NOTHING if source.random() < 0.02 else kind, source.uniform(0.1, 9.0))
-        own.wanted(source.choice(NAMES), source.uniform(0.1, 9.0))
+        kind = AttemptResult.FAILED if source.random() < failing.get(zone, 0) else AttemptResult.REACHED
+        if kind is AttemptResult.REACHED and slow and source.random() < 0.7:
+            kind = AttemptResult.SLOW
+        own.record_attempt(
+            zone, AttemptResult.INCONCLUSIVE if source.random() < 0.02 else kind, source.uniform(0.1, 9.0)
+        )
+        own.record_demand(source.choice(NAMES), source.uniform(0.1, 9.0))
         if source.random() < 0.01:
-            own.forgive(source.choice([*NAMES, "elsewhere"]))
+            own.reset_zone(source.choice([*NAMES, "elsewhere"]))
         pace, least = source.choice([None, None, 500.0, 2000.0]), source.choice([0.0, 0.0, 0.0, 4000.0])
-        for change in own.tell(now, source.random() < 0.2, pace, least):
+        for change in own.due_updates(now, source.random() < 0.2, pace, least):
             digest.add([change.key, change.value])
-        digest.add([[int(own.word(name)), own.idle_ms(name), own.told_want(name)] for name in NAMES])
-        digest.add([[own.beat, own.unknown], msgspec.msgpack.encode(own.said())])
+        digest.add([[int(own.health(name)), own.idle_ms(name), own.reported_demand(name)] for name in NAMES])
+        digest.add([[own.interval, own.unknown_zone_attempts], msgspec.msgpack.encode(own.reports())])
     return digest.hex()
 
 
@@ -254,12 +300,12 @@
     ]
 
 
-def _said(source: random.Random, zone: str, word: int) -> Said:
+def _said(source: random.Random, zone: str, word: int) -> ZoneReport:
     bad = {0: 0, 1: source.choice([0, 0, 0, 1]), 2: 0, 3: 5, 4: source.choice([9, 9, 9, 3])}[word]
     good = {0: 0, 1: 9, 2: 9, 3: 5, 4: source.choice([0, 0, 0, 2])}[word]
     run = {0: 0, 1: source.choice([9, 9, 9, -1]), 2: 9, 3: source.choice([-1, 2]), 4: -9}[word]
     age = source.choice([0, 0, 0, 0, 1, 5, 30])
-    return Said(
+    return ZoneReport(
         zone,
         word,
         good,
@@ -276,7 +322,7 @@
     """Return the digest of what a reader holds of many edges' reports, in any order, some unreadable."""
     source = random.Random(seed)
     digest = Digest()
-    reader = All(zone_settings(), max_origins=source.choice([4, 8, 100]))
+    reader = FleetEvidence(zone_settings(), max_origins=source.choice([4, 8, 100]))
     origins = [(f"e{n}", life) for n in range(6) for life in (1, 2)]
     now = 0.0
     for _ in range(120):
@@ -284,24 +330,24 @@
         origin = source.choice(origins)
         words = [_said(source, zone, source.randrange(5)) for zone in NAMES if source.random() < 0.7]
         if source.random() < 0.1:
-            words.append(Said("elsewhere", 4, 0, 9, 0, 0, 5.0, 5.0, -9))
-        (data,) = evidence.pieces(source.randrange(200), words)
+            words.append(ZoneReport("elsewhere", 4, 0, 9, 0, 0, 5.0, 5.0, -9))
+        (data,) = evidence.encode_reports(source.randrange(200), words)
         value: bytes | None = data
         if source.random() < 0.1:
             value = bytes([source.randrange(4)]) + data[1 : source.randrange(len(data))]
         elif source.random() < 0.1:
             value = None
         key = source.choice(["zones/0", "zones/0", "zones/1", "zones/15", "zones/1000", "other/0"])
-        digest.add(reader.take(origin, key, value, now))
+        digest.add(reader.receive(origin, key, value, now))
         if source.random() < 0.05:
             reader.forget(source.choice(origins))
         if source.random() < 0.05:
-            reader.keep(source.sample(origins, 9))
+            reader.retain(source.sample(origins, 9))
         if source.random() < 0.3:
-            digest.add(_words_of(reader.words(now)))
-            digest.add(_words_of(reader.words(now, source.sample(origins, 5))))
-            digest.add([sorted(reader.loads(now).items()), reader.accused(now)])
-            digest.add([sorted(reader.beats().items()), reader.refused, dict(reader.status(now))])
+            digest.add(_words_of(reader.reports(now)))
+            digest.add(_words_of(reader.reports(now, source.sample(origins, 5))))
+            digest.add([sorted(reader.zone_loads(now).items()), reader.is_any_zone_accused(now)])
+            digest.add([sorted(reader.latest_intervals().items()), reader.rejected, dict(reader.status(now))])
     return digest.hex()
 
 
@@ -338,8 +384,8 @@
             step_ms=3500.0,
         )
         self.members = [
-            Who((f"e{n}", 1), NAMES[n % 4], source.random() < 0.95, True) for n in range(edges)
-        ] + [Who(("p0", 1), "a1", True, False)]
+            ZoneMember((f"e{n}", 1), NAMES[n % 4], source.random() < 0.95, True) for n in range(edges)
+        ] + [ZoneMember(("p0", 1), "a1", True, False)]
         self.now, self.beat, self.scene, self.target = 0.0, 1, "calm", "a1"
         self.place, self.chosen = "b1", set[str]()
 
@@ -352,152 +398,163 @@
             self.target, self.place = self.source.choice(NAMES), self.source.choice(NAMES)
             self.chosen = {m.origin[0] for m in self.members if self.source.random() < 0.2}
         if self.source.random() < 0.02:
-            self.members = [Who(m.origin, m.place, self.source.random() < 0.95, m.edge) for m in self.members]
+            self.members = [
+                ZoneMember(m.origin, m.zone, self.source.random() < 0.95, m.is_edge) for m in self.members
+            ]
 
-    def _word(self, member: Who, zone: str) -> int:
+    def _word(self, member: ZoneMember, zone: str) -> int:
         scene, hit = self.scene, zone == self.target
         if scene == "noise":
             return self.source.randrange(5)
         if scene == "liars" and member.origin[0] in self.chosen:
-            return int(Word.BAD)
-        if scene == "own" and member.place != zone:
-            return int(Word.SILENT)
+            return int(ZoneHealth.UNREACHABLE)
+        if scene == "own" and member.zone != zone:
+            return int(ZoneHealth.UNKNOWN)
         if scene == "two" and zone in (self.target, self.place):
-            return int(Word.BAD)
+            return int(ZoneHealth.UNREACHABLE)
         if hit and scene in ("lost", "own", "unheard") and self.source.random() < 0.97:
-            return int(Word.BAD)
+            return int(ZoneHealth.UNREACHABLE)
         if hit and scene == "half" and self.source.random() < 0.9:
-            return int(Word.HALF)
+            return int(ZoneHealth.DEGRADED)
         if hit and scene == "slow" and self.source.random() < 0.9:
-            return int(Word.SLOW)
-        if hit and scene == "blind" and member.place == self.place:
-            return int(Word.BAD)
-        return int(Word.GOOD)
+            return int(ZoneHealth.SLOW)
+        if hit and scene == "blind" and member.zone == self.place:
+            return int(ZoneHealth.UNREACHABLE)
+        return int(ZoneHealth.HEALTHY)
 
-    def reports(self) -> Iterator[tuple[Who, bytes]]:
+    def reports(self) -> Iterator[tuple[ZoneMember, bytes]]:
         """Return what the edges tell now."""
         for member in self.members:
-            if not member.edge or self.source.random() < NEVER_TOLD:
+            if not member.is_edge or self.source.random() < NEVER_TOLD:
                 continue
             words = [_said(self.source, zone, self._word(member, zone)) for zone in NAMES]
-            (data,) = evidence.pieces(self.beat, words)
+            (data,) = evidence.encode_reports(self.beat, words)
             yield member, data
 
 
-def _tallies(memory: Memory) -> list[Any]:
+def _tallies(memory: EvaluationMemory) -> list[Any]:
     return [
         [
             zone,
-            sorted(t.bad.items()),
-            sorted(t.good.items()),
-            sorted(t.half.items()),
+            sorted(t.unreachable.items()),
+            sorted(t.reachable.items()),
+            sorted(t.degraded.items()),
             t.slow,
-            t.suspect,
-            sorted(t.failed.items()),
-            sorted(t.tried.items()),
-            t.total(),
+            t.suspects,
+            sorted(t.failed_attempts.items()),
+            sorted(t.attempts.items()),
+            t.unreachable_and_reachable(),
         ]
-        for zone, t in sorted(memory.tallies.items())
+        for zone, t in sorted(memory.witnesses.items())
     ]
 
 
 def verdicts_by_reports(seed: int) -> tuple[str, list[tuple[int, int]]]:
     """Return the digest of a leader's verdicts that hears all edges, and the states and parts it went by."""
     source = random.Random(seed)
-    stream, digest, memory = FleetStream(source), Digest(), Memory()
-    heard, standing, states = All(stream.settings), None, set()
+    stream, digest, memory = FleetStream(source), Digest(), EvaluationMemory()
+    heard, standing, states = FleetEvidence(stream.settings), None, set()
     for _ in range(240):
         stream.turn()
         for member, data in stream.reports():
-            heard.take(member.origin, "zones/0", data, stream.now)
+            heard.receive(member.origin, "zones/0", data, stream.now)
         if source.random() < 0.02:
-            memory = Memory()
-        words, beats = heard.words(stream.now), heard.beats()
-        result = judge(stream.settings, stream.members, words, beats, standing, stream.now, memory)
+            memory = EvaluationMemory()
+        words, beats = heard.reports(stream.now), heard.latest_intervals()
+        result = evaluate_reports(stream.settings, stream.members, words, beats, standing, stream.now, memory)
         digest.add(_tallies(memory))
-        digest.add(terms.encode(result) if result is not None else None)
+        digest.add(decision.encode(result) if result is not None else None)
         if result is not None and source.random() < 0.9:
             standing = result
-            states |= {(int(e.state), e.part) for e in result.entries}
-            decided(memory, stream.now)
+            states |= {(int(e.state), e.share) for e in result.zones}
+            record_decision(memory, stream.now)
     return digest.hex(), sorted(states)
 
 
 def verdicts_by_sums(seed: int) -> tuple[str, list[tuple[int, int]]]:
     """Return the digest of collectors' sums and of the verdicts of a leader that has these alone."""
     source = random.Random(seed)
-    stream, digest, memory = FleetStream(source), Digest(), Memory()
-    collectors = {name: Sums(stream.settings) for name in NAMES}
+    stream, digest, memory = FleetStream(source), Digest(), EvaluationMemory()
+    collectors = {name: ReportSummarizer(stream.settings) for name in NAMES}
     standing, states = None, set()
     for _ in range(160):
         stream.turn()
         for member, data in stream.reports():
-            collectors[member.place].take(member.origin, "zones/0", data, stream.now)
+            collectors[member.zone].receive(member.origin, "zones/0", data, stream.now)
         if source.random() < 0.05:
             collectors[source.choice(NAMES)].forget(source.choice(stream.members).origin)
         rows, tellers = {}, {}
         for name, collector in collectors.items():
-            collector.stands(standing, stream.now)
+            collector.apply_decision(standing, stream.now)
             if stream.scene == "unheard" and name == stream.place:
                 continue
-            origins = [m.origin for m in stream.members if m.place == name and m.edge]
-            rows[name] = collector.parts(name, origins, stream.now)
+            origins = [m.origin for m in stream.members if m.zone == name and m.is_edge]
+            rows[name] = collector.summarize(name, origins, stream.now)
             tellers[name] = len(origins)
         if source.random() < 0.1:
             rows.setdefault("a1", {})["zones/b1"] = b"\x01\xc1"
         digest.add(rows)
-        digest.add(list(collectors["a1"].down(rows, stream.now)))
-        view = Summed(stream.settings, stream.members, rows, tellers)
+        digest.add(list(collectors["a1"].broadcast(rows, stream.now)))
+        view = SummaryView(stream.settings, stream.members, rows, tellers)
         digest.add(
-            [sorted(view.unheard()), [[view.load(z), view.asking(z), view.want(z, ["b1"])] for z in NAMES]]
+            [
+                sorted(view.unheard_zones()),
+                [[view.load(z), view.remote_requesters(z), view.demand(z, ["b1"])] for z in NAMES],
+            ]
         )
-        result = weigh(stream.settings, stream.members, view, {}, standing, stream.now, memory)
+        result = evaluate(stream.settings, stream.members, view, {}, standing, stream.now, memory)
         digest.add(_tallies(memory))
-        digest.add(terms.encode(result) if result is not None else None)
+        digest.add(decision.encode(result) if result is not None else None)
         if result is not None:
             standing = result
-            states |= {(int(e.state), e.part) for e in result.entries}
-            decided(memory, stream.now)
+            states |= {(int(e.state), e.share) for e in result.zones}
+            record_decision(memory, stream.now)
     return digest.hex(), sorted(states)
 
 
-def _decree(source: random.Random, number: int) -> Decree:
+def _decree(source: random.Random, number: int) -> Decision:
     """Draw what may stand of the zones."""
     if source.random() < 0.1:
-        return Decree(terms.TOPIC, number, b"\x09nonsense", 1000.0)
+        return Decision(decision.TOPIC, number, b"\x09nonsense", 1000.0)
     entries = []
     for zone in NAMES:
         if source.random() < 0.5:
             continue
-        state = source.choice([*State, 77 if source.random() < 0.1 else State.GONE])
-        part = 0 if state in (State.GONE, State.SPLIT) else source.choice([1, 8, 16, 32, 64])
-        blind = source.sample(NAMES, 2) if state == State.SPLIT or source.random() < 0.1 else []
-        entries.append(Entry(zone, int(state), part, source.randrange(3), source.choice([0, 1, 24]), blind))
+        state = source.choice([*ZoneState, 77 if source.random() < 0.1 else ZoneState.EVACUATED])
+        part = (
+            0 if state in (ZoneState.EVACUATED, ZoneState.PARTITIONED) else source.choice([1, 8, 16, 32, 64])
+        )
+        blind = source.sample(NAMES, 2) if state == ZoneState.PARTITIONED or source.random() < 0.1 else []
+        entries.append(
+            ZoneDecision(zone, int(state), part, source.randrange(3), source.choice([0, 1, 24]), blind)
+        )
     room = {zone: source.uniform(0, 300) for zone in NAMES if source.random() < 0.6}
-    verdict = Verdict(entries, room, source.choice([0.0, 10.0, 300.0]))
-    return Decree(terms.TOPIC, number, terms.encode(verdict), 10000.0)
+    verdict = FailoverDecision(entries, room, source.choice([0.0, 10.0, 300.0]))
+    return Decision(decision.TOPIC, number, decision.encode(verdict), 10000.0)
 
 
 READ_ZONES = [NAMES, ["a1", "b1"], ["a2"], [], ["elsewhere"], ["b1", "b2", "elsewhere"]]
 
 
-def _decreed(source: random.Random, choice: Choice, number: int, now: float) -> None:
+def _decreed(source: random.Random, choice: ZoneRouter, number: int, now: float) -> None:
     if source.random() < 0.1:
-        value = terms.encode(Move("north", "south", 5.0, "op")) if source.random() < 0.8 else b"\x01\xc1"
-        move = Decree(terms.MOVE_TOPIC, number, value, 1000.0)
+        value = (
+            decision.encode(WriteMove("north", "south", 5.0, "op")) if source.random() < 0.8 else b"\x01\xc1"
+        )
+        move = Decision(decision.WRITE_MOVE_TOPIC, number, value, 1000.0)
         ended = Expired(move, now) if source.random() < 0.5 else move
-        choice.decreed(terms.MOVE_TOPIC, source.choice([ended, ended, None]), now)
+        choice.apply_decision(decision.WRITE_MOVE_TOPIC, source.choice([ended, ended, None]), now)
         return
     decree = _decree(source, number)
     ways = [decree, decree, decree, Expired(decree, now), None]
-    choice.decreed(source.choice([terms.TOPIC] * 9 + ["others"]), source.choice(ways), now)
+    choice.apply_decision(source.choice([decision.TOPIC] * 9 + ["others"]), source.choice(ways), now)
 
 
 def choices(seed: int) -> tuple[str, list[str]]:
     """Return the digest of one edge's choices over 900 reads, and the kinds of answers among them."""
     source = random.Random(seed)
     settings = zone_settings(source.choice([1, 4, 24]), source.choice([50.0, 300.0]))
-    choice = Choice(source.choice(NAMES), REGIONS, settings, 0.0, random.Random(seed + 1))
+    choice = ZoneRouter(source.choice(NAMES), REGIONS, settings, 0.0, random.Random(seed + 1))
     digest, now, failing, kinds = Digest(), 0.0, _fault(source), set()
     for number in range(900):
         now += source.choice([1.0, 5.0, 20.0, 20.0, 60.0, 12000.0 if source.random() < 0.02 else 10.0])
@@ -506,31 +563,33 @@
         if source.random() < 0.02:
             _decreed(source, choice, number, now)
         if source.random() < 0.02:
-            choice.loads({zone: source.uniform(0, 400) for zone in NAMES if source.random() < 0.7})
+            choice.update_zone_loads(
+                {zone: source.uniform(0, 400) for zone in NAMES if source.random() < 0.7}
+            )
         if source.random() < 0.05:
-            for change in choice.own.tell(now, choice.stirred()):
+            for change in choice.evidence.due_updates(now, choice.wants_evidence()):
                 digest.add([change.key, change.value])
         units = source.choice([0.5, 1.0, 1.0, 8.0])
         home = source.choice(["", "", "", "b1", "elsewhere"])
-        answer = choice.read(source.choice(READ_ZONES), units, source.random() < 0.2, now, home)
-        if isinstance(answer, Go):
+        answer = choice.route(source.choice(READ_ZONES), units, source.random() < 0.2, now, home)
+        if isinstance(answer, Route):
             digest.add(["route", answer.zone, answer.tier])
             kinds.add(f"tier {answer.tier}")
             if source.random() < 0.9:
-                choice.sent(answer.zone, units, now)
+                choice.record_sent(answer.zone, units, now)
             lag = source.choice([5.0, 5.0, 5.0, 1500.0])
             failed = source.random() < failing[answer.zone]
             bad = source.choice([Outcome.TIMEOUT, Outcome.RESET, Outcome.NO_CONNECTION])
-            good = source.choice([Outcome.OK, Outcome.OK, Outcome.FULL, Outcome.CANCELLED, Outcome.MOOT])
+            good = source.choice([Outcome.OK, Outcome.OK, Outcome.FULL, Outcome.CANCELLED, Outcome.ABANDONED])
             if source.random() < 0.95:
-                choice.ended(answer.zone, units, bad if failed else good, now + 1, lag)
+                choice.record_attempt(answer.zone, units, bad if failed else good, now + 1, lag)
         else:
             digest.add(["refuse", answer.retry_after_ms, answer.reason])
             kinds.add(answer.reason)
         if source.random() < 0.02:
-            choice.ended("elsewhere", units, Outcome.OK, now, 5.0)
+            choice.record_attempt("elsewhere", units, Outcome.OK, now, 5.0)
         if number % 50 == 0:
-            digest.add([choice.status(), choice.own.unknown])
+            digest.add([choice.status(), choice.evidence.unknown_zone_attempts])
     return digest.hex(), sorted(kinds)
 
 
--- a/tests/compatibility/zones_cluster.py
+++ b/tests/compatibility/zones_cluster.py
@@ -10,17 +10,17 @@
 import anyio
 import msgspec
 
-from cressrock.collect import words
-from cressrock.collect.carrier import Evidence
-from cressrock.council.decrees import Decree, Expired
-from cressrock.errors.council import Conflict, NoQuorum
-from cressrock.fleet.members import Member
-from cressrock.fleet.messages import State as Life
+from cressrock.aggregation import messages
+from cressrock.aggregation.channel import EvidenceChannel
+from cressrock.consensus.decisions import Decision, Expired
+from cressrock.errors.consensus import DecisionConflictError, NoQuorumError
+from cressrock.failover import decision
+from cressrock.failover.carrier import EdgeFailover, FailoverAdmin, FailoverLeader
+from cressrock.failover.decision import FailoverSettings
+from cressrock.failover.routing import Route, ZoneRouter
 from cressrock.interface import Outcome
-from cressrock.zones import terms
-from cressrock.zones.carrier import EdgeZones, LeaderZones, Moves
-from cressrock.zones.spill import Choice, Go
-from cressrock.zones.terms import Zones
+from cressrock.membership.membership import Member
+from cressrock.membership.packets import MemberState as Life
 from tests.compatibility import collect_virtual as virtual
 from tests.compatibility.canonical import Digest
 from tests.compatibility.collect_cases import NoLog
@@ -62,24 +62,26 @@
         """`cluster` keeps what stands."""
         self.cluster = cluster
 
-    async def decide(self, topic: str, value: bytes, hold_ms: float, if_number: int | None = None) -> Decree:
+    async def decide(
+        self, topic: str, value: bytes, hold_ms: float, if_number: int | None = None
+    ) -> Decision:
         """Let a value stand."""
         cluster = self.cluster
         await anyio.sleep(0.02)
         cluster.digest.add([now_ms(), topic, value, hold_ms, if_number])
         if cluster.source.random() < 0.2:
-            raise NoQuorum("no majority")
+            raise NoQuorumError("no majority")
         if cluster.source.random() < 0.3:
-            raise Conflict("another", cluster.number)
+            raise DecisionConflictError("another", cluster.number)
         cluster.number += 1
-        cluster.stands[topic] = Decree(topic, cluster.number, value, hold_ms)
+        cluster.stands[topic] = Decision(topic, cluster.number, value, hold_ms)
         return cluster.stands[topic]
 
-    async def read(self, topic: str) -> Decree | None:
+    async def read(self, topic: str) -> Decision | None:
         """Return what stands."""
         await anyio.sleep(0.01)
         if self.cluster.source.random() < 0.1:
-            raise NoQuorum("no majority")
+            raise NoQuorumError("no majority")
         return self.cluster.stands.get(topic)
 
 
@@ -90,7 +92,7 @@
         """`cluster` keeps what stands."""
         self.cluster = cluster
 
-    def get(self, topic: str) -> Decree | Expired | None:
+    def get(self, topic: str) -> Decision | Expired | None:
         """Return what counts now."""
         decree = self.cluster.stands.get(topic)
         return Expired(decree, 0.0) if decree is not None and self.cluster.expired else decree
@@ -107,17 +109,17 @@
         self.kept = SharedDecrees(cluster)
         planner = name in cluster.planners
         self.council = SharedCouncil(cluster) if planner else None
-        self.evidence = Evidence(
+        self.evidence = EvidenceChannel(
             (name, 1),
             cluster.zone_of[name],
             self.spread,
             clock=now_ms,
             source=random.Random(f"{name} {seed}"),
             log=NoLog(),
-            seats=cluster.planners,
-            tells=not planner,
-            collects=planner,
-            most=cluster.most,
+            replicas=cluster.planners,
+            sends_reports=not planner,
+            is_collector=planner,
+            max_gossip_senders=cluster.most,
         )
         self.evidence.send = lambda to, data: cluster.carry(name, to, data)
         self.evidence.members = self.members
@@ -135,12 +137,12 @@
 class Cluster:
     """Six edges and three planners; now and then a zone is lost, a leader changes or decrees end."""
 
-    def __init__(self, seed: int, settings: Zones, regions: dict[str, str]) -> None:
+    def __init__(self, seed: int, settings: FailoverSettings, regions: dict[str, str]) -> None:
         """Draw where evidence goes: by the spread, or to collectors."""
         self.source = source = random.Random(seed)
         self.settings, self.digest = settings, Digest()
         self.entries: dict[tuple[Origin, str], bytes] = {}
-        self.stands: dict[str, Decree] = {}
+        self.stands: dict[str, Decision] = {}
         self.number, self.expired, self.leader = 0, False, "p0"
         self.planners = ["p0", "p1", "p2"]
         self.edges = [f"e{n}" for n in range(6)]
@@ -151,12 +153,12 @@
         self.dead: set[str] = set()
         self.grounds = {name: ProcessGround(self, name, seed) for name in (*self.planners, *self.edges)}
         self.leaders = {
-            name: LeaderZones(settings, self.grounds[name], 10000.0, now_ms, NoLog())
+            name: FailoverLeader(settings, self.grounds[name], 10000.0, now_ms, NoLog())
             for name in self.planners
         }
         self.rooms = {
-            name: EdgeZones(
-                Choice(self.zone_of[name], regions, settings, now_ms(), random.Random(f"{name} {seed}")),
+            name: EdgeFailover(
+                ZoneRouter(self.zone_of[name], regions, settings, now_ms(), random.Random(f"{name} {seed}")),
                 self.grounds[name],
                 now_ms,
                 lambda node: "",
@@ -177,14 +179,14 @@
                 self.zone_of[name],
                 "",
                 "",
-                Life.GONE if name in self.dead else Life.ALIVE,
+                Life.DEAD if name in self.dead else Life.ALIVE,
                 0.0,
-                words.CAPABLE if name in self.planners else b"",
+                messages.CAPABILITY if name in self.planners else b"",
             )
             for name in self.grounds
         )
         for ground in self.grounds.values():
-            ground.evidence.changed()
+            ground.evidence.on_members_changed()
 
     def carry(self, sender: str, to: str, data: bytes) -> None:
         """Carry a datagram; some are lost."""
@@ -214,17 +216,17 @@
             self.expired = not self.expired
         if source.random() < 0.002:
             self.number += 1
-            self.stands[terms.TOPIC] = Decree(terms.TOPIC, self.number, b"\x09newer", 10000.0)
+            self.stands[decision.TOPIC] = Decision(decision.TOPIC, self.number, b"\x09newer", 10000.0)
 
     def _ask(self, name: str) -> None:
-        choice, now = self.rooms[name].choice, now_ms()
-        answer = choice.read(self.names, 1.0, self.source.random() < 0.1, now)
-        if not isinstance(answer, Go):
+        choice, now = self.rooms[name].router, now_ms()
+        answer = choice.route(self.names, 1.0, self.source.random() < 0.1, now)
+        if not isinstance(answer, Route):
             self.digest.add([now, name, answer.retry_after_ms, answer.reason])
             return
         self.digest.add([now, name, answer.zone, answer.tier])
         away = name in self.away.get(answer.zone, ())
-        choice.ended(answer.zone, 1.0, Outcome.NO_CONNECTION if away else Outcome.OK, now, 5.0)
+        choice.record_attempt(answer.zone, 1.0, Outcome.NO_CONNECTION if away else Outcome.OK, now, 5.0)
 
     async def run(self) -> None:
         """Let 40 seconds pass."""
@@ -244,7 +246,7 @@
             group.cancel_scope.cancel()
 
 
-def cluster(seed: int, settings: Zones, regions: dict[str, str]) -> tuple[str, int]:
+def cluster(seed: int, settings: FailoverSettings, regions: dict[str, str]) -> tuple[str, int]:
     """Return the digest of all that happens in a cluster, and how many decrees there were."""
 
     async def run() -> tuple[str, int]:
@@ -276,7 +278,7 @@
         self.answer = [status, [[name.decode(), value.decode()] for name, value in headers], said]
 
 
-def admin_answers(settings: Zones, regions: dict[str, str]) -> list[list[Any]]:
+def admin_answers(settings: FailoverSettings, regions: dict[str, str]) -> list[list[Any]]:
     """Return the answers of the admin port to questions about zones and moves of writes."""
     body = b'{"from":"north","to":"south","may_lose_ms":5,"by":"me"}'
     questions = [
@@ -305,7 +307,7 @@
         found = []
         for seed, name in ((1, "p0"), (1, "e0")):
             one = Cluster(seed, settings, regions)
-            moves = Moves(
+            moves = FailoverAdmin(
                 settings,
                 one.grounds[name],
                 10000.0,
--- a/tests/rig.py
+++ b/tests/rig.py
@@ -2,8 +2,7 @@
 
 import anyio
 
-from cressrock.dispatch.spool import Store
-from cressrock.gateway import Gateway, World
+from cressrock.dispatch.spool import PayloadStore
 from cressrock.lab.client import Client
 from cressrock.lab.day import EPOCH_MS, _Silent, simulate
 from cressrock.lab.hall import Hall
@@ -12,6 +11,7 @@
 from cressrock.lab.node import Rates
 from cressrock.lab.serve import lab_settings
 from cressrock.lab.simnet import SimNet
+from cressrock.programs.gateway import Environment, Gateway
 from cressrock.settings.load import convert
 
 
@@ -26,7 +26,7 @@
         self.group = anyio.create_task_group()
         self.tasks = await self.group.__aenter__()
         self.net = SimNet(self.tasks, self.seed)
-        self.store = Store(memory_bytes=1 << 28, spill_bytes=1 << 20)
+        self.store = PayloadStore(memory_bytes=1 << 28, spill_bytes=1 << 20)
         self.listing = Listing(clock=self.clock, seed=self.seed)
         self.hall = Hall(
             self.tasks,
@@ -50,11 +50,11 @@
         for place, part in self.changes.items():
             value[place] = value.get(place, {}) | part if isinstance(part, dict) else part
         self.settings = convert("rig", value)
-        self.gateway = Gateway(self.settings, World(self.net.connect, self.wall, self.seed, _Silent()))
+        self.gateway = Gateway(self.settings, Environment(self.net.connect, self.wall, self.seed, _Silent()))
         await self.tasks.start(self.gateway.run)
         self.net.listen("gw:80", self.gateway.serve)
         self.client = self.new_client()
-        while self.gateway.ready():
+        while self.gateway.not_ready_reasons():
             await anyio.sleep(0.01)
         return self
 
--- a/tests/test_admin.py
+++ b/tests/test_admin.py
@@ -6,9 +6,9 @@
 import anyio
 import pytest
 
-from cressrock.gateway import Gateway
 from cressrock.observe import admin
-from cressrock.plan import PlannerProgram
+from cressrock.programs.gateway import Gateway
+from cressrock.programs.planner import PlannerProgram
 
 
 class Asked:
--- a/tests/test_benchlink.py
+++ b/tests/test_benchlink.py
@@ -11,8 +11,8 @@
 
 import pytest
 
-from cressrock.benchlink import Link, action_line, settings_from
-from cressrock.interface import Effect, Group, SetTimer
+from cressrock.benchlink import Link, action_line, parse_settings
+from cressrock.interface import DeduplicationScope, Idempotency, SetTimer
 
 ROOT = pathlib.Path(__file__).parent.parent
 CONFIG = {
@@ -124,14 +124,17 @@
 
 def test_settings_name_what_is_missing_or_senseless():
     with pytest.raises(ValueError, match=r"profiles\[0\].goal_time_ms"):
-        settings_from({"profiles": [{"give_up_ms": 10}]})
+        parse_settings({"profiles": [{"give_up_ms": 10}]})
     with pytest.raises(ValueError, match="weight"):
-        settings_from(CONFIG | {"policies": [{"weight": 0}]})
+        parse_settings(CONFIG | {"policies": [{"weight": 0}]})
 
 
 def test_absent_settings_take_the_wires_meaning():
-    made = settings_from({"profiles": [{"goal_time_ms": 10, "give_up_ms": 20}]})
-    assert made.classes[0].effect is Effect.UNSAFE and made.classes[0].group is Group.SHARD
+    made = parse_settings({"profiles": [{"goal_time_ms": 10, "give_up_ms": 20}]})
+    assert (
+        made.classes[0].idempotency is Idempotency.NEVER
+        and made.classes[0].deduplication_scope is DeduplicationScope.SHARD
+    )
     assert made.plans[0].limit_rate == 0 and not made.must_ask and made.budget_window_ms == 0
 
 
--- a/tests/test_brain.py
+++ b/tests/test_brain.py
@@ -4,45 +4,56 @@
 
 import pytest
 
-from cressrock.brain import (
-    DEPTH,
-    GIVE_UP,
-    HALF,
-    LOST,
-    NEVER_RAN,
-    PERIOD_MS,
-    SURELY,
-    WIDEST,
-    Brain,
-)
 from cressrock.interface import (
     Arrival,
+    AttemptEnded,
     Cancel,
     ClientLeft,
-    Effect,
-    Ended,
+    DeduplicationScope,
     Fail,
-    Group,
+    Idempotency,
     ListKind,
     Node,
     NodeList,
     NodeState,
     Outcome,
     Plan,
-    Refuse,
+    Reject,
     RequestClass,
     Send,
     Settings,
     Subscribe,
-    Wake,
+    TimerFired,
+)
+from cressrock.scheduler.scheduler import (
+    DEPTH,
+    GIVE_UP,
+    HALF,
+    LOST,
+    NEVER_RAN,
+    PERIOD_MS,
+    SURELY,
+    WIDEST,
+    Scheduler,
 )
 
-SAFE = RequestClass(aim_ms=300, deadline_ms=1500, worth=3, late_worth=0.1, effect=Effect.REPEATABLE)
+SAFE = RequestClass(
+    latency_objective_ms=300,
+    deadline_ms=1500,
+    priority_weight=3,
+    late_priority_weight=0.1,
+    idempotency=Idempotency.ALWAYS,
+)
 KEYED = RequestClass(
-    aim_ms=500, deadline_ms=4000, worth=2, effect=Effect.KEYED, group=Group.SHARD, repeat_window_ms=1000
+    latency_objective_ms=500,
+    deadline_ms=4000,
+    priority_weight=2,
+    idempotency=Idempotency.KEYED,
+    deduplication_scope=DeduplicationScope.SHARD,
+    deduplication_window_ms=1000,
 )
-UNSAFE = RequestClass(aim_ms=300, deadline_ms=1500, effect=Effect.UNSAFE)
-TURN = RequestClass(aim_ms=300, deadline_ms=1500, effect=Effect.REPEATABLE, in_turn=True)
+UNSAFE = RequestClass(latency_objective_ms=300, deadline_ms=1500, idempotency=Idempotency.NEVER)
+TURN = RequestClass(latency_objective_ms=300, deadline_ms=1500, idempotency=Idempotency.ALWAYS, ordered=True)
 
 
 def settings(**changes):
@@ -73,7 +84,7 @@
 
 def host(depth=1.0, lines=ONE, **changes):
     """Start a host at time 0 with D set, so that an order can be worked out by hand."""
-    brain = Brain(settings(**changes), 7, 0.0)
+    brain = Scheduler(settings(**changes), 7, 0.0)
     brain.act(0.0, [NodeList(ListKind.CACHED, tuple(lines))])
     for node in brain.nodes.values():
         node.depth = depth
@@ -87,7 +98,7 @@
 
 
 def done(name, outcome=Outcome.OK, attempt=0, lag=20.0, elsewhere=0.0):
-    return Ended(name, attempt, outcome, outcome is Outcome.OK, lag, 0, elsewhere)
+    return AttemptEnded(name, attempt, outcome, outcome is Outcome.OK, lag, 0, elsewhere)
 
 
 def sent(actions):
@@ -95,7 +106,7 @@
 
 
 def finals(actions):
-    return [(type(a).__name__, a.request) for a in actions if isinstance(a, (Refuse, Fail))]
+    return [(type(a).__name__, a.request) for a in actions if isinstance(a, (Reject, Fail))]
 
 
 def test_tags_order_volumes_by_units_over_weight():
@@ -161,11 +172,11 @@
     out = next(iter(brain.nodes["a"].out))
     # Other hosts had the node serve 30 units for the volume of the request that is answered now.
     brain.act(2.0, [done(out, lag=1.0, elsewhere=30.0)])
-    brain.act(PERIOD_MS + 1, [Wake(0)])
+    brain.act(PERIOD_MS + 1, [TimerFired(0)])
     flows = brain.lanes[0].flows
     assert flows["a"].compensation == pytest.approx(32.0)
     assert flows["b"].compensation == 0.0
-    brain.act(2 * PERIOD_MS + 2, [Wake(0)])
+    brain.act(2 * PERIOD_MS + 2, [TimerFired(0)])
     assert 0.0 < flows["a"].compensation < 32.0
 
 
@@ -175,9 +186,9 @@
     brain.extra.append(0.0)
     brain.extra.append(0.0)  # no further attempt is allowed any more
     brain.act(1.0, [done("r", Outcome.FULL, lag=1.0)])
-    assert finals(brain.act(90.0, [Wake(0)])) == []
-    assert finals(brain.act(96.5, [Wake(0)])) == [("Refuse", "r")]
-    assert finals(brain.act(200.0, [Wake(0)])) == []
+    assert finals(brain.act(90.0, [TimerFired(0)])) == []
+    assert finals(brain.act(96.5, [TimerFired(0)])) == [("Reject", "r")]
+    assert finals(brain.act(200.0, [TimerFired(0)])) == []
     assert brain.requests == {}
 
 
@@ -187,8 +198,8 @@
         brain = host(lines=())
         brain.act(0.0, [ask("r", cls=1, remaining=remaining)])
         given_up = max(GIVE_UP * remaining, min(aim, HALF * remaining))
-        assert finals(brain.act(given_up - 1, [Wake(0)])) == []
-        assert finals(brain.act(given_up, [Wake(0)])) == [("Refuse", "r")]
+        assert finals(brain.act(given_up - 1, [TimerFired(0)])) == []
+        assert finals(brain.act(given_up, [TimerFired(0)])) == [("Reject", "r")]
         assert given_up < remaining / 2 and brain.requests == {}
 
 
@@ -196,30 +207,30 @@
     brain = host()
     brain.act(0.0, [ask("r", remaining=100.0)])
     for now in (50.0, 97.0, 99.0):
-        assert finals(brain.act(now, [Wake(0)])) == []
-    assert finals(brain.act(100.0, [Wake(0)])) == [("Refuse", "r")]
+        assert finals(brain.act(now, [TimerFired(0)])) == []
+    assert finals(brain.act(100.0, [TimerFired(0)])) == [("Reject", "r")]
 
 
 def test_a_refusal_names_when_the_limit_has_room():
     brain = host(advice_max_ms=2000.0)
     brain.act(0.0, [ask("r", volume="limited", units=8.0, plan=2, remaining=1000.0)])
-    (refused,) = [a for a in brain.act(400.0, [Wake(0)]) if isinstance(a, Refuse)]
-    assert refused.stay_away_ms == pytest.approx(400.0)  # it fills by 10 units a second
+    (refused,) = [a for a in brain.act(400.0, [TimerFired(0)]) if isinstance(a, Reject)]
+    assert refused.retry_after_ms == pytest.approx(400.0)  # it fills by 10 units a second
 
 
 def test_no_refusal_calls_a_client_back_at_once():
     brain = host(advice_max_ms=2000.0, lines=(Node("a", 0),))
     brain.nodes["a"].closed_until = 1e9
     brain.act(0.0, [ask("r", remaining=100.0)])
-    (refused,) = [a for a in brain.act(50.0, [Wake(0)]) if isinstance(a, Refuse)]
-    assert refused.stay_away_ms == PERIOD_MS
+    (refused,) = [a for a in brain.act(50.0, [TimerFired(0)]) if isinstance(a, Reject)]
+    assert refused.retry_after_ms == PERIOD_MS
 
 
 def test_a_request_that_is_out_is_failed_at_its_deadline_without_an_outcome():
     brain = host()
     brain.act(0.0, [ask("r", cls=2, remaining=100.0)])
-    assert finals(brain.act(97.0, [Wake(0)])) == []
-    assert finals(brain.act(101.0, [Wake(0)])) == [("Fail", "r")]
+    assert finals(brain.act(97.0, [TimerFired(0)])) == []
+    assert finals(brain.act(101.0, [TimerFired(0)])) == [("Fail", "r")]
     assert sent(brain.act(102.0, [done("r", Outcome.TIMEOUT, lag=102.0)])) == []
     assert brain.requests == {}
 
@@ -229,7 +240,7 @@
     brain = host()
     brain.act(0.0, [ask("r", cls=2)])
     actions = brain.act(1.0, [done("r", outcome, lag=1.0)])
-    actions += brain.act(700.0, [Wake(0)])
+    actions += brain.act(700.0, [TimerFired(0)])
     if outcome in NEVER_RAN:
         assert sent(actions) == ["r"]
     else:
@@ -248,7 +259,7 @@
     actions = brain.act(2.0, [done("r", Outcome.RESET, lag=2.0)])
     assert sent(actions) == []
     for now in range(100, 1200, 50):
-        actions += brain.act(float(now), [Wake(0)])
+        actions += brain.act(float(now), [TimerFired(0)])
     assert sent(actions) == []
     assert finals(actions) == [("Fail", "r")]
 
@@ -267,13 +278,13 @@
         brain.act(0.0, [NodeList(ListKind.CHANGES, (line,))])
         actions = brain.act(0.0, [ask("r")])
         for now in (100.0, 1000.0, 1497.0):
-            actions += brain.act(now, [Wake(0)])
+            actions += brain.act(now, [TimerFired(0)])
         assert sent(actions) == []
-        assert finals(actions) == [("Refuse", "r")]
+        assert finals(actions) == [("Reject", "r")]
 
 
 def test_a_cold_node_gets_this_hosts_part_and_more_as_it_warms():
-    line = Node("a", 0, up_since_ms=1.0)
+    line = Node("a", 0, started_at_ms=1.0)
     brain = host(lines=(line,), hosts=2)
     units = {now: 0.0 for now in range(0, 12000, 500)}
     for now in units:
@@ -298,8 +309,8 @@
     # The earlier one is over by the client's leaving but still out: the later one waits.
     assert sent(brain.act(1.0, [ClientLeft("r1")])) == []
     assert sent(brain.act(2.0, [done("r1", Outcome.TIMEOUT, lag=2.0)])) == []
-    assert sent(brain.act(150.0, [Wake(0)])) == []
-    later = brain.act(203.0, [Wake(0)]) + brain.act(300.0, [Wake(0)])
+    assert sent(brain.act(150.0, [TimerFired(0)])) == []
+    later = brain.act(203.0, [TimerFired(0)]) + brain.act(300.0, [TimerFired(0)])
     assert sent(later) == ["r2"]
 
 
@@ -308,7 +319,7 @@
     brain.act(0.0, [ask("r1"), ask("r2")])
     actions = []
     for step in range(60):
-        events = [Wake(0)]
+        events = [TimerFired(0)]
         for request in list(brain.nodes["a"].out.values()):
             name = request.arrival.request
             events.append(done(name, Outcome.FULL, request.attempts - 1, 1.0))
@@ -336,7 +347,7 @@
     # Filling at 5 units a second, the limit pays for 8 units only after the aim of 300 ms.
     actions = brain.act(0.0, [ask("old", plan=2, units=8.0, writers=2, remaining=12000.0)])
     for now in range(20, 1800, 20):
-        actions += brain.act(float(now), [Wake(0)])
+        actions += brain.act(float(now), [TimerFired(0)])
     assert sent(actions) == [] and brain.volumes["v"].limit > 8.0
     assert sent(brain.act(1800.0, [ask("new", plan=2, units=2.0, writers=2)])) == ["new"]
 
@@ -376,12 +387,12 @@
 
 
 def test_a_failing_list_is_asked_again_with_growing_waits():
-    brain = Brain(settings(must_ask=True, ask_every_ms=10000.0), 3, 0.0)
+    brain = Scheduler(settings(must_ask=True, ask_every_ms=10000.0), 3, 0.0)
     asked, now = [], 0.0
     brain.act(0.0, [NodeList(ListKind.CACHED, (Node("a", 0),))])
     while now < 20000.0:
         now += 20.0
-        if any(isinstance(a, Subscribe) for a in brain.act(now, [Wake(0)])):
+        if any(isinstance(a, Subscribe) for a in brain.act(now, [TimerFired(0)])):
             asked.append(now)
             brain.act(now, [NodeList(ListKind.FAILED)])
     gaps = [b - a for a, b in zip(asked, asked[1:], strict=False)]
@@ -389,7 +400,7 @@
 
 
 def test_new_objects_avoid_cold_closed_and_missing_nodes():
-    lines = (Node("a", 0, up_since_ms=900.0), Node("b", 1), Node("c", 2, state=NodeState.DRAINING))
+    lines = (Node("a", 0, started_at_ms=900.0), Node("b", 1), Node("c", 2, state=NodeState.DRAINING))
     brain = host(depth=9.0, lines=lines)
     actions = brain.act(1000.0, [ask(f"r{i}", shard=-1) for i in range(6)])
     assert {a.node for a in actions if isinstance(a, Send)} == {"b"}
@@ -402,7 +413,7 @@
     brain.act(10.0, [NodeList(ListKind.CHANGES, (Node("old", 0, state=NodeState.DRAINING),))])
     actions = brain.act(20.0, [done("r0", Outcome.RESET, lag=20.0)])
     assert sent(actions) == []
-    fresh = Node("new", 0, up_since_ms=15.0)
+    fresh = Node("new", 0, started_at_ms=15.0)
     actions = brain.act(1500.0 - 300, [NodeList(ListKind.CHANGES, (fresh,))])
     assert [a.node for a in actions if isinstance(a, Send)] == ["new"]
 
@@ -420,7 +431,13 @@
     brain = host()
     before = brain.act(0.0, [])
     assert finals(before) == []
-    odd = [done("none"), ClientLeft("none"), Wake(99), NodeList(ListKind.CHANGES), NodeList(ListKind.FAILED)]
+    odd = [
+        done("none"),
+        ClientLeft("none"),
+        TimerFired(99),
+        NodeList(ListKind.CHANGES),
+        NodeList(ListKind.FAILED),
+    ]
     assert sent(brain.act(1.0, odd)) == []
     assert sent(brain.act(2.0, [NodeList(ListKind.COMPLETE), ask("r")])) == []
 
@@ -430,7 +447,7 @@
     [
         (lambda: Plan(weight=0), "weight"),
         (lambda: Plan(limit_rate=-1), "limit_rate"),
-        (lambda: RequestClass(aim_ms=0, deadline_ms=1), "aim_ms"),
+        (lambda: RequestClass(latency_objective_ms=0, deadline_ms=1), "latency_objective_ms"),
         (lambda: settings(hosts=0), "hosts"),
         (lambda: settings(warm_up_ms=float("nan")), "warm_up_ms"),
     ],
@@ -462,7 +479,7 @@
 def test_a_silence_of_all_attempts_is_not_taken_for_lost_answers():
     brain = host(depth=4.0, may_cancel=True)
     brain.act(0.0, [ask(f"r{i}") for i in range(4)])
-    actions = brain.act(200.0, [Wake(0)])
+    actions = brain.act(200.0, [TimerFired(0)])
     assert not any(isinstance(a, Cancel) for a in actions)
     assert len(brain.nodes["a"].out) == 4
 
@@ -474,7 +491,7 @@
         brain = host(depth=10.0, plans=(metered,), meter_period_ms=1000.0)
         brain.act(0.0, [ask("first", units=8.0, writers=4, remaining=100.0)])
         assert sent(brain.act(900.0, [ask("r", units=2.0, writers=4)])) == ["r"]
-        brain.act(920.0, [Ended("r", 0, Outcome.OK, True, 20.0, used)])
+        brain.act(920.0, [AttemptEnded("r", 0, Outcome.OK, True, 20.0, used)])
         assert brain.volumes["v"].limit == pytest.approx(10 / 4 * 0.92 - 2)
 
 
@@ -482,7 +499,7 @@
     """Danger: drawn now and held on the way, it arrives beside a part that has filled again."""
     brain = host(depth=10.0)
     brain.act(0.0, [ask("first", plan=2, units=1.0, writers=2)])
-    brain.act(10000.0, [Wake(0), *[ask(f"r{i}", plan=2, units=2.0, writers=2) for i in range(3)]])
+    brain.act(10000.0, [TimerFired(0), *[ask(f"r{i}", plan=2, units=2.0, writers=2) for i in range(3)]])
     volume = brain.volumes["v"]
     held = volume.due
     assert held == 6.0
@@ -499,8 +516,8 @@
     brain.act(5000.0, [ask("r", plan=2, units=2.0, writers=2)])
     volume = brain.volumes["v"]
     before, at = volume.limit, volume.at
-    outcome = Outcome.RESET if reached is not False else Outcome.MOOT
-    actions = brain.act(5000.0, [Ended("r", 0, outcome, False, 1.0, reached=reached)])
+    outcome = Outcome.RESET if reached is not False else Outcome.ABANDONED
+    actions = brain.act(5000.0, [AttemptEnded("r", 0, outcome, False, 1.0, charged=reached)])
     assert sent(actions) == ["r"] and volume.at == at
     assert volume.limit == pytest.approx(before - after)
     assert volume.due == (2.0 if reached is not True else 0.0)
@@ -523,7 +540,7 @@
             now = 1000.0 * step
             names = sent(brain.act(now, [ask(f"r{step}")]))
             brain.act(now + 100, [ClientLeft(name) for name in names])
-            brain.act(now + 101, [Ended(n, 0, Outcome.CANCELLED, True, 101.0) for n in names])
+            brain.act(now + 101, [AttemptEnded(n, 0, Outcome.CANCELLED, True, 101.0) for n in names])
         assert node.ratio > 0.4 and node.depth < 1
 
 
@@ -571,11 +588,11 @@
     rng = random.Random(5)
     brains = []
     for seed in range(hosts):
-        brain = Brain(settings(hosts=hosts, classes=classes, cold_bears=bears), seed, 0.0)
+        brain = Scheduler(settings(hosts=hosts, classes=classes, cold_bears=bears), seed, 0.0)
         brain.act(0.0, [NodeList(ListKind.CACHED, tuple(Node(f"n{i}", i) for i in range(shards)))])
         brains.append(brain)
     sends, told, count = [], [rng.uniform(10000, 12000) for _ in brains], 0
-    fresh = Node("fresh", 0, up_since_ms=10000.0)
+    fresh = Node("fresh", 0, started_at_ms=10000.0)
     out = [[] for _ in brains]
     for now in range(100, 20000, 50):
         for host_number, brain in enumerate(brains):
@@ -601,7 +618,7 @@
     """Start a host among hundreds, past its first window, whose node 0 is cold since 10 s."""
     figures = {"hosts": 200, "cold_bears": 2.0, "warm_up_ms": 18000.0}
     brain = host(lines=[Node(f"n{i}", i) for i in range(20)], **(figures | changes))
-    fresh = Node("fresh", 0, up_since_ms=10000.0)
+    fresh = Node("fresh", 0, started_at_ms=10000.0)
     brain.act(10000.0, [NodeList(ListKind.CHANGES, (Node("n0", 0, state=NodeState.GONE), fresh))])
     return brain
 
@@ -614,7 +631,7 @@
     assert sent(brain.act(10100.0, [large])) == []
     assert sent(brain.act(10200.0, [ask("small", units=2.0, remaining=60000.0)])) == ["small"]
     brain.act(10300.0, [done("small")])
-    assert sent(brain.act(11900.0, [Wake(0)])) == []
+    assert sent(brain.act(11900.0, [TimerFired(0)])) == []
     # It bears 4 units as its warming has gone on by a quarter of what it lacks.
     assert sent(brain.act(16000.0, [ask("later", units=4.0, remaining=60000.0)])) == ["later"]
 
@@ -629,7 +646,7 @@
             brain.act(10100.5 + step, [done(name, lag=0.5)])
         for step in range(asks):
             brain.act(10200.0 + step, [ask(f"h{step}", shard=shard, remaining=1.0)])
-            brain.act(10205.0 + step, [Wake(0)])
+            brain.act(10205.0 + step, [TimerFired(0)])
         brain.act(10700.0, [ask("r", shard=0)])
         drawn.append(brain.nodes["fresh"].drawn)
     assert drawn[0] < drawn[1] / 4
@@ -753,7 +770,7 @@
         brain.act(20.0, [done("first", lag=20.0)])
         assert node.depth == 1.0 and node.wide == 8.0
         brain.act(21.0, [ask("second")])
-        brain.act(22.0, [Ended("second", 0, outcome, False, 1.0)])
+        brain.act(22.0, [AttemptEnded("second", 0, outcome, False, 1.0)])
         assert bool(node.wide) is kept
 
 
@@ -778,7 +795,7 @@
             brain.act(now, [ask(f"{name}-{step}")])
             brain.act(now + 20.0, [done(f"{name}-{step}")])
         assert name in brain.nodes["a"].strays
-        brain.act(now + 25.0, [Ended(name, 0, outcome, True, 1225.0)])
+        brain.act(now + 25.0, [AttemptEnded(name, 0, outcome, True, 1225.0)])
         now += 30.0
 
     brain.act(now, [ask("first")])
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from cressrock.errors.lab import CapacityMalformed, CapacityUnfit
+from cressrock.errors.lab import MalformedMeasurementError, MissingMeasurementError
 from cressrock.lab import capacity
 from cressrock.lab.capacity import Measurement, Point
 
@@ -55,7 +55,7 @@
     ],
 )
 def test_a_bad_line_is_named_with_file_and_number(line, told):
-    with pytest.raises(CapacityMalformed) as wrong:
+    with pytest.raises(MalformedMeasurementError) as wrong:
         capacity.read([json.dumps(one()), line], "capacity.jsonl")
     assert "capacity.jsonl, line 2" in str(wrong.value)
     assert told in str(wrong.value)
@@ -65,7 +65,7 @@
     "over", [{"unit": "KB/s"}, {"role": "planner"}, {"scene": "zone"}, {"of": "servers"}]
 )
 def test_a_row_that_changes_its_meaning_is_refused(over):
-    with pytest.raises(CapacityMalformed, match="line 3.*line 1"):
+    with pytest.raises(MalformedMeasurementError, match="line 3.*line 1"):
         capacity.read([json.dumps(one()), json.dumps(one(seed=2)), json.dumps(one(seed=3, **over))])
 
 
@@ -133,9 +133,9 @@
     assert found.law.name == "constant"
     assert found.residual > 1
     assert "no law" in capacity.law(found)
-    with pytest.raises(CapacityUnfit):
+    with pytest.raises(MissingMeasurementError):
         capacity.fit([])
-    with pytest.raises(CapacityUnfit):
+    with pytest.raises(MissingMeasurementError):
         capacity.at_size([])
 
 
--- a/tests/test_capacity_local.py
+++ b/tests/test_capacity_local.py
@@ -14,8 +14,8 @@
 import msgspec
 import pytest
 
-from cressrock.council import decrees as d
-from cressrock.errors.lab import CapacityUnfit
+from cressrock.consensus import decisions as d
+from cressrock.errors.lab import MissingMeasurementError
 from cressrock.lab import capacity, capacity_page
 from cressrock.lab import localcost as lc
 from cressrock.lab import localcost_fleet as fleet
@@ -124,9 +124,9 @@
         ledger = state._ledger(n)
 
         def one():
-            ledger.take("new", "x", state.CLASS, 4000.0, 0.0)
+            ledger.accept("new", "x", state.CLASS, 4000.0, 0.0)
             ledger.send("new", "s0", 0.0)
-            ledger.ended("new", 0, state.Outcome.OK)
+            ledger.record_outcome("new", 0, state.Outcome.OK)
 
         return lc.calls(one)
 
@@ -212,7 +212,7 @@
     def steps(n):
         it = state._decrees(n)
         data = state._decide(3, it.applied)
-        return lc.lines(lambda: (it.apply(it.applied + 1, data), it.all()))
+        return lc.lines(lambda: (it.apply(it.applied + 1, data), it.all_decisions()))
 
     with pytest.raises(AssertionError, match="grows with size"):
         flat(steps)
@@ -221,7 +221,7 @@
 def test_a_decree_is_as_many_bytes_on_its_way_whatever_stands():
     def size(n):
         it = state._decrees(n)
-        return len(d.encode(it.all()[0]))
+        return len(d.encode(it.all_decisions()[0]))
 
     flat(size)
 
@@ -274,7 +274,7 @@
 @pytest.mark.parametrize("sentence", ["{a.c}", "{a.b@77}"])
 def test_a_sentence_without_its_run_is_refused(sentence):
     held = capacity.rows([measured("a.b", n, 2.0 * n) for n in (1000, 5000, 10000)])
-    with pytest.raises(CapacityUnfit, match=r"a\.[bc]"):
+    with pytest.raises(MissingMeasurementError, match=r"a\.[bc]"):
         page.filled(sentence, held)
 
 
--- a/tests/test_capacity_page.py
+++ b/tests/test_capacity_page.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from cressrock.errors.lab import CapacityUnfit
+from cressrock.errors.lab import MissingMeasurementError
 from cressrock.lab import capacity, capacity_page
 from cressrock.lab.capacity import Measurement
 from cressrock.lab.localcost_rows import VERDICTS
@@ -135,5 +135,5 @@
 
 
 def test_a_marker_that_is_not_known_is_an_error():
-    with pytest.raises(CapacityUnfit, match="moon"):
+    with pytest.raises(MissingMeasurementError, match="moon"):
         capacity_page.page([], "<!-- figures: moon -->\n<!-- end of figures -->")
--- a/tests/test_capacity_small.py
+++ b/tests/test_capacity_small.py
@@ -7,12 +7,12 @@
 
 import pytest
 
-from cressrock.fleet.members import MembersSettings
-from cressrock.fleet.spread import Spread, SpreadSettings
+from cressrock.failover import carrier as zones_carrier
+from cressrock.gossip.store import GossipStore, GossipStoreSettings
 from cressrock.lab import capacity, hollow_turns
 from cressrock.lab.capacity import Point
 from cressrock.lab.hollow import HEADERS, HollowFleet, Size
-from cressrock.zones import carrier as zones_carrier
+from cressrock.membership.membership import MembershipSettings
 
 SIZES = (64, 128, 256, 512)
 FEW = (32, 64, 128, 256)  # are enough to see something broken
@@ -53,7 +53,7 @@
 def test_in_calm_nothing_that_a_process_sends_or_keeps_waiting_grows():
     runs = [(n, run(n)) for n in SIZES]
     assert growing(runs) == {}
-    bound = SpreadSettings().calm_digest
+    bound = GossipStoreSettings().idle_digest_bytes
     for _, found in runs:
         assert found["digest bytes a second"] / found["digests a second"] <= bound + HEADERS
 
@@ -70,10 +70,10 @@
 def test_the_spread_is_told_who_is_admitted_when_that_changes_and_not_in_each_round():
     calls = []
 
-    class Counting(Spread):
+    class Counting(GossipStore):
         def admit(self, origins):
             calls.append(len(origins))
-            super().admit(origins)
+            super().retain_origins(origins)
 
     fleet = HollowFleet(Size(12, 1, loss=0.0), make_spread=Counting)
     fleet.run(3000)
@@ -82,7 +82,7 @@
     fleet.run(8000)
     assert set(calls) <= set(range(1, 13)) and 12 < len(calls) <= 12 + 11 + 12
     for host in fleet.members:
-        assert host.spread._lives["edge-0005"] == fleet.members[5].members.me.life
+        assert host.spread._lives["edge-0005"] == fleet.members[5].members.local.process_incarnation
 
 
 def test_an_edge_that_hears_one_word_looks_at_nobody_elses():
@@ -91,34 +91,34 @@
 
         def __init__(self):
             self.spread = hollow_turns.spread_of(30)
-            self.spread.get = lambda key: pytest.fail("looked at everybody")
+            self.spread.values = lambda key: pytest.fail("looked at everybody")
             self.evidence, self.collected = self, []
 
         def heard(self, origin, key, value):
             self.collected.append((origin, key))
 
     ground = Ground()
-    heard = zones_carrier._Evidence(hollow_turns.zones_of(30), ground, lambda: 0.0)
+    heard = zones_carrier.EvidenceFeed(hollow_turns.zones_of(30), ground, lambda: 0.0)
     for origin in list(ground.spread._states)[:7]:
-        heard.heard(origin, hollow_turns.WORD)
-        heard.heard(origin, "decree/zones")
-    assert len(heard.all.beats()) == 7
+        heard.on_gossip_change(origin, hollow_turns.WORD)
+        heard.on_gossip_change(origin, "decree/zones")
+    assert len(heard.evidence.latest_intervals()) == 7
     assert ground.collected == [(o, hollow_turns.WORD) for o in list(ground.spread._states)[:7]]
     ground.spread.merge(removed(ground.spread, "edge-0003"))
-    heard.heard(("edge-0003", hollow_turns.FIRST_LIFE + 3), hollow_turns.WORD)
-    assert heard.all.words(0.0)[("edge-0003", hollow_turns.FIRST_LIFE + 3)] == {}
+    heard.on_gossip_change(("edge-0003", hollow_turns.FIRST_LIFE + 3), hollow_turns.WORD)
+    assert heard.evidence.reports(0.0)[("edge-0003", hollow_turns.FIRST_LIFE + 3)] == {}
 
 
 def removed(spread, name):
     """Return the bytes by which another removes its word."""
     life = dict(spread._order)[name]
-    other = Spread(name, life, spread.settings, random.Random(1))
+    other = GossipStore(name, life, spread.settings, random.Random(1))
     other.put(hollow_turns.WORD, b"x")
     other.remove(hollow_turns.WORD)
-    return other.fresh(1000)
+    return other.recent_changes(1000)
 
 
-class Everybody(Spread):
+class Everybody(GossipStore):
     """A digest that names everybody."""
 
     def digest(self, max_bytes):
@@ -127,7 +127,7 @@
 
 
 def test_a_digest_that_names_a_quarter_of_everybody_is_found():
-    class Part(Spread):
+    class Part(GossipStore):
         def digest(self, max_bytes):
             self._lagging = 1
             return super().digest(22 * len(self._order) // 4 + 120)
@@ -144,5 +144,5 @@
 
 
 def test_probes_that_grow_with_the_members_are_found():
-    runs = [(n, run(n, members=MembersSettings(probes=n // 16))) for n in FEW]
+    runs = [(n, run(n, members=MembershipSettings(probes_per_period=n // 16))) for n in FEW]
     assert growing(runs)["pings a second"].startswith("n:")
--- a/tests/test_cold.py
+++ b/tests/test_cold.py
@@ -7,11 +7,10 @@
 
 import pytest
 
-from cressrock.brain import Brain
 from cressrock.interface import (
     Arrival,
-    Effect,
-    Ended,
+    AttemptEnded,
+    Idempotency,
     ListKind,
     Node,
     NodeList,
@@ -22,9 +21,10 @@
     Send,
     Settings,
 )
+from cressrock.scheduler.scheduler import Scheduler
 
 BORN, WARM, WINDOW, FROM = 10000.0, 10000.0, 1000.0, 0.2
-READ = RequestClass(aim_ms=1000, deadline_ms=5000, effect=Effect.REPEATABLE)
+READ = RequestClass(latency_objective_ms=1000, deadline_ms=5000, idempotency=Idempotency.ALWAYS)
 SHARDS = 4
 
 
@@ -44,7 +44,7 @@
         cold_window_ms=WINDOW,
         cold_bears=bears,
     )
-    brains = [Brain(told, 1000 + number, 0.0) for number in range(hosts)]
+    brains = [Scheduler(told, 1000 + number, 0.0) for number in range(hosts)]
     for brain in brains:
         brain.act(0.0, [NodeList(ListKind.CACHED, tuple(Node(f"n{i}", i) for i in range(SHARDS)))])
     return brains
@@ -62,7 +62,7 @@
     rates = [rate * SHARDS * weight / sum(weights) for weight in weights]
     news = [
         [
-            (BORN + rng.uniform(50, late), Node("fresh", 0, up_since_ms=BORN)),
+            (BORN + rng.uniform(50, late), Node("fresh", 0, started_at_ms=BORN)),
             (BORN - 1000, Node("n0", 0, state=NodeState.GONE)),
         ]
         for _ in brains
@@ -75,7 +75,7 @@
             events = []
             while out[number] and out[number][0][0] <= now:
                 _, name, attempt, outcome, at = heapq.heappop(out[number])
-                events.append(Ended(name, attempt, outcome, outcome is Outcome.OK, now - at))
+                events.append(AttemptEnded(name, attempt, outcome, outcome is Outcome.OK, now - at))
             while news[number] and news[number][-1][0] <= now:
                 events.append(NodeList(ListKind.CHANGES, (news[number].pop()[1],)))
             due = rates[number] * burst * 0.04
