--- a/tests/test_collect.py
+++ b/tests/test_collect.py
@@ -9,26 +9,31 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from cressrock.collect import collector as co
-from cressrock.collect import teller as te
-from cressrock.collect import words as w
-from cressrock.collect.carrier import Evidence
-from cressrock.errors.collect import CollectError, CollectMalformed, CollectTooLarge, CollectVersion
-from cressrock.errors.spread import SpreadOriginFull
-from cressrock.fleet.members import Member
-from cressrock.fleet.messages import State as Life
+from cressrock.aggregation import collector as co
+from cressrock.aggregation import messages as w
+from cressrock.aggregation import sender as te
+from cressrock.aggregation.channel import EvidenceChannel
+from cressrock.errors.aggregation import (
+    AggregationError,
+    MalformedAggregationMessageError,
+    ReportTooLargeError,
+    UnsupportedAggregationVersionError,
+)
+from cressrock.errors.gossip import OriginFullError
+from cressrock.failover import evidence as ev
+from cressrock.failover.decision import FailoverSettings, ZoneSettings, ZoneState
+from cressrock.failover.evaluation import EvaluationMemory, evaluate
+from cressrock.failover.evidence import FleetEvidence, ZoneHealth, ZoneReport
+from cressrock.failover.summary import ReportSummarizer, ReportView, SummaryView, ZoneMark, ZoneMember
 from cressrock.lab.collectsim import CollectSim, figures, turns
 from cressrock.lab.zonesim import Scene, ZoneSim
+from cressrock.membership.membership import Member
+from cressrock.membership.packets import MemberState as Life
 from cressrock.rollout import evidence as re
-from cressrock.rollout import stages as rs
+from cressrock.rollout import lifecycle as rs
 from cressrock.rollout import verdict as rv
-from cressrock.zones import evidence as ev
-from cressrock.zones.evidence import All, Said, Word
-from cressrock.zones.sums import Mark, Summed, Sums, Told, Who
-from cressrock.zones.terms import State, Zone, Zones
-from cressrock.zones.verdict import Memory, weigh
 
-TIMES = te.Times()
+TIMES = te.AggregationTimings()
 
 
 class Listed:
@@ -57,11 +62,11 @@
 
 
 def edge(number, zone="a", life=1, alive=True):
-    return co.Peer(f"e{number}", life, zone, alive, True, True, False)
+    return co.MemberInfo(f"e{number}", life, zone, alive, True, True, False)
 
 
 def seat(name, collects=True):
-    return co.Peer(name, 1, "x", True, True, False, collects)
+    return co.MemberInfo(name, 1, "x", True, True, False, collects)
 
 
 class Two:
@@ -70,10 +75,10 @@
     def __init__(self, source, tellers, zone="a", loss=0.0):
         self.source, self.now, self.loss = source, 0.0, loss
         self.peers = [*(edge(n, zone) for n in range(tellers)), seat("p0"), seat("p1"), seat("p2", False)]
-        self.seats = {n: co.Collect((n, 1), TIMES, Listed(), 0.0) for n in ("p0", "p1", "p2")}
+        self.seats = {n: co.ReportCollector((n, 1), TIMES, Listed(), 0.0) for n in ("p0", "p1", "p2")}
         self.zone = zone
         for one in self.seats.values():
-            one.roster(self.peers, ["p0", "p1", "p2"], 0.0)
+            one.update_members(self.peers, ["p0", "p1", "p2"], 0.0)
 
     def carry(self, sender, sends):
         """Carry what goes out, and what goes out for that; some is lost, some comes twice."""
@@ -90,13 +95,13 @@
     def go(self, ms):
         end = self.now + ms
         while self.now < end:
-            self.now += TIMES.tell_ms
+            self.now += TIMES.summary_interval_ms
             for name in sorted(self.seats):
                 self.carry(name, self.seats[name].tick(self.now))
 
     def view(self):
-        found = self.seats["p2"].merged.chosen(self.now)
-        return json.loads(found[self.zone].summary.parts["all"]) if self.zone in found else {}
+        found = self.seats["p2"].summaries.current(self.now)
+        return json.loads(found[self.zone].summary.sums["all"]) if self.zone in found else {}
 
 
 @settings(max_examples=60, deadline=None)
@@ -112,7 +117,7 @@
             number += 1
             key, value = f"k{source.randrange(3)}", source.choice([None, bytes([source.randrange(256)])])
             newest.setdefault(f"e{n}", {})[key] = value
-            entry = w.Entry(key, number, value)
+            entry = w.ReportEntry(key, number, value)
             told.add((f"e{n}@1", key, value.hex() if value is not None else None))
             # The newest of each key arrives somewhere; older ones may be lost, come again, or come later.
             tellings.append((f"e{n}", entry))
@@ -124,9 +129,9 @@
     source.shuffle(late)
     for number, (name, entry) in enumerate(late):
         for collector in source.sample(["p0", "p1"], source.randint(1, 2)):
-            net.seats[collector].receive(net.now, name, 1, w.Tell(number, [entry]))
+            net.seats[collector].receive(net.now, name, 1, w.Report(number, [entry]))
         if source.random() < 0.3:
-            net.go(TIMES.tell_ms)
+            net.go(TIMES.summary_interval_ms)
             # On the way too: nobody is counted twice, and nothing that nobody said.
             for one, said in net.view().items():
                 assert all((one, key, value) in told for key, value in said.items()), seed
@@ -139,85 +144,89 @@
     }
     assert net.view() == wanted, seed
     owner = net.seats["p0"].owner(net.zone)[0]
-    assert net.seats[owner].held() == tellers
-    assert net.seats["p1" if owner == "p0" else "p0"].held() == 0, "who does not collect it holds nothing"
+    assert net.seats[owner].origin_count() == tellers
+    assert net.seats["p1" if owner == "p0" else "p0"].origin_count() == 0, (
+        "who does not collect it holds nothing"
+    )
 
 
 def test_summaries_of_one_zone_are_never_added_and_an_old_one_lapses():
-    merged = co.Merged(TIMES)
+    merged = co.MergedSummaries(TIMES)
     a, b = ("p0", 1), ("p1", 1)
 
     def said(number, tellers, recent, **more):
-        return w.Summary("z", number, tellers, recent, 10, 0.0, [], {"k": str(tellers).encode()}, **more)
-
-    merged.take(0.0, a, said(5, 10, 4))
-    merged.take(0.0, b, said(9, 3, 3))
-    merged.take(1.0, a, said(4, 2, 9))  # older: it changes nothing
-    assert merged.parts(10.0) == {"z": {"k": b"10"}}
-    merged.take(500.0, b, said(10, 6, 5))
-    assert merged.chosen(600.0)["z"].by == b, "who hears more of late is taken"
-    assert merged.chosen(1400.0)["z"].by == b
-    assert merged.chosen(2000.0) == {}
+        return w.ZoneSummary("z", number, tellers, recent, 10, 0.0, [], {"k": str(tellers).encode()}, **more)
+
+    merged.receive(0.0, a, said(5, 10, 4))
+    merged.receive(0.0, b, said(9, 3, 3))
+    merged.receive(1.0, a, said(4, 2, 9))  # older: it changes nothing
+    assert merged.sums(10.0) == {"z": {"k": b"10"}}
+    merged.receive(500.0, b, said(10, 6, 5))
+    assert merged.current(600.0)["z"].collector == b, "who hears more of late is taken"
+    assert merged.current(1400.0)["z"].collector == b
+    assert merged.current(2000.0) == {}
     # One in pieces counts once all of them are there, in whatever order.
-    merged.take(3000.0, a, said(20, 4, 4, index=1, of=2))
-    assert merged.chosen(3000.0) == {}
-    merged.take(3000.0, a, said(20, 4, 4, index=0, of=2))
-    assert merged.chosen(3000.0)["z"].by == a
-    merged.keep([b])
-    assert merged.chosen(3000.0) == {}
+    merged.receive(3000.0, a, said(20, 4, 4, index=1, of=2))
+    assert merged.current(3000.0) == {}
+    merged.receive(3000.0, a, said(20, 4, 4, index=0, of=2))
+    assert merged.current(3000.0)["z"].collector == a
+    merged.retain([b])
+    assert merged.current(3000.0) == {}
 
 
 def test_a_collector_that_stood_still_forgets_and_asks_for_everything():
     net = Two(random.Random(1), 3)
     owner = net.seats[net.seats["p0"].owner("a")[0]]
-    owner.receive(0.0, "e1", 1, w.Tell(1, [w.Entry("k", 1, b"x")]))
+    owner.receive(0.0, "e1", 1, w.Report(1, [w.ReportEntry("k", 1, b"x")]))
     net.go(500)
-    assert owner.held() == 1
+    assert owner.origin_count() == 1
     late = net.now + 5000
     # What lay in its socket meanwhile is of unknown age.
-    assert owner.receive(late, "e2", 1, w.Tell(1, [w.Entry("k", 1, b"y")])) == []
-    assert owner.held() == 0 and owner.tick(late + 100) == []
+    assert owner.receive(late, "e2", 1, w.Report(1, [w.ReportEntry("k", 1, b"y")])) == []
+    assert owner.origin_count() == 0 and owner.tick(late + 100) == []
     for step in range(20):
         sends = owner.tick(late + 200 + step * 100)
         if sends:
             break
-    pushes = {out.name for out in sends if isinstance(out.message, w.Got) and out.message.whole}
+    pushes = {
+        out.recipient for out in sends if isinstance(out.message, w.ReportAck) and out.message.resend_all
+    }
     assert pushes == {"e0", "e1", "e2"}
     asked = Counter()
     for step in range(200):  # and not again and again
         now = late + 3000 + step * 250
         for out in owner.tick(now):
-            asked[out.name] += isinstance(out.message, w.Got)
-            if isinstance(out.message, w.Got) and out.name != "e2":
-                answers = owner.receive(now, out.name, 1, w.Tell(step, []))
-                assert not answers[0].message.whole
+            asked[out.recipient] += isinstance(out.message, w.ReportAck)
+            if isinstance(out.message, w.ReportAck) and out.recipient != "e2":
+                answers = owner.receive(now, out.recipient, 1, w.Report(step, []))
+                assert not answers[0].message.resend_all
     assert asked["e0"] <= 1 and asked["e1"] <= 1 and 1 < asked["e2"] <= 22, asked
 
 
 def test_words_of_the_unknown_the_dead_and_former_lives_are_not_kept():
     net = Two(random.Random(1), 3)
     one = net.seats["p0"]
-    entry = [w.Entry("k", 1, b"x")]
-    assert one.receive(1.0, "nobody", 1, w.Tell(1, entry)) == []
-    assert one.receive(1.0, "e1", 0, w.Tell(1, entry)) == []
-    assert one.receive(1.0, "e1", 1, w.Tell(1, entry)) != []
-    assert one.held() == 1
-    one.roster([edge(1, life=2), *net.peers[3:]], ["p0"], 2.0)
-    assert one.held() == 0
+    entry = [w.ReportEntry("k", 1, b"x")]
+    assert one.receive(1.0, "nobody", 1, w.Report(1, entry)) == []
+    assert one.receive(1.0, "e1", 0, w.Report(1, entry)) == []
+    assert one.receive(1.0, "e1", 1, w.Report(1, entry)) != []
+    assert one.origin_count() == 1
+    one.update_members([edge(1, life=2), *net.peers[3:]], ["p0"], 2.0)
+    assert one.origin_count() == 0
     for _ in range(3):
-        for key in range(w.MAX_ENTRIES + 50):
-            one.receive(3.0, "e1", 2, w.Tell(1, [w.Entry(f"k{key}", 1, b"x")]))
-    assert len(one._origins["e1"].words) == w.MAX_ENTRIES
+        for key in range(w.MAX_ENTRIES_PER_ORIGIN + 50):
+            one.receive(3.0, "e1", 2, w.Report(1, [w.ReportEntry(f"k{key}", 1, b"x")]))
+    assert len(one._origins["e1"].words) == w.MAX_ENTRIES_PER_ORIGIN
 
 
 def test_what_an_older_process_puts_into_the_spread_counts_and_gives_way_to_what_it_tells():
     net = Two(random.Random(1), 2)
     one = net.seats["p0"]
-    one.spread(1.0, "e0", 1, "k", b"old")
-    assert one.fold.said[("e0", 1)] == {"k": b"old"}
-    one.receive(2.0, "e0", 1, w.Tell(1, [w.Entry("k", 1, b"new")]))
-    one.spread(3.0, "e0", 1, "k", b"older")
-    assert one.fold.said[("e0", 1)] == {"k": b"new"}
+    one.receive_gossip(1.0, "e0", 1, "k", b"old")
+    assert one.summarizer.said[("e0", 1)] == {"k": b"old"}
+    one.receive(2.0, "e0", 1, w.Report(1, [w.ReportEntry("k", 1, b"new")]))
+    one.receive_gossip(3.0, "e0", 1, "k", b"older")
+    assert one.summarizer.said[("e0", 1)] == {"k": b"new"}
 
 
 # --- tellers
@@ -227,7 +236,7 @@
     """One teller and collectors that answer or not."""
 
     def __init__(self, seed=1, collectors=3, window=500.0):
-        self.teller = te.Teller("a", TIMES, random.Random(seed), 0.0)
+        self.teller = te.ReportSender("a", TIMES, random.Random(seed), 0.0)
         self.now, self.dead, self.sent, self.at = 0.0, set(), [], 0
         self.window = window
         self.has = {}
@@ -235,30 +244,30 @@
 
     def roster(self, collectors):
         self.collectors = collectors
-        self.teller.roster(collectors, self.now)
+        self.teller.update_collectors(collectors, self.now)
 
     def go(self, ms, step=10.0):
         end = self.now + ms
         while self.now < end:
             self.now += step
             for out in self.teller.tick(self.now):
-                self.sent.append((self.now, out.name, len(w.encode(out.message)), out.message))
-                if out.name in self.dead:
+                self.sent.append((self.now, out.recipient, len(w.encode(out.message)), out.message))
+                if out.recipient in self.dead:
                     continue
                 for entry in out.message.entries:
-                    self.has.setdefault(out.name, {})[entry.key] = entry.value
+                    self.has.setdefault(out.recipient, {})[entry.key] = entry.value
                 self.at += 1
-                got = w.Got([out.message.number], self.at, False, self.window, 500.0)
-                self.teller.receive(self.now, out.name, dict(self.collectors)[out.name], got)
+                got = w.ReportAck([out.message.number], self.at, False, self.window, 500.0)
+                self.teller.receive(self.now, out.recipient, dict(self.collectors)[out.recipient], got)
 
 
 def test_a_word_is_told_once_and_renewed_seldom_and_its_bytes_are_flat():
     line = Line()
     line.teller.put("k", b"x" * 200, line.now)
     line.go(60000)
-    assert len(line.sent) <= 1 + 60000 / (0.75 * TIMES.renew_ms) + 1
+    assert len(line.sent) <= 1 + 60000 / (0.75 * TIMES.renewal_interval_ms) + 1
     assert sum(size for _, _, size, _ in line.sent) / 60 < 60
-    assert line.teller.answered()
+    assert line.teller.is_acknowledged()
     line.sent.clear()
     line.teller.put("k", b"y", line.now)
     line.go(50)
@@ -272,8 +281,8 @@
     line = Line()
     line.teller.put("k", b"x", line.now)
     line.go(1000)
-    first, second, _ = [name for name, _ in te.ranked("a", line.collectors)]
-    assert line.teller.to == (first, 1)
+    first, second, _ = [name for name, _ in te.rank_collectors("a", line.collectors)]
+    assert line.teller.collector == (first, 1)
     line.dead = {first}
     line.teller.put("k", b"y", line.now)
     begun = line.now
@@ -282,17 +291,17 @@
         assert line.now - begun < 2000
     line.dead = set()
     line.go(60000)
-    assert line.teller.to == (first, 1) and line.has[first] == {"k": b"y"}
+    assert line.teller.collector == (first, 1) and line.has[first] == {"k": b"y"}
     line.roster([c for c in line.collectors if c[0] != first])
     line.go(1000)
-    assert line.teller.to == (second, 1)
+    assert line.teller.collector == (second, 1)
     line.roster([(second, 2)])
     line.sent.clear()
     line.go(1000)
-    assert line.sent and line.teller.to == (second, 2), "a new life has nothing: all is told anew"
+    assert line.sent and line.teller.collector == (second, 2), "a new life has nothing: all is told anew"
     line.roster([])
     line.go(1000)
-    assert line.teller.to is None
+    assert line.teller.collector is None
 
 
 def test_tellers_move_at_times_of_their_own_and_none_hammers_a_fleet_without_collectors():
@@ -302,7 +311,7 @@
         line.teller.put("k", b"x", line.now)
         line.go(800)
         line.sent.clear()
-        line.roster([c for c in line.collectors if c != line.teller.to])
+        line.roster([c for c in line.collectors if c != line.teller.collector])
         line.go(600)
         times.append(line.sent[0][0] - 800)
     worst = max(Counter(int(t // 50) for t in times).values())
@@ -317,84 +326,88 @@
 def test_a_push_is_heeded_once_at_a_drawn_time_and_lapses():
     line = Line()
     line.go(2000)
-    to = line.teller.to
-    assert line.teller.receive(line.now, *to, w.Got([], 100, True, 400.0, 900.0, False, b"d"))
-    assert line.teller.stirred(line.now) and line.teller.pace_ms() == 900.0 and line.teller.down == b"d"
-    assert not line.teller.receive(line.now, *to, w.Got([], 99, False, 400.0, 900.0)), "an older one"
-    assert not line.teller.receive(line.now, "p9", 1, w.Got([], 200, False, 400.0, 900.0)), "another's"
-    assert not line.teller.stirred(line.now + TIMES.stir_ms)
+    to = line.teller.collector
+    assert line.teller.receive(line.now, *to, w.ReportAck([], 100, True, 400.0, 900.0, False, b"d"))
+    assert (
+        line.teller.is_evidence_requested(line.now)
+        and line.teller.update_interval_ms() == 900.0
+        and line.teller.broadcast == b"d"
+    )
+    assert not line.teller.receive(line.now, *to, w.ReportAck([], 99, False, 400.0, 900.0)), "an older one"
+    assert not line.teller.receive(line.now, "p9", 1, w.ReportAck([], 200, False, 400.0, 900.0)), "another's"
+    assert not line.teller.is_evidence_requested(line.now + TIMES.evidence_request_ttl_ms)
 
 
 def test_what_is_too_large_is_refused_and_what_is_much_comes_in_datagrams():
     line = Line()
-    with pytest.raises(CollectTooLarge):
+    with pytest.raises(ReportTooLargeError):
         line.teller.put("k", b"x" * 641, line.now)
-    with pytest.raises(CollectTooLarge):
+    with pytest.raises(ReportTooLargeError):
         line.teller.put("k" * 65, b"", line.now)
-    for n in range(w.MAX_ENTRIES):
+    for n in range(w.MAX_ENTRIES_PER_ORIGIN):
         line.teller.put(f"k{n}", b"x" * 600, line.now)
-    with pytest.raises(CollectTooLarge):
+    with pytest.raises(ReportTooLargeError):
         line.teller.put("more", b"", line.now)
     line.go(2000)
-    assert len(line.has[line.teller.to[0]]) == w.MAX_ENTRIES
+    assert len(line.has[line.teller.collector[0]]) == w.MAX_ENTRIES_PER_ORIGIN
     assert max(size for _, _, size, _ in line.sent) <= 1100
 
 
 def test_rendezvous_moves_only_the_zones_of_who_left_and_shares_them_out():
     collectors = [(f"p{n}", 1) for n in range(6)]
     zones = [f"zone-{n}" for n in range(600)]
-    owner = {zone: te.ranked(zone, collectors)[0] for zone in zones}
+    owner = {zone: te.rank_collectors(zone, collectors)[0] for zone in zones}
     assert all(60 < n < 145 for n in Counter(owner.values()).values())
     left = [c for c in collectors if c != ("p2", 1)]
     for zone in zones:
         if owner[zone] != ("p2", 1):
-            assert te.ranked(zone, left)[0] == owner[zone]
-    assert te.ranked("z", reversed(collectors)) == te.ranked("z", collectors)
+            assert te.rank_collectors(zone, left)[0] == owner[zone]
+    assert te.rank_collectors("z", reversed(collectors)) == te.rank_collectors("z", collectors)
 
 
 # --- which way
 
 
 def test_few_tell_by_the_spread_many_by_collectors_and_nothing_flaps():
-    most = te.most_in_spread(10000.0)
+    most = te.derive_max_gossip_senders(10000.0)
     assert 20 <= most <= 60
-    way, changes, now = te.Way(most, 10000.0), 0, 0.0
+    way, changes, now = te.DeliveryMode(most, 10000.0), 0, 0.0
     source = random.Random(4)
     for _ in range(2000):  # members come and go around the border
         now += 500
         before = way.collecting
-        changes += way.look(now, most + source.randint(-8, 8), 3, ()) != before
+        changes += way.update(now, most + source.randint(-8, 8), 3, ()) != before
     assert changes <= 1
-    way = te.Way(most, 10000.0)
-    assert not way.look(0.0, 230, 3, ()) and way.look(1000.0, 230, 3, ()), "at first soon"
-    assert way.look(10500.0, most // 2 + 1, 3, ()), "down at half alone"
-    assert way.look(11000.0, 230, 3, ["p1"]) and way.look(20000.0, 230, 3, ["p1"])
-    assert not way.look(21000.0, 230, 3, ["p1"]) and "p1" in way.why
-    assert not way.look(22000.0, 230, 3, ()) and not way.look(31000.0, 230, 3, ())
-    assert way.look(32000.0, 230, 3, ()) and way.look(33000.0, 230, 0, ())
-    assert not way.look(43000.0, 230, 0, ()) and "no collector" in way.why
-    assert te.spread_pace_ms(230, 40.0, 10000.0) == 0.0, "as before"
-    assert te.spread_pace_ms(4800, 40.0, 10000.0) == 120000.0
+    way = te.DeliveryMode(most, 10000.0)
+    assert not way.update(0.0, 230, 3, ()) and way.update(1000.0, 230, 3, ()), "at first soon"
+    assert way.update(10500.0, most // 2 + 1, 3, ()), "down at half alone"
+    assert way.update(11000.0, 230, 3, ["p1"]) and way.update(20000.0, 230, 3, ["p1"])
+    assert not way.update(21000.0, 230, 3, ["p1"]) and "p1" in way.reason
+    assert not way.update(22000.0, 230, 3, ()) and not way.update(31000.0, 230, 3, ())
+    assert way.update(32000.0, 230, 3, ()) and way.update(33000.0, 230, 0, ())
+    assert not way.update(43000.0, 230, 0, ()) and "no collector" in way.reason
+    assert te.gossip_interval_ms(230, 40.0, 10000.0) == 0.0, "as before"
+    assert te.gossip_interval_ms(4800, 40.0, 10000.0) == 120000.0
 
 
 # --- bytes
 
 
 def test_golden_bytes_and_what_is_newer():
-    tell = w.Tell(7, [w.Entry("zones/0", 3, b"v", 0), w.Entry("zones/1", 4, None, 0)])
+    tell = w.Report(7, [w.ReportEntry("zones/0", 3, b"v", 0), w.ReportEntry("zones/1", 4, None, 0)])
     assert w.encode(tell).hex() == (
         "01930107" + "92" + "94a77a6f6e65732f3003c4017600" + "94a77a6f6e65732f3104c000"
     )
     for message in (
         tell,
-        w.Got([7], 9, True, 1.5, 500.0, False, b"d"),
-        w.Had(3),
-        w.Words(3, "a", [w.Held("e1", 5, w.Entry("k", 1, b"", 12.0))]),
-        w.Summary("a", 1, 2, 1, 3, 4.5, ["e9"], {"zones/a": b"r"}, 0, 2),
+        w.ReportAck([7], 9, True, 1.5, 500.0, False, b"d"),
+        w.HandoverAck(3),
+        w.Handover(3, "a", [w.HeldEntry("e1", 5, w.ReportEntry("k", 1, b"", 12.0))]),
+        w.ZoneSummary("a", 1, 2, 1, 3, 4.5, ["e9"], {"zones/a": b"r"}, 0, 2),
     ):
         assert w.decode(w.encode(message)) == message
-    assert w.decode(bytes.fromhex("0194010790c0")) == w.Tell(7, []), "appended fields are passed over"
-    with pytest.raises(CollectVersion):
+    assert w.decode(bytes.fromhex("0194010790c0")) == w.Report(7, []), "appended fields are passed over"
+    with pytest.raises(UnsupportedAggregationVersionError):
         w.decode(b"\x02\x90")
     for wrong in (
         b"",
@@ -404,7 +417,7 @@
         b"\x01\x93\x01\xff\x90",
         b"\x01" + b"\x91" * 4000,
     ):
-        with pytest.raises(CollectMalformed):
+        with pytest.raises(MalformedAggregationMessageError):
             w.decode(wrong)
 
 
@@ -414,19 +427,19 @@
     for some in (data, b"\x01" + data):
         try:
             w.decode(some)
-        except CollectError:
+        except AggregationError:
             pass
 
 
 # --- the zones' sums
 
 REGIONS = {"a1": "north", "a2": "north", "b1": "south"}
-OF = Zones(zones={n: Zone(region=r, capacity=300.0) for n, r in REGIONS.items()}, edges=30)
+OF = FailoverSettings(zones={n: ZoneSettings(region=r, capacity=300.0) for n, r in REGIONS.items()}, edges=30)
 WORDS = st.lists(
     st.tuples(
         st.integers(0, 29),
         st.sampled_from(sorted(REGIONS)),
-        st.sampled_from(list(Word)),
+        st.sampled_from(list(ZoneHealth)),
         st.integers(0, 30),
         st.integers(0, 30),
         st.integers(0, 30),
@@ -441,64 +454,72 @@
 @settings(max_examples=150, deadline=None)
 @given(WORDS, st.integers(0, 30))
 def test_sums_by_place_say_exactly_what_the_words_say(spoken, step):
-    who = {(f"e{n}", 1): Who((f"e{n}", 1), sorted(REGIONS)[n % 3], True, True) for n in range(30)}
-    everything = All(OF)
-    sums = {place: Sums(OF) for place in REGIONS}
+    who = {(f"e{n}", 1): ZoneMember((f"e{n}", 1), sorted(REGIONS)[n % 3], True, True) for n in range(30)}
+    everything = FleetEvidence(OF)
+    sums = {place: ReportSummarizer(OF) for place in REGIONS}
     said = {}
     for n, zone, word, reached, failed, age, run, units, beat in spoken:
-        told = Said(zone, int(word), reached, failed, 0, age, round(units, 2), round(units / 2, 2), run)
+        told = ZoneReport(zone, int(word), reached, failed, 0, age, round(units, 2), round(units / 2, 2), run)
         said.setdefault(n, {})[zone] = (beat, told)
     for half in (False, True):
         for n, words in said.items():
             if (n % 2 == 1) == half:
                 place = sorted(REGIONS)[n % 3]
                 beat = max(b for b, _ in words.values())
-                for number, value in enumerate(ev.pieces(beat, [t for _, t in words.values()])):
+                for number, value in enumerate(ev.encode_reports(beat, [t for _, t in words.values()])):
                     for one in (everything, sums[place]):
-                        one.take((f"e{n}", 1), f"zones/{number}", value, 0.0)
+                        one.receive((f"e{n}", 1), f"zones/{number}", value, 0.0)
         if not half:  # a step of the way back begins between
-            mark = Mark((State.BACK, 8), 0.0, everything.beats())
+            mark = ZoneMark((ZoneState.RECOVERING, 8), 0.0, everything.latest_intervals())
             for one in sums.values():
                 for zone in REGIONS:
-                    one.marks[zone] = Mark((State.BACK, 8), 0.0, one.all.beats())
+                    one.marks[zone] = ZoneMark(
+                        (ZoneState.RECOVERING, 8), 0.0, one.evidence.latest_intervals()
+                    )
     now = 1000.0
-    told = Told(OF, who, everything.words(now))
-    parts = {p: s.parts(p, [o for o in who if who[o].place == p], now) for p, s in sums.items()}
-    summed = Summed(OF, who.values(), parts, dict.fromkeys(REGIONS, 10))
+    told = ReportView(OF, who, everything.reports(now))
+    parts = {p: s.summarize(p, [o for o in who if who[o].zone == p], now) for p, s in sums.items()}
+    summed = SummaryView(OF, who.values(), parts, dict.fromkeys(REGIONS, 10))
     for zone in REGIONS:
         for since in (None, mark):
-            one, other = told.tally(zone, since), summed.tally(zone, since)
-            assert (one.bad, one.good, one.half, one.slow, one.suspect) == (
-                other.bad,
-                other.good,
-                other.half,
+            one, other = told.count_witnesses(zone, since), summed.count_witnesses(zone, since)
+            assert (one.unreachable, one.reachable, one.degraded, one.slow, one.suspects) == (
+                other.unreachable,
+                other.reachable,
+                other.degraded,
                 other.slow,
-                other.suspect,
+                other.suspects,
             )
-            assert {p: n for p, n in one.tried.items() if n} == {p: n for p, n in other.tried.items() if n}
-            assert {p: n for p, n in one.failed.items() if n} == {p: n for p, n in other.failed.items() if n}
-        assert told.asking(zone) == summed.asking(zone)
+            assert {p: n for p, n in one.attempts.items() if n} == {
+                p: n for p, n in other.attempts.items() if n
+            }
+            assert {p: n for p, n in one.failed_attempts.items() if n} == {
+                p: n for p, n in other.failed_attempts.items() if n
+            }
+        assert told.remote_requesters(zone) == summed.remote_requesters(zone)
         assert told.load(zone) == pytest.approx(summed.load(zone), abs=0.01)
-        assert told.want(zone, ["a2"]) == pytest.approx(summed.want(zone, ["a2"]), abs=0.01)
-    other = Mark((State.BACK, 16), 0.0, {})
-    assert summed.tally("a1", other).total() == (0, 0), "counted under another step"
+        assert told.demand(zone, ["a2"]) == pytest.approx(summed.demand(zone, ["a2"]), abs=0.01)
+    other = ZoneMark((ZoneState.RECOVERING, 16), 0.0, {})
+    assert summed.count_witnesses("a1", other).unreachable_and_reachable() == (0, 0), (
+        "counted under another step"
+    )
 
 
 def test_nothing_is_given_up_while_those_who_might_contradict_are_not_heard():
-    who = [Who((f"e{n}", 1), sorted(REGIONS)[n % 3], True, True) for n in range(30)]
-    sums = Sums(OF)
+    who = [ZoneMember((f"e{n}", 1), sorted(REGIONS)[n % 3], True, True) for n in range(30)]
+    sums = ReportSummarizer(OF)
     for n in range(30):
         if n % 3 == 0:
             continue  # a1's edges still reach a1, and their collector has just died
-        said = [Said("a1", Word.BAD, 0, 9, 0, 0, 1.0, 1.0, -9)]
-        said += [Said(zone, Word.GOOD, 9, 0, 0, 0, 1.0, 1.0, 9) for zone in ("a2", "b1")]
-        for value in ev.pieces(5, said):
-            sums.take((f"e{n}", 1), "zones/0", value, 0.0)
-    memory, found = Memory(), []
+        said = [ZoneReport("a1", ZoneHealth.UNREACHABLE, 0, 9, 0, 0, 1.0, 1.0, -9)]
+        said += [ZoneReport(zone, ZoneHealth.HEALTHY, 9, 0, 0, 0, 1.0, 1.0, 9) for zone in ("a2", "b1")]
+        for value in ev.encode_reports(5, said):
+            sums.receive((f"e{n}", 1), "zones/0", value, 0.0)
+    memory, found = EvaluationMemory(), []
     for now in range(0, 14000, 250):
-        parts = {p: sums.parts(p, [w.origin for w in who if w.place == p], 100.0) for p in ("a2", "b1")}
-        view = Summed(OF, who, parts, {"a2": 10, "b1": 10})
-        verdict = weigh(OF, who, view, {}, None, float(now), memory)
+        parts = {p: sums.summarize(p, [w.origin for w in who if w.zone == p], 100.0) for p in ("a2", "b1")}
+        view = SummaryView(OF, who, parts, {"a2": 10, "b1": 10})
+        verdict = evaluate(OF, who, view, {}, None, float(now), memory)
         if verdict is not None:
             found.append(now)
             break
@@ -507,8 +528,8 @@
 
 def test_sums_that_cannot_be_read_count_as_not_said():
     parts = {"a1": {"zones/a1": b"\x09", "zones/nowhere": b"", "other": b"x", "zones/a2": b"\x01\xc1"}}
-    view = Summed(OF, [], parts, {})
-    assert view.tally("a1", None).total() == (0, 0) and view.load("a2") == 0.0
+    view = SummaryView(OF, [], parts, {})
+    assert view.count_witnesses("a1", None).unreachable_and_reachable() == (0, 0) and view.load("a2") == 0.0
 
 
 def test_what_is_told_anew_to_another_collector_is_as_old_as_it_is():
@@ -516,28 +537,29 @@
     line.teller.put("k", b"x", line.now)
     line.go(8000)
     line.sent.clear()
-    line.roster([c for c in line.collectors if c != line.teller.to])
+    line.roster([c for c in line.collectors if c != line.teller.collector])
     line.go(1000)
     told = [message.entries[0].age_ms for _, _, _, message in line.sent]
     assert told and min(told) >= 8000
     net = Two(random.Random(2), 1)
     one = net.seats["p0"]
     heard = []
-    one.fold.take = lambda origin, key, value, at_ms: heard.append(at_ms)
-    one.receive(900.0, "e0", 1, w.Tell(1, [w.Entry("k", 1, b"x", 400.0)]))
+    one.summarizer.receive = lambda origin, key, value, at_ms: heard.append(at_ms)
+    one.receive(900.0, "e0", 1, w.Report(1, [w.ReportEntry("k", 1, b"x", 400.0)]))
     assert heard == [500.0]
     # Handed over it grows older still.
     one._owner["a"] = ("p1", 1)
-    words = [out.message for out in one.tick(950.0) if isinstance(out.message, w.Words)]
-    assert words[0].words[0].entry.age_ms == 450.0
+    words = [out.message for out in one.tick(950.0) if isinstance(out.message, w.Handover)]
+    assert words[0].entries[0].entry.age_ms == 450.0
 
 
 # --- rollouts' sums
 
 
 def document(accusers):
-    return rs.Course(
-        stages=[rs.Stage(part=0.5, beside=0.5), rs.Stage(beside=0.2)], levels=rs.Levels(accusers=accusers)
+    return rs.RolloutPlan(
+        stages=[rs.Stage(volume_fraction=0.5, control_fraction=0.5), rs.Stage(control_fraction=0.2)],
+        thresholds=rs.Thresholds(min_accusers=accusers),
     )
 
 
@@ -546,14 +568,14 @@
     found = {}
     for n in range(processes):
         for life in range(1, source.choice([2, 2, 3])):
-            own = re.Own(digest)
+            own = re.LocalCounts(digest)
             chance = source.choice([0.02, 0.05, 0.5])
             for _ in range(source.randint(0, 60)):
                 candidate = source.random() < 0.5
                 bad = source.random() < (chance if candidate else 0.05)
-                ended = re.Ended.REFUSED if bad else re.Ended.SERVED
-                own.count(source.randrange(2), source.randrange(2), candidate, ended, 10.0, 100.0)
-            found[f"e{n}", life] = own.told()
+                ended = re.RequestOutcome.REJECTED if bad else re.RequestOutcome.SERVED
+                own.record(source.randrange(2), source.randrange(2), candidate, ended, 10.0, 100.0)
+            found[f"e{n}", life] = own.drain_changes()
     return found
 
 
@@ -561,59 +583,68 @@
 @given(st.integers(0, 2**32), st.sampled_from([1, 2, 3, 5, 8]))
 def test_rollouts_sums_by_zone_accuse_as_all_counts_do_and_never_more(seed, accusers):
     source = random.Random(seed)
-    digest, course = "ab" * (rs.DIGEST), document(accusers)
-    heard, zones = re.Heard(digest), {z: rv.Sums() for z in "abc"}
+    digest, course = "ab" * (rs.DIGEST_BYTES), document(accusers)
+    heard, zones = re.FleetCounts(digest), {z: rv.ZoneSummarizer() for z in "abc"}
     for one in zones.values():
         one.follow(digest, course, 2)
     lives = counted(source, source.randint(1, 20), digest)
     entries = [(origin, key, value) for origin, told in lives.items() for key, value in told]
     for origin, key, value in source.sample(entries, len(entries)) + source.choices(entries or [None], k=9):
         if entries:
-            heard.take(origin, key, value)
-            zones["abc"[int(origin[0][1:]) % 3]].take(origin, key, value, 0.0)
+            heard.merge(origin, key, value)
+            zones["abc"[int(origin[0][1:]) % 3]].receive(origin, key, value, 0.0)
     parts = {
-        z: one.parts(z, [o for o in lives if "abc"[int(o[0][1:]) % 3] == z], 0.0) for z, one in zones.items()
+        z: one.summarize(z, [o for o in lives if "abc"[int(o[0][1:]) % 3] == z], 0.0)
+        for z, one in zones.items()
     }
-    view = rv.Summed(digest, parts)
-    assert view.sums == {p: t for p, t in heard.sums.items()}
-    assert view.processes() == heard.processes() and view.answered(1) == heard.answered(1)
-    one, other = rv.judge(heard, course, 2), rv.weigh(view, course, 2)
-    if accusers - 1 <= re.MOST_TOPS:
-        assert [(a.cls, a.kind, a.candidate) for a in one] == [(a.cls, a.kind, a.candidate) for a in other]
+    view = rv.FleetSummary(digest, parts)
+    assert view.totals == {p: t for p, t in heard.totals.items()}
+    assert view.process_count() == heard.process_count() and view.candidate_trials(
+        1
+    ) == heard.candidate_trials(1)
+    one, other = rv.accusations_from_counts(heard, course, 2), rv.accusations(view, course, 2)
+    if accusers - 1 <= re.MAX_TOP_FACTORS:
+        assert [(a.request_class, a.fault_kind, a.candidate) for a in one] == [
+            (a.request_class, a.fault_kind, a.candidate) for a in other
+        ]
         for a, b in zip(one, other, strict=True):
-            assert a.wealth == pytest.approx(b.wealth, rel=1e-5)
+            assert a.log_wealth == pytest.approx(b.log_wealth, rel=1e-5)
     else:
-        sure = {(a.cls, a.kind): a.wealth for a in one}
-        assert all(b.wealth <= sure.get((b.cls, b.kind), -1.0) + 1e-3 for b in other)
+        sure = {(a.request_class, a.fault_kind): a.log_wealth for a in one}
+        assert all(b.log_wealth <= sure.get((b.request_class, b.fault_kind), -1.0) + 1e-3 for b in other)
     # What a life that is gone has told counts on, and a collector with less replaces nothing.
     held = {}
-    rv.fuller(held, parts, digest)
-    fewer = rv.Sums()
+    rv.keep_fullest(held, parts, digest)
+    fewer = rv.ZoneSummarizer()
     fewer.follow(digest, course, 2)
     for origin, told in list(lives.items())[:1]:
         for key, value in told:
-            fewer.take(origin, key, value, 0.0)
-    rv.fuller(held, {"a": fewer.parts("a", list(lives)[:1], 0.0)}, digest)
-    rv.fuller(held, {"a": {"rollout/sum/0": b"\x01", "x": b"y"}}, digest)
-    assert rv.Summed(digest, held).sums == view.sums
-    rv.fuller(held, parts, "cd" * rs.DIGEST)
-    assert rv.Summed("cd" * rs.DIGEST, held).sums == {}
+            fewer.receive(origin, key, value, 0.0)
+    rv.keep_fullest(held, {"a": fewer.summarize("a", list(lives)[:1], 0.0)}, digest)
+    rv.keep_fullest(held, {"a": {"rollout/sum/0": b"\x01", "x": b"y"}}, digest)
+    assert rv.FleetSummary(digest, held).totals == view.totals
+    rv.keep_fullest(held, parts, "cd" * rs.DIGEST_BYTES)
+    assert rv.FleetSummary("cd" * rs.DIGEST_BYTES, held).totals == {}
 
 
 def test_sums_of_a_candidate_that_is_heard_of_late_count_what_was_told_before():
-    digest, sums = "ab" * rs.DIGEST, rv.Sums()
-    own = re.Own(digest)
-    own.count(0, 0, True, re.Ended.SERVED, 1.0, 10.0)
-    for key, value in own.told():
-        sums.take(("e1", 1), key, value, 0.0)
-    back = re.encode(re.Back(bytes.fromhex(digest), "too slow"))
-    sums.take(("e1", 1), re.BACK, back, 0.0)
-    assert sums.parts("a", [("e1", 1)], 0.0) == {}
+    digest, sums = "ab" * rs.DIGEST_BYTES, rv.ZoneSummarizer()
+    own = re.LocalCounts(digest)
+    own.record(0, 0, True, re.RequestOutcome.SERVED, 1.0, 10.0)
+    for key, value in own.drain_changes():
+        sums.receive(("e1", 1), key, value, 0.0)
+    back = re.encode(re.LocalRollback(bytes.fromhex(digest), "too slow"))
+    sums.receive(("e1", 1), re.ROLLBACK_KEY, back, 0.0)
+    assert sums.summarize("a", [("e1", 1)], 0.0) == {}
     sums.follow(digest, document(2), 2)
-    view = rv.Summed(digest, {"a": sums.parts("a", [("e1", 1)], 0.0)})
-    assert view.answered(0) == 1 and view.gone_back() == 1 and view.backs == {"e1": "too slow"}
+    view = rv.FleetSummary(digest, {"a": sums.summarize("a", [("e1", 1)], 0.0)})
+    assert (
+        view.candidate_trials(0) == 1
+        and view.rollback_count() == 1
+        and view.rollback_reasons == {"e1": "too slow"}
+    )
     sums.forget(("e1", 1))
-    assert rv.Summed(digest, {"a": sums.parts("a", [], 0.0)}).answered(0) == 1
+    assert rv.FleetSummary(digest, {"a": sums.summarize("a", [], 0.0)}).candidate_trials(0) == 1
 
 
 # --- the carrier, without a network
@@ -627,19 +658,19 @@
         self.seats = [f"p{n}" for n in range(seats)]
         for name in [f"e{n}" for n in range(tellers)] + self.seats:
             collects = name in self.seats
-            one = Evidence(
+            one = EvidenceChannel(
                 (name, 1),
                 "a",
                 Shelf(),
                 clock=lambda: self.now,
                 source=random.Random(name),
                 log=Quiet(),
-                seats=self.seats,
-                tells=not collects,
-                collects=collects,
-                most=most,
+                replicas=self.seats,
+                sends_reports=not collects,
+                is_collector=collects,
+                max_gossip_senders=most,
             )
-            one.folds.add("listed", Listed())
+            one.summarizers.add("listed", Listed())
             one.send = lambda to, data, name=name: self.pass_on(name, to, data)
             one.members = lambda: tuple(self.there.values())
             self.all[name] = one
@@ -652,7 +683,7 @@
                 "",
                 Life.ALIVE,
                 0.0,
-                w.CAPABLE if collects else b"",
+                w.CAPABILITY if collects else b"",
             )
         self.dead, self.wire = set(), []
 
@@ -710,7 +741,7 @@
         assert one.spread.held == {"zones/0": b"v"}, "as before, until the way is decided"
     for _ in range(100):
         wire.go(50)
-        held = [wire.all[p].collect.fold.folds["listed"].said for p in wire.seats]
+        held = [wire.all[p].collect.fold.summarizers["listed"].said for p in wire.seats]
         for one in edges:
             assert one.spread.held or any(one.me in said for said in held), "nowhere"
     assert all(one.collecting and not one.spread.held and one.teller.answered() for one in edges)
@@ -778,7 +809,7 @@
     sim = CollectSim(5, edges=90, capacity=90 * 2.5 / (0.6 * 3))
     sim.run(Scene("z", ((3000.0, hurt),), 16000.0, 0))
     assert sim.decrees == []
-    assert sum(t.answered() for t in sim.tellers.values()) == 90, "and all of them are heard again"
+    assert sum(t.is_acknowledged() for t in sim.tellers.values()) == 90, "and all of them are heard again"
 
 
 def test_a_carrier_has_nothing_due_at_once_for_ever_and_a_full_spread_ends_nothing():
@@ -796,7 +827,7 @@
         ), "it would spin"
 
     def full(key, value):
-        raise SpreadOriginFull("no room")
+        raise OriginFullError("no room")
 
     edge.spread.put = full
     edge.put("zones/0", b"v")
@@ -812,12 +843,17 @@
 def test_summaries_and_words_of_who_does_not_collect_are_not_taken():
     net = Two(random.Random(1), 2)
     one = net.seats["p0"]
-    said = w.Summary("a", 5, 1, 1, 1, 0.0, [], {})
+    said = w.ZoneSummary("a", 5, 1, 1, 1, 0.0, [], {})
     for sender, life in (("e0", 1), ("p1", 7), ("nobody", 1)):
         assert one.receive(1.0, sender, life, said) == []
-        assert one.receive(1.0, sender, life, w.Words(1, "a", [w.Held("e1", 1, w.Entry("k", 1, b""))])) == []
-    assert one.held() == 0 and one.merged.chosen(1.0) == {}
-    merged = co.Merged(TIMES)
-    for n in range(co.MOST_SUMS + 50):
-        merged.take(0.0, ("p0", 1), w.Summary(f"z{n}", 1, 1, 1, 1, 0.0, [], {}))
-    assert len(merged.chosen(0.0)) == co.MOST_SUMS
+        assert (
+            one.receive(
+                1.0, sender, life, w.Handover(1, "a", [w.HeldEntry("e1", 1, w.ReportEntry("k", 1, b""))])
+            )
+            == []
+        )
+    assert one.origin_count() == 0 and one.summaries.current(1.0) == {}
+    merged = co.MergedSummaries(TIMES)
+    for n in range(co.MAX_SUMMARIES + 50):
+        merged.receive(0.0, ("p0", 1), w.ZoneSummary(f"z{n}", 1, 1, 1, 1, 0.0, [], {}))
+    assert len(merged.current(0.0)) == co.MAX_SUMMARIES
--- a/tests/test_compose.py
+++ b/tests/test_compose.py
@@ -5,7 +5,7 @@
 from hypothesis import strategies as st
 
 from cressrock.dispatch.ledger import Verdict
-from cressrock.dispatch.operation import Denied, Reply
+from cressrock.dispatch.operation import Denial, Reply
 from cressrock.dispatch.reasons import Reason
 from cressrock.webdav import xml
 from cressrock.webdav.compose import Answer, Site, Volume, compose
@@ -14,8 +14,8 @@
 from cressrock.webdav.xml import D
 
 SITE = Site({"v": Volume("v", (0, 1, 2)), "one": Volume("one", (7,))}, lambda: "urn:uuid:1")
-REFUSED = Denied(Verdict.REFUSED, Reason.SCHEDULER, 1000)
-FAILED = Denied(Verdict.FAILED, Reason.DEADLINE)
+REFUSED = Denial(Verdict.REJECTED, Reason.SCHEDULER, 1000)
+FAILED = Denial(Verdict.FAILED, Reason.DEADLINE)
 
 
 def request(method, target, *fields, body=b"", length=0):
--- a/tests/test_copies.py
+++ b/tests/test_copies.py
@@ -6,68 +6,96 @@
 import msgspec
 import pytest
 
-from cressrock.copies import model as m
-from cressrock.copies import reach, sets
-from cressrock.copies import repair as rp
-from cressrock.copies import write as w
-from cressrock.copies.model import Copy, State, Sync
-from cressrock.errors.copies import BadSet, NotAllowed, OnlyCopy, SetNewer
+from cressrock.errors.replication import (
+    InvalidSetError,
+    OnlyReplicaError,
+    TransitionNotAllowedError,
+    UnknownSetVersionError,
+)
 from cressrock.interface import Outcome
 from cressrock.lab.copysim import Plan, Sim, Text, got_of
 from cressrock.lab.histories import Verdict
 from cressrock.lab.rack import Rack, Task
+from cressrock.replication import in_sync_set as m
+from cressrock.replication import reachability, transitions
+from cressrock.replication import repair as rp
+from cressrock.replication import write as w
+from cressrock.replication.in_sync_set import InSyncSet, Replica, ReplicaState
 from cressrock.settings.load import SettingsError, convert
 from cressrock.webdav.paths import parse
 
-SYNC = Sync(3, "a", (Copy("a", State.IN, "a0"), Copy("b", State.IN, "b0"), Copy("c", State.OWED, "c0", 2, 1)))
+SYNC = InSyncSet(
+    3,
+    "a",
+    (
+        Replica("a", ReplicaState.IN_SYNC, "a0"),
+        Replica("b", ReplicaState.IN_SYNC, "b0"),
+        Replica("c", ReplicaState.OUT_OF_SYNC, "c0", 2, 1),
+    ),
+)
 GOLDEN = "019503a1619395a161a2696ea26130000095a162a2696ea26230000095a163a46f776564a2633002019001"
 
 
 def test_a_set_has_a_golden_form_and_foreign_ones_are_told_apart():
-    assert m.encode(SYNC).hex() == GOLDEN and m.decode(bytes.fromhex(GOLDEN)) == SYNC
-    later = bytes((1,)) + msgspec.msgpack.encode([*msgspec.msgpack.decode(m.encode(SYNC)[1:]), "new"])
-    assert m.decode(later) == SYNC
-    with pytest.raises(SetNewer):
-        m.decode(b"\x02" + m.encode(SYNC)[1:])
+    assert m.encode_set(SYNC).hex() == GOLDEN and m.decode_set(bytes.fromhex(GOLDEN)) == SYNC
+    later = bytes((1,)) + msgspec.msgpack.encode([*msgspec.msgpack.decode(m.encode_set(SYNC)[1:]), "new"])
+    assert m.decode_set(later) == SYNC
+    with pytest.raises(UnknownSetVersionError):
+        m.decode_set(b"\x02" + m.encode_set(SYNC)[1:])
     draw = random.Random(1)
     for _ in range(2000):
-        data = bytearray(m.encode(SYNC))
+        data = bytearray(m.encode_set(SYNC))
         for _ in range(draw.randrange(1, 4)):
             data[draw.randrange(len(data))] = draw.randrange(256)
         try:
-            m.decode(bytes(data))
-        except (BadSet, SetNewer):
+            m.decode_set(bytes(data))
+        except (InvalidSetError, UnknownSetVersionError):
             pass
-    page = m.Page((m.Entry("/v/x", "1.2", "file", "1.2", True),), True)
+    page = m.RecordPage((m.RecordEntry("/v/x", "1.2", "file", "1.2", True),), True)
     assert m.encode_page(page).hex() == "01929195a42f762f78a3312e32a466696c65a3312e32c3c3"
     assert m.decode_page(m.encode_page(page)) == page
 
 
 def test_sets_change_only_where_nothing_acknowledged_is_lost():
-    out = sets.put_out(SYNC, "b")
-    assert out.epoch == 4 and out.copy("b") == Copy("b", State.OWED, "b0", 3, 1) and out.writes == ("a",)
-    with pytest.raises(NotAllowed):
-        sets.put_out(SYNC, "a")  # the first one moves, it is not put out
-    with pytest.raises(NotAllowed):
-        sets.put_out(SYNC, "c")
-    assert sets.first_lost(SYNC, "a").first == "b"
-    with pytest.raises(OnlyCopy):
-        sets.first_lost(out, "a")
-    joining = sets.joined(out, "b", "b0")
-    assert joining.writes == ("a", "b") and joining.reads == ("a",)
-    with pytest.raises(NotAllowed):
-        sets.came_back(joining, sets.Proof("b", joining.epoch - 1, "b0"))  # the list of an older epoch
-    with pytest.raises(NotAllowed):
-        sets.came_back(joining, sets.Proof("b", joining.epoch, "b1"))  # another store
-    assert sets.came_back(joining, sets.Proof("b", joining.epoch, "b0")).reads == ("a", "b")
+    out = transitions.evict(SYNC, "b")
+    assert (
+        out.epoch == 4
+        and out.replica("b") == Replica("b", ReplicaState.OUT_OF_SYNC, "b0", 3, 1)
+        and out.write_zones == ("a",)
+    )
+    with pytest.raises(TransitionNotAllowedError):
+        transitions.evict(SYNC, "a")  # the first one moves, it is not put out
+    with pytest.raises(TransitionNotAllowedError):
+        transitions.evict(SYNC, "c")
+    assert transitions.replace_primary(SYNC, "a").primary == "b"
+    with pytest.raises(OnlyReplicaError):
+        transitions.replace_primary(out, "a")
+    joining = transitions.begin_joining(out, "b", "b0")
+    assert joining.write_zones == ("a", "b") and joining.read_zones == ("a",)
+    with pytest.raises(TransitionNotAllowedError):
+        transitions.readmit(
+            joining, transitions.CatchUpProof("b", joining.epoch - 1, "b0")
+        )  # the list of an older epoch
+    with pytest.raises(TransitionNotAllowedError):
+        transitions.readmit(joining, transitions.CatchUpProof("b", joining.epoch, "b1"))  # another store
+    assert transitions.readmit(joining, transitions.CatchUpProof("b", joining.epoch, "b0")).read_zones == (
+        "a",
+        "b",
+    )
     # A store that is not the one that was put out owes everything; one put out while joining as before.
-    assert sets.joined(out, "b", "b1").copy("b").since == 0
-    assert sets.put_out(joining, "b").copy("b").since == 3
-    taken = sets.taken_over(out, "b", "b0")
-    assert taken.reads == ("b",) and taken.lost == (m.Lost("a", 3, 4),)
-    with pytest.raises(NotAllowed):
-        sets.founded("a", {"a": "a0", "b": "b0"}, [0, 7])
-    assert [sets.back_after_ms(n, 1000, 5000) for n in (0, 1, 2, 3, 9)] == [1000, 1000, 2000, 4000, 5000]
+    assert transitions.begin_joining(out, "b", "b1").replica("b").complete_epoch == 0
+    assert transitions.evict(joining, "b").replica("b").complete_epoch == 3
+    taken = transitions.force_primary(out, "b", "b0")
+    assert taken.read_zones == ("b",) and taken.accepted_losses == (m.AcceptedLoss("a", 3, 4),)
+    with pytest.raises(TransitionNotAllowedError):
+        transitions.initial_set("a", {"a": "a0", "b": "b0"}, [0, 7])
+    assert [transitions.rejoin_delay_ms(n, 1000, 5000) for n in (0, 1, 2, 3, 9)] == [
+        1000,
+        1000,
+        2000,
+        4000,
+        5000,
+    ]
 
 
 def ask(rack, method, path, epoch, role="in", *, at="", life="", value=None, **more):
@@ -80,17 +108,17 @@
 
 def test_a_node_refuses_older_sets_other_stores_and_reads_of_a_copy_that_is_out():
     rack = Rack(0, window_ms=0, life="s")
-    assert ask(rack, "PUT", "/v/x", 1, "first", value="1").record.at == (1, 1)
-    assert ask(rack, "PUT", "/v/x", 2, "first", value="2").record.at == (2, 1)
+    assert ask(rack, "PUT", "/v/x", 1, "first", value="1").record.version == (1, 1)
+    assert ask(rack, "PUT", "/v/x", 2, "first", value="2").record.version == (2, 1)
     late = ask(rack, "PUT", "/v/x", 1, "first", value="3")
-    assert late.reply.status == 409 and late.refused is m.Refusal.OLDER and late.epoch == 2
-    assert ask(rack, "PUT", "/v/x", 1, at="1.9", value="3").refused is m.Refusal.OLDER
-    assert ask(rack, "GET", "/v/x", 1).refused is None  # still in its set: older readers see newer data
-    assert ask(rack, "GET", "/v/x", 2, life="t").refused is m.Refusal.STORE
-    assert ask(rack, "PUT", "/v/x", 3, "joining", at="3.1", value="4").record.at == (3, 1)
-    assert ask(rack, "GET", "/v/x", 2).refused is m.Refusal.BEHIND
+    assert late.reply.status == 409 and late.rejection is m.Rejection.OLDER_EPOCH and late.epoch == 2
+    assert ask(rack, "PUT", "/v/x", 1, at="1.9", value="3").rejection is m.Rejection.OLDER_EPOCH
+    assert ask(rack, "GET", "/v/x", 1).rejection is None  # still in its set: older readers see newer data
+    assert ask(rack, "GET", "/v/x", 2, life="t").rejection is m.Rejection.OTHER_STORE
+    assert ask(rack, "PUT", "/v/x", 3, "joining", at="3.1", value="4").record.version == (3, 1)
+    assert ask(rack, "GET", "/v/x", 2).rejection is m.Rejection.NOT_IN_SYNC
     got = ask(rack, "GET", "/v/x", 3, "joining", sure="3.1")
-    assert not got.record.sure and ask(rack, "GET", "/v/x", 3, "joining").record.sure
+    assert not got.record.committed and ask(rack, "GET", "/v/x", 3, "joining").record.committed
 
 
 @pytest.mark.parametrize("seed", range(40))
@@ -123,57 +151,67 @@
 
 def test_a_write_that_may_have_run_is_never_refused_and_waits_for_the_decree():
     put = w.Record("/v/x", m.Version(3, 1))
-    done = w.Got(type("R", (), {"status": 201})(), record=put, epoch=3)
-    steps = w.write(SYNC, "body")
-    assert [o.zone for o in next(steps).ops] == ["a"]
-    assert [o.zone for o in steps.send([done]).ops] == ["b"]
-    assert steps.send([w.Got(ran=True)]) == w.PutOut(("b",), SYNC)
+    done = w.ReplicaResult(type("R", (), {"status": 201})(), record=put, epoch=3)
+    steps = w.write_replicated(SYNC, "body")
+    assert [o.zone for o in next(steps).operations] == ["a"]
+    assert [o.zone for o in steps.send([done]).operations] == ["b"]
+    assert steps.send([w.ReplicaResult(may_have_run=True)]) == w.EvictReplicas(("b",), SYNC)
     with pytest.raises(StopIteration) as stop:
         steps.send(None)  # no decree came to stand
-    assert stop.value.value.end is w.End.FAILED
+    assert stop.value.value.end is w.Disposition.FAILED
     # A copy that is only busy is not put out for it; one known as gone is, before anything is sent.
-    steps = w.write(SYNC, "body")
+    steps = w.write_replicated(SYNC, "body")
     next(steps)
     steps.send([done])
     with pytest.raises(StopIteration) as stop:
-        steps.send([w.Got()])
-    assert stop.value.value.end is w.End.FAILED
-    steps = w.write(SYNC, "body", gone=["b"])
-    assert next(steps) == w.PutOut(("b",), SYNC)
+        steps.send([w.ReplicaResult()])
+    assert stop.value.value.end is w.Disposition.FAILED
+    steps = w.write_replicated(SYNC, "body", gone=["b"])
+    assert next(steps) == w.EvictReplicas(("b",), SYNC)
     with pytest.raises(StopIteration) as stop:
         steps.send(None)
-    assert stop.value.value.end is w.End.REFUSED
-    for steps in (w.write(SYNC, "body", gone=["a", "b"]), w.write(None, "body")):
+    assert stop.value.value.end is w.Disposition.REJECTED
+    for steps in (w.write_replicated(SYNC, "body", gone=["a", "b"]), w.write_replicated(None, "body")):
         with pytest.raises(StopIteration) as stop:
             next(steps)  # one that reaches nobody puts nobody out
-    assert stop.value.value.end is w.End.REFUSED
+    assert stop.value.value.end is w.Disposition.REJECTED
 
 
 def test_one_processs_bad_network_moves_no_first_copy():
-    found = reach.Reach()
+    found = reachability.ReachabilityTracker()
     for now in (0.0, 100.0):
-        found.ended(7, Outcome.NO_CONNECTION, now)
-    assert not found.gone(7, 100.0) and found.gone(7, 200.0) and not found.gone(7, 9000.0)
-    assert found.word(7, 200.0, False) == reach.GONE
-    found.ended(7, Outcome.FULL, 300.0)  # a node that refuses is there
-    assert found.word(7, 300.0, False) is None and found.word(7, 300.0, True) == reach.WELL
-    found.listed({7}, {7, 8}, 1000.0)  # nothing is sent where no node is listed: the list itself says it
-    found.listed({7}, {7, 8}, 1400.0)
-    assert not found.gone(8, 1400.0) and found.gone(8, 1500.0)
-    found.listed({7, 8}, {7, 8}, 1600.0)
-    assert not found.gone(8, 9000.0)
-    assert not reach.lost({"d0": reach.GONE}, 2)
-    assert reach.lost({"d0": reach.GONE, "d1": reach.GONE, "d2": reach.WELL}, 2)
-    assert not reach.lost(dict.fromkeys("ab", reach.GONE) | dict.fromkeys("cde", reach.WELL), 2)
+        found.record_outcome(7, Outcome.NO_CONNECTION, now)
+    assert (
+        not found.is_unreachable(7, 100.0)
+        and found.is_unreachable(7, 200.0)
+        and not found.is_unreachable(7, 9000.0)
+    )
+    assert found.report(7, 200.0, False) == reachability.UNREACHABLE
+    found.record_outcome(7, Outcome.FULL, 300.0)  # a node that refuses is there
+    assert found.report(7, 300.0, False) is None and found.report(7, 300.0, True) == reachability.REACHABLE
+    found.record_node_list(
+        {7}, {7, 8}, 1000.0
+    )  # nothing is sent where no node is listed: the list itself says it
+    found.record_node_list({7}, {7, 8}, 1400.0)
+    assert not found.is_unreachable(8, 1400.0) and found.is_unreachable(8, 1500.0)
+    found.record_node_list({7, 8}, {7, 8}, 1600.0)
+    assert not found.is_unreachable(8, 9000.0)
+    assert not reachability.is_lost({"d0": reachability.UNREACHABLE}, 2)
+    assert reachability.is_lost(
+        {"d0": reachability.UNREACHABLE, "d1": reachability.UNREACHABLE, "d2": reachability.REACHABLE}, 2
+    )
+    assert not reachability.is_lost(
+        dict.fromkeys("ab", reachability.UNREACHABLE) | dict.fromkeys("cde", reachability.REACHABLE), 2
+    )
 
 
 def test_repair_stays_below_live_work():
-    pace = rp.Pace(share=0.25, rate=1000.0, busy=0.8, pause_ms=250.0)
-    pace.done(100.0, 10.0, refused=False, load=0.5)
+    pace = rp.RepairPacer(share=0.25, rate=1000.0, busy=0.8, pause_ms=250.0)
+    pace.record_operation(100.0, 10.0, refused=False, load=0.5)
     assert pace.wait_ms(100.0) == 30.0
-    pace.done(200.0, 10.0, refused=False, load=0.9)
+    pace.record_operation(200.0, 10.0, refused=False, load=0.9)
     assert pace.wait_ms(210.0) == 240.0
-    pace.done(500.0, 10.0, refused=True, load=0.0)
+    pace.record_operation(500.0, 10.0, refused=True, load=0.0)
     assert pace.wait_ms(500.0) == 250.0
 
 
--- a/tests/test_council_carrier.py
+++ b/tests/test_council_carrier.py
@@ -7,23 +7,23 @@
 import anyio
 import pytest
 
-from cressrock.council import decrees as d
-from cressrock.council import wire as w
-from cressrock.council.carrier import (
-    AskSettings,
-    Council,
-    CouncilSeat,
-    Kept,
-    SeatSettings,
-    World,
-    check_hold,
-    check_seats,
-    in_line,
+from cressrock.consensus import decisions as d
+from cressrock.consensus import wire as w
+from cressrock.consensus.raft.node import RaftSettings, Role
+from cressrock.consensus.recover import main as recover_main
+from cressrock.consensus.recover import recover
+from cressrock.consensus.replica import (
+    ClientSettings,
+    ConsensusClient,
+    ConsensusReplica,
+    DecisionCache,
+    Environment,
+    ReplicaSettings,
+    check_lease,
+    check_replica_set,
+    run_inline,
 )
-from cressrock.council.raft import Role, Timing
-from cressrock.council.recover import main as recover_main
-from cressrock.council.recover import recover
-from cressrock.errors import council as e
+from cressrock.errors import consensus as e
 from cressrock.lab.day import simulate
 from cressrock.lab.simnet import SimNet
 
@@ -38,7 +38,7 @@
 
 
 MEMORY = Path("/dev/shm")
-FAST = Timing(election_ms=300, heartbeat_ms=50)
+FAST = RaftSettings(election_ms=300, heartbeat_ms=50)
 
 
 class Fleet:
@@ -60,15 +60,17 @@
         self.lives += 1
         source = random.Random(f"{self.seed} {who} {self.lives}")
         wall = lambda: 1e12 + self.clock()  # noqa: E731
-        return World(self.clock, wall, connect, source, keep=in_line, draw=source.randbytes)
+        return Environment(
+            self.clock, wall, connect, source, run_blocking=run_inline, random_bytes=source.randbytes
+        )
 
     async def start(self, name, **changes):
         made = {"start": "found", "timing": FAST, "renew_ms": 200, **self.changes, **changes}
         pages = made.pop("max_pages", 0)
         seats = {one: f"seat:{number + 1}" for number, one in enumerate(NAMES)}
-        settings = SeatSettings(name, "c", seats, self.path / name, **made)
+        settings = ReplicaSettings(name, "c", seats, self.path / name, **made)
         published = self.published.setdefault(name, [])
-        seat = CouncilSeat(self.world(name), settings, publish=published.extend, max_pages=pages)
+        seat = ConsensusReplica(self.world(name), settings, publish=published.extend, max_pages=pages)
         scope = anyio.CancelScope()
 
         async def run():
@@ -107,7 +109,7 @@
 
     def client(self, name="client", seats=NAMES):
         addresses = {one: f"seat:{NAMES.index(one) + 1}" for one in seats}
-        return Council(self.world(name), self.tasks, "c", name, addresses, AskSettings())
+        return ConsensusClient(self.world(name), self.tasks, "c", name, addresses, ClientSettings())
 
 
 def sim(seed, path, program, **changes):
@@ -130,17 +132,17 @@
         council = fleet.client()
         first = await council.decide("zone/a", b"1", 5000)
         assert first.number > 1e12 and first.by == "client"
-        with pytest.raises(e.Conflict) as conflict:
+        with pytest.raises(e.DecisionConflictError) as conflict:
             await council.decide("zone/a", b"2", 5000, if_number=0)
-        assert conflict.value.number == first.number
+        assert conflict.value.version == first.number
         second = await council.decide("zone/a", b"2", 5000, if_number=first.number)
         found = await council.read("zone/a")
-        assert found.number == second.number > first.number and found.value == b"2" and found.renewed
+        assert found.number == second.number > first.number and found.value == b"2" and found.renewal
         assert council.reader.get("zone/a") == found
         assert await council.read("zone/b") is None
-        with pytest.raises(e.TooLarge):
+        with pytest.raises(e.DecisionTooLargeError):
             await council.decide("zone/a", bytes(60000), 5000)
-        with pytest.raises(e.TooLarge):
+        with pytest.raises(e.DecisionTooLargeError):
             await council.decide("zone/a", bytes(600000), 5000)
         assert await council.drop("zone/a", second.number) > second.number
         assert await council.read("zone/a") is None
@@ -167,32 +169,32 @@
         council = fleet.client()
         await council.decide("zone/a", b"old", 1500)
         old = fleet.leader()
-        one, two = d.Reader(), d.Reader()  # readers on either side of the cut
+        one, two = d.DecisionReader(), d.DecisionReader()  # readers on either side of the cut
         rest = [name for name in NAMES if name != old]
         fleet.sever(old)
         at = fleet.clock()
         published = len(fleet.published[old])
         cut_off = fleet.client("cut", [old])
-        with pytest.raises(e.NoQuorum) as refused:
+        with pytest.raises(e.NoQuorumError) as refused:
             await cut_off.read("zone/a", timeout_ms=1200)
-        assert not refused.value.unknown or refused.value.waited_ms >= 1200
-        with pytest.raises(e.NoQuorum) as lost:
+        assert not refused.value.outcome_unknown or refused.value.waited_ms >= 1200
+        with pytest.raises(e.NoQuorumError) as lost:
             await cut_off.decide("zone/a", b"lost", 1500, timeout_ms=1200)
-        assert lost.value.unknown
+        assert lost.value.outcome_unknown
         new = await fleet.client("rest", rest).decide("zone/a", b"new", 1500)
-        beats = {one.renewed for one in fleet.published[old][published:]}
+        beats = {one.renewal for one in fleet.published[old][published:]}
         for decree in fleet.published[old]:
-            one.take(decree, at)
+            one.receive(decree, at)
         await anyio.sleep(3)
         # What the former leader said after the cut (at most one beat that was confirmed before it) is over.
         assert len(beats) <= 1
         for decree in fleet.published[old]:
-            one.take(decree, fleet.clock())
+            one.receive(decree, fleet.clock())
         for name in rest:
             for decree in fleet.published[name]:
-                two.take(decree, fleet.clock())
+                two.receive(decree, fleet.clock())
         assert isinstance(one.get("zone/a", fleet.clock()), d.Expired)
-        assert two.get("zone/a", fleet.clock()).number == new.number
+        assert two.get("zone/a", fleet.clock()).version == new.number
         # The cut heals: the former leader follows, and what it could not decide is gone or follows the log.
         fleet.cut.clear()
         await fleet.until(lambda: fleet.seats[old].decrees.get("zone/a") is not None)
@@ -268,10 +270,10 @@
             return await line.ask(question, forward=False, until_ms=fleet.clock() + 1000)
 
         reply = await ask(d.Decide("t", b"first", 2000.0, "client", first, 0))
-        assert reply == d.Refused("forgotten")
+        assert reply == d.Rejected("forgotten")
         assert (await council.read("t")).number == last.number
 
-    sim(11, tmp_path, program, limits=d.Limits(max_requests=4))
+    sim(11, tmp_path, program, limits=d.DecisionLimits(max_requests=4))
 
 
 def test_a_seat_with_a_lost_store_says_so_and_joins_as_a_new_one(tmp_path):
@@ -287,7 +289,7 @@
         for start in ("expect", "found"):
             await fleet.start(lost, start=start)
             await fleet.until(lambda: fleet.seats[lost].failed is not None)
-            assert isinstance(fleet.seats[lost].failed, e.StoreLost)
+            assert isinstance(fleet.seats[lost].failed, e.StoreMissingError)
             assert fleet.seats[lost].status()["role"] == "failed"
             assert await fleet.client("asks", [lost]).status(lost) is None
             await fleet.stop(lost)
@@ -319,10 +321,10 @@
             if fleet.seats["p2"].failed:
                 break
         failed = fleet.seats["p2"].failed
-        assert isinstance(failed, e.StoreFull) and "room" in failed.remedy
+        assert isinstance(failed, e.StoreFullError) and "room" in failed.remedy
         assert fleet.seats["p2"].status()["failed"]["error"] == "council-store-full"
         assert fleet.leader() in ("p1", "p3")
-        with pytest.raises(e.NoQuorum):
+        with pytest.raises(e.NoQuorumError):
             await fleet.client("asks", ["p2"]).read("t", timeout_ms=500)
         assert (await council.read("t")).number == last.number
         # With room again it is the seat that it was, and catches up.
@@ -340,14 +342,14 @@
         council = fleet.client()
         for number in range(10):
             last = await council.decide(f"t{number % 3}", b"%d" % number, 2000)
-        with pytest.raises(e.StoreBusy):
+        with pytest.raises(e.StoreLockedError):
             recover(str(tmp_path / "p1"), "c", "p1", 0, force=True)
         for name in NAMES:
             await fleet.stop(name)
         for name in ("p2", "p3"):
             (tmp_path / name).rename(tmp_path / f"{name}.aside")
         await fleet.start("p1")
-        with pytest.raises(e.NoQuorum):
+        with pytest.raises(e.NoQuorumError):
             await fleet.client("asks", ["p1"]).read("t0", timeout_ms=1500)
         await fleet.stop("p1")
         told = ["--cluster", "c", "--seat", "p1"]
@@ -369,7 +371,7 @@
         (tmp_path / "p3.aside").rename(tmp_path / "p3")
         await fleet.start("p3")
         await fleet.until(lambda: fleet.seats["p3"].failed is not None)
-        assert isinstance(fleet.seats["p3"].failed, e.CouncilError)
+        assert isinstance(fleet.seats["p3"].failed, e.ConsensusError)
 
     sim(9, tmp_path, program)
 
@@ -382,10 +384,10 @@
         await council.decide("t", b"0", 2000)
         out = next(name for name in NAMES if name != fleet.leader())
         await council.remove(out)
-        await fleet.until(lambda: isinstance(fleet.seats[out].failed, e.SeatRemoved))
+        await fleet.until(lambda: isinstance(fleet.seats[out].failed, e.ReplicaRemovedError))
         await fleet.stop(out)
         await fleet.start(out)
-        await fleet.until(lambda: isinstance(fleet.seats[out].failed, e.SeatRemoved))
+        await fleet.until(lambda: isinstance(fleet.seats[out].failed, e.ReplicaRemovedError))
         await council.decide("t", b"1", 2000)
 
     sim(10, tmp_path, program)
@@ -393,36 +395,40 @@
 
 def test_a_reader_keeps_what_it_has_seen_before_it_tells(tmp_path):
     now = [0.0]
-    kept = Kept(tmp_path / "seen", lambda: now[0])
+    kept = DecisionCache(tmp_path / "seen", lambda: now[0])
     told = []
-    kept.changed.append(lambda decree: told.append((decree.number, (tmp_path / "seen").read_bytes())))
-    assert kept.take_bytes(d.encode(d.Decree("t", 7, b"", 1000.0, "", 3)))
-    assert told == [(7, kept.reader.seen())] and kept.get("t").number == 7
-    again = Kept(tmp_path / "seen", lambda: now[0])
-    assert not again.take(d.Decree("t", 6, b"", 1000.0, "", 9)) and again.get("t") is None
-    nowhere = Kept(tmp_path / "none" / "seen", lambda: now[0])
-    assert nowhere.take(d.Decree("t", 7, b"", 1000.0)) and nowhere.get("t").number == 7 and nowhere.unkept
+    kept.listeners.append(lambda decree: told.append((decree.version, (tmp_path / "seen").read_bytes())))
+    assert kept.receive_bytes(d.encode(d.Decision("t", 7, b"", 1000.0, "", 3)))
+    assert told == [(7, kept.reader.to_bytes())] and kept.get("t").version == 7
+    again = DecisionCache(tmp_path / "seen", lambda: now[0])
+    assert not again.receive(d.Decision("t", 6, b"", 1000.0, "", 9)) and again.get("t") is None
+    nowhere = DecisionCache(tmp_path / "none" / "seen", lambda: now[0])
+    assert (
+        nowhere.receive(d.Decision("t", 7, b"", 1000.0))
+        and nowhere.get("t").version == 7
+        and nowhere.unsaved_reason
+    )
     (tmp_path / "none").mkdir()
-    assert nowhere.take(d.Decree("t", 7, b"", 1000.0, "", 1)) and not nowhere.unkept
-    assert (tmp_path / "none" / "seen").read_bytes() == nowhere.reader.seen()
+    assert nowhere.receive(d.Decision("t", 7, b"", 1000.0, "", 1)) and not nowhere.unsaved_reason
+    assert (tmp_path / "none" / "seen").read_bytes() == nowhere.reader.to_bytes()
     (tmp_path / "seen").write_bytes(b"\x01\xff")
-    assert Kept(tmp_path / "seen", lambda: now[0]).torn
+    assert DecisionCache(tmp_path / "seen", lambda: now[0]).corrupt_reason
     (tmp_path / "seen").write_bytes(b"\x07\xff")
-    with pytest.raises(e.StoreNewer):
-        Kept(tmp_path / "seen", lambda: now[0])
+    with pytest.raises(e.StoreTooNewError):
+        DecisionCache(tmp_path / "seen", lambda: now[0])
 
 
 @pytest.mark.parametrize("names", [["a"], ["a", "b"], ["a", "b", "c", "d"], ["a", "b", "b"], ["x", "b", "c"]])
 def test_seats_that_cannot_be_a_council(names):
-    with pytest.raises(e.SeatsWrong):
-        check_seats(names, "a")
+    with pytest.raises(e.InvalidReplicaSetError):
+        check_replica_set(names, "a")
 
 
 def test_a_hold_lives_through_a_change_of_leader():
-    check_seats(["a", "b", "c"], "a")
-    check_hold(4500, Timing(), 500)
-    with pytest.raises(e.SeatsWrong):
-        check_hold(4499, Timing(), 500)
+    check_replica_set(["a", "b", "c"], "a")
+    check_lease(4500, RaftSettings(), 500)
+    with pytest.raises(e.InvalidReplicaSetError):
+        check_lease(4499, RaftSettings(), 500)
 
 
 # --- frames
@@ -515,11 +521,11 @@
         w.Raft(b"\x01"): "0000000992a472616674c40101",
         w.Ask(3, w.Read("t"), True): "0000000f94a361736b0392a472656164a174c3",
         w.Ask(4, w.Join("p4#1")): "0000001294a361736b0492a46a6f696ea470342331c2",
-        w.Answer(3, w.Stands(d.Decree("t", 5, b"v", 1000.0, "me", 2))): (
+        w.Answer(3, w.Stands(d.Decision("t", 5, b"v", 1000.0, "me", 2))): (
             "0000002694a6616e737765720392a67374616e647396a17405c40176cb408f400000000000a26d650200"
         ),
         w.Answer(4, w.Elsewhere("p2")): "0000001894a6616e737765720492a9656c73657768657265a2703200",
-        w.Answer(5, d.Clash(7)): "0000001294a6616e737765720592a5636c6173680700",
+        w.Answer(5, d.VersionConflict(7)): "0000001294a6616e737765720592a5636c6173680700",
     }
     for frame, wanted in samples.items():
         assert w.encode(frame).hex() == wanted
--- a/tests/test_council_processes.py
+++ b/tests/test_council_processes.py
@@ -18,8 +18,8 @@
 import pytest
 
 from cressrock import net
-from cressrock.council.carrier import AskSettings, Council, World
-from cressrock.errors import council as e
+from cressrock.consensus.replica import ClientSettings, ConsensusClient, Environment
+from cressrock.errors import consensus as e
 
 NAMES = ("p1", "p2", "p3")
 MEMORY = Path("/dev/shm")
@@ -151,8 +151,12 @@
 
     def client(self, tasks, name):
         seats = {b: self.relays[name, b].address for b in NAMES}
-        world = World(net.clock(), net.wall_ms, net.connect, random.Random(f"{self.seed}{name}{id(self)}"))
-        return Council(world, tasks, "lab", name, seats, AskSettings(timeout_ms=4000, try_ms=400))
+        world = Environment(
+            net.clock(), net.wall_ms, net.connect, random.Random(f"{self.seed}{name}{id(self)}")
+        )
+        return ConsensusClient(
+            world, tasks, "lab", name, seats, ClientSettings(timeout_ms=4000, attempt_timeout_ms=400)
+        )
 
     def cut(self, name, *, out, into):
         """Hold back what `name` says to other seats, what they say to it, or both."""
@@ -202,8 +206,8 @@
                 value = json.dumps([*items, item]).encode()
                 made = await council.decide("list", value, 60000, stands.number if stands else 0)
                 record[2:] = [self.tick(), made.number]
-            except (e.Conflict, e.NoQuorum, e.Forgotten) as wrong:
-                if isinstance(wrong, e.Conflict):
+            except (e.DecisionConflictError, e.NoQuorumError, e.RequestForgottenError) as wrong:
+                if isinstance(wrong, e.DecisionConflictError):
                     self.appends.remove(record)  # known not to stand
                 self.errors[wrong.code] = self.errors.get(wrong.code, 0) + 1
 
--- a/tests/test_council_store.py
+++ b/tests/test_council_store.py
@@ -10,10 +10,10 @@
 
 import pytest
 
-from cressrock.council.log import HardState, Snapshot, Stored
-from cressrock.council.messages import Entry
-from cressrock.council.store import Header, Kept, Store, name_of, seal, unseal
-from cressrock.errors import council as e
+from cressrock.consensus.raft.log import HardState, Snapshot, StoredState
+from cressrock.consensus.raft.messages import LogEntry
+from cressrock.consensus.store import ReplicaStore, StoredEntry, StoreHeader, replica_name, seal, unseal
+from cressrock.errors import consensus as e
 
 
 def draw(size):
@@ -21,11 +21,11 @@
 
 
 def make(path, **changes):
-    return Store(path, **{"cluster": "c", "seat": "p1", "draw": draw, **changes})
+    return ReplicaStore(path, **{"cluster": "c", "seat": "p1", "draw": draw, **changes})
 
 
 def entries(start, count, term=1, data=b"x"):
-    return tuple(Entry(term, start + i, "command", data) for i in range(count))
+    return tuple(LogEntry(term, start + i, "command", data) for i in range(count))
 
 
 def load(path, **changes):
@@ -54,22 +54,22 @@
 def test_what_was_written_is_there_after_a_restart(tmp_path):
     path = tmp_path / "seat"
     store = make(path)
-    assert store.load() == Stored() and store.header == Header(1, "c", "p1", draw(8).hex())
-    assert name_of(store.header.identity) == "p1"
+    assert store.load() == StoredState() and store.header == StoreHeader(1, "c", "p1", draw(8).hex())
+    assert replica_name(store.header.identity) == "p1"
     store.write(HardState(1, "p1#aa", 0, 1), None, entries(1, 4))
     store.write(None, None, entries(3, 1, term=2), truncate_from=3)
     store.write(HardState(2, "", 3, 1))
     store.close()
     again = make(path, expect=True)
     wanted = entries(1, 2) + entries(3, 1, term=2)
-    assert again.load() == Stored(HardState(2, "", 3, 1), None, wanted)
+    assert again.load() == StoredState(HardState(2, "", 3, 1), None, wanted)
     # The seat's own snapshot keeps what follows it; a leader's that the log does not lead to replaces all.
     own = Snapshot(2, 1, ("p1#aa",), b"state")
     again.write(None, own)
-    assert again.load() == Stored(HardState(2, "", 3, 1), own, wanted[2:])
+    assert again.load() == StoredState(HardState(2, "", 3, 1), own, wanted[2:])
     foreign = Snapshot(9, 4, ("p1#aa", "p2#bb"), b"other")
     again.write(HardState(4, "", 9, 1), foreign, entries(10, 2, term=4))
-    assert again.load() == Stored(HardState(4, "", 9, 1), foreign, entries(10, 2, term=4))
+    assert again.load() == StoredState(HardState(4, "", 9, 1), foreign, entries(10, 2, term=4))
     with pytest.raises(e.StoreError, match="entry 14 for a log from 10 to 11"):
         again.write(None, None, entries(14, 1, term=4))
     assert load(path).entries == entries(10, 2, term=4)  # closed by the error, and nothing of it kept
@@ -99,35 +99,35 @@
             store.close()
             store = make(tmp_path / "seat")
         hard = HardState(term, "", base.index if base else 0, 1)
-        assert store.load() == Stored(hard, base, tuple(log)), seed
+        assert store.load() == StoredState(hard, base, tuple(log)), seed
 
 
 def test_each_wrong_store_is_told_by_its_own_type(tmp_path):
-    with pytest.raises(e.StoreLost):
+    with pytest.raises(e.StoreMissingError):
         make(tmp_path / "none", expect=True)
     assert not (tmp_path / "none").exists()
     (tmp_path / "empty").touch()  # the disk's file is there, its content is not: lost as well
-    with pytest.raises(e.StoreLost):
+    with pytest.raises(e.StoreMissingError):
         make(tmp_path / "empty", expect=True)
     path = filled(tmp_path / "seat")
-    with pytest.raises(e.StoreForeign, match="cluster 'c'"):
+    with pytest.raises(e.ForeignStoreError, match="cluster 'c'"):
         make(path, cluster="d")
-    with pytest.raises(e.StoreForeign, match="seat 'p1'"):
+    with pytest.raises(e.ForeignStoreError, match="seat 'p1'"):
         make(path, seat="p2")
     change(path, "PRAGMA user_version=0")
-    with pytest.raises(e.StoreOlder, match="format 0"):
+    with pytest.raises(e.StoreTooOldError, match="format 0"):
         make(path)
     change(path, "PRAGMA user_version=2")
-    with pytest.raises(e.StoreNewer, match="format 2"):
+    with pytest.raises(e.StoreTooNewError, match="format 2"):
         make(path)
     change(tmp_path / "other", "CREATE TABLE t(x)")
-    with pytest.raises(e.StoreForeign, match="another program"):
+    with pytest.raises(e.ForeignStoreError, match="another program"):
         make(tmp_path / "other")
     (tmp_path / "text").write_bytes(b"not a database at all" * 100)
-    with pytest.raises(e.StoreTorn):
+    with pytest.raises(e.StoreCorruptError):
         make(tmp_path / "text")
     held = make(tmp_path / "held")
-    with pytest.raises(e.StoreBusy):
+    with pytest.raises(e.StoreLockedError):
         make(tmp_path / "held")
     held.close()
     make(tmp_path / "held").close()
@@ -148,7 +148,7 @@
 def test_rows_that_are_gone_or_changed_are_seen(tmp_path, harm, text):
     path = filled(tmp_path / "seat")
     change(path, harm)
-    with pytest.raises(e.StoreTorn, match=text):
+    with pytest.raises(e.StoreCorruptError, match=text):
         load(path)
 
 
@@ -178,23 +178,23 @@
     path = tmp_path / "seat"
     store = make(path, max_pages=12)
     kept = 0
-    with pytest.raises(e.StoreFull):
+    with pytest.raises(e.StoreFullError):
         for kept in range(1, 1000):
             store.write(HardState(1, "", 0, 1), None, entries(kept, 1, data=bytes(1000)))
     assert store.full and 3 < kept < 100
-    with pytest.raises(e.StoreFull):
+    with pytest.raises(e.StoreFullError):
         store.write(HardState(2, "p1#aa", 0, 1))
     stored = load(path)
-    assert stored.hard.term == 1 and len(stored.entries) == kept - 1
+    assert stored.hard_state.term == 1 and len(stored.entries) == kept - 1
 
 
 def test_a_limit_of_the_system_on_the_file_is_a_full_disk(tmp_path):
     program = """
         import resource, signal, sys
-        from cressrock.council.log import HardState
-        from cressrock.council.messages import Entry
-        from cressrock.council.store import Store
-        from cressrock.errors.council import StoreFull
+        from cressrock.consensus.raft.log import HardState
+        from cressrock.consensus.raft.messages import Entry
+        from cressrock.consensus.store import Store
+        from cressrock.errors.consensus import StoreFull
         store = Store(sys.argv[1], cluster="c", seat="p1")
         signal.signal(signal.SIGXFSZ, signal.SIG_IGN)
         resource.setrlimit(resource.RLIMIT_FSIZE, (200_000, 200_000))
@@ -215,9 +215,9 @@
 def test_a_process_that_dies_while_it_writes_leaves_all_or_nothing_of_each_write(tmp_path):
     program = """
         import sys
-        from cressrock.council.log import HardState
-        from cressrock.council.messages import Entry
-        from cressrock.council.store import Store
+        from cressrock.consensus.raft.log import HardState
+        from cressrock.consensus.raft.messages import Entry
+        from cressrock.consensus.store import Store
         store = Store(sys.argv[1], cluster="c", seat="p1")
         index = len(store.load().entries)
         while True:
@@ -236,14 +236,14 @@
         stored = load(tmp_path / "seat")
         # What was said is there; what is there beyond it is one whole write at most.
         assert len(stored.entries) in (said[-1], said[-1] + 2)
-        assert stored.hard.term == len(stored.entries)
+        assert stored.hard_state.term == len(stored.entries)
 
 
 def test_a_founding_or_recovery_replaces_all_in_one_step(tmp_path):
     store = make(tmp_path / "seat")
-    header = Header(1, "c", "p1", store.header.own, ("p1#aa",))
-    stored = Stored(HardState(1, "", 1, 1), None, (Entry(1, 1, "seats", b"s"),))
-    store.keep_header(header, stored)
+    header = StoreHeader(1, "c", "p1", store.header.instance_id, ("p1#aa",))
+    stored = StoredState(HardState(1, "", 1, 1), None, (LogEntry(1, 1, "seats", b"s"),))
+    store.save_header(header, stored)
     store.close()
     store = make(tmp_path / "seat")
     assert store.header == header and store.load() == stored
@@ -253,10 +253,10 @@
 def test_golden_header_entry_and_seal():
     import msgspec
 
-    header = Header(1, "c", "p1", "0001020304050607", ("k",), False)
+    header = StoreHeader(1, "c", "p1", "0001020304050607", ("k",), False)
     assert msgspec.msgpack.encode(header).hex() == "9601a163a27031b03030303130323033303430353036303791a16bc2"
-    entry = msgspec.msgpack.encode(Kept(1, "command", b"x"))
+    entry = msgspec.msgpack.encode(StoredEntry(1, "command", b"x"))
     assert seal("log 1", entry).hex() == "80d30d840f1585039301a7636f6d6d616e64c40178"
     assert unseal("a", seal("a", b"b")) == b"b"
-    with pytest.raises(e.StoreTorn):
+    with pytest.raises(e.StoreCorruptError):
         unseal("b", seal("a", b"b"))
--- a/tests/test_decrees.py
+++ b/tests/test_decrees.py
@@ -7,15 +7,15 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from cressrock.council import decrees as d
-from cressrock.errors import council as e
+from cressrock.consensus import decisions as d
+from cressrock.errors import consensus as e
 
 
 def decide(topic="t", value=b"v", request="r", if_number=None, asked_at=0, hold=1000.0):
     return d.Decide(topic, value, hold, "me", request, asked_at, if_number)
 
 
-class Machine(d.Decrees):
+class Machine(d.DecisionState):
     """Applies commands at the next index."""
 
     def do(self, command):
@@ -28,78 +28,82 @@
     assert m.do(decide("a", request="1")) == d.Done(1)
     assert m.do(None) is None
     assert m.do(decide("b", request="2", if_number=0)) == d.Done(3)
-    assert m.do(decide("a", request="3", if_number=3)) == d.Clash(1)
+    assert m.do(decide("a", request="3", if_number=3)) == d.VersionConflict(1)
     assert m.do(decide("a", b"w", "4", if_number=1)) == d.Done(5)
-    assert m.get("a") == d.Decree("a", 5, b"w", 1000.0, "me") and m.get("c") is None
-    assert m.do(d.Drop("a", "5", 0, 1)) == d.Clash(5)
+    assert m.get("a") == d.Decision("a", 5, b"w", 1000.0, "me") and m.get("c") is None
+    assert m.do(d.Drop("a", "5", 0, 1)) == d.VersionConflict(5)
     assert m.do(d.Drop("a", "6", 0, 5)) == d.Done(7)
     assert m.do(decide("a", request="7", if_number=0)) == d.Done(8)
-    assert [one.number for one in m.all()] == [8, 3]
+    assert [one.version for one in m.all_decisions()] == [8, 3]
 
 
 def test_the_ground_raises_numbers_and_never_lowers_them():
     m = Machine()
-    assert m.do(d.Ground(1_700_000_000_000)) == d.Done(1_700_000_000_000)
+    assert m.do(d.SetVersionBase(1_700_000_000_000)) == d.Done(1_700_000_000_000)
     assert m.do(decide(request="1")) == d.Done(1_700_000_000_001)
-    assert m.do(d.Ground(5)) == d.Done(1_700_000_000_002)
+    assert m.do(d.SetVersionBase(5)) == d.Done(1_700_000_000_002)
     assert m.do(decide(request="2")) == d.Done(1_700_000_000_003)
 
 
 def test_after_a_recovery_what_was_not_surely_committed_gets_new_numbers():
     m = Machine()
-    m.do(d.Ground(1000))
+    m.do(d.SetVersionBase(1000))
     m.do(decide("a", request="1"))
     m.do(decide("b", request="2"))
     m.do(decide("c", request="3"))
     m.do(decide("b", b"w", request="4", if_number=1002))  # still follows what it followed
-    assert [one.number for one in m.all()] == [1001, 1004, 1003]
-    before = m.number
-    assert m.do(d.Ground(0, None, sure=2)).number == before + 3
-    assert [one.number for one in m.all()] == [1001, 1007, 1006]
+    assert [one.version for one in m.all_decisions()] == [1001, 1004, 1003]
+    before = m.version
+    assert m.do(d.SetVersionBase(0, None, committed_index=2)).version == before + 3
+    assert [one.version for one in m.all_decisions()] == [1001, 1007, 1006]
     assert m.do(decide("d", request="5")) == d.Done(1008)
 
 
 def test_a_request_is_applied_once_however_often_it_comes():
-    m = Machine(d.Limits(max_requests=3))
+    m = Machine(d.DecisionLimits(max_requests=3))
     first = decide("a", b"1", "one")
     assert m.do(first) == d.Done(1)
     m.do(decide("a", b"2", "two"))
     assert m.do(first) == d.Done(1) and m.get("a").value == b"2"
     m.do(decide("a", b"3", "three", asked_at=3))
     m.do(decide("a", b"4", "four", asked_at=4))  # now "one" is forgotten, which was applied at 1
-    assert m.forgotten == 1 and m.outcome("one") is None
-    assert m.do(first) == d.Refused("forgotten") and m.get("a").value == b"4"
+    assert m.forgotten_until_index == 1 and m.outcome("one") is None
+    assert m.do(first) == d.Rejected("forgotten") and m.get("a").value == b"4"
     # A refusal is remembered as well; who asks anew, with what a seat has applied by now, is served.
-    assert m.do(decide("a", b"5", "five", asked_at=m.applied)).number == m.applied
+    assert m.do(decide("a", b"5", "five", asked_at=m.applied)).version == m.applied
 
 
 def test_bounds_are_kept_and_are_part_of_the_state():
     m = Machine()
-    m.do(d.Ground(0, d.Limits(max_topics=2, max_value=10, max_bytes=25, max_requests=100)))
-    assert m.do(decide("a", b"x" * 11, "1")) == d.Refused("too-large")
+    m.do(
+        d.SetVersionBase(
+            0, d.DecisionLimits(max_topics=2, max_value_bytes=10, max_total_bytes=25, max_requests=100)
+        )
+    )
+    assert m.do(decide("a", b"x" * 11, "1")) == d.Rejected("too-large")
     assert m.do(decide("a", b"x" * 10, "2")) == d.Done(3)
-    assert m.do(decide("b", b"x" * 10, "3")) == d.Done(4) and m.bytes == 22
-    assert m.do(decide("c", b"", "4")) == d.Refused("too-many")
-    assert m.do(decide("aa", b"xxx", "5")) == d.Refused("too-large")
-    assert m.do(d.Drop("a", "6", 0)) == d.Done(7) and m.bytes == 11
-    assert m.do(decide("c" * 10, b"x" * 10, "7")) == d.Refused("too-large")
-    again = d.Decrees.restore(m.snapshot())
-    assert again.limits == m.limits and again.bytes == m.bytes
+    assert m.do(decide("b", b"x" * 10, "3")) == d.Done(4) and m.total_bytes == 22
+    assert m.do(decide("c", b"", "4")) == d.Rejected("too-many")
+    assert m.do(decide("aa", b"xxx", "5")) == d.Rejected("too-large")
+    assert m.do(d.Drop("a", "6", 0)) == d.Done(7) and m.total_bytes == 11
+    assert m.do(decide("c" * 10, b"x" * 10, "7")) == d.Rejected("too-large")
+    again = d.DecisionState.restore(m.snapshot())
+    assert again.limits == m.limits and again.total_bytes == m.total_bytes
 
 
 def test_a_command_of_a_newer_program_stops_the_seat():
     for data, kind in (
-        (b"\x02\x93", e.StoreNewer),
-        (b"\x00\x93", e.BadDecree),
-        (b"\x01\xff", e.BadDecree),
-        (b"\x01" + b"\x91" * 5000, e.BadDecree),
-        (d.encode(decide(hold=0)), e.BadDecree),
+        (b"\x02\x93", e.StoreTooNewError),
+        (b"\x00\x93", e.InvalidDecisionError),
+        (b"\x01\xff", e.InvalidDecisionError),
+        (b"\x01" + b"\x91" * 5000, e.InvalidDecisionError),
+        (d.encode(decide(hold=0)), e.InvalidDecisionError),
     ):
         m = Machine()
         with pytest.raises(kind):
             m.apply(1, data)
         assert m.applied == 0
-    with pytest.raises(e.BadDecree, match="entry 3 after 0"):
+    with pytest.raises(e.InvalidDecisionError, match="entry 3 after 0"):
         Machine().apply(3, b"")
 
 
@@ -117,7 +121,7 @@
         st.none() | st.integers(0, 12),
     ),
     st.builds(d.Drop, names, st.sampled_from([f"q{n}" for n in range(6)]), st.integers(0, 20), st.none()),
-    st.builds(d.Ground, st.integers(0, 50), st.none() | st.just(d.Limits(3, 9, 30, 4))),
+    st.builds(d.SetVersionBase, st.integers(0, 50), st.none() | st.just(d.DecisionLimits(3, 9, 30, 4))),
 )
 
 
@@ -130,14 +134,14 @@
             kept = parts.snapshot()
             parts = Machine.restore(kept)
             assert parts.snapshot() == kept
-        before = whole.number
+        before = whole.version
         outcome = whole.do(command)
         assert parts.do(command) == outcome
         assert len(whole._requests) <= whole.limits.max_requests
-        assert whole.number > before
+        assert whole.version > before
         if isinstance(command, d.Decide) and (stands := whole.get(command.topic)):
-            if stands.number == whole.number:
-                given_.append(whole.number)
+            if stands.version == whole.version:
+                given_.append(whole.version)
     assert parts.snapshot() == whole.snapshot()
     assert given_ == sorted(set(given_))
 
@@ -146,49 +150,55 @@
 
 
 def decree(number, renewed=0, topic="t", hold=1000.0):
-    return d.Decree(topic, number, b"", hold, "me", renewed)
+    return d.Decision(topic, number, b"", hold, "me", renewed)
 
 
 def test_a_decree_counts_from_the_newest_beat_first_heard_and_no_copy_renews_it():
-    r = d.Reader()
-    assert r.get("t", 0) is None and r.next_end(0) == float("inf")
-    assert r.take(decree(5, 10), 0)
-    assert r.get("t", 999) == decree(5, 10) and r.next_end(500) == 1000
-    assert not r.take(decree(5, 10), 900) and not r.take(decree(5, 9), 900) and not r.take(decree(4, 99), 900)
+    r = d.DecisionReader()
+    assert r.get("t", 0) is None and r.next_expiry_ms(0) == float("inf")
+    assert r.receive(decree(5, 10), 0)
+    assert r.get("t", 999) == decree(5, 10) and r.next_expiry_ms(500) == 1000
+    assert (
+        not r.receive(decree(5, 10), 900)
+        and not r.receive(decree(5, 9), 900)
+        and not r.receive(decree(4, 99), 900)
+    )
     assert r.get("t", 1000) == d.Expired(decree(5, 10), 1000)
-    assert r.take(decree(5, 11), 1500) and r.get("t", 2499) == decree(5, 11)
-    assert r.take(decree(6, 0), 1600) and r.get("t", 2599) == decree(6)
-    assert not r.take(decree(5, 99), 1700) and r.number("t") == 6 and r.topics() == ("t",)
+    assert r.receive(decree(5, 11), 1500) and r.get("t", 2499) == decree(5, 11)
+    assert r.receive(decree(6, 0), 1600) and r.get("t", 2599) == decree(6)
+    assert not r.receive(decree(5, 99), 1700) and r.last_version("t") == 6 and r.topics() == ("t",)
 
 
 def test_what_a_former_life_has_seen_is_never_undercut_nor_taken_for_fresh():
-    former = d.Reader()
-    former.take(decree(5, 10), 0)
-    r = d.Reader(former.seen())
-    assert r.number("t") == 5 and r.get("t", 0) is None
-    assert not r.take(decree(4, 99), 0) and not r.take(decree(5, 9), 0) and r.get("t", 0) is None
-    assert not r.take(decree(5, 10), 50)  # the same copy again: known, but nobody says that it still stands
+    former = d.DecisionReader()
+    former.receive(decree(5, 10), 0)
+    r = d.DecisionReader(former.to_bytes())
+    assert r.last_version("t") == 5 and r.get("t", 0) is None
+    assert not r.receive(decree(4, 99), 0) and not r.receive(decree(5, 9), 0) and r.get("t", 0) is None
+    assert not r.receive(
+        decree(5, 10), 50
+    )  # the same copy again: known, but nobody says that it still stands
     assert r.get("t", 50) == d.Expired(decree(5, 10), 50)
-    assert r.take(decree(5, 11), 60) and r.get("t", 60) == decree(5, 11)
-    with pytest.raises(e.BadDecree):
-        d.Reader(b"\x01\x00")
-    with pytest.raises(e.StoreNewer):
-        d.Reader(b"\x02\x00")
+    assert r.receive(decree(5, 11), 60) and r.get("t", 60) == decree(5, 11)
+    with pytest.raises(e.InvalidDecisionError):
+        d.DecisionReader(b"\x01\x00")
+    with pytest.raises(e.StoreTooNewError):
+        d.DecisionReader(b"\x02\x00")
 
 
 @settings(max_examples=100, deadline=None)
 @given(st.lists(st.tuples(names, st.integers(1, 30), st.integers(0, 5)), max_size=60), st.integers(0, 60))
 def test_no_reader_ever_goes_back_even_over_lives_and_with_few_places(copies, restart):
-    r = d.Reader(max_topics=2)
+    r = d.DecisionReader(max_topics=2)
     newest = {}
     for place, (topic, number, beat) in enumerate(copies):
         if place == restart:
-            r = d.Reader(r.seen(), max_topics=2)
-        r.take(decree(number, beat, topic), place)
+            r = d.DecisionReader(r.to_bytes(), max_topics=2)
+        r.receive(decree(number, beat, topic), place)
         assert len(r._past) <= 2 and len(r._held) <= 2
         held = r.get(topic, place)
         if held is not None:
-            mark = held.number if isinstance(held, d.Decree) else held.decree.number
+            mark = held.version if isinstance(held, d.Decision) else held.decision.version
             assert mark >= newest.get(topic, 0)
             newest[topic] = mark
 
@@ -199,7 +209,7 @@
 
 
 def test_beats_grow_over_leaders_and_only_confirmed_reads_of_the_same_term_earn_one():
-    old, new = d.Beats(), d.Beats()
+    old, new = d.LeaseRenewals(), d.LeaseRenewals()
     token = old.ask(3, 0)
     first = confirm(old, 3, token)
     assert first == (3 << 32) + 1 and confirm(old, 3, token) is None
@@ -213,15 +223,15 @@
 
 def test_a_former_leader_that_is_cut_off_renews_nothing():
     """The reader's side of it: leader 1 keeps its decree and its last beat, leader 2 goes on without it."""
-    one, two, reader = d.Beats(), d.Beats(), d.Reader()
-    reader.take(decree(5, confirm(one, 1)), 0)
+    one, two, reader = d.LeaseRenewals(), d.LeaseRenewals(), d.DecisionReader()
+    reader.receive(decree(5, confirm(one, 1)), 0)
     one.ask(1, 0)  # never confirmed: no beat comes of it, so leader 1 can only say the same again
     for now in range(0, 2000, 100):
-        reader.take(decree(5, one.beat), now)
+        reader.receive(decree(5, one.last_renewal), now)
     assert isinstance(reader.get("t", 2000), d.Expired)
-    reader.take(decree(7, confirm(two, 2)), 2100)
-    reader.take(decree(5, one.beat), 2200)
-    assert reader.get("t", 2300).number == 7
+    reader.receive(decree(7, confirm(two, 2)), 2100)
+    reader.receive(decree(5, one.last_renewal), 2200)
+    assert reader.get("t", 2300).version == 7
 
 
 def test_golden_samples():
@@ -229,8 +239,11 @@
     wanted = "0198a6646563696465a67a6f6e652f61c40101cb4097700000000000a27031a670312d312d370904"
     assert d.encode(command).hex() == wanted
     assert d.encode(d.Drop("zone/a", "p1-1-8", 9)).hex() == "0195a464726f70a67a6f6e652f61a670312d312d3809c0"
-    assert d.encode(d.Ground(7, d.Limits())).hex() == "0194a667726f756e640794cd1000cdc000ce00400000cd1000c0"
-    one = d.Decree("zone/a", 12, b"\x01", 1500.0, "p1", (3 << 32) + 1)
+    assert (
+        d.encode(d.SetVersionBase(7, d.DecisionLimits())).hex()
+        == "0194a667726f756e640794cd1000cdc000ce00400000cd1000c0"
+    )
+    one = d.Decision("zone/a", 12, b"\x01", 1500.0, "p1", (3 << 32) + 1)
     assert d.encode(one).hex() == "0196a67a6f6e652f610cc40101cb4097700000000000a27031cf0000000300000001"
     m = Machine()
     for number in range(2):
@@ -239,28 +252,28 @@
         "0196020094cd1000cdc000ce00400000cd1000009196a16101c40176cb408f400000000000a26d65009293a272"
         "300192a4646f6e650193a272310292a5636c61736801"
     )
-    r = d.Reader()
-    r.take(one, 0)
-    assert r.seen().hex() == "01920081a67a6f6e652f61920ccf0000000300000001"
-    for sample, decoder in ((d.encode(command), d.decode_command), (d.encode(one), d.decode_decree)):
+    r = d.DecisionReader()
+    r.receive(one, 0)
+    assert r.to_bytes().hex() == "01920081a67a6f6e652f61920ccf0000000300000001"
+    for sample, decoder in ((d.encode(command), d.decode_command), (d.encode(one), d.decode_decision)):
         assert decoder(sample) in (command, one)
     # A newer program's added field at the end is ignored.
     fields = msgspec.msgpack.decode(d.encode(one)[1:])
     longer = msgspec.msgpack.encode([*fields, "new"])
-    assert d.decode_decree(b"\x01" + longer) == one
+    assert d.decode_decision(b"\x01" + longer) == one
 
 
 def test_bytes_from_anywhere_are_a_decree_or_a_stated_error():
     seed = 3
     print("seed", seed)
     source = random.Random(seed)
-    good = d.encode(decide()), d.encode(decree(5)), Machine().snapshot(), d.Reader().seen()
+    good = d.encode(decide()), d.encode(decree(5)), Machine().snapshot(), d.DecisionReader().to_bytes()
     for _ in range(3000):
         data = bytearray(source.choice(good))
         for _ in range(source.randint(1, 4)):
             data[source.randrange(len(data))] = source.randrange(256)
-        for take in (d.decode_command, d.decode_decree, d.Decrees.restore, d.Reader):
+        for take in (d.decode_command, d.decode_decision, d.DecisionState.restore, d.DecisionReader):
             try:
                 take(bytes(data[: source.randint(0, len(data))]))
-            except (e.BadDecree, e.StoreNewer):
+            except (e.InvalidDecisionError, e.StoreTooNewError):
                 pass
--- a/tests/test_drill.py
+++ b/tests/test_drill.py
@@ -12,7 +12,7 @@
 from msgspec import structs
 
 from cressrock import net
-from cressrock.errors.lab import ProcessNotReady, ProcessUnknown
+from cressrock.errors.lab import ProcessNotReadyError, UnknownProcessError
 from cressrock.lab import steps as st
 from cressrock.lab.day import Script
 from cressrock.lab.drill import Drill, Gauge, rehearse
@@ -335,7 +335,7 @@
         clock = net.clock()
         with pytest.raises(KeyboardInterrupt), Processes(str(tmp_path), clock) as processes:
             await processes.start("a", [*PYTHON, READY + "say('up'); time.sleep(600)"], "up")
-            with pytest.raises(ProcessUnknown, match="runs already"):
+            with pytest.raises(UnknownProcessError, match="runs already"):
                 await processes.start("a", [*PYTHON, ""], "up")
             await anyio.sleep(0.02)
             processes.stop("a")
@@ -344,11 +344,11 @@
             ((began, ended),) = processes.stops["a"]
             assert began < ended < float("inf")
             processes.kill("a")
-            with pytest.raises(ProcessUnknown, match="does not run"):
+            with pytest.raises(UnknownProcessError, match="does not run"):
                 processes.stop("a")
             second = await processes.start("a", [*PYTHON, READY + "say('up'); sys.exit(7)"], "up")
             await until(lambda: second.code is not None)
-            with pytest.raises(ProcessNotReady, match="(?s)ended with 1.*no such thing"):
+            with pytest.raises(ProcessNotReadyError, match="(?s)ended with 1.*no such thing"):
                 await processes.start("b", [*PYTHON, "raise SystemExit('no such thing')"], "up")
             third = await processes.start("c", [*PYTHON, READY + "say('up'); time.sleep(600)"], "up")
             (found,) = processes.findings()
--- a/tests/test_explorer.py
+++ b/tests/test_explorer.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from cressrock.council.raft import Seat, Timing, first
+from cressrock.consensus.raft.node import RaftNode, RaftSettings, initial_state
 from cressrock.lab.explored import BROKEN, QUICK
 from cressrock.lab.explorer import Bounds, Explorer, Scenario
 
@@ -37,8 +37,8 @@
 def test_a_copy_of_a_seat_acts_as_the_seat_and_shares_nothing_with_it():
     import random
 
-    timing = Timing()
-    seat = Seat("a", first(("a",)), timing, random.Random(1), 0.0)
+    timing = RaftSettings()
+    seat = RaftNode("a", initial_state(("a",)), timing, random.Random(1), 0.0)
     seat.campaign(0.0)
     copy = seat.clone()
     assert copy.key() == seat.key()
@@ -46,4 +46,4 @@
         one.propose(0.0, b"x")
     assert copy.ready() == seat.ready() and copy.key() == seat.key()
     copy.propose(0.0, b"y")
-    assert copy.key() != seat.key() and seat.log.last == 3
+    assert copy.key() != seat.key() and seat.log.last_index == 3
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -3,12 +3,11 @@
 import random
 import sys
 
-from cressrock.brain import Brain
 from cressrock.interface import (
     Arrival,
+    AttemptEnded,
     ClientLeft,
-    Effect,
-    Ended,
+    Idempotency,
     ListKind,
     Node,
     NodeList,
@@ -18,10 +17,13 @@
     RequestClass,
     Send,
     Settings,
-    Wake,
+    TimerFired,
 )
+from cressrock.scheduler.scheduler import Scheduler
 
-CLASS = RequestClass(aim_ms=300, deadline_ms=1500, worth=3, effect=Effect.REPEATABLE)
+CLASS = RequestClass(
+    latency_objective_ms=300, deadline_ms=1500, priority_weight=3, idempotency=Idempotency.ALWAYS
+)
 
 
 def settings(**changes):
@@ -76,14 +78,14 @@
     brains, dead, count, largest = {}, {}, 0, 0
     out = {host: [] for host in range(16)}
     for host in range(16):
-        brains[host] = Brain(conf, host, 0.0)
+        brains[host] = Scheduler(conf, host, 0.0)
         brains[host].act(0.0, [line])
     for now in range(20, 24000, 20):
         surge = 8000 < now < 16000
         for host in range(16):
             if host not in brains:
                 if now >= dead[host]:
-                    brains[host] = Brain(conf, host + now, float(now))
+                    brains[host] = Scheduler(conf, host + now, float(now))
                     brains[host].act(float(now), [line])
                     out[host] = []
                 continue
@@ -91,7 +93,7 @@
                 del brains[host]
                 dead[host] = now + rng.randint(20, 5000)
                 continue
-            events = [Ended(n, a, Outcome.OK, True, 20.0, store.used(now)) for n, a in out[host]]
+            events = [AttemptEnded(n, a, Outcome.OK, True, 20.0, store.used(now)) for n, a in out[host]]
             for _ in range(rng.choice([0, 1, 2]) if surge else rng.random() < 0.03):
                 count += 1
                 patience = rng.choice([1500.0, 1500.0, 100.0])
@@ -113,14 +115,14 @@
 
 def test_a_stall_across_a_drain_notice_condemns_nobody_and_sends_nothing_to_the_drained():
     """Danger: a host that stood still finds the notice, old answers and new requests all at once."""
-    brain = Brain(settings(hosts=2, plans=(Plan(),)), 1, 0.0)
+    brain = Scheduler(settings(hosts=2, plans=(Plan(),)), 1, 0.0)
     brain.act(0.0, [NodeList(ListKind.CACHED, (Node("a", 0), Node("b", 1)))])
     brain.act(10.0, [Arrival(f"r{i}", "v", "", 1.0, 1500.0, shard=i) for i in range(2)])
     batch = [
         NodeList(ListKind.CHANGES, (Node("a", 0, state=NodeState.DRAINING),)),
         *[Arrival(f"s{i}", "v", "", 1.0, 1500.0, shard=i % 2) for i in range(6)],
-        Ended("r0", 0, Outcome.OK, True, 30.0),
-        Ended("r1", 0, Outcome.OK, True, 30.0),
+        AttemptEnded("r0", 0, Outcome.OK, True, 30.0),
+        AttemptEnded("r1", 0, Outcome.OK, True, 30.0),
     ]
     actions = brain.act(1400.0, batch)
     assert {a.node for a in actions if isinstance(a, Send)} == {"b"}
@@ -131,13 +133,13 @@
     """Lost answers, errors, full queues and a clock gap, drawn at random; then all is well again."""
     for seed in range(6):
         rng = random.Random(seed)
-        brain = Brain(settings(hosts=40, plans=(Plan(reserve=5.0),)), seed, 0.0)
+        brain = Scheduler(settings(hosts=40, plans=(Plan(reserve=5.0),)), seed, 0.0)
         brain.act(0.0, [NodeList(ListKind.CACHED, tuple(Node(f"n{i}", i) for i in range(3)))])
         now, count, ok, asked, pending = 0.0, 0, 0, 0, []
         while now < 14000.0:
             now += 700.0 if rng.random() < 0.002 else 20.0
             trouble = now < 8000.0
-            events = [Wake(0)]
+            events = [TimerFired(0)]
             for item in list(pending):
                 due, name, attempt, sent_at = item
                 if due <= now:
@@ -146,7 +148,7 @@
                     if kind is Outcome.OK:
                         ok += now > 10500.0
                     ended = kind is Outcome.OK or name not in brain.requests
-                    events.append(Ended(name, attempt, kind, ended, now - sent_at))
+                    events.append(AttemptEnded(name, attempt, kind, ended, now - sent_at))
             if rng.random() < 0.1:
                 count += 1
                 asked += now > 10500.0
@@ -163,13 +165,13 @@
     """Counts calls inside the module, not time: a busy node among five or among two hundred."""
 
     def calls(nodes):
-        brain = Brain(settings(hosts=100, plans=(Plan(),)), 1, 0.0)
+        brain = Scheduler(settings(hosts=100, plans=(Plan(),)), 1, 0.0)
         brain.act(0.0, [NodeList(ListKind.CACHED, tuple(Node(f"n{i}", i) for i in range(nodes)))])
         for i in range(nodes):
             brain.act(1.0 + i, [Arrival(f"w{i}", "v", "", 1.0, 1500.0, shard=i)])
-            brain.act(1.5 + i, [Ended(f"w{i}", 0, Outcome.OK, True, 20.0)])
+            brain.act(1.5 + i, [AttemptEnded(f"w{i}", 0, Outcome.OK, True, 20.0)])
         for now in (2500.0, 2700.0, 2990.0):  # what the start left to fade is over
-            brain.act(now, [Wake(0)])
+            brain.act(now, [TimerFired(0)])
         lines = 0
 
         def trace(frame, event, _):
@@ -191,11 +193,11 @@
     """Danger: a host that lives for months keeps a time for each request it took."""
     for window in (0.0, 1000.0):
         conf = settings(hosts=2, plans=(Plan(),), budget_window_ms=window, budget_share=0.1)
-        brain = Brain(conf, 1, 0.0)
+        brain = Scheduler(conf, 1, 0.0)
         brain.act(0.0, [NodeList(ListKind.CACHED, (Node("a", 0),))])
         out = []
         for step in range(3000):
-            events = [Ended(name, 0, Outcome.OK, True, 5.0) for name in out]
+            events = [AttemptEnded(name, 0, Outcome.OK, True, 5.0) for name in out]
             actions = brain.act(10.0 * step, [*events, Arrival(f"r{step}", "v", "", 1.0, 1500.0, shard=0)])
             out = [a.request for a in actions if isinstance(a, Send)]
         held = len(brain.taken) + len(brain.extra) + len(brain.requests) + len(brain.nodes["a"].recent)
--- a/tests/test_fleet_carrier.py
+++ b/tests/test_fleet_carrier.py
@@ -12,14 +12,14 @@
 import anyio
 import pytest
 
-from cressrock.errors.fleet import Fenced, Malformed
-from cressrock.fleet import messages as m
-from cressrock.fleet.carrier import Fleet, FleetSettings, World
-from cressrock.fleet.members import Identity, Members, MembersSettings, ToSend
-from cressrock.fleet.messages import State
-from cressrock.fleet.rounds import Rounds, RoundsSettings
+from cressrock.errors.membership import FencedError, MalformedPacketError
+from cressrock.gossip.anti_entropy import AntiEntropy, AntiEntropySettings
+from cressrock.gossip.transport import ClusterTransport, ClusterTransportSettings, TransportEnvironment
 from cressrock.lab.day import simulate
 from cressrock.lab.simnet import SimNet
+from cressrock.membership import packets as m
+from cressrock.membership.membership import Identity, Membership, MembershipSettings, OutgoingMessage
+from cressrock.membership.packets import MemberState
 
 SEED = 11
 
@@ -35,7 +35,7 @@
     def __init__(self, held=""):
         self.held, self.told, self.admitted = set(held), set(), set()
 
-    def fresh(self, max_bytes):
+    def recent_changes(self, max_bytes):
         new = self.held - self.told
         self.told |= new
         return "".join(sorted(new)).encode()
@@ -45,19 +45,19 @@
 
     def deltas(self, digest, max_bytes, count):
         if not digest.startswith(b"+"):
-            raise Malformed("no digest")
+            raise MalformedPacketError("no digest")
         lacks = "".join(sorted(self.held - set(digest.decode())))[:max_bytes].encode()
         return [lacks] if lacks else []
 
     def merge(self, data):
         self.held |= set(data.decode())
 
-    def full(self, after, max_bytes):
+    def full_state(self, after, max_bytes):
         at = after or 0
         held = sorted(self.held)
         return "".join(held[at : at + 2]).encode(), (at + 2 if at + 2 < len(held) else None)
 
-    def admit(self, origins):
+    def retain_origins(self, origins):
         self.admitted = set(origins)
 
 
@@ -71,10 +71,14 @@
 
     def start(self, name, seeds=(), *, life=1, letters="", address=None, **changes):
         address = address or f"{name}:1"
-        world = World(self.net.datagrams(address), self.net.connect, lambda: anyio.current_time() * 1000)
-        settings = FleetSettings(seeds=tuple(seeds), **changes)
+        world = TransportEnvironment(
+            self.net.datagrams(address), self.net.connect, lambda: anyio.current_time() * 1000
+        )
+        settings = ClusterTransportSettings(seeds=tuple(seeds), **changes)
         source = random.Random(f"{SEED} {name} {life}")
-        fleet = Fleet(settings, Identity(name, life, address), world, Letters(letters), source, Quiet())
+        fleet = ClusterTransport(
+            settings, Identity(name, life, address), world, Letters(letters), source, Quiet()
+        )
         self.net.listen(address, fleet.serve)
         self.tasks.start_soon(self._run, fleet, address)
         return fleet
@@ -83,7 +87,7 @@
         with anyio.CancelScope() as self.scopes[address]:
             try:
                 await fleet.run()
-            except Fenced as wrong:
+            except FencedError as wrong:
                 self.ends[address] = wrong
 
     def kill(self, fleet):
@@ -94,7 +98,7 @@
 
 
 def live(fleet):
-    return {v.name for v in fleet.members.view(0) if v.state is State.ALIVE}
+    return {v.name for v in fleet.members.view(0) if v.state is MemberState.ALIVE}
 
 
 def in_town(play):
@@ -147,9 +151,11 @@
     async def play(town):
         one = town.start("a")
         # b tells an address that nobody can reach; a route says where it stands.
-        world = World(town.net.datagrams("nat:1"), town.net.connect, lambda: anyio.current_time() * 1000)
-        two = Fleet(
-            FleetSettings(seeds=("a:1",)),
+        world = TransportEnvironment(
+            town.net.datagrams("nat:1"), town.net.connect, lambda: anyio.current_time() * 1000
+        )
+        two = ClusterTransport(
+            ClusterTransportSettings(seeds=("a:1",)),
             Identity("b", 1, "inside:1"),
             world,
             Letters(),
@@ -160,7 +166,7 @@
         town.tasks.start_soon(two.run)
         await anyio.sleep(5)
         assert live(two) == {"b"}
-        one.settings = FleetSettings(routes={"b": "nat:1"})
+        one.settings = ClusterTransportSettings(routes={"b": "nat:1"})
         await until(lambda: live(one) == live(two) == {"a", "b"})
 
     in_town(play)
@@ -182,7 +188,7 @@
             while True:
                 await stream.receive()
         endless = await town.net.connect("a", 1)
-        piece = m.frame(m.encode("cressrock", "x", 1, m.Piece([])))
+        piece = m.frame(m.encode("cressrock", "x", 1, m.ExchangePart([])))
         with pytest.raises((anyio.EndOfStream, anyio.BrokenResourceError)):
             while True:
                 await endless.send(piece * 8)
@@ -211,18 +217,22 @@
 
 
 def test_answers_to_digests_keep_to_their_budget():
-    members = Members(Identity("a", 1, "a:1"), MembersSettings(), (), random.Random(1), 0.0)
+    members = Membership(Identity("a", 1, "a:1"), MembershipSettings(), (), random.Random(1), 0.0)
     about = m.About("b:1", "edge")
-    members.receive(1.0, "b:1", m.Letter("b", 1, m.Rumours([m.Claim("b", 1, 0, State.ALIVE, "", about)])))
+    members.receive(
+        1.0, "b:1", m.Letter("b", 1, m.Updates([m.MemberUpdate("b", 1, 0, MemberState.ALIVE, "", about)]))
+    )
     spread = Letters(map(chr, range(0x100, 0x500)))
-    rounds = Rounds(members, spread, RoundsSettings(bytes_s=2000, burst=4000), random.Random(1), 0.0)
-    digest = m.Letter("b", 1, m.Digest(b"+"))
+    rounds = AntiEntropy(
+        members, spread, AntiEntropySettings(bytes_s=2000, burst=4000), random.Random(1), 0.0
+    )
+    digest = m.Letter("b", 1, m.GossipDigest(b"+"))
     answers = [rounds.receive(2.0, digest) for _ in range(50)]
     assert 2 <= sum(map(bool, answers)) <= 4 and rounds.refused["spread-over-budget"] >= 46
-    assert all(isinstance(s, ToSend) and s.name == "b" for a in answers for s in a)
+    assert all(isinstance(s, OutgoingMessage) and s.name == "b" for a in answers for s in a)
     assert rounds.receive(2002.0, digest)
-    assert rounds.receive(4002.0, m.Letter("b", 1, m.Digest(b"?"))) == []
-    assert rounds.receive(4002.0, m.Letter("stranger", 1, m.Digest(b"+"))) == []
+    assert rounds.receive(4002.0, m.Letter("b", 1, m.GossipDigest(b"?"))) == []
+    assert rounds.receive(4002.0, m.Letter("stranger", 1, m.GossipDigest(b"+"))) == []
     assert rounds.refused["fleet-malformed"] == rounds.refused["spread-unknown-sender"] == 1
 
 
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -326,7 +326,7 @@
 def test_the_admin_port_tells_health_readiness_and_metrics():
     async def program(rig):
         await rig.ask("PUT", "/demo/a", b"x")
-        text = rig.gateway.measure().decode()
+        text = rig.gateway.render_metrics().decode()
         assert 'cressrock_answers_total{cls="save",reason="",verdict="served"} 1.0' in text
         assert 'cressrock_fence_trips_total{fence="rule2-attempt-out"} 0.0' in text
         assert 'cressrock_nodes{state="ready"} 3.0' in text
@@ -374,8 +374,8 @@
     cache = str(tmp_path / "list.json")
 
     async def program(rig):
-        from cressrock.gateway import Gateway, World
         from cressrock.lab.day import _Silent
+        from cressrock.programs.gateway import Environment, Gateway
 
         async def write():
             await rig.ask("PUT", "/demo/a", b"x", idempotency_key="k1", leave_after_ms=150)
@@ -384,11 +384,11 @@
             tasks.start_soon(write)
             await anyio.sleep(0.1)
             rig.listing.failing = 1.0  # the list is away: only the file is left
-            again = Gateway(rig.settings, World(rig.net.connect, rig.wall, 99, _Silent()))
+            again = Gateway(rig.settings, Environment(rig.net.connect, rig.wall, 99, _Silent()))
             await rig.tasks.start(again.run)
             rig.net.listen("gw:80", again.serve)
             await anyio.sleep(0.01)
-            assert again.ready() == []
+            assert again.not_ready_reasons() == []
         seen = await rig.ask("PUT", "/demo/a", b"x", idempotency_key="k1")
         assert seen.status in (201, 204)
         ran = rig.at_nodes("ran", "PUT")
--- a/tests/test_grants.py
+++ b/tests/test_grants.py
@@ -4,19 +4,19 @@
 
 import pytest
 
-from cressrock.dispatch.ledger import Attempt, Ledger, Tripped
+from cressrock.dispatch.ledger import Attempt, FenceTrip, Ledger
 from cressrock.dispatch.reasons import Reason
 from cressrock.edge.grants import Grants, Stale, Unused
-from cressrock.interface import Effect, Node, Outcome, RequestClass
+from cressrock.interface import Idempotency, Node, Outcome, RequestClass
 from cressrock.link.messages import Grant
 
-READ = RequestClass(aim_ms=300, deadline_ms=9000, effect=Effect.REPEATABLE)
+READ = RequestClass(latency_objective_ms=300, deadline_ms=9000, idempotency=Idempotency.ALWAYS)
 
 
 def world(**changes):
     ledger = Ledger(drain_grace_ms=250, answer_slack_ms=8, max_open=10)
-    ledger.news([Node("n", 0)], 0, complete=True)
-    ledger.take("r", "x", READ, 9000, 0)
+    ledger.update_nodes([Node("n", 0)], 0, complete=True)
+    ledger.accept("r", "x", READ, 9000, 0)
     return ledger, Grants(ledger, **changes)
 
 
@@ -33,8 +33,8 @@
     assert grants.use("p", grant(1, 1), 101).reason is Stale.EXPIRED
     assert grants.use("p", grant(1, 1), 0).reason is Stale.USED  # looked at once is used
     assert isinstance(grants.use("p", grant(2, 1), 0), Attempt)
-    assert isinstance(grants.use("p", grant(3, 1, attempt=1), 0), Tripped)  # the ledger: one is out
-    ledger.ended("r", 0, Outcome.ERROR)
+    assert isinstance(grants.use("p", grant(3, 1, attempt=1), 0), FenceTrip)  # the ledger: one is out
+    ledger.record_outcome("r", 0, Outcome.ERROR)
     assert grants.use("p", grant(4, 1, attempt=0), 0).reason is Stale.ATTEMPT
     assert isinstance(grants.use("p", grant(5, 1, attempt=2), 0), Attempt)
     ledger.fail("r", Reason.ATTEMPTS)
--- a/tests/test_ground.py
+++ b/tests/test_ground.py
@@ -102,7 +102,7 @@
     assert not found.breaches and not result.fences, found.breaches[:3]
     assert one.planner_kills >= 1
     for planner in one.planners:
-        assert len(planner.program.ground.fleet.members.view(0.0)) == 7
-    assert sum(p.program.ground.leading for p in one.planners) <= 1
+        assert len(planner.program.runtime.membership.membership.view(0.0)) == 7
+    assert sum(p.program.runtime.is_leader for p in one.planners) <= 1
     _, again = day()
     assert [str(row) for row in again.trace] == [str(row) for row in result.trace]
--- a/tests/test_hollow.py
+++ b/tests/test_hollow.py
@@ -5,11 +5,11 @@
 
 import pytest
 
-from cressrock.fleet.members import Gone, NewLife
-from cressrock.fleet.messages import State
 from cressrock.lab import hollow_scenes as scenes
 from cressrock.lab import hollow_turns
 from cressrock.lab.hollow import ZONES, HollowFleet, Size
+from cressrock.membership.membership import MemberDead, MemberRestarted
+from cressrock.membership.packets import MemberState
 
 
 def still():
@@ -33,7 +33,7 @@
     fleet.told = lambda host, event: events.append((fleet.now, host.name, event))
     play(fleet)
     held = [
-        [(of, known, floor, sorted(held.items())) for of, (known, floor, held) in h.spread.held().items()]
+        [(of, known, floor, sorted(held.items())) for of, (known, floor, held) in h.spread.snapshot().items()]
         for h in fleet.members
     ]
     views = [h.members.view(fleet.now) for h in fleet.members]
@@ -118,13 +118,15 @@
     fleet.restart(old, 1000)
     fleet.run(6000)
     new = fleet.members[11]
-    assert new is not old and new.members.me.life > old.members.me.life
+    assert new is not old and new.members.local.process_incarnation > old.members.local.process_incarnation
     kinds = {type(event) for _, _, event in fleet.events}
-    assert NewLife in kinds and Gone not in kinds
-    assert len(new.members.live()) == 29
+    assert MemberRestarted in kinds and MemberDead not in kinds
+    assert len(new.members.live_names()) == 29
     for host in fleet.members:
         held = host.members._records.get(new.name)
-        assert host is new or (held.state is State.ALIVE and held.life == new.members.me.life)
+        assert host is new or (
+            held.state is MemberState.ALIVE and held.life == new.members.local.process_incarnation
+        )
 
 
 def test_decrees_come_to_all_once_they_are_decided():
@@ -162,9 +164,9 @@
 
 def test_a_process_alone_has_what_it_would_have_among_all():
     n = 2 * ZONES
-    assert len(hollow_turns.members_of(n, 1)[0].lives()) == n
-    assert len(hollow_turns.spread_of(n).get(hollow_turns.WORD)) == n
-    assert len(hollow_turns.heard_of(n).beats()) == n
+    assert len(hollow_turns.members_of(n, 1)[0].process_ids()) == n
+    assert len(hollow_turns.spread_of(n).values(hollow_turns.WORD)) == n
+    assert len(hollow_turns.heard_of(n).latest_intervals()) == n
     assert len(hollow_turns.counts_of(n).lives) == n
     assert all(value >= 0 for value, _ in hollow_turns.turns(n, 1, time.process_time, 1).values())
     assert hollow_turns.state(n, 1)["spread.whole"][0] > 100 * n
--- a/tests/test_invariants.py
+++ b/tests/test_invariants.py
@@ -4,30 +4,30 @@
 
 import pytest
 
-from cressrock.brain import Brain
 from cressrock.interface import (
     Arrival,
+    AttemptEnded,
     ClientLeft,
-    Effect,
-    Ended,
+    DeduplicationScope,
     Fail,
-    Group,
+    Idempotency,
     ListKind,
     Node,
     NodeList,
     NodeState,
     Outcome,
     Plan,
-    Refuse,
+    Reject,
     RequestClass,
     Send,
     SetTimer,
     Settings,
-    Wake,
+    TimerFired,
 )
+from cressrock.scheduler.scheduler import Scheduler
 
 TICK = 2.0
-NEVER = (Outcome.FULL, Outcome.NO_CONNECTION, Outcome.MOOT)
+NEVER = (Outcome.FULL, Outcome.NO_CONNECTION, Outcome.ABANDONED)
 RESTS = (Outcome.TIMEOUT, Outcome.RESET, Outcome.CANCELLED)
 
 
@@ -35,13 +35,13 @@
     def cls():
         deadline = rng.choice([200.0, 1000.0, 3000.0])
         return RequestClass(
-            aim_ms=deadline * rng.uniform(0.1, 1.0),
+            latency_objective_ms=deadline * rng.uniform(0.1, 1.0),
             deadline_ms=deadline,
-            worth=rng.uniform(0, 3),
-            effect=rng.choice(list(Effect)),
-            group=rng.choice(list(Group)),
-            repeat_window_ms=rng.choice([0.0, 300.0, 2000.0]),
-            in_turn=rng.random() < 0.4,
+            priority_weight=rng.uniform(0, 3),
+            idempotency=rng.choice(list(Idempotency)),
+            deduplication_scope=rng.choice(list(DeduplicationScope)),
+            deduplication_window_ms=rng.choice([0.0, 300.0, 2000.0]),
+            ordered=rng.random() < 0.4,
         )
 
     def plan():
@@ -84,7 +84,7 @@
         self.rng = random.Random(seed)
         self.set = draw_settings(self.rng)
         self.now = 1000.0
-        self.brain = Brain(self.set, seed, self.now)
+        self.brain = Scheduler(self.set, seed, self.now)
         self.open, self.ended, self.pending, self.tries = {}, set(), {}, {}
         self.ran, self.extra, self.taken, self.drawn, self.cold = {}, [], [], {}, {}
         self.turn, self.rest, self.timers, self.lines = [], {}, [], {}
@@ -99,7 +99,7 @@
         for action in self.brain.act(self.now, events):
             if isinstance(action, SetTimer):
                 self.timers.append(action)
-            elif isinstance(action, (Refuse, Fail)):
+            elif isinstance(action, (Reject, Fail)):
                 if action.request in left:
                     continue  # ended on an outcome in the batch in which the client left: passed over
                 self.final(action)
@@ -112,11 +112,13 @@
         request, _ = self.open.pop(action.request)
         self.ended.add(action.request)
         self.finals += 1
-        if isinstance(action, Refuse):
+        if isinstance(action, Reject):
             cls = self.set.classes[request.request_class]
             clean = request.request not in self.ran and request.request not in self.pending
-            free = cls.effect is Effect.REPEATABLE
-            dropped = cls.effect is Effect.KEYED and cls.group is Group.ALL
+            free = cls.idempotency is Idempotency.ALWAYS
+            dropped = (
+                cls.idempotency is Idempotency.KEYED and cls.deduplication_scope is DeduplicationScope.ALL
+            )
             assert clean or free or dropped
         self.close(action.request)
 
@@ -131,13 +133,13 @@
         attempt = self.tries.get(name, 0)
         assert attempt < self.set.max_attempts
         if name in self.ran:
-            assert cls.effect is not Effect.UNSAFE
-            if cls.effect is Effect.KEYED:
+            assert cls.idempotency is not Idempotency.NEVER
+            if cls.idempotency is Idempotency.KEYED:
                 at, home = self.ran[name]
-                assert now <= at + cls.repeat_window_ms
-                if cls.group is Group.SHARD:
+                assert now <= at + cls.deduplication_window_ms
+                if cls.deduplication_scope is DeduplicationScope.SHARD:
                     assert line.shard == home.shard
-                if cls.group is Group.ZONE:
+                if cls.deduplication_scope is DeduplicationScope.ZONE:
                     assert line.zone == home.zone
         if attempt and self.set.budget_window_ms:
             since = now - self.set.budget_window_ms
@@ -150,17 +152,17 @@
             for i, (start, _) in enumerate(spent):
                 part = plan.limit_burst + plan.limit_slack + plan.limit_rate * (now - start) / 1000
                 assert sum(u for _, u in spent[i:]) <= part / 2 + 1e-6
-        if line.up_since_ms and now < line.up_since_ms + self.set.warm_up_ms:
-            spent = self.cold.setdefault((action.node, line.up_since_ms), [])
+        if line.started_at_ms and now < line.started_at_ms + self.set.warm_up_ms:
+            spent = self.cold.setdefault((action.node, line.started_at_ms), [])
             spent.append((now, request.units))
             within = sum(u for t, u in spent if t > now - self.set.cold_window_ms)
-            grown = min(1.0, (now - line.up_since_ms) / self.set.warm_up_ms)
+            grown = min(1.0, (now - line.started_at_ms) / self.set.warm_up_ms)
             bears = self.set.cold_bears * (1 + (1 / self.set.cold_from - 1) * grown)
             if bears / self.set.hosts >= self.set.usual_units:
                 assert within <= bears / self.set.hosts + 1e-6
             else:  # a part that pays for no request: by lot, one in a window, and none where nothing is borne
                 assert within <= request.units and self.set.cold_bears > 0
-        if cls.in_turn and request.key:
+        if cls.ordered and request.key:
             for other in self.turn:
                 if other.request == name:
                     break
@@ -180,7 +182,7 @@
         kind = self.rng.choice([Outcome.OK] * 5 + list(Outcome))
         if kind not in NEVER:
             self.ran.setdefault(name, (at, line))
-        if kind in RESTS and self.set.classes[request.request_class].in_turn:
+        if kind in RESTS and self.set.classes[request.request_class].ordered:
             self.rest[request.key] = self.now + self.set.order_settle_ms
         settled = name not in self.open or kind is Outcome.OK
         if settled:
@@ -188,7 +190,7 @@
             self.open.pop(name, None)
             self.close(name)
         used, elsewhere = self.rng.randint(0, 300), self.rng.randint(0, 9)
-        return Ended(name, attempt, kind, settled, self.now - at, used, elsewhere)
+        return AttemptEnded(name, attempt, kind, settled, self.now - at, used, elsewhere)
 
     def step(self):
         rng = self.rng
@@ -199,7 +201,7 @@
             self.now = max(self.now - 8 * TICK, min(self.now, min(t.at_ms for t in due) + TICK))
         due = [t for t in self.timers if t.at_ms <= self.now]
         self.timers = [t for t in self.timers if t.at_ms > self.now]
-        events = [Wake(t.token) for t in due]
+        events = [TimerFired(t.token) for t in due]
         for _ in range(rng.choice([0, 0, 1, 1, 3])):
             self.count += 1
             cls = rng.randrange(3)
@@ -218,7 +220,7 @@
             request = Arrival(**{f: getattr(request, f) for f in request.__slots__} | {"plan": plan})
             self.open[request.request] = (request, self.now + request.remaining_ms)
             self.taken.append(self.now)
-            if self.set.classes[cls].in_turn and request.key:
+            if self.set.classes[cls].ordered and request.key:
                 self.turn.append(request)
             events.append(request)
         for name in list(self.pending):
@@ -256,7 +258,7 @@
         world.step()
     while world.open or world.pending:
         world.now += TICK
-        events = [Wake(0)]
+        events = [TimerFired(0)]
         events += [world.outcome(n) for n in list(world.pending) if world.now > world.pending[n][1] + 3000]
         world.answer(events)
     assert world.finals == world.count
@@ -264,5 +266,5 @@
     assert world.brain.requests == {}
     assert all(not lane.waiting for lane in world.brain.lanes.values())
     world.now += 1000.0
-    world.answer([Wake(0)])
+    world.answer([TimerFired(0)])
     assert world.brain.turns == {} and len(world.brain.expiry) <= 2 * world.count
--- a/tests/test_judge.py
+++ b/tests/test_judge.py
@@ -8,14 +8,14 @@
 
 import pytest
 
-from cressrock.brain import Brain
 from cressrock.dispatch.ledger import Ledger
-from cressrock.dispatch.tasks import TaskDriver as Driver
-from cressrock.gateway import Parts
-from cressrock.interface import NodeList, NodeState, Outcome, Refuse, Send
+from cressrock.dispatch.task_driver import TaskDriver as Driver
+from cressrock.interface import NodeList, NodeState, Outcome, Reject, Send
 from cressrock.lab.day import Script, play
 from cressrock.lab.judge import judge
 from cressrock.lab.trace import load
+from cressrock.programs.gateway import Components
+from cressrock.scheduler.scheduler import Scheduler
 from cressrock.settings.types import interface_settings
 
 
@@ -26,7 +26,7 @@
     for name in ("classes", "plans"):
         if name in figures:
             changes[name] = tuple(replace(one, **figures[name]) for one in getattr(told, name))
-    return Brain(replace(told, **changes), seed, now)
+    return Scheduler(replace(told, **changes), seed, now)
 
 
 def blind(**figures):
@@ -40,17 +40,20 @@
         entry = self.entries.get(name)
         if entry is not None:
             entry.verdict = None
-            cls, entry.cls = entry.cls, replace(entry.cls, effect=entry.cls.effect)
-            told = self.told.pop(node, None)
+            cls, entry.request_class = (
+                entry.request_class,
+                replace(entry.request_class, idempotency=entry.request_class.idempotency),
+            )
+            told = self.withdrawn_at_ms.pop(node, None)
             out = [a for a in entry.attempts if a.outcome is None]
             for attempt in out:
-                attempt.outcome = Outcome.MOOT
+                attempt.outcome = Outcome.ABANDONED
             result = super().send(name, node, now)
             for attempt in out:
                 attempt.outcome = None
-            entry.cls = cls
+            entry.request_class = cls
             if told is not None:
-                self.told[node] = told
+                self.withdrawn_at_ms[node] = told
             return result
         return super().send(name, node, now)
 
@@ -77,8 +80,8 @@
 
     def _carry_out(self, action, now):
         super()._carry_out(action, now)
-        if isinstance(action, Send) and action.request in self.slots:
-            if self.slots[action.request].op.method == b"PUT":
+        if isinstance(action, Send) and action.request in self.pending:
+            if self.pending[action.request].op.method == b"PUT":
                 super()._carry_out(action, now)
 
     def _tell(self, name, rank, event):
@@ -86,7 +89,7 @@
             super()._tell(name, rank, event)
 
 
-class Deaf(Brain):
+class Deaf(Scheduler):
     """Rule 3: does not hear that a node drains."""
 
     def act(self, now_ms, events):
@@ -104,7 +107,7 @@
     return Deaf(interface_settings(settings), seed, now)
 
 
-class Headlong(Brain):
+class Headlong(Scheduler):
     """Rule 4: takes a cold node for a warm one, and sends it all that waits."""
 
     def _cold_room(self, node):
@@ -130,11 +133,11 @@
         return True
 
 
-class Refuser(Brain):
+class Refuser(Scheduler):
     """Rule 2 again: refuses what may have run."""
 
     def act(self, now_ms, events):
-        return [Refuse(a.request) if type(a).__name__ == "Fail" else a for a in super().act(now_ms, events)]
+        return [Reject(a.request) if type(a).__name__ == "Fail" else a for a in super().act(now_ms, events)]
 
 
 def refuser(settings, seed, now):
@@ -142,16 +145,16 @@
 
 
 BROKEN = {
-    1: (Parts(driver=Forgetful, ledger=NoFences), {"troubles": ("slow",), "rate": 160.0}),
-    2: (Parts(driver=Hasty, ledger=NoFences), {"troubles": ("none",)}),
-    3: (Parts(decisions=deaf, ledger=NoFences), {"troubles": ("drain",), "length_ms": 30000}),
-    4: (Parts(decisions=headlong), {"troubles": ("replace",), "rate": 150.0, "nodes": 3}),
+    1: (Components(driver=Forgetful, ledger=NoFences), {"troubles": ("slow",), "rate": 160.0}),
+    2: (Components(driver=Hasty, ledger=NoFences), {"troubles": ("none",)}),
+    3: (Components(decisions=deaf, ledger=NoFences), {"troubles": ("drain",), "length_ms": 30000}),
+    4: (Components(decisions=headlong), {"troubles": ("replace",), "rate": 150.0, "nodes": 3}),
     5: (
-        Parts(decisions=blind(classes={"in_turn": False})),
+        Components(decisions=blind(classes={"ordered": False})),
         {"troubles": ("slow",), "ordered": 0.3, "nodes": 2, "rate": 70.0},
     ),
-    6: (Parts(decisions=blind(budget_window_ms=0.0)), {"troubles": ("errors",), "length_ms": 60000}),
-    7: (Parts(decisions=blind(plans={"limit_rate": 0.0})), {"troubles": ("surge",), "rate": 90.0}),
+    6: (Components(decisions=blind(budget_window_ms=0.0)), {"troubles": ("errors",), "length_ms": 60000}),
+    7: (Components(decisions=blind(plans={"limit_rate": 0.0})), {"troubles": ("surge",), "rate": 90.0}),
 }
 
 
@@ -160,14 +163,18 @@
     for rule, (parts, changes) in BROKEN.items():
         script = Script(**({"seed": 3, "length_ms": 20000} | changes))
         yield f"broken {rule}", script, parts
-        yield f"sound {rule}", script, Parts()
+        yield f"sound {rule}", script, Components()
     hung = Script(seed=3, length_ms=20000, troubles=("hung", "lost"), rate=120.0)
-    yield "refuser trusted", hung, Parts(decisions=refuser, ledger=Trusting)
-    yield "refuser fenced", hung, Parts(decisions=refuser)
+    yield "refuser trusted", hung, Components(decisions=refuser, ledger=Trusting)
+    yield "refuser fenced", hung, Components(decisions=refuser)
     for name in ("bad", "bad again"):
-        yield name, Script(seed=7, length_ms=60000), Parts()
+        yield name, Script(seed=7, length_ms=60000), Components()
     for seed in (11, 12):
-        yield f"many {seed}", Script(seed=seed, dispatchers=20, nodes=6, rate=60, length_ms=20000), Parts()
+        yield (
+            f"many {seed}",
+            Script(seed=seed, dispatchers=20, nodes=6, rate=60, length_ms=20000),
+            Components(),
+        )
 
 
 def day(script, parts):
--- a/tests/test_ledger.py
+++ b/tests/test_ledger.py
@@ -4,32 +4,36 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from cressrock.dispatch.ledger import Ledger, Tripped, Verdict
+from cressrock.dispatch.ledger import FenceTrip, Ledger, Verdict
 from cressrock.dispatch.reasons import Fence, Reason
-from cressrock.interface import Effect, Group, Node, NodeState, Outcome, RequestClass
+from cressrock.interface import DeduplicationScope, Idempotency, Node, NodeState, Outcome, RequestClass
 
 KEYED = RequestClass(
-    aim_ms=500, deadline_ms=4000, effect=Effect.KEYED, group=Group.SHARD, repeat_window_ms=4000
+    latency_objective_ms=500,
+    deadline_ms=4000,
+    idempotency=Idempotency.KEYED,
+    deduplication_scope=DeduplicationScope.SHARD,
+    deduplication_window_ms=4000,
 )
-UNSAFE = RequestClass(aim_ms=500, deadline_ms=4000)
-READ = RequestClass(aim_ms=300, deadline_ms=1500, effect=Effect.REPEATABLE)
+UNSAFE = RequestClass(latency_objective_ms=500, deadline_ms=4000)
+READ = RequestClass(latency_objective_ms=300, deadline_ms=1500, idempotency=Idempotency.ALWAYS)
 A, B, C = Node("a", 0, 0), Node("b", 0, 1), Node("c", 1, 0)
 
 
 def ledger(**changes):
     found = Ledger(**({"drain_grace_ms": 250, "answer_slack_ms": 8, "max_open": 100} | changes))
-    found.news([A, B, C], 0, complete=True)
+    found.update_nodes([A, B, C], 0, complete=True)
     return found
 
 
 def taken(cls=KEYED, **changes):
     found = ledger(**changes)
-    found.take("r", "x", cls, 4000, 0)
+    found.accept("r", "x", cls, 4000, 0)
     return found
 
 
 def fence(result):
-    assert isinstance(result, Tripped)
+    assert isinstance(result, FenceTrip)
     return result.fence
 
 
@@ -37,67 +41,67 @@
     book = taken()
     book.send("r", "a", 10)
     assert fence(book.send("r", "a", 20)) is Fence.TWICE
-    book.ended("r", 0, Outcome.TIMEOUT)
+    book.record_outcome("r", 0, Outcome.TIMEOUT)
     assert fence(book.send("r", "c", 30)) is Fence.GROUP
-    assert not isinstance(book.send("r", "b", 40), Tripped)  # the same rack
-    book.ended("r", 3, Outcome.RESET)
-    assert not isinstance(book.send("r", "a", 4010), Tripped)
-    book.ended("r", 4, Outcome.RESET)
+    assert not isinstance(book.send("r", "b", 40), FenceTrip)  # the same rack
+    book.record_outcome("r", 3, Outcome.RESET)
+    assert not isinstance(book.send("r", "a", 4010), FenceTrip)
+    book.record_outcome("r", 4, Outcome.RESET)
     assert fence(book.send("r", "a", 4011)) is Fence.WINDOW
 
 
 def test_a_window_begins_with_the_first_attempt_that_may_have_run():
     book = taken()
     book.send("r", "a", 0)
-    book.ended("r", 0, Outcome.FULL)  # proves that it never ran
+    book.record_outcome("r", 0, Outcome.FULL)  # proves that it never ran
     book.send("r", "c", 3000)
-    book.ended("r", 1, Outcome.ERROR)
+    book.record_outcome("r", 1, Outcome.ERROR)
     assert fence(book.send("r", "a", 3500)) is Fence.GROUP
-    assert not isinstance(book.send("r", "c", 6900), Tripped)
+    assert not isinstance(book.send("r", "c", 6900), FenceTrip)
 
 
 def test_unsafe_work_is_sent_again_only_if_nothing_ran():
     book = taken(UNSAFE)
     book.send("r", "a", 0)
-    book.ended("r", 0, Outcome.NO_CONNECTION)
-    assert not isinstance(book.send("r", "c", 10), Tripped)
-    book.ended("r", 1, Outcome.ERROR)
+    book.record_outcome("r", 0, Outcome.NO_CONNECTION)
+    assert not isinstance(book.send("r", "c", 10), FenceTrip)
+    book.record_outcome("r", 1, Outcome.ERROR)
     assert fence(book.send("r", "c", 20)) is Fence.UNSAFE
 
 
 def test_a_refusal_that_cannot_be_proved_becomes_a_failure():
     book = taken()
     book.send("r", "a", 0)
-    assert book.refuse("r", Reason.SCHEDULER) is Verdict.FAILED
-    assert book.trips[Fence.REFUSAL] == 1
-    assert taken().refuse("r", Reason.SCHEDULER) is Verdict.REFUSED
+    assert book.reject("r", Reason.SCHEDULER) is Verdict.FAILED
+    assert book.fence_trips[Fence.REFUSAL] == 1
+    assert taken().reject("r", Reason.SCHEDULER) is Verdict.REJECTED
 
 
 def test_a_drain_bars_a_node_after_its_grace_and_a_return_frees_it():
     book = taken(READ)
     draining = Node("a", 0, 0, 0, NodeState.DRAINING)
-    book.news([draining, B], 100, complete=True)  # c is gone
-    book.news([draining, B], 300, complete=True)  # told again: the first telling counts
-    assert not isinstance(book.send("r", "a", 350), Tripped)
-    book.ended("r", 0, Outcome.ERROR)
+    book.update_nodes([draining, B], 100, complete=True)  # c is gone
+    book.update_nodes([draining, B], 300, complete=True)  # told again: the first telling counts
+    assert not isinstance(book.send("r", "a", 350), FenceTrip)
+    book.record_outcome("r", 0, Outcome.ERROR)
     assert fence(book.send("r", "a", 351)) is Fence.DRAIN
     assert fence(book.send("r", "c", 351)) is Fence.DRAIN
-    book.news([A, B], 360, complete=True)
-    assert not isinstance(book.send("r", "a", 361), Tripped)
+    book.update_nodes([A, B], 360, complete=True)
+    assert not isinstance(book.send("r", "a", 361), FenceTrip)
 
 
 def test_what_was_entered_may_not_leave_once_a_rule_would_break():
     """Danger: a connection comes up between the order and the first byte."""
     drained = taken()
     drained.send("r", "a", 10)
-    drained.news([Node("a", 0, 0, state=NodeState.DRAINING)], 20, complete=False)
+    drained.update_nodes([Node("a", 0, 0, state=NodeState.DRAINING)], 20, complete=False)
     assert drained.may_leave("r", 0, 270) and not drained.may_leave("r", 0, 271)
 
     late = ledger()
-    late.take("r", "x", KEYED, 9000, 0)
+    late.accept("r", "x", KEYED, 9000, 0)
     late.send("r", "a", 10)
     assert late.may_leave("r", 0, 8000)  # a first attempt has no window to keep
-    late.ended("r", 0, Outcome.RESET)
+    late.record_outcome("r", 0, Outcome.RESET)
     late.send("r", "a", 4000)
     assert late.may_leave("r", 1, 4010) and not late.may_leave("r", 1, 4011)
 
@@ -109,7 +113,7 @@
 
 def test_what_nobody_answered_is_overdue_once():
     book = taken()
-    assert book.next_due() == 4008
+    assert book.next_overdue_ms() == 4008
     assert book.overdue(4007) == []
     assert book.overdue(4008) == ["r"]
     book.fail("r", Reason.OVERDUE)
@@ -118,14 +122,14 @@
 
 def test_bounds_of_operations_and_nodes():
     book = ledger(max_open=1, max_nodes=3)
-    assert book.take("1", "x", READ, 100, 0) is not None
-    assert book.take("2", "x", READ, 100, 0) is None
+    assert book.accept("1", "x", READ, 100, 0) is not None
+    assert book.accept("2", "x", READ, 100, 0) is None
     for index in range(20):
-        book.news([Node(f"n{index}", 0)], index, complete=True)
-    assert len(book.nodes) == 3 and len(book.told) <= 3
-    assert isinstance(book.send("1", "a", 5), Tripped)
+        book.update_nodes([Node(f"n{index}", 0)], index, complete=True)
+    assert len(book.nodes) == 3 and len(book.withdrawn_at_ms) <= 3
+    assert isinstance(book.send("1", "a", 5), FenceTrip)
     with pytest.raises(ValueError, match="held already"):
-        book.take("1", "x", READ, 100, 0)
+        book.accept("1", "x", READ, 100, 0)
 
 
 STEPS = st.lists(
@@ -155,26 +159,26 @@
             now += detail
         elif what == "send":
             attempt = book.send("r", detail, now)
-            if not isinstance(attempt, Tripped):
+            if not isinstance(attempt, FenceTrip):
                 assert not answers, "sent after the answer"
                 assert not out, "two attempts out at once"
                 out.append(attempt.number)
                 sent += 1
         elif what == "ended" and out:
-            settled = book.ended("r", out.pop(), detail)
-            if settled.now:
+            settled = book.record_outcome("r", out.pop(), detail)
+            if settled.answered_now:
                 answers.append(Verdict.SERVED)
-            assert settled.over == bool(answers)
+            assert settled.is_answered == bool(answers)
         elif what == "commit" and out and book.commit("r"):
             answers.append(Verdict.SERVED)
-        elif what == "refuse" and (verdict := book.refuse("r", Reason.SCHEDULER)) is not None:
+        elif what == "refuse" and (verdict := book.reject("r", Reason.SCHEDULER)) is not None:
             answers.append(verdict)
         elif what == "fail" and (verdict := book.fail("r", Reason.DEADLINE)) is not None:
             answers.append(verdict)
-        elif what == "left" and book.left("r"):
+        elif what == "left" and book.client_left("r"):
             answers.append(Verdict.LEFT)
         elif what == "drain":
-            book.news([Node(detail, 0, 0, 0, NodeState.DRAINING)], now, complete=False)
+            book.update_nodes([Node(detail, 0, 0, 0, NodeState.DRAINING)], now, complete=False)
         elif what == "overdue":
             for _ in book.overdue(now):
                 answers.append(book.fail("r", Reason.OVERDUE))
@@ -183,6 +187,6 @@
         assert book.overdue(now + 10000) == ["r"] or now >= 4008
         assert book.fail("r", Reason.OVERDUE) is Verdict.FAILED
     for number in out:
-        book.ended("r", number, Outcome.OK)
+        book.record_outcome("r", number, Outcome.OK)
     assert not book.entries, "an operation is held for ever"
-    assert sum(book.answers.values()) == 1
+    assert sum(book.answer_counts.values()) == 1
--- a/tests/test_lending.py
+++ b/tests/test_lending.py
@@ -6,22 +6,22 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from cressrock.brain import Brain
-from cressrock.dispatch.lending import Lending, life_ms
+from cressrock.dispatch.quota import EdgeQuota, lease_duration_ms
 from cressrock.interface import (
     Arrival,
-    Counted,
-    Lent,
+    LimitLease,
     ListKind,
     Node,
     NodeList,
     Plan,
     RequestClass,
+    RetryBudgetUsage,
     Send,
     Settings,
 )
 from cressrock.link import messages as m
-from cressrock.planner.core import Bounds, Planner
+from cressrock.planner.planner import Planner, PlannerLimits
+from cressrock.scheduler.scheduler import Scheduler
 
 PLAN = Plan(limit_rate=24.0, limit_burst=48.0, limit_slack=8.0)
 
@@ -38,21 +38,21 @@
 
 
 def test_a_part_begins_empty_fills_by_its_share_and_is_held_down_by_what_is_out():
-    part = Lending((PLAN,), lambda volume: 2, 1000.0, 0.0)
-    assert part.lend("v", 0, 5.0, 0.0) == 0.0
-    assert part.lend("v", 0, 5.0, 250.0) == pytest.approx(3.0)  # 24 a second, half of it here
-    assert part.lend("v", 0, 3.0, 260.0) == 0.0  # as much as waits has been lent
-    part.sent("v", 0, 3.0, 270.0)
-    full = part.lend("v", 0, 1000.0, 1e6)
+    part = EdgeQuota((PLAN,), lambda volume: 2, 1000.0, 0.0)
+    assert part.lease("v", 0, 5.0, 0.0) == 0.0
+    assert part.lease("v", 0, 5.0, 250.0) == pytest.approx(3.0)  # 24 a second, half of it here
+    assert part.lease("v", 0, 3.0, 260.0) == 0.0  # as much as waits has been lent
+    part.record_sent("v", 0, 3.0, 270.0)
+    full = part.lease("v", 0, 1000.0, 1e6)
     assert full == pytest.approx(28 * 0.999 - 12 - 3)  # less a loan's life of filling, less what is out
-    part.over("v", 0, 3.0, 1e6)
-    assert part.lend("v", 0, 1000.0, 1e6 + 1000) == pytest.approx(12.0)
+    part.record_outcome("v", 0, 3.0, 1e6)
+    assert part.lease("v", 0, 1000.0, 1e6 + 1000) == pytest.approx(12.0)
 
 
 def test_a_small_burst_shortens_the_life_of_a_loan():
-    assert life_ms(PLAN, 1000.0) == 1000.0
-    assert life_ms(Plan(limit_rate=100.0, limit_burst=10.0), 1000.0) == 50.0
-    assert life_ms(Plan(), 1000.0) == 1000.0
+    assert lease_duration_ms(PLAN, 1000.0) == 1000.0
+    assert lease_duration_ms(Plan(limit_rate=100.0, limit_burst=10.0), 1000.0) == 50.0
+    assert lease_duration_ms(Plan(), 1000.0) == 1000.0
 
 
 @settings(max_examples=150, deadline=None)
@@ -60,8 +60,8 @@
 def test_however_loans_are_lost_late_and_spent_the_limit_holds(seed, edges):
     """Edges that lend to deciders which come, go, keep what they have to the end and spend all at once."""
     draw = random.Random(seed)
-    parts = [Lending((PLAN,), lambda volume: edges, 1000.0, 0.0) for _ in range(edges)]
-    life, store, now = life_ms(PLAN, 1000.0), Store(), 0.0
+    parts = [EdgeQuota((PLAN,), lambda volume: edges, 1000.0, 0.0) for _ in range(edges)]
+    life, store, now = lease_duration_ms(PLAN, 1000.0), Store(), 0.0
     loans, flying = [], []
     for _ in range(400):
         now += draw.choice((0.0, 1.0, 30.0, 400.0, 3000.0)) * draw.random()
@@ -72,32 +72,32 @@
         loans = [(until, units) for until, units in loans if until > now]
         who = draw.randrange(edges)
         if draw.random() < 0.6:
-            units = parts[who].lend("v", 0, draw.choice((1.0, 8.0, 100.0)), now)
+            units = parts[who].lease("v", 0, draw.choice((1.0, 8.0, 100.0)), now)
             if units and draw.random() < 0.9:
                 # The decider counts it from a stamp, which is before the loan.
                 loans.append((now + life * draw.random() ** 0.2, units))
         elif loans and not flying:
             _, units = loans.pop(draw.randrange(len(loans)))
             # By any edge: it is out for a while, and may arrive after the loan's time.
-            parts[who].sent("v", 0, units, now)
+            parts[who].record_sent("v", 0, units, now)
             flying.append((now + draw.choice((0.0, 5.0, 800.0)), who, units))
     assert store.lowest >= -PLAN.limit_slack - 1e-6, (seed, store.lowest)
 
 
 def test_the_module_spends_what_is_lent_in_time_and_makes_nothing_itself():
-    kinds = (RequestClass(aim_ms=300, deadline_ms=4000),)
-    brain = Brain(Settings(kinds, (PLAN,), limits_lent=True), 1, 0.0)
+    kinds = (RequestClass(latency_objective_ms=300, deadline_ms=4000),)
+    brain = Scheduler(Settings(kinds, (PLAN,), limits_lent=True), 1, 0.0)
     brain.act(0.0, [NodeList(ListKind.COMPLETE, (Node("n", 0),))])
 
     def sent(now, *events):
         return [a.request for a in brain.act(now, list(events)) if isinstance(a, Send)]
 
     assert sent(5000.0, Arrival("a", "v", "", 2.0, 900.0, shard=0)) == []
-    assert sent(5001.0, Lent("v", 1.5, 5500.0)) == []
-    assert sent(5002.0, Lent("v", 0.5, 5300.0)) == ["a"]
-    sent(5003.0, Arrival("b", "v", "", 1.0, 3000.0, shard=0), Lent("w", 9.0, 9000.0))
-    assert sent(5004.0, Lent("v", 1.0, 5004.0)) == []  # over when it comes
-    assert sent(5005.0, Lent("v", 1.0, 5600.0)) == ["b"]
+    assert sent(5001.0, LimitLease("v", 1.5, 5500.0)) == []
+    assert sent(5002.0, LimitLease("v", 0.5, 5300.0)) == ["a"]
+    sent(5003.0, Arrival("b", "v", "", 1.0, 3000.0, shard=0), LimitLease("w", 9.0, 9000.0))
+    assert sent(5004.0, LimitLease("v", 1.0, 5004.0)) == []  # over when it comes
+    assert sent(5005.0, LimitLease("v", 1.0, 5600.0)) == ["b"]
 
 
 class Heard:
@@ -113,28 +113,28 @@
 
 def test_a_loan_counts_from_the_planners_own_stamp_and_without_one_not_at_all():
     heard = Heard()
-    planner = Planner(heard, (RequestClass(300, 4000),), 1, Bounds(lend_ms=1000.0), (PLAN,))
+    planner = Planner(heard, (RequestClass(300, 4000),), 1, PlannerLimits(lease_ms=1000.0), (PLAN,))
     session = planner.join("e", "l", 100.0)
-    request = m.Request(1, 7e6, "r", "v", "", 1.0, 7e6 + 900, 0, 0, 0, 1, lent=1.0, stamp=0)
-    assert planner.event("e", session, request)
+    request = m.Request(1, 7e6, "r", "v", "", 1.0, 7e6 + 900, 0, 0, 0, 1, leased_units=1.0, stamp=0)
+    assert planner.receive_event("e", session, request)
     orders = planner.step(150.0).orders.get("e", [])
-    assert heard.events[0] == Lent("v", 1.0, 1100.0)  # from the greeting, by the planner's clock
+    assert heard.events[0] == LimitLease("v", 1.0, 1100.0)  # from the greeting, by the planner's clock
     assert orders == []  # the greeting is new enough
-    assert planner.step(400.0).orders["e"] == [m.Stamp(1)]
-    assert planner.event("e", session, m.Lend(2, 7e6, "v", 0, 2.0, 1))
-    assert planner.event("e", session, m.Lend(3, 7e6, "v", 0, 2.0, 9))  # never given
-    assert planner.event("e", session, m.Lend(4, 7e6, "v", 3, 2.0, 1))  # no such plan
+    assert planner.step(400.0).orders["e"] == [m.ClockStamp(1)]
+    assert planner.receive_event("e", session, m.LimitLease(2, 7e6, "v", 0, 2.0, 1))
+    assert planner.receive_event("e", session, m.LimitLease(3, 7e6, "v", 0, 2.0, 9))  # never given
+    assert planner.receive_event("e", session, m.LimitLease(4, 7e6, "v", 3, 2.0, 1))  # no such plan
     planner.step(500.0)
-    assert [e for e in heard.events if isinstance(e, Lent)][1:] == [Lent("v", 2.0, 1400.0)]
+    assert [e for e in heard.events if isinstance(e, LimitLease)][1:] == [LimitLease("v", 2.0, 1400.0)]
     assert planner.dropped["loan without a stamp"] == 1
 
 
 def test_the_module_counts_what_others_tried_and_took():
-    kinds = (RequestClass(aim_ms=300, deadline_ms=4000),)
-    brain = Brain(Settings(kinds, budget_window_ms=1000.0, budget_share=0.5, max_attempts=3), 1, 0.0)
-    brain.act(100.0, [Counted((50.0,), (10.0, 20.0, 30.0, 40.0))])
+    kinds = (RequestClass(latency_objective_ms=300, deadline_ms=4000),)
+    brain = Scheduler(Settings(kinds, budget_window_ms=1000.0, budget_share=0.5, max_attempts=3), 1, 0.0)
+    brain.act(100.0, [RetryBudgetUsage((50.0,), (10.0, 20.0, 30.0, 40.0))])
     assert brain._in_budget()
-    brain.act(101.0, [Counted((60.0, 40.0), ())])
+    brain.act(101.0, [RetryBudgetUsage((60.0, 40.0), ())])
     assert not brain._in_budget()
     brain.act(1045.0, [])
     assert list(brain.extra) == [40.0, 50.0, 60.0] and not brain._in_budget()
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -10,12 +10,11 @@
 from hypothesis import settings as profile
 from hypothesis import strategies as st
 
-from cressrock.brain import Brain
-from cressrock.dispatch.transport import reached
+from cressrock.dispatch.transport import reached_node
 from cressrock.interface import (
     Arrival,
-    Effect,
-    Ended,
+    AttemptEnded,
+    Idempotency,
     ListKind,
     Node,
     NodeList,
@@ -24,10 +23,13 @@
     RequestClass,
     Send,
     Settings,
-    Wake,
+    TimerFired,
 )
+from cressrock.scheduler.scheduler import Scheduler
 
-CLASS = RequestClass(aim_ms=300, deadline_ms=4000, worth=3, effect=Effect.REPEATABLE)
+CLASS = RequestClass(
+    latency_objective_ms=300, deadline_ms=4000, priority_weight=3, idempotency=Idempotency.ALWAYS
+)
 SHARDS = 4
 STEP = 20  # ms between two looks at a host
 MOST = 6.0
@@ -88,7 +90,7 @@
             self.begin(host, 0.0)
 
     def begin(self, host, now):
-        self.brains[host] = Brain(self.conf, self.rng.getrandbits(32), now)
+        self.brains[host] = Scheduler(self.conf, self.rng.getrandbits(32), now)
         self.brains[host].act(now, [self.lines])
         self.out[host] = []
 
@@ -111,7 +113,7 @@
             units,
             patience,
             shard=self.rng.randrange(SHARDS),
-            writers=self.writers,
+            sharing_hosts=self.writers,
         )
 
     def send(self, host, now, send):
@@ -124,7 +126,7 @@
         outcome = Outcome.OK
         if self.trouble and self.rng.random() < 0.3:
             outcome = self.rng.choice([o for o in Outcome if o is not Outcome.OK])
-        if outcome in (Outcome.NO_CONNECTION, Outcome.MOOT):
+        if outcome in (Outcome.NO_CONNECTION, Outcome.ABANDONED):
             arrives, answer = None, now + way
         elif outcome in (Outcome.RESET, Outcome.TIMEOUT, Outcome.CANCELLED) and self.rng.random() < 0.5:
             arrives, answer = None, now + self.rng.choice([30, 300, 900])
@@ -145,13 +147,15 @@
                 if now >= self.back[host]:
                     self.begin(host, now)
                 continue
-            events = [Wake(0)]
+            events = [TimerFired(0)]
             for item in [i for i in self.out[host] if i[0] <= now]:
                 self.out[host].remove(item)
                 _, _, name, attempt, outcome, _ = item
                 used = self.store.used(now, self.meter_late) if outcome is Outcome.OK else 0
                 over = outcome is Outcome.OK or name not in brain.requests
-                events.append(Ended(name, attempt, outcome, over, 20.0, used, reached=reached(outcome)))
+                events.append(
+                    AttemptEnded(name, attempt, outcome, over, 20.0, used, charged=reached_node(outcome))
+                )
             if pressed or self.rng.random() < 0.02:
                 events.append(self.ask(host))
             for action in brain.act(now, events):
--- a/tests/test_link.py
+++ b/tests/test_link.py
@@ -5,11 +5,11 @@
 import pytest
 
 from cressrock.link import messages as m
-from cressrock.link.protocol import Bounds, Closed, Link, Opened, OutOfCredit, Role, State
+from cressrock.link.protocol import Closed, Link, LinkLimits, Opened, OutOfCredit, Role, State
 
 
 def pair(**changes):
-    edge = Link(Role.EDGE, "e", 0, life="l1", capabilities=("a", "b"), **changes.get("edge", {}))
+    edge = Link(Role.EDGE, "e", 0, incarnation="l1", capabilities=("a", "b"), **changes.get("edge", {}))
     planner = Link(Role.PLANNER, "p", 0, epoch=7, capabilities=("b", "c"), **changes.get("planner", {}))
     return edge, planner
 
@@ -57,7 +57,7 @@
 
 
 def test_nobody_sends_more_than_it_was_given_credit_for():
-    edge, planner = pair(planner={"bounds": Bounds(credit=4)})
+    edge, planner = pair(planner={"bounds": LinkLimits(credit=4)})
     talk(edge, planner)
     for number in range(4):
         edge.send(event(number))
@@ -112,18 +112,28 @@
     import random as source
 
     from cressrock.dispatch.ledger import Ledger
-    from cressrock.edge.carrier import PlannerLink
-    from cressrock.edge.core import EdgeDecisions
-    from cressrock.edge.orphans import Away, Reconnect
+    from cressrock.edge.decisions import EdgeDecisions
+    from cressrock.edge.disposition import DisconnectedPolicy, ReconnectBackoff
+    from cressrock.edge.planner_link import PlannerLink
 
-    core = EdgeDecisions(Ledger(drain_grace_ms=1, answer_slack_ms=1, max_open=9), Away(), source.Random(1))
-    again = Reconnect(("p:1",), source.Random(1), least_ms=1, most_ms=2)
+    core = EdgeDecisions(
+        Ledger(drain_grace_ms=1, answer_slack_ms=1, max_open=9), DisconnectedPolicy(), source.Random(1)
+    )
+    again = ReconnectBackoff(("p:1",), source.Random(1), min_wait_ms=1, max_wait_ms=2)
     carrier = PlannerLink(
-        core, again, None, lambda: None, name="e", life="l", clock=lambda: 0.0, bounds=Bounds(), log=None
+        core,
+        again,
+        None,
+        lambda: None,
+        name="e",
+        incarnation="l",
+        clock=lambda: 0.0,
+        limits=LinkLimits(),
+        log=None,
     )
     edge, planner = pair()
     talk(edge, planner)
-    core.joined("p:1", 7, 0.0)
+    core.planner_joined("p:1", 7, 0.0)
     core._up(event(), 0.0)
     edge.close("silent for too long")
     carrier._fill(edge)  # between the end of the link and the edge's hearing of it
--- a/tests/test_listeners.py
+++ b/tests/test_listeners.py
@@ -12,7 +12,7 @@
 import pytest
 
 from cressrock import net
-from cressrock.errors.listening import AddressUnavailable
+from cressrock.errors.listening import AddressUnavailableError
 from cressrock.lab.platform import Discovery, config
 
 ROOT = Path(__file__).parent.parent
@@ -62,7 +62,7 @@
 def refused(line, setting, address):
     assert line.startswith(f"cressrock: {setting}: cannot listen at {address}"), line
     assert "another process has it" in line and f"set {setting} to an address of its own" in line
-    assert f"[{AddressUnavailable.code}: {AddressUnavailable.remedy}]" in line
+    assert f"[{AddressUnavailableError.code}: {AddressUnavailableError.remedy}]" in line
 
 
 @pytest.mark.parametrize(
--- a/tests/test_nodelist.py
+++ b/tests/test_nodelist.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from cressrock.dispatch.nodelist import ListError, ListState
+from cressrock.dispatch.node_list import NodeListError, NodeListState
 from cressrock.interface import ListKind, NodeState
 
 
@@ -23,7 +23,7 @@
 
 
 def state():
-    return ListState("storage", max_nodes=5)
+    return NodeListState("storage", max_nodes=5)
 
 
 def test_a_version_is_news_once_and_never_goes_back():
@@ -31,7 +31,7 @@
     news = found.receive(response("2", endpoint(1)), 0, 0)
     assert news.report.kind is ListKind.COMPLETE and news.report.nodes[0].name == "n:1"
     assert found.receive(response("2", endpoint(1)), 0, 0) is None
-    with pytest.raises(ListError, match="older"):
+    with pytest.raises(NodeListError, match="older"):
         found.receive(response("1", endpoint(2)), 0, 0)
     assert json.loads(found.request("me"))["version_info"] == "2"
 
@@ -47,9 +47,9 @@
     found = state()
     first = found.receive(response("1", endpoint(1, since=900.0)), 5000, 1000).report.nodes[0]
     later = found.receive(response("2", endpoint(1, since=900.0)), 9000, 99999).report.nodes[0]
-    assert first.up_since_ms == later.up_since_ms == 4900
+    assert first.started_at_ms == later.started_at_ms == 4900
     again = found.receive(response("3", endpoint(1, since=99000.0)), 9500, 99500).report.nodes[0]
-    assert again.up_since_ms == 9000
+    assert again.started_at_ms == 9000
 
 
 def test_a_node_named_twice_is_as_bad_as_its_worse_line():
@@ -78,6 +78,6 @@
     found = state()
     found.receive(response("1", endpoint(1)), 0, 0)
     found.version = "0"
-    with pytest.raises(ListError, match=place):
+    with pytest.raises(NodeListError, match=place):
         found.receive(body, 0, 0)
     assert found.version == "0"
--- a/tests/test_orphans.py
+++ b/tests/test_orphans.py
@@ -6,21 +6,31 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from cressrock.dispatch.ledger import Ledger, Tripped, Verdict
+from cressrock.dispatch.ledger import FenceTrip, Ledger, Verdict
 from cressrock.dispatch.reasons import Reason
-from cressrock.edge.orphans import Away, Fate, Reconnect, fate, next_look, offers, retry_after
-from cressrock.interface import Effect, Node, Outcome, RequestClass
+from cressrock.edge.disposition import (
+    DisconnectedPolicy,
+    Fate,
+    ReconnectBackoff,
+    fate,
+    next_look,
+    offers,
+    retry_after,
+)
+from cressrock.interface import Idempotency, Node, Outcome, RequestClass
 
-KEYED = RequestClass(aim_ms=500, deadline_ms=4000, effect=Effect.KEYED, repeat_window_ms=4000)
-UNSAFE = RequestClass(aim_ms=500, deadline_ms=4000)
-READ = RequestClass(aim_ms=300, deadline_ms=4000, effect=Effect.REPEATABLE)
-AWAY = Away()
+KEYED = RequestClass(
+    latency_objective_ms=500, deadline_ms=4000, idempotency=Idempotency.KEYED, deduplication_window_ms=4000
+)
+UNSAFE = RequestClass(latency_objective_ms=500, deadline_ms=4000)
+READ = RequestClass(latency_objective_ms=300, deadline_ms=4000, idempotency=Idempotency.ALWAYS)
+AWAY = DisconnectedPolicy()
 
 
 def book(cls):
     ledger = Ledger(drain_grace_ms=250, answer_slack_ms=8, max_open=100)
-    ledger.news([Node("n", 0)], 0, complete=True)
-    return ledger, ledger.take("r", "x", cls, 4000, 0)
+    ledger.update_nodes([Node("n", 0)], 0, complete=True)
+    return ledger, ledger.accept("r", "x", cls, 4000, 0)
 
 
 def test_a_new_epoch_is_offered_only_what_it_can_decide_about():
@@ -31,10 +41,10 @@
         ledger.send("r", "n", 10)
         assert fate(entry, 3940, joined=True, away=AWAY) is Fate.RUN_ON
         assert fate(entry, 3950, joined=True, away=AWAY) is Fate.FAIL  # nobody else ends the wait in time
-        ledger.ended("r", 0, Outcome.FULL)
+        ledger.record_outcome("r", 0, Outcome.FULL)
         assert fate(entry, 10, joined=True, away=AWAY) is Fate.OFFER
         ledger.send("r", "n", 10)
-        ledger.ended("r", 1, Outcome.RESET)
+        ledger.record_outcome("r", 1, Outcome.RESET)
         assert fate(entry, 10, joined=True, away=AWAY) is after
 
 
@@ -53,28 +63,28 @@
         if what == "send" and joined and entry.verdict is None:
             assert fate(entry, now, joined=True, away=AWAY) in Fate
             if fate(entry, now, joined=True, away=AWAY) is Fate.OFFER:
-                assert not isinstance(ledger.send("r", "n", now), Tripped)
-        out = entry.out()
+                assert not isinstance(ledger.send("r", "n", now), FenceTrip)
+        out = entry.attempt_in_flight()
         if what == "end" and out is not None:
-            ledger.ended("r", out.number, outcome)
+            ledger.record_outcome("r", out.number, outcome)
         if entry.verdict is None:
             found = fate(entry, now, joined=joined, away=AWAY)
             if found is Fate.REFUSE:
-                assert ledger.refuse("r", Reason.SCHEDULER) is Verdict.REFUSED, "the refusal was not true"
+                assert ledger.reject("r", Reason.SCHEDULER) is Verdict.REJECTED, "the refusal was not true"
             elif found is Fate.FAIL:
                 ledger.fail("r", Reason.ATTEMPTS)
             else:
                 assert next_look([entry], now, AWAY) <= 4000
     assert entry.verdict is not None
-    assert not any(ledger.trips.values())
+    assert not any(ledger.fence_trips.values())
 
 
 def test_a_returning_planner_is_offered_the_most_urgent_in_bounded_steps():
     ledger = Ledger(drain_grace_ms=250, answer_slack_ms=8, max_open=1000)
     for index in range(500):
-        ledger.take(f"r{index}", "x", READ, 1000 + (index * 37) % 500, 0)
+        ledger.accept(f"r{index}", "x", READ, 1000 + (index * 37) % 500, 0)
     first = offers(ledger.entries.values(), 0, AWAY, most=64)
-    assert len(first) == 64 and max(e.deadline for e in first) <= 1000 + 70
+    assert len(first) == 64 and max(e.deadline_ms for e in first) <= 1000 + 70
 
 
 def test_clients_are_asked_to_stay_away_for_longer_and_wider_apart():
@@ -89,7 +99,7 @@
 def test_edges_come_back_spread_and_go_down_their_list():
     waits = []
     for seed in range(190):
-        again = Reconnect(("p1", "p2"), random.Random(seed), least_ms=500, most_ms=10000)
+        again = ReconnectBackoff(("p1", "p2"), random.Random(seed), min_wait_ms=500, max_wait_ms=10000)
         assert again.next()[1] == "p1"
         again.lost(0)
         assert again.next()[1] == "p2"
@@ -102,4 +112,4 @@
         waits.append(again.next()[0])
     assert max(waits) > 7000 and max(sum(t <= w < t + 1000 for w in waits) for t in range(8000)) < 50
     with pytest.raises(ValueError, match="at least one"):
-        Reconnect((), random.Random(1), least_ms=1, most_ms=2)
+        ReconnectBackoff((), random.Random(1), min_wait_ms=1, max_wait_ms=2)
--- a/tests/test_pages.py
+++ b/tests/test_pages.py
@@ -53,7 +53,7 @@
 }
 ENDS = (("cressrock", "check"), ("curl",))  # what ends by itself, and well
 ALONE = ("cressrock", "lab", "day")  # reckoned by one core for long: a test of its own for each
-WAY_OUT = ("python", "-m", "cressrock.council.recover")  # wants a council that was lost: a test of its own
+WAY_OUT = ("python", "-m", "cressrock.consensus.recover")  # wants a council that was lost: a test of its own
 
 
 # What pages name beside the commands that `--help` has.
--- a/tests/test_pair.py
+++ b/tests/test_pair.py
@@ -2,11 +2,11 @@
 
 import pytest
 
-from cressrock.edge.core import EdgeDecisions
-from cressrock.gateway import Parts
+from cressrock.edge.decisions import EdgeDecisions
 from cressrock.lab.day import Day, Script, simulate
 from cressrock.lab.judge import judge
-from cressrock.planner.epochs import Store, next_epoch
+from cressrock.planner.epochs import EpochStore, next_epoch
+from cressrock.programs.gateway import Components
 
 
 def play(parts=None, **changes):
@@ -34,7 +34,7 @@
 
 
 def test_an_epoch_is_never_used_again_also_with_the_store_lost(tmp_path):
-    store = Store(str(tmp_path / "epoch"))
+    store = EpochStore(str(tmp_path / "epoch"))
     assert store.read() is None
     first = next_epoch(store.read(), 1000.0)
     store.write(first)
@@ -52,7 +52,7 @@
 
     def __init__(self, *given, **more):
         super().__init__(*given, **more)
-        self.lending.lend = lambda volume, plan, wanted, now: wanted
+        self.quota.lease = lambda volume, plan, wanted, now: wanted
 
 
 def test_a_planner_back_at_once_twenty_times_keeps_limits_and_needs_their_parts_for_it():
@@ -60,5 +60,5 @@
     day, result, found = play(**changes)
     assert day.planner_kills >= 15 and not found.breaches and not result.fences
     assert found.looked_at[7] > 100
-    _, _, broken = play(parts=Parts(edge=Generous), **changes)
+    _, _, broken = play(parts=Components(edge=Generous), **changes)
     assert not broken.kept(7)
--- a/tests/test_planner.py
+++ b/tests/test_planner.py
@@ -2,25 +2,30 @@
 
 import random
 
-from cressrock.brain import Brain
-from cressrock.dispatch.ledger import Attempt, Ledger, Tripped
+from cressrock.dispatch.ledger import Attempt, FenceTrip, Ledger
 from cressrock.dispatch.reasons import Reason
 from cressrock.edge.grants import Grants
-from cressrock.interface import Effect, ListKind, Node, NodeList, Outcome, RequestClass, Settings
+from cressrock.interface import Idempotency, ListKind, Node, NodeList, Outcome, RequestClass, Settings
 from cressrock.link import messages as m
-from cressrock.planner.core import Bounds, Planner
+from cressrock.planner.planner import Planner, PlannerLimits
+from cressrock.scheduler.scheduler import Scheduler
 
 CLASSES = (
-    RequestClass(aim_ms=300, deadline_ms=3000, effect=Effect.REPEATABLE),
-    RequestClass(aim_ms=500, deadline_ms=4000, effect=Effect.KEYED, repeat_window_ms=4000),
+    RequestClass(latency_objective_ms=300, deadline_ms=3000, idempotency=Idempotency.ALWAYS),
+    RequestClass(
+        latency_objective_ms=500,
+        deadline_ms=4000,
+        idempotency=Idempotency.KEYED,
+        deduplication_window_ms=4000,
+    ),
 )
 SETTINGS = Settings(classes=CLASSES, max_attempts=3, may_cancel=True, answer_slack_ms=10, drain_grace_ms=250)
 NODES = (Node("n0", 0), Node("n1", 1))
 
 
 def planner(epoch=1, **bounds):
-    found = Planner(Brain(SETTINGS, epoch, 0.0), CLASSES, epoch, Bounds(**bounds))
-    found.listed(NodeList(ListKind.COMPLETE, NODES))
+    found = Planner(Scheduler(SETTINGS, epoch, 0.0), CLASSES, epoch, PlannerLimits(**bounds))
+    found.receive_node_list(NodeList(ListKind.COMPLETE, NODES))
     return found
 
 
@@ -31,7 +36,7 @@
 def test_a_grant_is_valid_by_the_edges_clock_whatever_the_planners_is():
     plan = planner(grant_ms=400.0)
     session = plan.join("e", "l")
-    plan.event("e", session, request(0, "r", at=9e9))
+    plan.receive_event("e", session, request(0, "r", at=9e9))
     (grant,) = plan.step(5.0).orders["e"]
     assert (grant.epoch, grant.attempt, grant.node, grant.valid_until_ms) == (1, 0, "n0", 9e9 + 400)
 
@@ -39,11 +44,11 @@
 def test_an_older_connection_of_an_edge_is_fenced_and_leaves_nothing_behind():
     plan = planner()
     first = plan.join("e", "l1")
-    plan.event("e", first, request(0, "r"))
+    plan.receive_event("e", first, request(0, "r"))
     assert plan.step(1.0).orders
     second = plan.join("e", "l2")
-    assert not plan.event("e", first, request(1, "s")) and not plan.leave("e", first)
-    assert plan.event("e", second, request(0, "r"))
+    assert not plan.receive_event("e", first, request(1, "s")) and not plan.leave("e", first)
+    assert plan.receive_event("e", second, request(0, "r"))
     assert plan.step(2.0).orders["e"][0].operation == "r"
     plan.leave("e", second)
     plan.step(3.0)
@@ -55,9 +60,9 @@
     plan = planner(max_inside=10)
     sessions = {name: plan.join(name, "l") for name in ("a", "b")}
     for index in range(100):
-        plan.event("a", sessions["a"], request(index, f"r{index}"))
+        plan.receive_event("a", sessions["a"], request(index, f"r{index}"))
     for index in range(5):
-        plan.event("b", sessions["b"], request(index, f"r{index}"))
+        plan.receive_event("b", sessions["b"], request(index, f"r{index}"))
     plan.step(1.0)
     assert len(plan.inside) == 10
     assert sum(held.edge.name == "b" for held in plan.inside.values()) == 5
@@ -67,9 +72,9 @@
     plan = planner(max_edges=1)
     session = plan.join("a", "l")
     assert plan.join("b", "l") is None and plan.join("a", "l2") == session + 1
-    assert plan.event("a", session + 1, request(5, "r"))
-    assert not plan.event("a", session + 1, request(5, "s"))
-    plan.event("a", session + 1, m.Ended(6, 0.0, "none", 0, "ok", True, 1.0))
+    assert plan.receive_event("a", session + 1, request(5, "r"))
+    assert not plan.receive_event("a", session + 1, request(5, "s"))
+    plan.receive_event("a", session + 1, m.AttemptEnded(6, 0.0, "none", 0, "ok", True, 1.0))
     assert plan.dropped == {"out of order": 1, "unknown attempt": 1}
 
 
@@ -83,7 +88,7 @@
         self.edges = {}
         for index in range(edges):
             ledger = Ledger(drain_grace_ms=250, answer_slack_ms=10, max_open=1000)
-            ledger.news(NODES, 0, complete=True)
+            ledger.update_nodes(NODES, 0, complete=True)
             # Clocks differ by hours: nothing may hang on them.
             self.edges[f"e{index}"] = [ledger, Grants(ledger), index * 3.6e6, 0, None]
         self.count = self.used = self.unused = 0
@@ -93,8 +98,10 @@
     def start(self):
         """The planner dies and another life begins, knowing nothing."""
         self.epoch += 1
-        self.plan = Planner(Brain(SETTINGS, self.epoch, self.now), CLASSES, self.epoch, Bounds(max_inside=50))
-        self.plan.listed(NodeList(ListKind.COMPLETE, NODES))
+        self.plan = Planner(
+            Scheduler(SETTINGS, self.epoch, self.now), CLASSES, self.epoch, PlannerLimits(max_inside=50)
+        )
+        self.plan.receive_node_list(NodeList(ListKind.COMPLETE, NODES))
         for name in self.edges:
             if self.draw.random() < 0.8:
                 self.join(name)
@@ -106,7 +113,7 @@
         self.edges[name][4] = session
         for entry in list(ledger.entries.values()):
             if entry.verdict is None and entry.out() is None:
-                if entry.first_run() is None or entry.cls.effect is Effect.REPEATABLE:
+                if entry.first_run() is None or entry.cls.idempotency is Idempotency.ALWAYS:
                     self.tell(name, self.request(entry))
                 else:
                     ledger.fail(entry.name, Reason.ATTEMPTS)
@@ -123,7 +130,7 @@
 
         told = msgspec.structs.replace(event, sequence=sequence, at_ms=clock + self.now)
         if session is not None and self.draw.random() < 0.98:
-            self.plan.event(name, session, told)
+            self.plan.receive_event(name, session, told)
 
     def step(self):
         self.now += self.draw.choice((1.0, 5.0, 20.0, 100.0))
@@ -141,7 +148,7 @@
                 entry, attempt = draw.choice(out)
                 outcome = draw.choice((Outcome.OK, Outcome.OK, Outcome.ERROR, Outcome.FULL, Outcome.RESET))
                 settled = ledger.ended(entry.name, attempt.number, outcome)
-                ended = m.Ended(0, 0, entry.name, attempt.number, outcome.value, settled.over, 5.0)
+                ended = m.AttemptEnded(0, 0, entry.name, attempt.number, outcome.value, settled.over, 5.0)
                 self.tell(name, ended)
         elif kind < 0.73:
             self.start()
@@ -171,11 +178,11 @@
                 assert order.epoch == grants.epoch and now <= order.valid_until_ms
             else:
                 self.unused += 1
-                assert not isinstance(result, Tripped) or result.fence.startswith(("rule1", "rule2"))
+                assert not isinstance(result, FenceTrip) or result.fence.startswith(("rule1", "rule2"))
         elif isinstance(order, m.Answer) and order.epoch == grants.epoch:
             entry = ledger.entries.get(order.operation)
             if entry is not None and entry.verdict is None:
-                if order.refused and ledger.may_refuse(entry):
+                if order.refused and ledger.may_reject(entry):
                     ledger.refuse(order.operation, Reason.SCHEDULER)
                 else:
                     ledger.fail(order.operation, Reason.ATTEMPTS)
@@ -200,6 +207,6 @@
     plan = planner()
     session = plan.join("e", "l")
     for index in range(3):
-        plan.event("e", session, request(index, f"r{index}", shard=index % 2))
+        plan.receive_event("e", session, request(index, f"r{index}", shard=index % 2))
     grants = plan.step(1.0).orders["e"]
     assert [type(g) for g in grants] == [m.Grant] * 3 and len({g.number for g in grants}) == 3
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -362,9 +362,9 @@
         client.writer.close()
         await s.until(lambda: not s.servers[0].open)
         driver = s.program.driver
-        assert not driver.slots and not driver.ledger.entries and not s.program.front.owes()
+        assert not driver.pending and not driver.ledger.entries and not s.program.front.owes()
         # Danger: without the driver's being told, all this comes true as well, at the request's deadline.
-        assert driver.ledger.answers[Verdict.LEFT] == 1
+        assert driver.ledger.answer_counts[Verdict.LEFT] == 1
         assert s.program.observer.outcomes["cancelled"] == 1 and not s.program.observer.outcomes["timeout"]
 
 
@@ -381,7 +381,7 @@
         await s.until(lambda: s.program.front.owes() == 2)
         second.writer.close()
         await s.until(lambda: s.program.front.owes() == 1)
-        assert s.program.driver.ledger.answers[Verdict.LEFT] == 1 and len(s.program.driver.slots) == 1
+        assert s.program.driver.ledger.answer_counts[Verdict.LEFT] == 1 and len(s.program.driver.pending) == 1
         s.discovery.put("s0", s.servers[0].address, 0)
         await s.until(lambda: s.program.driver.ledger.nodes["s0"].state is NodeState.READY)
         third = await s.client()
@@ -405,7 +405,7 @@
     async with stage(lambda words: None) as s:
         client = await s.client()
         assert isinstance(await client.ask(read(1, d=150)), ErrorLine)
-        await s.until(lambda: not s.program.driver.out)
+        await s.until(lambda: not s.program.driver.in_flight)
         assert not s.program.driver.ledger.entries
 
 
@@ -836,7 +836,7 @@
         await asyncio.sleep(0.001)
     assert not any(call.endings for call in waiting) and len(way.pool.queue) == 5
     leaver.stop()
-    assert await way.ended(gone) is Outcome.MOOT
+    assert await way.ended(gone) is Outcome.ABANDONED
     flight.stop()
     assert await way.ended(hung) is Outcome.CANCELLED
     assert [await way.ended(call) for call in waiting] == [Outcome.OK] * 4
@@ -851,7 +851,7 @@
     way = Way(servers)
     way.call(0)
     late, _ = way.call(0, ahead=30.0)
-    assert await way.ended(late) is Outcome.MOOT
+    assert await way.ended(late) is Outcome.ABANDONED
     await servers[0].stop()
 
 
@@ -861,7 +861,7 @@
     servers = [await StorageServer(echo).start()]
     way = Way(servers)
     late, _ = way.call(0, may_leave=lambda: False)
-    assert await way.ended(late) is Outcome.MOOT
+    assert await way.ended(late) is Outcome.ABANDONED
     call, _ = way.call(0)
     assert await way.ended(call) is Outcome.OK
     assert len(servers[0].seen) == 1 and way.pool.opened == 1  # the connection is kept for the next
--- a/tests/test_platform_config.py
+++ b/tests/test_platform_config.py
@@ -12,14 +12,14 @@
 from hypothesis import strategies as st
 
 from cressrock.dispatch.ledger import Attempt, Ledger
-from cressrock.interface import Effect, Group, Outcome
+from cressrock.interface import DeduplicationScope, Idempotency, Outcome
 from cressrock.lab.platform import Discovery, StorageServer, config, echo
 from cressrock.platform import program
 from cressrock.platform.config import ConfigError, foreign, parse
 from cressrock.platform.program import Program
 from cressrock.platform.serverlist import ServerList
 from cressrock.resp import codec
-from cressrock.resp.request import Reader, Refused
+from cressrock.resp.request import InvalidCommandError, Reader
 from tests.test_platform import Client, on_sockets, stage
 
 ABSENT = object()
@@ -260,15 +260,18 @@
 
 def test_what_is_absent_is_safe_for_the_rules():
     group = read(("settings.profiles[1].key_scope", ABSENT)).settings.classes[1]
-    assert group.effect is Effect.KEYED and group.repeat_window_ms == 0  # never repeated
+    assert group.idempotency is Idempotency.KEYED and group.deduplication_window_ms == 0  # never repeated
     assert read(("settings.profiles[1].key_scope", None)).settings.classes[1] == group
-    assert read(("settings.profiles[1].repeat_window_ms", ABSENT)).settings.classes[1].repeat_window_ms == 0
-    assert read(("settings.profiles[1].semantics", None)).settings.classes[1].effect is Effect.UNSAFE
+    assert (
+        read(("settings.profiles[1].repeat_window_ms", ABSENT)).settings.classes[1].deduplication_window_ms
+        == 0
+    )
+    assert read(("settings.profiles[1].semantics", None)).settings.classes[1].idempotency is Idempotency.NEVER
     assert read(("settings.safety.drain_grace_ms", ABSENT)).settings.drain_grace_ms == 0
     assert read(("settings.caps.max_attempts", ABSENT)).settings.max_attempts == 1
     assert read(("settings.family_info.most_units", ABSENT)).settings.most_units == 999_999_999
     unused = read().settings.classes[0]  # a class without keys names no group
-    assert unused.effect is Effect.REPEATABLE and unused.group is Group.SHARD
+    assert unused.idempotency is Idempotency.ALWAYS and unused.deduplication_scope is DeduplicationScope.SHARD
 
 
 def test_a_cold_servers_bound_without_a_warm_up_neither_grows_nor_ends():
@@ -298,7 +301,7 @@
 
 def test_an_aim_above_its_deadline_stands():
     cls = read(("settings.profiles[0].goal_time_ms", 9000)).settings.classes[0]
-    assert (cls.aim_ms, cls.deadline_ms) == (9000, 5000)
+    assert (cls.latency_objective_ms, cls.deadline_ms) == (9000, 5000)
 
 
 def test_a_zone_that_is_named_twice_is_one():
@@ -314,7 +317,7 @@
         async with stage(settings=with_(("settings.membership_mode", mode))["settings"]) as s:
             await s.until(lambda: s.discovery.calls >= 2)
             s.discovery.put("s9", s.servers[0].address, 2, health="leaving")
-            await s.until(lambda: "s9" in s.program.driver.ledger.told)
+            await s.until(lambda: "s9" in s.program.driver.ledger.withdrawn_at_ms)
 
     test()
 
@@ -345,14 +348,14 @@
     made_of = reader(("settings.profiles[0].name", "lecture à 100 %"), ("settings.policies[1].name", "金"))
     found = made_of.read(words(c="lecture à 100 %", t="金"))
     assert (found.request_class, found.plan) == (0, 1)
-    with pytest.raises(Refused, match="unknown class"):
+    with pytest.raises(InvalidCommandError, match="unknown class"):
         made_of.read(words(c="lecture a 100 %", t="金"))
 
 
 def test_writes_are_told_by_the_classes_order():
     one, other = reader(), reader(("settings.family_info.writes", [True, False]))
     assert one.read(words()).request_class == 0
-    with pytest.raises(Refused, match="command"):
+    with pytest.raises(InvalidCommandError, match="command"):
         other.read(words())
     assert other.read(words("IO.OUT", [b"x"])).request_class == 0
 
@@ -379,7 +382,7 @@
 )
 def test_what_the_settings_do_not_name_or_bound_is_refused(changes):
     assert reader().read(words())
-    with pytest.raises(Refused):
+    with pytest.raises(InvalidCommandError):
         reader().read(words(**changes))
 
 
@@ -439,12 +442,12 @@
         for i, site in enumerate(("a", "x", "y", "x"))
     ]
     report = servers.receive({"seq": 1, "whole": True, "hosts": entries}, 0, 1e12)
-    ledger.news(report.nodes, 0, complete=True)
+    ledger.update_nodes(report.nodes, 0, complete=True)
     cls = parse(json.dumps(made() | {"settings": value})).settings.classes[1]
     for number, (first, other, allowed) in enumerate([(0, 1, False), (1, 2, False), (1, 3, True)]):
-        ledger.take(f"r{number}", "e", cls, 5000, 0)
+        ledger.accept(f"r{number}", "e", cls, 5000, 0)
         assert isinstance(ledger.send(f"r{number}", f"s{first}", 0), Attempt)
-        ledger.ended(f"r{number}", 0, Outcome.RESET)
+        ledger.record_outcome(f"r{number}", 0, Outcome.RESET)
         assert isinstance(ledger.send(f"r{number}", f"s{other}", 1), Attempt) is allowed
 
 
@@ -530,7 +533,7 @@
     for part in ("classes", "plans"):
         first, *rest = getattr(present.settings, part)
         for field in fields(first):
-            if field.name not in ("effect", "group"):
+            if field.name not in ("idempotency", "deduplication_scope"):
                 new = replace(first, **{field.name: other(getattr(first, field.name))})
                 assert foreign(
                     present, replace(present, settings=replace(present.settings, **{part: (new, *rest)}))
--- a/tests/test_platform_endings.py
+++ b/tests/test_platform_endings.py
@@ -195,7 +195,7 @@
         await s.until(lambda: front.owes() == 1 and any(c.stuck_at is not None for c in front.clients))
         sock.shutdown(socket.SHUT_WR)
         await s.until(lambda: not front.owes())
-        assert s.program.driver.ledger.answers[Verdict.LEFT] == 1 and not s.program.driver.slots
+        assert s.program.driver.ledger.answer_counts[Verdict.LEFT] == 1 and not s.program.driver.pending
         sock.close()
 
 
@@ -207,7 +207,7 @@
         await s.until(lambda: s.servers[0].seen and s.program.front.malformed)
         client.writer.close()
         await s.until(lambda: not s.program.front.owes())
-        assert s.program.driver.ledger.answers[Verdict.LEFT] == 1 and not s.program.driver.slots
+        assert s.program.driver.ledger.answer_counts[Verdict.LEFT] == 1 and not s.program.driver.pending
 
 
 @on_sockets
@@ -220,7 +220,7 @@
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
         client.writer.transport.abort()
         await s.until(lambda: not s.program.front.owes())
-        assert s.program.driver.ledger.answers[Verdict.LEFT] == 8 and not s.program.driver.slots
+        assert s.program.driver.ledger.answer_counts[Verdict.LEFT] == 8 and not s.program.driver.pending
 
 
 @on_sockets
@@ -401,9 +401,9 @@
         client = await s.client()
         client.send(read(1))
         await s.until(lambda: s.program.front.owes() == 1)
-        s.program.driver.stop()
+        s.program.driver.abort_pending()
         s.program.turns.end()
         s.discovery.put("s0", s.servers[0].address, 0)  # the decision module would send now
         await s.until(lambda: s.program.driver.ledger.nodes["s0"].state is NodeState.READY)
         await asyncio.sleep(0)
-        assert not s.servers[0].seen and not s.program.driver.ledger.trips
+        assert not s.servers[0].seen and not s.program.driver.ledger.fence_trips
--- a/tests/test_platform_leaving.py
+++ b/tests/test_platform_leaving.py
@@ -90,7 +90,7 @@
         await s.until(lambda: s.program.front.count == 3 and not s.program.front.owes())
         await served_on(s)
         assert not asked(s, 1) and not asked(s, 2)
-        assert s.program.driver.ledger.answers[Verdict.LEFT] == 2
+        assert s.program.driver.ledger.answer_counts[Verdict.LEFT] == 2
         sock.close()
 
 
@@ -104,7 +104,7 @@
         await s.until(lambda: s.program.front.count == 1 and not s.program.front.owes())
         await served_on(s)
         assert s.program.transport.opened == s.servers[0].connections == 1
-        assert s.program.driver.ledger.answers[Verdict.LEFT] == 1
+        assert s.program.driver.ledger.answer_counts[Verdict.LEFT] == 1
         sock.close()
 
 
@@ -122,7 +122,7 @@
         leave(sock)
         tell(s, "s1", 1, NodeState.READY)
         await served_on(s, shard=1)
-        assert not asked(s, 2) and s.program.driver.ledger.answers[Verdict.LEFT] == 1
+        assert not asked(s, 2) and s.program.driver.ledger.answer_counts[Verdict.LEFT] == 1
         sock.close()
 
 
@@ -152,7 +152,7 @@
         writer.write(codec.error("ERR failed"))
         await s.until(lambda: s.program.observer.outcomes["error"])
         await served_on(s, shard=1)
-        assert asked(s, 2) == 1 and s.program.driver.ledger.answers[Verdict.LEFT] == 1
+        assert asked(s, 2) == 1 and s.program.driver.ledger.answer_counts[Verdict.LEFT] == 1
         sock.close()
 
 
@@ -190,7 +190,7 @@
             (writer,) = s.servers[0].open
             writer.write(echo(held[ident(8)]))
         await s.until(lambda: begun and not s.program.front.owes())
-        assert not driver.out and driver.ledger.answers[Verdict.LEFT] == 1
+        assert not driver.in_flight and driver.ledger.answer_counts[Verdict.LEFT] == 1
         await served_on(s, shard=int(way == "descriptor"))
         assert not asked(s, 2)
         sock.close()
@@ -209,10 +209,10 @@
         await s.until(lambda: s.program.front.owes() == 2)
         leave(sock)
         tell(s, "s0", 0, NodeState.READY)
-        s.program.driver.turn()  # in the same round: nothing was read since
+        s.program.driver.process_batch()  # in the same round: nothing was read since
         assert await other.reply() == b"value of " + ident(3)
         await served_on(s)
-        assert not asked(s, 2) and s.program.driver.ledger.answers[Verdict.LEFT] == 1
+        assert not asked(s, 2) and s.program.driver.ledger.answer_counts[Verdict.LEFT] == 1
         sock.close()
 
 
@@ -251,8 +251,11 @@
         await s.until(lambda: any(c.unsent for c in s.program.transport.open))
         end = peer.accept()
         client.writer.close()
-        await s.until(lambda: not s.program.driver.out)
-        assert s.program.driver.ledger.answers[Verdict.LEFT] == 1 and s.program.observer.outcomes["moot"] == 1
+        await s.until(lambda: not s.program.driver.in_flight)
+        assert (
+            s.program.driver.ledger.answer_counts[Verdict.LEFT] == 1
+            and s.program.observer.outcomes["moot"] == 1
+        )
         assert drained(end) < 65536
     peer.close()
 
@@ -266,10 +269,10 @@
         await s.until(lambda: s.servers[0].seen)
         client.writer.close()
         await s.until(lambda: not s.program.front.owes())
-        assert len(s.program.driver.out) == 1
+        assert len(s.program.driver.in_flight) == 1
         (writer,) = s.servers[0].open
         writer.write(echo(s.servers[0].seen[0]))
-        await s.until(lambda: not s.program.driver.out)
+        await s.until(lambda: not s.program.driver.in_flight)
         assert s.program.observer.outcomes == {"ok": 1} and not s.program.driver.ledger.entries
 
 
--- a/tests/test_platform_nodes.py
+++ b/tests/test_platform_nodes.py
@@ -16,7 +16,7 @@
 
 from cressrock.dispatch.driver import _Call
 from cressrock.dispatch.ledger import Attempt, Ledger
-from cressrock.interface import Effect, Group, Node, Outcome, RequestClass
+from cressrock.interface import DeduplicationScope, Idempotency, Node, Outcome, RequestClass
 from cressrock.lab.platform import answer
 from cressrock.resp import codec, nodes
 from cressrock.resp.nodes import RespTransport
@@ -288,21 +288,25 @@
 
 
 KEYED = RequestClass(
-    aim_ms=500, deadline_ms=4000, effect=Effect.KEYED, group=Group.SHARD, repeat_window_ms=400
+    latency_objective_ms=500,
+    deadline_ms=4000,
+    idempotency=Idempotency.KEYED,
+    deduplication_scope=DeduplicationScope.SHARD,
+    deduplication_window_ms=400,
 )
 
 
 def test_a_repeat_has_to_leave_inside_the_window_of_the_first_that_may_have_run():
     book = Ledger(drain_grace_ms=250, answer_slack_ms=8, max_open=100)
-    book.news([Node("a", 0), Node("b", 0)], 0, complete=True)
-    for name, cls in (("k", KEYED), ("u", replace(KEYED, effect=Effect.REPEATABLE))):
-        book.take(name, "x", cls, 4000, 0)
+    book.update_nodes([Node("a", 0), Node("b", 0)], 0, complete=True)
+    for name, cls in (("k", KEYED), ("u", replace(KEYED, idempotency=Idempotency.ALWAYS))):
+        book.accept(name, "x", cls, 4000, 0)
         assert book.leave_by(name, 0) == float("inf")
         book.send(name, "a", 10)
-        book.ended(name, 0, Outcome.FULL)  # never ran
+        book.record_outcome(name, 0, Outcome.FULL)  # never ran
         book.send(name, "a", 100)
         assert book.leave_by(name, 1) == float("inf")  # a first one
-        book.ended(name, 1, Outcome.TIMEOUT)
+        book.record_outcome(name, 1, Outcome.TIMEOUT)
         book.send(name, "b", 300)
     call = _Call(SimpleNamespace(ledger=book), "k", None, book.entries["k"].attempts[2], 4000)
     assert call.leave_by == book.leave_by("k", 2) == 500
@@ -319,7 +323,7 @@
     bench.move(299)
     assert not call.endings
     bench.move(1)
-    assert (await bench.ended(call)).outcome is Outcome.MOOT
+    assert (await bench.ended(call)).outcome is Outcome.ABANDONED
     await asyncio.sleep(0)
     assert await asyncio.to_thread(drained, end) < len(HUGE)
 
@@ -350,7 +354,7 @@
     """Danger: a window shorter than the time in which a connection may come up."""
     call, _ = bench.start(leave_by=bench.now[0] + 50)
     bench.move(50)  # no step of the loop yet
-    assert (await bench.ended(call)).outcome is Outcome.MOOT
+    assert (await bench.ended(call)).outcome is Outcome.ABANDONED
     while bench.pool.opening:
         await asyncio.sleep(0)
     assert not bench.pool.open
@@ -399,7 +403,7 @@
             as_it_comes_up(monkeypatch, hook)
             call, flight = bench.start()
             ending = await bench.ended(call)
-            assert ending.outcome is (Outcome.MOOT if order == "stop" else Outcome.NO_CONNECTION)
+            assert ending.outcome is (Outcome.ABANDONED if order == "stop" else Outcome.NO_CONNECTION)
             while bench.pool.opening:
                 await asyncio.sleep(0)
             await asyncio.sleep(0)
@@ -427,7 +431,7 @@
         for number in held:
             os.close(number)
         resource.setrlimit(resource.RLIMIT_NOFILE, (soft, hard))
-    assert ending.outcome is Outcome.MOOT
+    assert ending.outcome is Outcome.ABANDONED
 
 
 @on_bench()
@@ -684,7 +688,7 @@
                 flight.stop()
             if order == "may_leave":
                 bench.move(LEAST_MS / 2)
-            assert (await bench.ended(call)).outcome is Outcome.MOOT
+            assert (await bench.ended(call)).outcome is Outcome.ABANDONED
             bench.move(LEAST_MS / 2)
             assert silent(first)
             call, _ = bench.start()  # its rest has gone on
--- a/tests/test_platform_parts.py
+++ b/tests/test_platform_parts.py
@@ -21,7 +21,7 @@
     assert found.listen == ("127.0.0.1", 6379) and found.seed == 0x8C1F30D27A5BE964
     assert found.classes == ("read", "write") and found.plans == ("silver", "gold")
     assert (found.sockets, found.memory_mb, found.shards, found.idle_close_ms) == (256, 192, 4, 15000)
-    assert found.settings.must_ask and found.settings.classes[1].writes
+    assert found.settings.must_ask and found.settings.classes[1].is_write
 
 
 @pytest.mark.parametrize(
@@ -63,7 +63,7 @@
     known = answer(entry("s1", block=2), entry("s2", health="leaving"))
     report = servers.receive(known, 5000, 1e12, cached=True)
     assert report.kind is ListKind.CACHED
-    assert [(n.name, n.shard, n.zone, n.up_since_ms, n.state) for n in report.nodes] == [
+    assert [(n.name, n.shard, n.zone, n.started_at_ms, n.state) for n in report.nodes] == [
         ("s1", 2, 1, 0.0, NodeState.READY),
         ("s2", 0, 1, 0.0, NodeState.DRAINING),
     ]
@@ -74,9 +74,9 @@
     servers = ServerList(("a",))
     servers.receive(answer(entry("s1", born_ms=1e12 - 400)), 5000, 1e12, cached=True)
     report = servers.receive(answer(entry("s1", born_ms=1e12 - 400), seq=2), 6000, 1e12 + 99000)
-    assert report.nodes[0].up_since_ms == 4600  # the wall clock was stepped in between
+    assert report.nodes[0].started_at_ms == 4600  # the wall clock was stepped in between
     report = servers.receive(answer(entry("s1", born_ms=1e12 + 99500), seq=3), 7000, 1e12 + 100000)
-    assert report.nodes[0].up_since_ms == 6500 and servers.moved == ["s1"]
+    assert report.nodes[0].started_at_ms == 6500 and servers.moved == ["s1"]
 
 
 def test_changes_are_told_as_changes_and_what_left_is_forgotten():
