--- a/tests/compatibility/dispatch_cases.py
+++ b/tests/compatibility/dispatch_cases.py
@@ -388,7 +388,7 @@
     def start(self, call: Any) -> Any:
         attempt, digest = call.attempt, self.digest
         name = [call.label, attempt.number, attempt.node.name]
-        digest.add(["start", name, attempt.sent_at, call.deadline, call.leave_by, call.op.key])
+        digest.add(["start", name, attempt.sent_at_ms, call.deadline, call.leave_by, call.op.key])
         self.calls.append(call)
 
         class Flight:
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -81,7 +81,7 @@
     async def program(rig):
         body = bytes(range(256)) * 4096 * 8  # 8 MiB
         assert (await rig.ask("PUT", "/demo/big", body)).status == 201
-        assert rig.gateway.store.held == 0 and rig.gateway.store.spilled >= 1
+        assert rig.gateway.payload_store.memory_used_bytes == 0 and rig.gateway.payload_store.spilled_payloads >= 1
         assert (await rig.ask("GET", "/demo/big")).body == body
         assert rig.gateway.driver.ledger.entries == {}
 
@@ -96,8 +96,8 @@
         before = len(rig.at_nodes())
         await anyio.sleep(20)
         assert len(rig.at_nodes()) == before <= 3
-        assert not rig.gateway.driver.ledger.entries and not rig.gateway.driver.out
-        assert rig.gateway.store.held == 0
+        assert not rig.gateway.driver.ledger.entries and not rig.gateway.driver.in_flight
+        assert rig.gateway.payload_store.memory_used_bytes == 0
         assert rig.gateway.front.open == 0
 
     run(program, machine=SLOW)
@@ -119,7 +119,7 @@
         await stream.receive(1000)
         await stream.aclose()
         await anyio.sleep(1)
-        assert not rig.gateway.driver.ledger.entries and rig.gateway.store.held == 0
+        assert not rig.gateway.driver.ledger.entries and rig.gateway.payload_store.memory_used_bytes == 0
         assert (await rig.ask("GET", "/demo/d")).body == b"d" * 3000000
 
     run(program)
@@ -272,7 +272,7 @@
         decisions = rig.gateway.driver.decisions
         assert not any(node.out for node in decisions.nodes.values())
         await anyio.sleep(40)  # the front gives up on a reader that reads nothing
-        assert not rig.gateway.driver.ledger.entries and rig.gateway.nodes.connections() < 4
+        assert not rig.gateway.driver.ledger.entries and rig.gateway.node_client.connections() < 4
         await stream.aclose()
 
     run(program)
@@ -289,7 +289,7 @@
             tasks.start_soon(write)
             await anyio.sleep(0.05)
             assert await rig.gateway.stop(10000)
-        assert found[0].status == 201 and rig.gateway.ready() == ["stopping"]
+        assert found[0].status == 201 and rig.gateway.not_ready_reasons() == ["stopping"]
         assert (await rig.ask("GET", "/demo/a")).how in ("cut", "not connected")
 
     run(program, machine=SLOW)
@@ -330,7 +330,7 @@
         assert 'cressrock_answers_total{cls="save",reason="",verdict="served"} 1.0' in text
         assert 'cressrock_fence_trips_total{fence="rule2-attempt-out"} 0.0' in text
         assert 'cressrock_nodes{state="ready"} 3.0' in text
-        assert rig.gateway.ready() == []
+        assert rig.gateway.not_ready_reasons() == []
 
     run(program)
 
@@ -365,7 +365,7 @@
             await anyio.sleep(1)
         await anyio.sleep(15)
         assert rig.gateway.server.connections == 0 and rig.gateway.front.open == 0
-        assert rig.gateway.store.held == 0 and not rig.at_nodes()
+        assert rig.gateway.payload_store.memory_used_bytes == 0 and not rig.at_nodes()
 
     run(program)
 
@@ -434,7 +434,7 @@
             await rig.ask("PUT", f"/demo/{index}", b"x", patience_ms=1000, prefer="wait=1")
         ends = [r for r in rig.rows if r.side == "client" and r.what != "sent"]
         assert len(ends) == 30 and {r.status for r in ends} >= {201, 504}
-        assert not any(rig.gateway.driver.ledger.trips.values())
+        assert not any(rig.gateway.driver.ledger.fence_trips.values())
         assert not rig.gateway.driver.ledger.entries
 
     run(program, machine=Machine(unit_ms=800.0, base_ms=200.0, repeat_saves=0.0, deferred=0.0))
--- a/tests/test_lending.py
+++ b/tests/test_lending.py
@@ -67,7 +67,7 @@
         now += draw.choice((0.0, 1.0, 30.0, 400.0, 3000.0)) * draw.random()
         for arrival in sorted(f for f in flying if f[0] <= now):
             store.take(arrival[0], arrival[2])
-            parts[arrival[1]].over("v", 0, arrival[2], arrival[0])
+            parts[arrival[1]].record_outcome("v", 0, arrival[2], arrival[0])
         flying = [f for f in flying if f[0] > now]
         loans = [(until, units) for until, units in loans if until > now]
         who = draw.randrange(edges)
