--- a/cressrock/replication/manager.py
+++ b/cressrock/replication/manager.py
@@ -186,7 +186,7 @@
             if found is None:
                 await self._found(volume, placed, index)
                 return
-            known = KnownSet(m.decode_set(found.value), found.number, True)
+            known = KnownSet(m.decode_set(found.value), found.version, True)
         sync = known.sync
         assert sync is not None
         memory = self.shards.setdefault(topic, _Shard())
@@ -226,8 +226,12 @@
 
     def _words(self, shard: int) -> dict[str, bytes]:
         """Return what the processes that live say of a shard."""
-        alive = {(member.name, member.life) for member in self.ground.members() if member.state is Life.ALIVE}
-        told = self.ground.gossip.get(f"{REACHABILITY_KEY_PREFIX}{shard}")
+        alive = {
+            (member.name, member.process_incarnation)
+            for member in self.ground.members()
+            if member.state is Life.ALIVE
+        }
+        told = self.ground.gossip.values(f"{REACHABILITY_KEY_PREFIX}{shard}")
         return {origin[0]: word for origin, word in told.items() if tuple(origin[:2]) in alive}
 
     async def _first_lost(self, volume: str, placed: ReplicaPlacement, index: int, known: KnownSet) -> bool:
@@ -453,7 +457,7 @@
         life = await self._life(wish.volume, placed, wish.shard, op)
         if life is None:
             raise TransitionNotAllowedError(f"the copy in {wish.zone!r} cannot be reached")
-        decree = await self._decide(topic, transitions.force_primary(old, wish.zone, life), found.number)
+        decree = await self._decide(topic, transitions.force_primary(old, wish.zone, life), found.version)
         self.log.warning("copy taken over", topic=topic, zone=wish.zone, instead_of=old.primary)
         return describe(KnownSet(m.decode_set(decree.value), decree.version, True)) or {}
 
--- a/cressrock/replication/repair.py
+++ b/cressrock/replication/repair.py
@@ -170,7 +170,7 @@
         (there,) = yield PerformOperations(
             (ReplicaOperation(zone, role, sync.epoch, life, OperationKind.INSPECT, record),)
         )
-        if there.refused is not None:
+        if there.rejection is not None:
             return None
         if there.record is not None and there.record.path == record.path and _newer(there.record, record):
             found: Record = there.record
--- a/cressrock/replication/service.py
+++ b/cressrock/replication/service.py
@@ -448,7 +448,7 @@
         while True:
             await anyio.sleep(self.every_ms / 1000)
             words = self.copies.reachability_reports(
-                lambda shard: any(self.spread.get(f"{REACHABILITY_KEY_PREFIX}{shard}").values())
+                lambda shard: any(self.spread.values(f"{REACHABILITY_KEY_PREFIX}{shard}").values())
             )
             for shard in [s for s in self.told if s not in words]:
                 del self.told[shard]
--- a/cressrock/replication/write.py
+++ b/cressrock/replication/write.py
@@ -219,7 +219,9 @@
     else:
         return OperationOutcome(Disposition.REJECTED, reason="sets-change")
     if got.reply is None:
-        return OperationOutcome(Disposition.FAILED if got.ran else Disposition.REJECTED, got, "first-copy")
+        return OperationOutcome(
+            Disposition.FAILED if got.may_have_run else Disposition.REJECTED, got, "first-copy"
+        )
     if got.failed:
         return OperationOutcome(Disposition.FAILED, got, "first-copy")
     record: Record | None = got.record
@@ -278,7 +280,7 @@
             if found is None:
                 return None
             newer, payload = found
-            if newer.at != record.version:
+            if newer.version != record.version:
                 return None  # overwritten meanwhile: whoever asked looks again
         gots = yield PerformOperations(
             tuple(operation_at(sync, z, OperationKind.APPLY, record, payload) for z in lacks)
@@ -289,9 +291,9 @@
                 newest = max(newest, got.epoch)
             elif got.rejection is not None:
                 failed.append(zone)
-            elif got.record is not None and got.record.at >= record.version:
+            elif got.record is not None and got.record.version >= record.version:
                 held.add(sync, zone)
-            elif got.reply is not None or got.ran or got.gone:
+            elif got.reply is not None or got.may_have_run or got.unreachable:
                 failed.append(zone)
             else:
                 return None  # no turn in time: a busy copy is not put out for that
@@ -354,12 +356,12 @@
             index = 0
             continue
         if got.reply is None:
-            if got.ran:
+            if got.may_have_run:
                 return OperationOutcome(Disposition.FAILED, got, "copy")
             index += 1
             continue
         record = got.record
-        if got.failed or record is None or record.sure or not rules.settle_reads:
+        if got.failed or record is None or record.committed or not rules.settle_reads:
             return OperationOutcome(Disposition.ANSWER, got)
         if not lease_valid:
             return OperationOutcome(Disposition.REJECTED, got, "unsettled")
--- a/cressrock/rollout/lifecycle.py
+++ b/cressrock/rollout/lifecycle.py
@@ -17,7 +17,7 @@
 from typing import Annotated, Literal
 
 import msgspec
-from msgspec import Meta, Struct
+from msgspec import Meta, Struct, field
 
 from cressrock.errors.rollout import (
     InvalidRulesError,
@@ -44,43 +44,38 @@
 class Stage(Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
     """Where the candidate may decide, and what has to be seen before the next stage."""
 
-    volume_fraction: Annotated[float, Meta(gt=0, le=1)] = 1.0  # of the volumes, by hash
+    # Of the volumes, by hash.
+    volume_fraction: Annotated[float, Meta(gt=0, le=1)] = field(default=1.0, name="part")
     zones: Annotated[list[Name], Meta(max_length=64)] | None = None  # unset: all
-    control_fraction: Annotated[float, Meta(ge=0.02, le=0.95)] = (
-        0.5  # of these requests go on under the good version
-    )
-    min_duration_ms: Milliseconds = 60000.0  # on the leader's clock
-    min_answers: Annotated[int, Meta(ge=0, le=10**9)] = (
-        1000  # requests answered under the candidate, in this stage
-    )
+    # Of the requests so chosen, the share that goes on under the good version.
+    control_fraction: Annotated[float, Meta(ge=0.02, le=0.95)] = field(default=0.5, name="beside")
+    min_duration_ms: Milliseconds = field(default=60000.0, name="least_ms")  # on the leader's clock
+    # Requests answered under the candidate, in this stage.
+    min_answers: Annotated[int, Meta(ge=0, le=10**9)] = field(default=1000, name="least")
 
 
 class Thresholds(Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
     """How much error is accepted, and who may halt a rollout."""
 
-    false_halt_probability: Annotated[float, Meta(gt=0, le=0.5)] = (
-        0.01  # of ever halting a harmless candidate
-    )
-    tolerated_odds_ratio: Annotated[float, Meta(ge=1, le=100)] = (
-        1.1  # odds of bad answers, to the good version's
-    )
-    rollback_odds_ratio: Annotated[float, Meta(ge=1, le=1000)] = (
-        2.0  # odds beyond which a process goes back alone
-    )
-    min_accusers: Annotated[int, Meta(ge=1, le=1024)] = (
-        2  # no fewer processes together can halt it by answers
-    )
-    rollbacks_to_halt: Annotated[int, Meta(ge=1, le=1024)] = (
-        2  # processes that went back alone, which halt it
-    )
-    stage_timeout_ms: Milliseconds = 3600000.0  # a stage that is not over by then, on one leader's clock
+    # Of ever halting a harmless candidate.
+    false_halt_probability: Annotated[float, Meta(gt=0, le=0.5)] = field(default=0.01, name="error")
+    # Odds of bad answers, to the good version's.
+    tolerated_odds_ratio: Annotated[float, Meta(ge=1, le=100)] = field(default=1.1, name="tolerate")
+    # Odds beyond which a process goes back alone.
+    rollback_odds_ratio: Annotated[float, Meta(ge=1, le=1000)] = field(default=2.0, name="far")
+    # No fewer processes together can halt it by answers.
+    min_accusers: Annotated[int, Meta(ge=1, le=1024)] = field(default=2, name="accusers")
+    # Processes that went back alone, which halt it.
+    rollbacks_to_halt: Annotated[int, Meta(ge=1, le=1024)] = field(default=2, name="reports")
+    # A stage that is not over by then, on one leader's clock.
+    stage_timeout_ms: Milliseconds = field(default=3600000.0, name="expire_ms")
 
 
 class RolloutPlan(Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
     """A rollout's own part of its document."""
 
     stages: Annotated[list[Stage], Meta(min_length=1, max_length=MAX_STAGES)]
-    thresholds: Thresholds = Thresholds()
+    thresholds: Thresholds = field(default=Thresholds(), name="levels")
 
     def __post_init__(self) -> None:
         """Check what no single field can tell.  Raises ValueError naming the place."""
@@ -192,7 +187,7 @@
 def advance(old: RolloutState, course: RolloutPlan, figures: dict[str, float]) -> RolloutState:
     """Return the decree after a stage that is over: the next stage, or done."""
     if old.stage + 1 < len(course.stages):
-        return msgspec.structs.replace(old, stage=old.stage + 1, figures=figures)
+        return msgspec.structs.replace(old, stage=old.stage + 1, statistics=figures)
     return msgspec.structs.replace(
         old,
         status="done",
--- a/cressrock/rollout/verdict.py
+++ b/cressrock/rollout/verdict.py
@@ -122,7 +122,7 @@
         """Return the sums by class."""
 
     def top_factors(self, course: RolloutPlan, classes: int, count: int) -> dict[Place, list[list[float]]]:
-        """Return the greatest logs of single processes' wealth, by class and kind, for each of `ODDS`."""
+        """Return the greatest logs of single processes' wealth, by class and kind, for each odds ratio."""
 
 
 def accusations_from_counts(heard: FleetCounts, course: RolloutPlan, classes: int) -> list[Accusation]:
--- a/tests/compatibility/copies_cases.py
+++ b/tests/compatibility/copies_cases.py
@@ -536,7 +536,7 @@
         sync, zone = draw_set(draw), draw.choice("abcd")
         plan = repair.repair_replica(sync, zone, skip_last_pass=draw.random() < 0.1)
         report = _drive(draw, digest, plan, sync, draw.choice((0.0, 0.01, 0.1, 0.5)))
-        digest.add([report.back, report.moved])
+        digest.add([report.rejoined, report.records_copied])
         now += draw.choice((0.0, 3.0, 100.0))
         digest.add(pace.wait_ms(now))
         pace.record_operation(
@@ -642,7 +642,7 @@
     def __init__(self, all_words: dict[str, dict[Any, bytes]], name: str) -> None:
         self.all_words, self.me = all_words, (name, 1)
 
-    def get(self, key: str) -> dict[Any, bytes]:
+    def values(self, key: str) -> dict[Any, bytes]:
         return dict(self.all_words.get(key, {}))
 
     def put(self, key: str, value: bytes) -> None:
@@ -656,10 +656,10 @@
     """A process's surroundings."""
 
     def __init__(self, cluster: Cluster, name: str) -> None:
-        self.kept = DecisionCache(None, cluster.clock)
-        self.council = cluster.council.asked_by(self.kept)
-        self.spread = _Words(cluster.words, name)
-        self.cluster, self.leading = cluster, True
+        self.decision_cache = DecisionCache(None, cluster.clock)
+        self.consensus = cluster.council.asked_by(self.decision_cache)
+        self.gossip = _Words(cluster.words, name)
+        self.cluster, self.is_leader = cluster, True
 
     def members(self) -> tuple[Member, ...]:
         states = [("e0", MemberState.ALIVE), ("e1", MemberState.ALIVE), ("e9", MemberState.SUSPECT)]
@@ -778,7 +778,7 @@
         """Have processes hear of a decree, each some time later; now and then one does not."""
         for ground in self.grounds:
             if self.draw.random() < 0.9:
-                self.late.append((self.clock() + self.draw.uniform(1, 60), ground.kept, decree))
+                self.late.append((self.clock() + self.draw.uniform(1, 60), ground.decision_cache, decree))
 
     async def execute(self, shard: int, method: str, key: str, headers: Headers, body: Any) -> Reply | None:
         """Have a node do an operation; None where it cannot be reached."""
@@ -884,9 +884,9 @@
                 await anyio.sleep(length / 2)
                 self.council.failing = False
             elif kind < 0.75:
-                self.grounds[2].leading = False
+                self.grounds[2].is_leader = False
                 await anyio.sleep(length / 2)
-                self.grounds[2].leading = True
+                self.grounds[2].is_leader = True
             else:
                 for _ in range(3):
                     await self.order()
@@ -918,7 +918,9 @@
                 for decree in list(self.council.stands.values()):
                     for ground in self.grounds:
                         if self.draw.random() < 0.7:
-                            ground.kept.receive(msgspec.structs.replace(decree, renewal=self.council.number))
+                            ground.decision_cache.receive(
+                                msgspec.structs.replace(decree, renewal=self.council.number)
+                            )
             self.list_nodes()
 
     def list_nodes(self) -> None:
@@ -942,7 +944,7 @@
             tasks.start_soon(self.news)
             tasks.start_soon(self.trouble)
             for gateway, ground in zip(self.gateways, self.grounds, strict=False):
-                tasks.start_soon(service.ReachabilityPublisher(gateway, ground.spread, 20.0).run)
+                tasks.start_soon(service.ReachabilityPublisher(gateway, ground.gossip, 20.0).run)
             await anyio.sleep(0.1)
             async with anyio.create_task_group() as clients:
                 for _ in range(3):
@@ -959,7 +961,7 @@
         for _ in range(50):
             self.down.clear()
             self.cut.clear()
-            self.council.failing, self.grounds[2].leading = False, True
+            self.council.failing, self.grounds[2].is_leader = False, True
             await anyio.sleep(0.02)
 
     def _stored(self) -> Mapping[int, Any]:
--- a/tests/compatibility/rollout_cases.py
+++ b/tests/compatibility/rollout_cases.py
@@ -369,12 +369,12 @@
 def view_values(view: Any) -> Any:
     """Return what both kinds of view tell of all counts."""
     return [
-        tallies(view.sums),
-        tallies(view.total()),
-        [view.answered(stage) for stage in range(8)],
+        tallies(view.totals),
+        tallies(view.totals_by_class()),
+        [view.candidate_trials(stage) for stage in range(8)],
         view.rollback_count(),
-        view.processes(),
-        sorted(view.backs.items()),
+        view.process_count(),
+        sorted(view.rollback_reasons.items()),
     ]
 
 
@@ -500,22 +500,22 @@
     """A register with compare-and-set: numbers grow; now and then nothing can be decided."""
 
     def __init__(self, kept: DecisionCache) -> None:
-        self.kept, self.number, self.failing, self.asked = kept, 100, False, []
+        self.decision_cache, self.number, self.failing, self.asked = kept, 100, False, []
         self.stands: dict[str, d.Decision] = {}
         self.asked: list[Any] = []
 
     async def decide(
-        self, topic: str, value: bytes, hold_ms: float, if_number: int | None = None, **_: Any
+        self, topic: str, value: bytes, hold_ms: float, if_version: int | None = None, **_: Any
     ) -> d.Decision:
-        self.asked.append([topic, value, hold_ms, if_number])
+        self.asked.append([topic, value, hold_ms, if_version])
         if self.failing:
             raise NoQuorumError("none")
         stands = self.stands.get(topic)
-        if if_number is not None and if_number != (stands.version if stands is not None else 0):
+        if if_version is not None and if_version != (stands.version if stands is not None else 0):
             raise DecisionConflictError("another stands")
         self.number += 1
         decree = self.stands[topic] = d.Decision(topic, self.number, value, hold_ms, "", self.number)
-        self.kept.receive(decree)
+        self.decision_cache.receive(decree)
         return decree
 
     async def read(self, topic: str, *_: Any, **__: Any) -> d.Decision | None:
@@ -568,15 +568,15 @@
 
     def __init__(self, clock: Callable[[], float], seed: str, collects: bool) -> None:
         source = random.Random(seed)
-        self.spread = GossipStore("me", 1, GossipStoreSettings(), source)
-        self.kept = DecisionCache(None, clock)
-        self.council = _Council(self.kept)
+        self.gossip = GossipStore("me", 1, GossipStoreSettings(), source)
+        self.decision_cache = DecisionCache(None, clock)
+        self.consensus = _Council(self.decision_cache)
         self.evidence = EvidenceChannel(
-            ("me", 1), "z0", self.spread, clock=clock, source=source, log=_Log(), is_collector=collects
+            ("me", 1), "z0", self.gossip, clock=clock, source=source, log=_Log(), is_collector=collects
         )
-        self.when_spread: list[Any] = []
-        self.when_leaving: list[Any] = []
-        self.leading = False
+        self.on_gossip_change: list[Any] = []
+        self.on_leaving: list[Any] = []
+        self.is_leader = False
 
 
 class _Merged(MergedSummaries):
@@ -584,7 +584,7 @@
 
     found: dict[str, dict[str, bytes]]
 
-    def parts(self, now_ms: float) -> dict[str, Any]:
+    def sums(self, now_ms: float) -> dict[str, Any]:
         return self.found
 
 
@@ -593,10 +593,10 @@
 
     silent: list[str]
 
-    def active(self) -> bool:
+    def is_active(self) -> bool:
         return True
 
-    def unheard(self, now_ms: float) -> list[str]:
+    def incomplete_zones(self, now_ms: float) -> list[str]:
         return self.silent
 
 
@@ -644,9 +644,10 @@
             collect.summaries.found = {}
         former = getattr(self, "ground", None)
         if former is not None:
-            ground.council.stands, ground.council.number = former.council.stands, former.council.number
-            for decree in ground.council.stands.values():
-                ground.kept.receive(decree)
+            ground.consensus.stands = former.consensus.stands
+            ground.consensus.number = former.consensus.number
+            for decree in ground.consensus.stands.values():
+                ground.decision_cache.receive(decree)
         settings = service.ProcessSettings(
             "me",
             "z0",
@@ -676,7 +677,7 @@
     def restart(self, orderly: bool) -> None:
         """End this life, and begin another."""
         if orderly:
-            for leaving in self.ground.when_leaving:
+            for leaving in self.ground.on_leaving:
                 leaving()
         self.open = []
         self.ground, self.book, self.rollout = self.begin()
@@ -694,7 +695,7 @@
 
     async def step(self) -> None:
         """Do one thing that may happen to a process."""
-        draw, council = self.draw, self.ground.council
+        draw, council = self.draw, self.ground.consensus
         self.now += draw.choice((0.0, 1.0, 5.0, 30.0))
         self.wall += draw.choice((0.0, 10.0, 3000.0))
         act = draw.random()
@@ -721,7 +722,7 @@
         elif act < 0.13 and not council.failing:
             self.hear_other()
         elif act < 0.15:
-            self.ground.leading = draw.random() < 0.8
+            self.ground.is_leader = draw.random() < 0.8
         elif act < 0.6:
             self.request()
         elif act < 0.7:
@@ -736,12 +737,12 @@
 
     def decided(self) -> lifecycle.RolloutState | None:
         """Return what the council has decided."""
-        decree = self.ground.council.stands.get(lifecycle.ROLLOUT_TOPIC)
+        decree = self.ground.consensus.stands.get(lifecycle.ROLLOUT_TOPIC)
         return lifecycle.decode(decree.value) if decree is not None else None
 
     def hear_other(self) -> None:
         """Hear a decree that another leader had decided: a step, an end, or one that cannot be read."""
-        draw, council = self.draw, self.ground.council
+        draw, council = self.draw, self.ground.consensus
         stands = council.stands.get(lifecycle.ROLLOUT_TOPIC)
         if stands is None:
             return
@@ -766,7 +767,7 @@
         decree = d.Decision(lifecycle.ROLLOUT_TOPIC, council.number, value, 500.0, "", council.number)
         if state is not None:
             council.stands[lifecycle.ROLLOUT_TOPIC] = decree
-        self.ground.kept.receive(decree)
+        self.ground.decision_cache.receive(decree)
 
     def request(self) -> None:
         """Let requests come and end."""
@@ -801,24 +802,24 @@
             key = evidence.counts_key(draw.randrange(2), draw.randrange(3))
             other.put(key, evidence.encode(evidence.CountsEntry(digest, tally)))
         self.told += [(origin, key, value) for key in _KEYS for value in other.values(key).values()]
-        self.ground.spread.retain_origins([origin])
+        self.ground.gossip.retain_origins([origin])
         data, _ = other.full_state(None, 1 << 20)
-        self.ground.spread.merge(data)
-        for changed in self.ground.spread.drain_changes():
-            for listener in self.ground.when_spread:
+        self.ground.gossip.merge(data)
+        for changed in self.ground.gossip.drain_changes():
+            for listener in self.ground.on_gossip_change:
                 listener(*changed)
         if draw.random() < 0.05:
-            for listener in self.ground.when_spread:
+            for listener in self.ground.on_gossip_change:
                 listener(origin, "")
 
     async def look(self) -> None:
         """Let the process's own tasks run for a moment; the decree may be renewed meanwhile."""
-        draw, council = self.draw, self.ground.council
+        draw, council = self.draw, self.ground.consensus
         stands = council.stands.get(lifecycle.ROLLOUT_TOPIC)
         if stands is not None and draw.random() < 0.7:
             council.number += 1
             renewed = msgspec.structs.replace(stands, renewal=council.number)
-            self.ground.kept.receive(renewed)
+            self.ground.decision_cache.receive(renewed)
         self.sum_up()
         with anyio.move_on_after(0.012):
             await self.rollout.run()
@@ -828,7 +829,7 @@
         state, collect = self.decided(), self.ground.evidence.collector
         if state is None or not isinstance(collect, _Collect) or not isinstance(collect.summaries, _Merged):
             return
-        data = self.ground.council.stands[lifecycle.DOCUMENT_TOPICS[state.document_slot]].value
+        data = self.ground.consensus.stands[lifecycle.DOCUMENT_TOPICS[state.document_slot]].value
         sums = verdict.ZoneSummarizer()
         sums.follow(state.digest, read_course(data), 2)
         for origin, key, value in self.told:
@@ -898,7 +899,7 @@
 
 def _finish(process: Process) -> None:
     """Have the council decide that the candidate is the good version now."""
-    council, state = process.ground.council, process.decided()
+    council, state = process.ground.consensus, process.decided()
     assert state is not None
     value = lifecycle.encode(
         lifecycle.advance(msgspec.structs.replace(state, stage=1), read_course(PLAN), {})
@@ -907,7 +908,7 @@
     decree = council.stands[lifecycle.ROLLOUT_TOPIC] = d.Decision(
         lifecycle.ROLLOUT_TOPIC, council.number, value, 500.0
     )
-    process.ground.kept.receive(decree)
+    process.ground.decision_cache.receive(decree)
 
 
 async def write_kept(name: str, path: Path) -> None:
@@ -916,7 +917,7 @@
     await _start(process, PLAN)
     process.wall += 1000.5
     if name == "orderly":
-        for leaving in process.ground.when_leaving:
+        for leaving in process.ground.on_leaving:
             leaving()
     elif name == "stopped-often":
         for _ in range(3):
--- a/tests/test_copies.py
+++ b/tests/test_copies.py
@@ -138,7 +138,15 @@
         late = log + draw.sample(log, len(log) // 3)  # some come twice
         draw.shuffle(late)
         for method, path, record, value in late:
-            ask(copy, method, path, 3, at=str(record.at), value=value, cleared=str(record.cleared))
+            ask(
+                copy,
+                method,
+                path,
+                3,
+                at=str(record.version),
+                value=value,
+                cleared=str(record.cleared_version),
+            )
 
     def held(rack):
         return {
@@ -158,23 +166,23 @@
     assert steps.send([w.ReplicaResult(may_have_run=True)]) == w.EvictReplicas(("b",), SYNC)
     with pytest.raises(StopIteration) as stop:
         steps.send(None)  # no decree came to stand
-    assert stop.value.value.end is w.Disposition.FAILED
+    assert stop.value.value.disposition is w.Disposition.FAILED
     # A copy that is only busy is not put out for it; one known as gone is, before anything is sent.
     steps = w.write_replicated(SYNC, "body")
     next(steps)
     steps.send([done])
     with pytest.raises(StopIteration) as stop:
         steps.send([w.ReplicaResult()])
-    assert stop.value.value.end is w.Disposition.FAILED
+    assert stop.value.value.disposition is w.Disposition.FAILED
     steps = w.write_replicated(SYNC, "body", gone=["b"])
     assert next(steps) == w.EvictReplicas(("b",), SYNC)
     with pytest.raises(StopIteration) as stop:
         steps.send(None)
-    assert stop.value.value.end is w.Disposition.REJECTED
+    assert stop.value.value.disposition is w.Disposition.REJECTED
     for steps in (w.write_replicated(SYNC, "body", gone=["a", "b"]), w.write_replicated(None, "body")):
         with pytest.raises(StopIteration) as stop:
             next(steps)  # one that reaches nobody puts nobody out
-    assert stop.value.value.end is w.Disposition.REJECTED
+    assert stop.value.value.disposition is w.Disposition.REJECTED
 
 
 def test_one_processs_bad_network_moves_no_first_copy():
