--- a/cressrock/lab/member.py
+++ b/cressrock/lab/member.py
@@ -96,9 +96,17 @@
         )
 
         def told(event: Event) -> None:
-            say(event=type(event).__name__, member=event.name, life=getattr(event, "life", None))
+            say(
+                event=type(event).__name__,
+                member=event.name,
+                life=getattr(event, "process_incarnation", None),
+            )
             seen = {
-                v.name: [v.process_incarnation, v.state.name.lower()] for v in fleet.membership.view(clock())
+                v.name: [
+                    v.process_incarnation,
+                    {"SUSPECT": "unsure", "DEAD": "gone"}.get(v.state.name, v.state.name.lower()),
+                ]
+                for v in fleet.membership.view(clock())
             }
             say(view=seen, dropped=fleet.drop_counts)
 
--- a/cressrock/presence/service.py
+++ b/cressrock/presence/service.py
@@ -301,7 +301,13 @@
     def _peers(self) -> list[w.Peer]:
         """Return the other gateways as the fleet's view shows them."""
         return [
-            w.Peer(m.name, m.process_incarnation, m.region, m.state.name.lower(), m.state_since_ms)
+            w.Peer(
+                m.name,
+                m.process_incarnation,
+                m.region,
+                {"SUSPECT": "unsure", "DEAD": "gone"}.get(m.state.name, m.state.name.lower()),
+                m.state_since_ms,
+            )
             for m in self.place.members()
             if m.role == "edge" and m.name != self.place.name
         ]
@@ -318,7 +324,7 @@
         known = {(m.name, m.process_incarnation): m for m in self.place.members()}
         for origin in sorted(wanted):
             member = known.get(origin)
-            if member is not None and member.state.name in ("ALIVE", "UNSURE"):
+            if member is not None and member.state.name in ("ALIVE", "SUSPECT"):
                 self._dialled.add(origin)
                 address = self.place.routes.get(member.name, member.address)
                 tasks.start_soon(self._follow, origin, address)
--- a/cressrock/runtime.py
+++ b/cressrock/runtime.py
@@ -402,7 +402,7 @@
                     "zone": m.zone,
                     "region": m.region,
                     "address": m.address,
-                    "state": m.state.name.lower(),
+                    "state": {"SUSPECT": "unsure", "DEAD": "gone"}.get(m.state.name, m.state.name.lower()),
                     "since_ms_ago": round(now - m.state_since_ms),
                 }
                 for m in self.members()
--- a/tests/test_fleet_carrier.py
+++ b/tests/test_fleet_carrier.py
@@ -91,14 +91,14 @@
                 self.ends[address] = wrong
 
     def kill(self, fleet):
-        address = fleet.members.me.address
+        address = fleet.membership.local.address
         self.net.sockets.pop(address, None)
         self.net.close(address)
         self.scopes[address].cancel()
 
 
 def live(fleet):
-    return {v.name for v in fleet.members.view(0) if v.state is MemberState.ALIVE}
+    return {v.name for v in fleet.membership.view(0) if v.state is MemberState.ALIVE}
 
 
 def in_town(play):
@@ -142,7 +142,7 @@
         assert town.ends["b:1"].code == "fleet-fenced" and "life 2" in str(town.ends["b:1"])
         await anyio.sleep(20)
         assert "b2:1" not in town.ends
-        assert {v.name: v.life for v in one.members.view(0)} == {"a": 1, "b": 2}
+        assert {v.name: v.process_incarnation for v in one.membership.view(0)} == {"a": 1, "b": 2}
 
     in_town(play)
 
@@ -194,9 +194,9 @@
                 await endless.send(piece * 8)
                 await anyio.sleep(0.01)
         await anyio.sleep(1)
-        assert fleet.dropped["fleet-foreign"] == fleet.dropped["fleet-malformed"] == 1000
-        assert fleet.dropped["fleet-too-large"] == 1001 and fleet.dropped["fleet-exchange"] == 1
-        assert live(fleet) == {"a"} and not fleet.members._records
+        assert fleet.drop_counts["fleet-foreign"] == fleet.drop_counts["fleet-malformed"] == 1000
+        assert fleet.drop_counts["fleet-too-large"] == 1001 and fleet.drop_counts["fleet-exchange"] == 1
+        assert live(fleet) == {"a"} and not fleet.membership._records
 
     in_town(play)
 
@@ -209,7 +209,7 @@
         third = await town.net.connect("a", 1)
         with pytest.raises((anyio.EndOfStream, anyio.BrokenResourceError)):
             await third.receive()
-        assert fleet.dropped == {"exchange-busy": 1} and fleet._serving == 2
+        assert fleet.drop_counts == {"exchange-busy": 1} and fleet._serving == 2
         await anyio.sleep(2)
         assert fleet._serving == 0 and held
 
@@ -306,7 +306,7 @@
         processes[4] = Process("p4", [first], life=2)
         wanted["p4"] = [2, "alive"]
         wait_for(lambda: all_say(wanted, processes), processes)
-        assert all(("NewLife", "p4") in p.events for p in rest)
+        assert all(("MemberRestarted", "p4") in p.events for p in rest)
         # Stopped for long: gone for the others, while it runs not; awake again it accuses nobody.
         stopped = processes[2]
         os.kill(stopped.process.pid, signal.SIGSTOP)
@@ -315,8 +315,8 @@
         before = len(stopped.events)
         os.kill(stopped.process.pid, signal.SIGCONT)
         wait_for(lambda: all_say(wanted, processes), processes)
-        assert all(("Alive", "p2") in p.events for p in others)
-        assert "Gone" not in [kind for kind, _ in stopped.events[before:]]
+        assert all(("MemberRecovered", "p2") in p.events for p in others)
+        assert "MemberDead" not in [kind for kind, _ in stopped.events[before:]]
         # A second process under a name: the older says so and ends by itself.
         twin = Process("p3", [first], life=9)
         old, processes[3] = processes[3], twin
@@ -331,7 +331,7 @@
         assert processes[1].process.wait(60) == 0
         rest = [processes[0], *processes[2:5]]
         wait_for(lambda: all_say(wanted | {"p1": [1, "left"]}, rest), processes)
-        assert not any(("Gone", "p1") in p.events for p in rest)
+        assert not any(("MemberDead", "p1") in p.events for p in rest)
     finally:
         for process in processes:
             process.end()
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -156,7 +156,7 @@
     assert members.incarnation == 1
     hear(members, 2.0, "a", m.Updates([MemberUpdate("me", 5, 3, MemberState.DEAD, "a")]))
     assert members.incarnation == 4
-    sent = [c for s in members.drain_messages() for c in s.message.updates if c.name == "me"]
+    sent = [c for s in members.drain_messages() for c in s.message.claims if c.name == "me"]
     assert sent[-1] == MemberUpdate("me", 5, 4, MemberState.ALIVE)
 
 
@@ -207,7 +207,7 @@
     other = alone("other")
     hear(other, 1.0, "a", m.Updates([alive("a"), alive("me", life=6)]))
     other.receive(2.0, "old:1", m.Letter("me", 5, m.Updates([])))
-    assert other.drain_messages()[-1].message.updates[0].process_incarnation == 6
+    assert other.drain_messages()[-1].message.claims[0].process_incarnation == 6
 
 
 def test_two_starts_in_one_millisecond_are_told_apart_by_address():
--- a/tests/test_spread.py
+++ b/tests/test_spread.py
@@ -27,7 +27,7 @@
 
 def seen(s):
     """What a reader can see, by brute force over what is held: the check of the indexes as well."""
-    held = s.held()
+    held = s.snapshot()
     values, counts, maps = {}, {}, {}
     for origin, (_, _, entries) in held.items():
         for (kind, key, item, _, _), (_, payload) in entries.items():
@@ -38,9 +38,9 @@
             elif payload is not None and kind == 2:
                 maps.setdefault(key, {}).setdefault(item, {})[origin] = payload
     for key, value in values.items():
-        assert s.get(key) == value and s.origins(key) == sorted(value)
+        assert s.values(key) == value and s.origins(key) == sorted(value)
         for origin in held:
-            assert s.value(key, origin) == value.get(origin)
+            assert s.value_of(key, origin) == value.get(origin)
     for key, value in counts.items():
         assert s.counts(key) == value and s.total(key) == sum(value.values())
     shown = {}
@@ -58,7 +58,7 @@
     for _ in range(rounds):
         quiet = 0
         for giver, taker in ((first, second), (second, first)):
-            for _ in range(len(taker.held()) // 8 + 2):
+            for _ in range(len(taker.snapshot()) // 8 + 2):
                 delta = giver.delta(taker.digest(size), size)
                 assert len(delta) <= size
                 quiet += bool(delta)
@@ -140,7 +140,7 @@
                 taker.merge(parcel)
         takers.append(taker)
     for taker in takers:
-        known, floor, entries = taker.held().get(("a", 1), (0, 0, {}))
+        known, floor, entries = taker.snapshot().get(("a", 1), (0, 0, {}))
         for slot, entry in entries.items():
             assert model[(slot, entry[0])] == entry  # nothing that was never written
         # The claim of the mark: each key as of `known`, or newer.
@@ -148,11 +148,11 @@
             if version <= known and (slot in entries or version > floor):
                 assert entries[slot][0] >= version
         seen(taker)
-    states = [taker.held().get(("a", 1)) for taker in takers[:2]]
+    states = [taker.snapshot().get(("a", 1)) for taker in takers[:2]]
     assert keep == 1 or states[0] == states[1]  # with sweeps, how far each came may differ
     for taker in takers:
         sync(writer, taker)
-        assert taker.held().get(("a", 1), (0, 0, {})) == writer.snapshot()[("a", 1)]
+        assert taker.snapshot().get(("a", 1), (0, 0, {})) == writer.snapshot()[("a", 1)]
 
 
 @settings(max_examples=60, deadline=None, derandomize=True)
@@ -168,7 +168,7 @@
         for todo in writes:
             write(members[who], todo)
         to = source.choice(members)
-        for data in (members[who].fresh(BYTES), members[who].delta(to.digest(BYTES), 200)):
+        for data in (members[who].recent_changes(BYTES), members[who].delta(to.digest(BYTES), 200)):
             if data and source.random() < 0.7:
                 to.merge(data)
                 if source.random() < 0.3:
@@ -212,7 +212,7 @@
 
 
 def test_stretches_ahead_are_bounded_and_only_cost_a_second_telling():
-    a, b = spread("a", rumour_factor=0.1), spread("b", max_ahead=2)  # each is told once
+    a, b = spread("a", retransmit_factor=0.1), spread("b", max_ahead=2)  # each is told once
     rumours = []
     for number in range(20):
         a.put(f"k{number}", b"v")
@@ -465,7 +465,7 @@
     d.put("k", b"d")
     b.merge(d.full_state(None, BYTES)[0])
     assert b.refused.origins == 1 and ("d", 1) not in b.snapshot()
-    e = spread("c", max_value=9999)
+    e = spread("c", max_value_bytes=9999)
     e.put("k", b"c")
     e.put("large", b"v" * 5000)
     e.put("after", b"v")
@@ -561,7 +561,7 @@
 
 
 def test_calm_digests_are_small_and_who_lags_asks_for_more():
-    a, b = spread("a", calm_digest=400), spread("b", calm_digest=400)
+    a, b = spread("a", idle_digest_bytes=400), spread("b", idle_digest_bytes=400)
     for number in range(100):
         a.merge(spread(f"member-{number}").full_state(None, 99)[0] or _one(f"member-{number}"))
     assert len(a.digest(1200)) <= 400
