--- a/cressrock/dispatch/node_list.py
+++ b/cressrock/dispatch/node_list.py
@@ -7,7 +7,7 @@
 
 from __future__ import annotations
 
-from dataclasses import dataclass
+from dataclasses import dataclass, field
 from typing import Any
 
 import msgspec
@@ -15,6 +15,8 @@
 from cressrock.interface import ListKind, Node, NodeList, NodeState
 
 TYPE_URL = "type.googleapis.com/envoy.config.endpoint.v3.ClusterLoadAssignment"
+JsonObject = dict[str, Any]  # as decoded; nothing in it is checked yet
+_StartTimes = dict[tuple[str, float], float]  # by name and `up_since`, on our own clock
 _STATES = {
     "HEALTHY": NodeState.READY,
     "UNKNOWN": NodeState.READY,
@@ -42,16 +44,16 @@
     """The list as last accepted.  `zones` maps locality names to numbers in order of appearance."""
 
     def __init__(self, cluster: str, *, max_nodes: int) -> None:
-        """Start with no version: every response is news."""
+        """Start with no version: every response is an update."""
         self.cluster = cluster
         self.max_nodes = max_nodes
         self.version = ""
         self.nonce = ""
-        self.confirmed = False  # the version was told in this life, not only read from a cache
+        self.confirmed = False  # received by this process, not only read from a cache
         self.zones: dict[str, int] = {}
-        # A node's start on our clock is fixed when it is first heard of: a list that is told again later,
-        # or a wall clock that is stepped, must not make a warm node look cold or a cold one warm.
-        self._starts: dict[tuple[str, float], float] = {}
+        # A node's start on our clock is fixed when the node is first listed: a list that is received again
+        # later, or a wall clock that is stepped, must not make a warm node look cold or a cold one warm.
+        self._started_at: _StartTimes = {}
 
     def request(self, node_id: str) -> bytes:
         """Return the body of the next DiscoveryRequest."""
@@ -70,12 +72,12 @@
     ) -> NodeListUpdate | None:
         """Take in a DiscoveryResponse.  None where it repeats the present version.
 
-        Raises ListError, and changes nothing, where the response is malformed.
+        Raises NodeListError, and keeps the present version, where the response is malformed.
         """
         try:
             value = msgspec.json.decode(body)
-        except msgspec.DecodeError as wrong:
-            raise NodeListError(f"discovery response is not JSON: {wrong}") from None
+        except msgspec.DecodeError as error:
+            raise NodeListError(f"discovery response is not JSON: {error}") from None
         if not isinstance(value, dict) or not isinstance(value.get("version_info"), str):
             raise NodeListError("discovery response: version_info is missing")
         version: str = value["version_info"]
@@ -83,66 +85,80 @@
             return None
         if not cached and _older(version, self.version):
             raise NodeListError(f"discovery response: version {version} is older than {self.version}")
-        nodes, zones, warnings = self._nodes(value, now_ms, wall_ms)
-        self.version, self.nonce, self.zones = version, str(value.get("nonce", "")), zones
+        reader = _ResponseReader(self.cluster, now_ms, wall_ms, dict(self.zones), self._started_at)
+        reader.read(value)
+        nodes = reader.nodes
+        if len(nodes) > self.max_nodes:
+            raise NodeListError(
+                f"discovery response names {len(nodes)} nodes; at most {self.max_nodes} are held"
+            )
+        self._started_at = {key: at_ms for key, at_ms in self._started_at.items() if key[0] in nodes}
+        self.version, self.nonce, self.zones = version, str(value.get("nonce", "")), reader.zones
         self.confirmed = not cached
         kind = ListKind.CACHED if cached else ListKind.COMPLETE
-        return NodeListUpdate(NodeList(kind, tuple(nodes)), version, tuple(warnings))
+        report = NodeList(kind, tuple(nodes[name] for name in sorted(nodes)))
+        return NodeListUpdate(report, version, tuple(reader.warnings))
+
+
+@dataclass(slots=True)
+class _ResponseReader:
+    """Reads the endpoints of one response; `zones` and `started_at` grow with what it names."""
 
-    def _nodes(
-        self, value: dict[str, Any], now_ms: float, wall_ms: float
-    ) -> tuple[list[Node], dict[str, int], list[str]]:
-        resources = value.get("resources")
+    cluster: str
+    now_ms: float
+    wall_ms: float
+    zones: dict[str, int]
+    started_at: _StartTimes
+    nodes: dict[str, Node] = field(default_factory=dict)
+    warnings: list[str] = field(default_factory=list)
+
+    def read(self, response: JsonObject) -> None:
+        """Collect all nodes of the cluster.  Raises NodeListError."""
+        resources = response.get("resources")
         if not isinstance(resources, list):
             raise NodeListError("discovery response: resources is missing")
-        found: dict[str, Node] = {}
-        warnings: list[str] = []
-        zones = dict(self.zones)
-        for r, resource in enumerate(resources):
-            if not isinstance(resource, dict) or resource.get("cluster_name") != self.cluster:
-                continue
-            for g, group in enumerate(_list(resource, "endpoints", f"resources[{r}]")):
-                place = f"resources[{r}].endpoints[{g}]"
-                zone_name = str(_get(group, "locality", "zone", default=""))
-                zone = zones.setdefault(zone_name, len(zones))
-                for e, endpoint in enumerate(_list(group, "lb_endpoints", place)):
-                    node = self._node(endpoint, zone, f"{place}.lb_endpoints[{e}]", now_ms, wall_ms)
-                    before = found.get(node.name)
-                    if before is not None and before != node:
-                        # Danger: a node named twice, once as draining, must not be sent to as ready.
-                        warnings.append(f"{node.name} is listed twice with different data")
-                        if before.state is not NodeState.READY:
-                            continue
-                    found[node.name] = node
-        if len(found) > self.max_nodes:
-            raise NodeListError(
-                f"discovery response names {len(found)} nodes; at most {self.max_nodes} are held"
-            )
-        known = {key: at for key, at in self._starts.items() if key[0] in found}
-        self._starts = known
-        return sorted(found.values(), key=lambda n: n.name), zones, warnings
-
-    def _node(self, endpoint: Any, zone: int, place: str, now_ms: float, wall_ms: float) -> Node:
+        for index, resource in enumerate(resources):
+            if isinstance(resource, dict) and resource.get("cluster_name") == self.cluster:
+                self._read_resource(resource, f"resources[{index}]")
+
+    def _read_resource(self, resource: JsonObject, path: str) -> None:
+        for index, group in enumerate(_list(resource, "endpoints", path)):
+            group_path = f"{path}.endpoints[{index}]"
+            zone_name = str(_get(group, "locality", "zone", default=""))
+            zone = self.zones.setdefault(zone_name, len(self.zones))
+            for number, endpoint in enumerate(_list(group, "lb_endpoints", group_path)):
+                self._add(self._node(endpoint, zone, f"{group_path}.lb_endpoints[{number}]"))
+
+    def _add(self, node: Node) -> None:
+        before = self.nodes.get(node.name)
+        if before is not None and before != node:
+            # Danger: a node named twice, once as draining, must not be sent to as ready.
+            self.warnings.append(f"{node.name} is listed twice with different data")
+            if before.state is not NodeState.READY:
+                return
+        self.nodes[node.name] = node
+
+    def _node(self, endpoint: Any, zone: int, path: str) -> Node:
         address = _get(endpoint, "endpoint", "address", "socket_address", default=None)
         host, port = _get(address, "address", default=None), _get(address, "port_value", default=None)
         if not isinstance(host, str) or not isinstance(port, int):
-            raise NodeListError(f"{place}.endpoint.address.socket_address is missing")
-        meta = _get(endpoint, "metadata", "filter_metadata", "cressrock", default={})
-        shard = _get(meta, "shard", default=None)
+            raise NodeListError(f"{path}.endpoint.address.socket_address is missing")
+        metadata = _get(endpoint, "metadata", "filter_metadata", "cressrock", default={})
+        shard = _get(metadata, "shard", default=None)
         if not isinstance(shard, int) or shard < 0:
-            raise NodeListError(f"{place}.metadata: shard is missing or not a whole number")
+            raise NodeListError(f"{path}.metadata: shard is missing or not a whole number")
         status = endpoint.get("health_status", "HEALTHY")
         if status not in _STATES:
-            raise NodeListError(f"{place}.health_status: unknown word {status!r}")
+            raise NodeListError(f"{path}.health_status: unknown word {status!r}")
         name = f"{host}:{port}"
-        since = _get(meta, "up_since", default=0)
-        if not isinstance(since, (int, float)) or isinstance(since, bool):
-            raise NodeListError(f"{place}.metadata: up_since is not a number")
-        started = 0.0
-        if since:
-            age = max(0.0, wall_ms - float(since))
-            started = self._starts.setdefault((name, float(since)), now_ms - age)
-        return Node(name, shard, zone, started, _STATES[status])
+        up_since = _get(metadata, "up_since", default=0)
+        if not isinstance(up_since, (int, float)) or isinstance(up_since, bool):
+            raise NodeListError(f"{path}.metadata: up_since is not a number")
+        started_at_ms = 0.0
+        if up_since:
+            age_ms = max(0.0, self.wall_ms - float(up_since))
+            started_at_ms = self.started_at.setdefault((name, float(up_since)), self.now_ms - age_ms)
+        return Node(name, shard, zone, started_at_ms, _STATES[status])
 
 
 def _older(version: str, present: str) -> bool:
@@ -151,15 +167,15 @@
 
 
 def _get(value: Any, *path: str, default: Any) -> Any:
-    for part in path:
-        if not isinstance(value, dict) or part not in value:
+    for key in path:
+        if not isinstance(value, dict) or key not in value:
             return default
-        value = value[part]
+        value = value[key]
     return value
 
 
-def _list(value: Any, name: str, place: str) -> list[Any]:
-    found = _get(value, name, default=[])
-    if not isinstance(found, list):
-        raise NodeListError(f"{place}.{name} is not a list")
-    return found
+def _list(value: Any, name: str, path: str) -> list[Any]:
+    items = _get(value, name, default=[])
+    if not isinstance(items, list):
+        raise NodeListError(f"{path}.{name} is not a list")
+    return items
--- a/cressrock/dispatch/node_list_watch.py
+++ b/cressrock/dispatch/node_list_watch.py
@@ -1,4 +1,4 @@
-"""Follows the node list: a carrier that polls endpoint discovery and hands reports to the driver.
+"""Follows the node list: polls endpoint discovery and hands reports to the driver.
 
 The last good response is kept in a file, so that a restarted dispatcher begins with the list it had.
 """
@@ -7,6 +7,7 @@
 
 import os
 from collections.abc import Callable
+from dataclasses import dataclass
 from pathlib import Path
 from typing import Any
 
@@ -20,6 +21,20 @@
 from cressrock.http.channel import ConnectionLostError, MessageTooLargeError
 from cressrock.interface import ListKind, NodeList
 
+DISCOVERY_PATH = b"/v3/discovery:endpoints"
+MAX_REQUEST_BYTES = 1 << 20
+
+
+@dataclass(frozen=True, slots=True)
+class NodeListSource:
+    """Where the node list comes from, and the file that keeps the last one over restarts."""
+
+    address: str
+    node_id: str  # how this process names itself to the discovery service
+    poll_ms: float
+    timeout_ms: float
+    cache: str | None = None
+
 
 class NodeListWatch:
     """Polls the list while subscribed; a failed call ends the subscription and is reported as such."""
@@ -28,86 +43,77 @@
         self,
         state: NodeListState,
         client: NodeClient,
+        source: NodeListSource,
         *,
-        address: str,
-        node_id: str,
-        poll_ms: float,
-        timeout_ms: float,
-        cache: str | None,
         on_report: Callable[[NodeList], None],
         wall_ms: Callable[[], float],
         log: Any,
     ) -> None:
-        """`listed` takes each report; `wall_ms` gives epoch milliseconds."""
+        """`on_report` takes each report; `wall_ms` gives epoch milliseconds."""
         self.state = state
         self.client = client
-        self.address = address
-        self.node_id = node_id
-        self.poll_ms = poll_ms
-        self.timeout_ms = timeout_ms
-        self.cache = Path(cache) if cache else None
-        self.listed = on_report
+        self.source = source
+        self.cache = Path(source.cache) if source.cache else None
+        self.on_report = on_report
         self.wall_ms = wall_ms
         self.log = log
-        self.last_response_ms: float | None = (
-            None  # when the list last answered, on anyio's clock in milliseconds
-        )
-        self._wanted = anyio.Event()
-        self._store = PayloadStore(memory_bytes=1 << 20, spill_bytes=1 << 20)
+        self.last_response_ms: float | None = None  # on anyio's clock
+        self._poll_requested = anyio.Event()
+        self._store = PayloadStore(memory_bytes=MAX_REQUEST_BYTES, spill_bytes=MAX_REQUEST_BYTES)
 
     def subscribe(self) -> None:
-        """Ask now, and then again and again until a call fails."""
-        self._wanted.set()
+        """Poll now, and then again and again until a call fails."""
+        self._poll_requested.set()
 
     def load_cache(self) -> None:
-        """Report the list that a former life kept; a file that cannot be read is as none."""
+        """Report the list that an earlier process cached; a file that cannot be read counts as none."""
         report = NodeList(ListKind.CACHED)
         if self.cache is not None and self.cache.exists():
             try:
                 body = self.cache.read_bytes()
-                news = self.state.receive(body, anyio.current_time() * 1000, self.wall_ms(), cached=True)
-                assert news is not None
-                report = news.report
-            except (OSError, NodeListError) as wrong:
-                self.log.warning("node list cache unusable", file=str(self.cache), error=str(wrong))
-        self.listed(report)
+                update = self.state.receive(body, anyio.current_time() * 1000, self.wall_ms(), cached=True)
+                assert update is not None
+                report = update.report
+            except (OSError, NodeListError) as error:
+                self.log.warning("node_list.cache_unusable", file=str(self.cache), error=str(error))
+        self.on_report(report)
 
     async def run(self) -> None:
         """Serve until cancelled."""
         while True:
-            await self._wanted.wait()
-            self._wanted = anyio.Event()
-            while await self._ask():
-                with anyio.move_on_after(self.poll_ms / 1000):
-                    await self._wanted.wait()
-                self._wanted = anyio.Event()
-
-    async def _ask(self) -> bool:
+            await self._poll_requested.wait()
+            self._poll_requested = anyio.Event()
+            while await self._poll():
+                with anyio.move_on_after(self.source.poll_ms / 1000):
+                    await self._poll_requested.wait()
+                self._poll_requested = anyio.Event()
+
+    async def _poll(self) -> bool:
         op = Operation(
             b"POST",
-            b"/v3/discovery:endpoints",
+            DISCOVERY_PATH,
             "",
             "",
             0,
             0,
             0.0,
             headers=[(b"content-type", b"application/json")],
-            body=complete_spool(self._store, self.state.request(self.node_id)),
+            body=complete_spool(self._store, self.state.request(self.source.node_id)),
         )
         problem = "no answer in time"
-        news: NodeListUpdate | None = None
+        update: NodeListUpdate | None = None
         good = False
-        with anyio.move_on_after(self.timeout_ms / 1000):
+        with anyio.move_on_after(self.source.timeout_ms / 1000):
             try:
                 reply, _ = await self.client.exchange(
-                    self.address, op, [], AttemptProgress(), may_stream=False
+                    self.source.address, op, [], AttemptProgress(), may_stream=False
                 )
                 if reply.status == 304:
                     good = True
                 elif reply.status != 200:
                     problem = f"status {reply.status}"
                 else:
-                    news = self.state.receive(reply.body, anyio.current_time() * 1000, self.wall_ms())
+                    update = self.state.receive(reply.body, anyio.current_time() * 1000, self.wall_ms())
                     good = True
             except (
                 NoConnectionError,
@@ -115,30 +121,30 @@
                 MessageTooLargeError,
                 h11.RemoteProtocolError,
                 NodeListError,
-            ) as failed:
-                problem = str(failed)
+            ) as error:
+                problem = str(error)
         if not good:
-            self.log.info("node list call failed", address=self.address, error=problem)
-            self.listed(NodeList(ListKind.FAILED))
+            self.log.info("node_list.poll_failed", address=self.source.address, error=problem)
+            self.on_report(NodeList(ListKind.FAILED))
             return False
         self.last_response_ms = anyio.current_time() * 1000
-        if news is not None:
-            for warning in news.warnings:
-                self.log.warning("node list", version=news.version, warning=warning)
-            self.listed(news.report)
-            self._keep(reply.body)
+        if update is not None:
+            for warning in update.warnings:
+                self.log.warning("node_list.inconsistent", version=update.version, warning=warning)
+            self.on_report(update.report)
+            self._write_cache(reply.body)
         return True
 
-    def _keep(self, body: bytes) -> None:
-        """Write the cache whole or not at all."""
+    def _write_cache(self, body: bytes) -> None:
+        """Write the cache atomically: whole or not at all."""
         if self.cache is None:
             return
-        part = self.cache.with_name(self.cache.name + ".part")
+        partial = self.cache.with_name(self.cache.name + ".part")
         try:
-            with open(part, "wb") as file:
+            with open(partial, "wb") as file:
                 file.write(body)
                 file.flush()
                 os.fsync(file.fileno())
-            os.replace(part, self.cache)
-        except OSError as wrong:
-            self.log.warning("node list cache not written", file=str(self.cache), error=str(wrong))
+            os.replace(partial, self.cache)
+        except OSError as error:
+            self.log.warning("node_list.cache_not_written", file=str(self.cache), error=str(error))
--- a/cressrock/programs/gateway.py
+++ b/cressrock/programs/gateway.py
@@ -22,7 +22,7 @@
 from cressrock.dispatch.ledger import Attempt, Ledger
 from cressrock.dispatch.node_client import Connect, NodeClient
 from cressrock.dispatch.node_list import NodeListState
-from cressrock.dispatch.node_list_watch import NodeListWatch
+from cressrock.dispatch.node_list_watch import NodeListSource, NodeListWatch
 from cressrock.dispatch.quota import EdgeQuota
 from cressrock.dispatch.spool import PayloadStore
 from cressrock.dispatch.task_driver import TaskDriver
@@ -190,11 +190,7 @@
     return NodeListWatch(
         NodeListState(source.cluster, max_nodes=source.max_nodes),
         nodes,
-        address=source.address,
-        node_id=settings.name,
-        poll_ms=source.poll_ms,
-        timeout_ms=source.timeout_ms,
-        cache=source.cache,
+        NodeListSource(source.address, settings.name, source.poll_ms, source.timeout_ms, cache=source.cache),
         on_report=listed,
         wall_ms=world.wall_ms,
         log=world.log,
--- a/tests/compatibility/dispatch_cases.py
+++ b/tests/compatibility/dispatch_cases.py
@@ -18,7 +18,7 @@
 from cressrock.dispatch.ledger import Attempt, FenceTrip, Ledger, Verdict
 from cressrock.dispatch.node_client import NodeClient, PoolBounds
 from cressrock.dispatch.node_list import NodeListError, NodeListState
-from cressrock.dispatch.node_list_watch import NodeListWatch
+from cressrock.dispatch.node_list_watch import NodeListSource, NodeListWatch
 from cressrock.dispatch.node_response import outcome_of, reported_load
 from cressrock.dispatch.operation import Operation, Reply
 from cressrock.dispatch.quota import EdgeQuota, lease_duration_ms
@@ -608,14 +608,11 @@
 
 def watch(client: Any, cache: Path | None, reports: list[NodeList]) -> NodeListWatch:
     """Return what follows the list `storage`, with its reports in a list."""
+    source = NodeListSource("list:1", "me", 60000.0, 2000.0, None if cache is None else str(cache))
     return NodeListWatch(
         NodeListState("storage", max_nodes=100),
         client,
-        address="list:1",
-        node_id="me",
-        poll_ms=60000.0,
-        timeout_ms=2000.0,
-        cache=None if cache is None else str(cache),
+        source,
         on_report=reports.append,
         wall_ms=lambda: 1e12,
         log=Silent(),
