--- a/cressrock/dispatch/ledger.py
+++ b/cressrock/dispatch/ledger.py
@@ -17,7 +17,7 @@
 from cressrock.interface import DeduplicationScope, Idempotency, Node, NodeState, Outcome, RequestClass
 
 NEVER_RAN = frozenset({Outcome.FULL, Outcome.NO_CONNECTION, Outcome.ABANDONED})
-_ALLOWED = frozenset({NodeState.READY})
+_SENDABLE_STATES = frozenset({NodeState.READY})
 
 
 class Verdict(Enum):
@@ -113,12 +113,12 @@
         ] = {}  # when this dispatcher was told that a node drains or is gone
         self.fence_trips: Counter[Fence] = Counter()
         self.answer_counts: Counter[Verdict] = Counter()
-        self._due: list[tuple[float, str]] = []
+        self._overdue_heap: list[tuple[float, str]] = []
 
     # --- operations
 
     def accept(
-        self, name: str, exchange: str, cls: RequestClass, deadline: float, now: float
+        self, name: str, exchange: str, request_class: RequestClass, deadline_ms: float, now_ms: float
     ) -> Entry | None:
         """Take an operation: from here one final answer is owed.  None where the bound is reached.
 
@@ -128,40 +128,44 @@
             raise ValueError(f"operation {name} is held already")
         if len(self.entries) >= self.max_open:
             return None
-        entry = self.entries[name] = Entry(name, exchange, cls, now, deadline)
-        heapq.heappush(self._due, (deadline + self.answer_slack_ms, name))
+        entry = self.entries[name] = Entry(name, exchange, request_class, now_ms, deadline_ms)
+        heapq.heappush(self._overdue_heap, (deadline_ms + self.answer_slack_ms, name))
         return entry
 
-    def send(self, name: str, node: str, now: float) -> Attempt | FenceTrip:
+    def send(self, name: str, node: str, now_ms: float) -> Attempt | FenceTrip:
         """Enter an attempt that was ordered, unless it would break a rule."""
         entry = self.entries.get(name)
         if entry is None:
-            return self._trip(Fence.UNKNOWN, name, f"send to {node}")
+            return self._record_trip(Fence.UNKNOWN, name, f"send to {node}")
         if entry.verdict is not None:
-            return self._trip(Fence.ANSWERED, name, f"send to {node} after {entry.verdict.value}")
-        line = self.nodes.get(node)
-        if line is None:
-            return self._stop(entry, Node(node, -1), now, Fence.NODE, f"{node} was never listed")
-        if self.barred(node, now):
-            detail = f"{node} drains or is gone, told {now - self.withdrawn_at_ms[node]:.0f} ms ago"
-            return self._stop(entry, line, now, Fence.DRAIN, detail)
+            return self._record_trip(Fence.ANSWERED, name, f"send to {node} after {entry.verdict.value}")
+        target = self.nodes.get(node)
+        if target is None:
+            return self._block_attempt(entry, Node(node, -1), now_ms, Fence.NODE, f"{node} was never listed")
+        if self.barred(node, now_ms):
+            detail = f"{node} drains or is gone, told {now_ms - self.withdrawn_at_ms[node]:.0f} ms ago"
+            return self._block_attempt(entry, target, now_ms, Fence.DRAIN, detail)
         if entry.attempt_in_flight() is not None:
-            return self._stop(entry, line, now, Fence.TWICE, f"send to {node} while an attempt is out")
-        ran = entry.first_run()
-        if ran is not None and entry.request_class.idempotency is not Idempotency.ALWAYS:
+            return self._block_attempt(
+                entry, target, now_ms, Fence.TWICE, f"send to {node} while an attempt is out"
+            )
+        first_run = entry.first_run()
+        if first_run is not None and entry.request_class.idempotency is not Idempotency.ALWAYS:
             if entry.request_class.idempotency is Idempotency.NEVER:
-                return self._stop(entry, line, now, Fence.UNSAFE, f"{ran.node.name} may have run it")
-            if not self._same_group(entry.request_class.deduplication_scope, ran.node, line):
-                detail = f"{ran.node.name} may have run it, {node} is elsewhere"
-                return self._stop(entry, line, now, Fence.GROUP, detail)
-            if now - ran.sent_at_ms > entry.request_class.deduplication_window_ms:
-                detail = f"first sent {now - ran.sent_at_ms:.0f} ms ago"
-                return self._stop(entry, line, now, Fence.WINDOW, detail)
-        attempt = Attempt(len(entry.attempts), line, now)
+                return self._block_attempt(
+                    entry, target, now_ms, Fence.UNSAFE, f"{first_run.node.name} may have run it"
+                )
+            if not self._same_group(entry.request_class.deduplication_scope, first_run.node, target):
+                detail = f"{first_run.node.name} may have run it, {node} is elsewhere"
+                return self._block_attempt(entry, target, now_ms, Fence.GROUP, detail)
+            if now_ms - first_run.sent_at_ms > entry.request_class.deduplication_window_ms:
+                detail = f"first sent {now_ms - first_run.sent_at_ms:.0f} ms ago"
+                return self._block_attempt(entry, target, now_ms, Fence.WINDOW, detail)
+        attempt = Attempt(len(entry.attempts), target, now_ms)
         entry.attempts.append(attempt)
         return attempt
 
-    def may_leave(self, name: str, number: int, now: float) -> bool:
+    def may_leave(self, name: str, number: int, now_ms: float) -> bool:
         """Whether an attempt that was entered may still begin to leave.
 
         Danger: between the order and the first byte a connection comes up.  In that time the answer may have
@@ -170,10 +174,10 @@
         entry = self.entries.get(name)
         if entry is None or entry.verdict is not None or number >= len(entry.attempts):
             return False
-        if self.barred(entry.attempts[number].node.name, now):
+        if self.barred(entry.attempts[number].node.name, now_ms):
             self.fence_trips[Fence.DRAIN] += 1
             return False
-        if now > self.leave_by(name, number):
+        if now_ms > self.leave_by(name, number):
             self.fence_trips[Fence.WINDOW] += 1
             return False
         return True
@@ -194,17 +198,17 @@
             or number >= len(entry.attempts)
         ):
             return float("inf")
-        ran = entry.first_run()
-        if ran is None or ran is entry.attempts[number]:
+        first_run = entry.first_run()
+        if first_run is None or first_run is entry.attempts[number]:
             return float("inf")
-        return ran.sent_at_ms + entry.request_class.deduplication_window_ms
+        return first_run.sent_at_ms + entry.request_class.deduplication_window_ms
 
     def commit(self, name: str) -> bool:
         """Enter that an answer has begun to leave for the client: it is the final one.  False if too late."""
         entry = self.entries.get(name)
         if entry is None or entry.verdict is not None:
             return False
-        self._answer(entry, Verdict.SERVED, None)
+        self._set_verdict(entry, Verdict.SERVED, None)
         return True
 
     def record_outcome(self, name: str, number: int, outcome: Outcome) -> Settled:
@@ -218,9 +222,9 @@
         entry.attempts[number].outcome = outcome
         answered = entry.verdict is None and outcome is Outcome.OK
         if answered:
-            self._answer(entry, Verdict.SERVED, None)
+            self._set_verdict(entry, Verdict.SERVED, None)
         settled = Settled(entry.verdict is not None, answered)
-        self._forget(entry)
+        self._drop_if_settled(entry)
         return settled
 
     def reject(self, name: str, reason: Reason) -> Verdict | None:
@@ -229,43 +233,43 @@
         if entry is None or entry.verdict is not None:
             return None
         if self.may_reject(entry):
-            return self._answer(entry, Verdict.REJECTED, reason)
-        self._trip(Fence.REFUSAL, name, "an attempt may have run")
-        return self._answer(entry, Verdict.FAILED, Reason.FENCED_REFUSAL)
+            return self._set_verdict(entry, Verdict.REJECTED, reason)
+        self._record_trip(Fence.REFUSAL, name, "an attempt may have run")
+        return self._set_verdict(entry, Verdict.FAILED, Reason.FENCED_REFUSAL)
 
     def fail(self, name: str, reason: Reason) -> Verdict | None:
         """Give a failure, which promises nothing.  None if already answered."""
         entry = self.entries.get(name)
         if entry is None or entry.verdict is not None:
             return None
-        return self._answer(entry, Verdict.FAILED, reason)
+        return self._set_verdict(entry, Verdict.FAILED, reason)
 
     def client_left(self, name: str) -> bool:
         """Enter that the client no longer waits: nothing more is owed.  False if it was over before."""
         entry = self.entries.get(name)
         if entry is None or entry.verdict is not None:
             return False
-        self._answer(entry, Verdict.LEFT, Reason.LEFT)
+        self._set_verdict(entry, Verdict.LEFT, Reason.LEFT)
         return True
 
-    def overdue(self, now: float) -> list[str]:
+    def overdue(self, now_ms: float) -> list[str]:
         """Name the operations whose time and slack are up without an answer: a defect, to be failed now."""
         late = []
-        while self._due and self._due[0][0] <= now:
-            _, name = heapq.heappop(self._due)
+        while self._overdue_heap and self._overdue_heap[0][0] <= now_ms:
+            _, name = heapq.heappop(self._overdue_heap)
             entry = self.entries.get(name)
             if entry is not None and entry.verdict is None:
-                self._trip(Fence.LATE, name, "no answer within its time")
+                self._record_trip(Fence.LATE, name, "no answer within its time")
                 late.append(name)
         return late
 
     def next_overdue_ms(self) -> float:
         """Return when `overdue` has to be asked next; infinity with nothing owed."""
-        while self._due and self._over(self._due[0][1]):
-            heapq.heappop(self._due)
-        return self._due[0][0] if self._due else float("inf")
+        while self._overdue_heap and self._is_answered(self._overdue_heap[0][1]):
+            heapq.heappop(self._overdue_heap)
+        return self._overdue_heap[0][0] if self._overdue_heap else float("inf")
 
-    def _over(self, name: str) -> bool:
+    def _is_answered(self, name: str) -> bool:
         entry = self.entries.get(name)
         return entry is None or entry.verdict is not None
 
@@ -280,32 +284,32 @@
 
     # --- nodes
 
-    def update_nodes(self, nodes: Iterable[Node], now: float, *, complete: bool) -> None:
+    def update_nodes(self, nodes: Iterable[Node], now_ms: float, *, complete: bool) -> None:
         """Enter a report of the node list; what a complete one lacks is gone."""
         listed = {line.name: line for line in nodes}
         if complete:
-            for name, line in self.nodes.items():
+            for name, node in self.nodes.items():
                 if name not in listed:
-                    listed[name] = Node(name, line.shard, line.zone, line.started_at_ms, NodeState.GONE)
-        for name, line in listed.items():
-            self.nodes[name] = line
-            if line.state in _ALLOWED:
+                    listed[name] = Node(name, node.shard, node.zone, node.started_at_ms, NodeState.GONE)
+        for name, node in listed.items():
+            self.nodes[name] = node
+            if node.state in _SENDABLE_STATES:
                 self.withdrawn_at_ms.pop(name, None)
             else:
-                self.withdrawn_at_ms.setdefault(name, now)
+                self.withdrawn_at_ms.setdefault(name, now_ms)
         if len(self.nodes) > self.max_nodes:
-            self._drop_gone()
+            self._drop_oldest_removed()
 
-    def barred(self, node: str, now: float) -> bool:
+    def barred(self, node: str, now_ms: float) -> bool:
         """Whether a node's drain grace is over, counted from when this dispatcher was first told."""
-        told = self.withdrawn_at_ms.get(node)
-        return told is not None and now > told + self.drain_grace_ms
+        withdrawn_at_ms = self.withdrawn_at_ms.get(node)
+        return withdrawn_at_ms is not None and now_ms > withdrawn_at_ms + self.drain_grace_ms
 
-    def _drop_gone(self) -> None:
+    def _drop_oldest_removed(self) -> None:
         """Forget the nodes that were gone first: the table stays bounded through years of replacements."""
-        gone = [n for n, line in self.nodes.items() if line.state is NodeState.GONE]
-        gone.sort(key=lambda name: (self.withdrawn_at_ms[name], name))
-        for name in gone[: len(self.nodes) - self.max_nodes]:
+        removed = [n for n, line in self.nodes.items() if line.state is NodeState.GONE]
+        removed.sort(key=lambda name: (self.withdrawn_at_ms[name], name))
+        for name in removed[: len(self.nodes) - self.max_nodes]:
             del self.nodes[name], self.withdrawn_at_ms[name]
 
     # --- inside
@@ -316,24 +320,24 @@
             return True
         return first.zone == other.zone if group is DeduplicationScope.ZONE else first.shard == other.shard
 
-    def _answer(self, entry: Entry, verdict: Verdict, reason: Reason | None) -> Verdict:
+    def _set_verdict(self, entry: Entry, verdict: Verdict, reason: Reason | None) -> Verdict:
         entry.verdict = verdict
         entry.reason = reason
         self.answer_counts[verdict] += 1
-        self._forget(entry)
+        self._drop_if_settled(entry)
         return verdict
 
-    def _forget(self, entry: Entry) -> None:
+    def _drop_if_settled(self, entry: Entry) -> None:
         if entry.verdict is not None and entry.attempt_in_flight() is None:
             self.entries.pop(entry.name, None)
 
-    def _stop(self, entry: Entry, node: Node, now: float, fence: Fence, detail: str) -> FenceTrip:
+    def _block_attempt(self, entry: Entry, node: Node, now_ms: float, fence: Fence, detail: str) -> FenceTrip:
         """Keep the number of an attempt that was not made, so that both sides go on counting alike."""
         number = len(entry.attempts)
-        entry.attempts.append(Attempt(number, node, now, Outcome.ABANDONED))
+        entry.attempts.append(Attempt(number, node, now_ms, Outcome.ABANDONED))
         self.fence_trips[fence] += 1
         return FenceTrip(fence, entry.name, detail, number)
 
-    def _trip(self, fence: Fence, name: str, detail: str) -> FenceTrip:
+    def _record_trip(self, fence: Fence, name: str, detail: str) -> FenceTrip:
         self.fence_trips[fence] += 1
         return FenceTrip(fence, name, detail)
--- a/cressrock/dispatch/node_client.py
+++ b/cressrock/dispatch/node_client.py
@@ -56,8 +56,8 @@
 class AttemptProgress:
     """How far an attempt came; true at every moment, also when it is cancelled."""
 
-    sent: bool = False  # from here on the node may have it
-    head: bool = False  # the answer's head is in
+    is_sent: bool = False  # from here on the node may have it
+    has_head: bool = False  # the answer's head is in
     headers: Headers | None = None
     may_leave: Callable[[], bool] = lambda: True  # asked just before the first byte
 
@@ -65,7 +65,7 @@
 class _Pool:
     def __init__(self) -> None:
         self.idle: list[tuple[float, Channel]] = []
-        self.open = 0
+        self.open_count = 0
 
 
 class NodePayload:
@@ -75,7 +75,7 @@
         """The head has been read; data events follow on the channel."""
         self._channel = channel
         self.finished = False
-        self.cut = False
+        self.is_truncated = False
         self.idle_since: float | None = anyio.current_time()  # the front asks for nothing since then
         self.done = anyio.Event()
 
@@ -98,7 +98,7 @@
                 else:
                     raise ConnectionLostError("the node closed in mid-answer")
         except (ConnectionLostError, h11.RemoteProtocolError) as broken:
-            self.cut = True
+            self.is_truncated = True
             self.done.set()
             raise PayloadTruncatedError(str(broken)) from broken
 
@@ -138,7 +138,7 @@
 
     def connections(self) -> int:
         """Count the open connections."""
-        return sum(pool.open for pool in self.pools.values())
+        return sum(pool.open_count for pool in self.pools.values())
 
     def close_idle(self, node: str) -> None:
         """Close the idle connections to a node that is gone."""
@@ -147,7 +147,7 @@
             for _, channel in pool.idle:
                 self._start_close(channel)
             pool.idle.clear()
-            if not pool.open:
+            if not pool.open_count:
                 del self.pools[node]
 
     async def exchange(
@@ -197,7 +197,7 @@
         first.append(h11.Request(method=op.method, target=op.target, headers=headers))
         if not progress.may_leave():
             raise SentTooLateError("the connection came up too late for it")
-        progress.sent = True
+        progress.is_sent = True
         if body is None or body.length == 0:
             await channel.send(*first, h11.EndOfMessage())
             return await self._answer(channel, progress, may_stream and op.stream)
@@ -246,7 +246,7 @@
     ) -> tuple[Reply, NodePayload | None]:
         event = await channel.response()
         headers: Headers = list(event.headers)
-        progress.head, progress.headers = True, headers
+        progress.has_head, progress.headers = True, headers
         announced = header(headers, b"content-length")
         if (
             may_stream
@@ -265,7 +265,7 @@
             # Closed by the node while it idled, or about to be: nothing was written, so nothing can have run.
             if channel.ended or now - since > self.bounds.idle_close_ms:
                 self._start_close(channel)
-                pool.open -= 1
+                pool.open_count -= 1
                 continue
             self.reused += 1
             return channel
@@ -276,7 +276,7 @@
         except (*BROKEN, TimeoutError, ValueError) as failed:
             raise NoConnectionError(f"{node}: {failed or 'not accepted in time'}") from failed
         self.opened += 1
-        pool.open += 1
+        pool.open_count += 1
         channel = Channel(
             stream, h11.CLIENT, max_head=self.bounds.max_head, read_ahead=self.bounds.read_ahead
         )
@@ -299,7 +299,7 @@
     async def _drop(self, node: str, channel: Channel) -> None:
         pool = self.pools.get(node)
         if pool is not None:
-            pool.open -= 1
+            pool.open_count -= 1
         await channel.close()
 
     def _start_close(self, channel: Channel) -> None:
--- a/cressrock/dispatch/spool.py
+++ b/cressrock/dispatch/spool.py
@@ -40,7 +40,7 @@
         self._chunks: list[bytes] = []
         self._starts: list[int] = []
         self._file: IO[bytes] | None = None
-        self._more = anyio.Event()
+        self._changed = anyio.Event()
 
     @property
     def length(self) -> int | None:
@@ -81,7 +81,7 @@
                 return b""
             if self.broken:
                 raise PayloadTruncatedError("the client broke off its payload")
-            await self._more.wait()
+            await self._changed.wait()
         if self._file is not None:
             self._file.seek(offset)
             return self._file.read(READ)
@@ -114,8 +114,8 @@
         self._starts.clear()
 
     def _wake(self) -> None:
-        news, self._more = self._more, anyio.Event()
-        news.set()
+        waiting, self._changed = self._changed, anyio.Event()
+        waiting.set()
 
 
 def complete_spool(store: PayloadStore, data: bytes) -> Spool:
--- a/cressrock/dispatch/task_driver.py
+++ b/cressrock/dispatch/task_driver.py
@@ -29,24 +29,24 @@
 from cressrock.interface import Outcome, RequestClass
 
 
-class _HttpFlight:
+class _HttpAttempt:
     """An attempt's task."""
 
     def __init__(self, call: Call) -> None:
         self.call = call
         self.scope = anyio.CancelScope(deadline=call.deadline / 1000)
-        self.ordered_off = False
-        self.reported = False
+        self.is_cancelled_by_order = False
+        self.is_reported = False
 
     def stop(self) -> None:
-        self.ordered_off = True
+        self.is_cancelled_by_order = True
         self.scope.cancel()
 
     def abandon(self) -> None:
         pass  # how much of it the kernel has is not known here
 
     def report(self, ending: AttemptResult) -> None:
-        self.reported = True
+        self.is_reported = True
         self.call.end(ending)
 
 
@@ -60,23 +60,23 @@
         self.clock = clock
         self.tasks: TaskGroup | None = None
 
-    def start(self, call: Call) -> _HttpFlight:
+    def start(self, call: Call) -> _HttpAttempt:
         """Begin an attempt."""
         assert self.tasks is not None
-        flight = _HttpFlight(call)
-        self.tasks.start_soon(self._attempt, flight)
-        return flight
+        http_attempt = _HttpAttempt(call)
+        self.tasks.start_soon(self._run_attempt, http_attempt)
+        return http_attempt
 
-    async def _attempt(self, flight: _HttpFlight) -> None:
+    async def _run_attempt(self, http_attempt: _HttpAttempt) -> None:
         """Carry one attempt to its outcome; whatever happens, exactly one outcome is reported."""
-        call, scope = flight.call, flight.scope
+        call, scope = http_attempt.call, http_attempt.scope
         op: Operation = call.op
         attempt = call.attempt
         node = attempt.node.name
         progress = AttemptProgress(may_leave=call.may_leave)
         outcome, text = Outcome.CANCELLED, ""
         reply: Reply | None = None
-        lag: float | None = None
+        latency_ms: float | None = None
         payload: NodePayload | None = None
         try:
             with scope:
@@ -87,19 +87,21 @@
                 if op.idempotency_key:
                     trace.append((b"idempotency-key", op.idempotency_key.encode()))
                 reply, payload = await self.nodes.exchange(node, op, trace, progress, may_stream=op.stream)
-                lag = self.clock() - attempt.sent_at_ms
+                latency_ms = self.clock() - attempt.sent_at_ms
                 outcome = outcome_of(reply.status, reply.headers)
                 if payload is not None and call.begin(reply):
                     scope.deadline = FOREVER  # a started stream has no deadline of its class
                     if await self._read_out(payload):
-                        if payload.cut:
+                        if payload.is_truncated:
                             outcome, text = Outcome.RESET, "cut in mid-answer"
                         elif not payload.finished:
                             outcome, text = Outcome.CANCELLED, "the client stopped reading"
                     else:
                         # Danger: a few clients that read slowly would hold every slot of a node.  The
                         # node did its part; the rest of the way is between this client and us.
-                        flight.report(_ending(outcome, lag, progress, reply, "slow reader"))
+                        http_attempt.report(
+                            _attempt_result(outcome, latency_ms, progress, reply, "slow reader")
+                        )
                         await payload.done.wait()
         except SentTooLateError as failed:
             outcome, text = Outcome.ABANDONED, str(failed)
@@ -114,14 +116,14 @@
         finally:
             # Also under cancellation from outside: the ledger must never keep an attempt without outcome.
             if scope.cancelled_caught:
-                outcome, text = _stopped(flight.ordered_off, progress)
+                outcome, text = _outcome_of_stopped(http_attempt.is_cancelled_by_order, progress)
             if payload is not None:
                 with anyio.CancelScope(shield=True):
                     await self.nodes.finish(node, payload)
-            if not flight.reported:
-                if lag is None:
-                    lag = self.clock() - attempt.sent_at_ms
-                flight.report(_ending(outcome, lag, progress, reply, text))
+            if not http_attempt.is_reported:
+                if latency_ms is None:
+                    latency_ms = self.clock() - attempt.sent_at_ms
+                http_attempt.report(_attempt_result(outcome, latency_ms, progress, reply, text))
 
     async def _read_out(self, payload: NodePayload) -> bool:
         """Wait until a payload is read out or given up; False once its reader holds it up."""
@@ -135,20 +137,20 @@
         return True
 
 
-def _ending(
-    outcome: Outcome, lag: float, progress: AttemptProgress, reply: Reply | None, text: str
+def _attempt_result(
+    outcome: Outcome, latency_ms: float, progress: AttemptProgress, reply: Reply | None, text: str
 ) -> AttemptResult:
     used, elsewhere = reported_load(progress.headers) if progress.headers else (0, 0.0)
-    return AttemptResult(outcome, lag, reply, used, elsewhere, text)
+    return AttemptResult(outcome, latency_ms, reply, used, elsewhere, text)
 
 
-def _stopped(ordered: bool, progress: AttemptProgress) -> tuple[Outcome, str]:
+def _outcome_of_stopped(by_order: bool, progress: AttemptProgress) -> tuple[Outcome, str]:
     """Name what a stopped attempt was: without a byte handed over it provably never ran."""
-    if not progress.sent:
+    if not progress.is_sent:
         return (
-            (Outcome.ABANDONED, "cancelled unsent") if ordered else (Outcome.NO_CONNECTION, "no connection")
+            (Outcome.ABANDONED, "cancelled unsent") if by_order else (Outcome.NO_CONNECTION, "no connection")
         )
-    return (Outcome.CANCELLED, "cancelled") if ordered else (Outcome.TIMEOUT, "no answer in time")
+    return (Outcome.CANCELLED, "cancelled") if by_order else (Outcome.TIMEOUT, "no answer in time")
 
 
 class TaskDriver(Driver):
@@ -181,11 +183,11 @@
             retry_after_ms=retry_after_ms,
             keys=keys or IdempotencyKeys(keep_ms=60000.0, max_keys=100000),
             subscribe=subscribe,
-            request_wakeup=lambda: self._news.set(),
+            request_wakeup=lambda: self._batch_wanted.set(),
         )
-        self._news = anyio.Event()
-        self._earlier = anyio.Event()
-        self._rings_at = FOREVER
+        self._batch_wanted = anyio.Event()
+        self._timer_moved = anyio.Event()
+        self._timer_at_ms = FOREVER
 
     async def perform(
         self,
@@ -225,25 +227,25 @@
         """Serve until cancelled; owns a task for each attempt."""
         async with anyio.create_task_group() as tasks:
             self.http.tasks = tasks
-            tasks.start_soon(self._ring)
+            tasks.start_soon(self._run_timer)
             while True:
-                await self._news.wait()
+                await self._batch_wanted.wait()
                 await checkpoint()  # what else comes in the same instant joins the batch
-                self._news = anyio.Event()
+                self._batch_wanted = anyio.Event()
                 self.process_batch()
                 due = self.next_batch_ms()
-                if due < self._rings_at:
-                    self._rings_at = due
-                    self._earlier.set()
+                if due < self._timer_at_ms:
+                    self._timer_at_ms = due
+                    self._timer_moved.set()
 
-    async def _ring(self) -> None:
+    async def _run_timer(self) -> None:
         """Wake the loop when the next timer falls due; set anew only for an earlier one."""
         while True:
-            self._earlier = anyio.Event()
+            self._timer_moved = anyio.Event()
             # A timer falls due in the first batch at or after its time, never before it: a microsecond more
             # keeps the rounding of two units of time from waking the loop too early, for ever.
-            with anyio.move_on_at(self._rings_at / 1000 + 1e-6):
-                await self._earlier.wait()
+            with anyio.move_on_at(self._timer_at_ms / 1000 + 1e-6):
+                await self._timer_moved.wait()
                 continue
-            self._rings_at = FOREVER
-            self._news.set()
+            self._timer_at_ms = FOREVER
+            self._batch_wanted.set()
--- a/cressrock/lab/day.py
+++ b/cressrock/lab/day.py
@@ -433,13 +433,13 @@
         order = [p.address for p in self.planners[first:] + self.planners[:first]]
         world = self._world(dispatcher, self.script.seed * 7919 + index * 101)
         settings = self.settings(dispatcher.name, order)
-        gateway = dispatcher.gateway = Gateway(settings, world, parts=self.parts)
+        gateway = dispatcher.gateway = Gateway(settings, world, components=self.parts)
         await self._live(dispatcher, gateway)
         self._meet(dispatcher)
 
     async def _start_planner(self, planner: _Planner) -> None:
         world = self._world(planner, self.script.seed * 6007 + self.planners.index(planner) * 103)
-        planner.program = PlannerProgram(self.settings(planner.name, []), world, parts=self.parts)
+        planner.program = PlannerProgram(self.settings(planner.name, []), world, components=self.parts)
         await self._live(planner, planner.program)
 
     def _world(self, one: _Dispatcher | _Planner, seed: int) -> Environment:
--- a/cressrock/programs/gateway.py
+++ b/cressrock/programs/gateway.py
@@ -71,34 +71,34 @@
     allow_threads: bool = True  # what blocks may leave the loop; not in simulated time
 
 
-def scheduler(settings: Settings, seed: int, now_ms: float) -> DecisionModule:
+def create_scheduler(settings: Settings, seed: int, now_ms: float) -> DecisionModule:
     """Return the decision module, started."""
     return Scheduler(interface_settings(settings), seed, now_ms)
 
 
-def common_ground(
-    settings: Settings, world: Environment, role: str, source: random.Random
+def create_runtime(
+    settings: Settings, environment: Environment, role: str, rng: random.Random
 ) -> ClusterRuntime | None:
     """Return a process's place in the fleet; None where its settings have none.  Raises OSError."""
     if settings.fleet is None:
         return None
     store = EpochStore(settings.fleet.life_file)
-    life = next_epoch(store.read(), world.wall_ms())
+    life = next_epoch(store.read(), environment.wall_ms())
     store.write(life)
     return ClusterRuntime(
         NodeIdentity(settings.name, life, role, settings.fleet, settings.council),
-        world.sockets,
+        environment.sockets,
         clock=net.clock(),
-        wall_ms=world.wall_ms,
-        source=random.Random(source.getrandbits(62)),
-        log=world.log,
-        allow_threads=world.allow_threads,
+        wall_ms=environment.wall_ms,
+        rng=random.Random(rng.getrandbits(62)),
+        log=environment.log,
+        allow_threads=environment.allow_threads,
         is_collector=role == "planner" and (settings.zones is not None or settings.rollout is not None),
     )
 
 
-def common_presence(
-    settings: Settings, ground: ClusterRuntime, volumes: Callable[[], Iterable[str]]
+def create_presence(
+    settings: Settings, runtime: ClusterRuntime, volumes: Callable[[], Iterable[str]]
 ) -> PresenceService:
     """Return a gateway's presence, told of by its ground."""
     given = msgspec.structs.asdict(settings.presence) if settings.presence is not None else {}
@@ -106,7 +106,7 @@
     def of(kind: type[Any]) -> dict[str, Any]:
         return {name: given[name] for name in kind.__struct_fields__ if name in given}
 
-    place = ground.identity
+    place = runtime.identity
     found = PresenceService(
         presence.ServiceSettings(**of(presence.ServiceSettings)),
         RoomSettings(**of(RoomSettings)),
@@ -116,36 +116,36 @@
             region=place.fleet.region,
             cluster=place.fleet.cluster,
             routes=place.fleet.routes,
-            gossip=ground.gossip,
-            members=ground.members,
-            connect=ground.sockets.connect,
-            consensus=lambda: ground.consensus,
-            cached_decision=ground.decision_cache.get,
+            gossip=runtime.gossip,
+            members=runtime.members,
+            connect=runtime.sockets.connect,
+            consensus=lambda: runtime.consensus,
+            cached_decision=runtime.decision_cache.get,
             volumes=volumes,
-            clock_ms=ground.clock,
-            rng=random.Random(ground.source.getrandbits(62)),
-            log=ground.log,
+            clock_ms=runtime.clock,
+            rng=random.Random(runtime.rng.getrandbits(62)),
+            log=runtime.log,
         ),
     )
-    ground.stream_handlers[presence.MAGIC] = found.serve
-    ground.on_gossip_change.append(found.on_gossip_change)
-    ground.decision_cache.listeners.append(found.on_decision)
+    runtime.stream_handlers[presence.MAGIC] = found.serve
+    runtime.on_gossip_change.append(found.on_gossip_change)
+    runtime.decision_cache.listeners.append(found.on_decision)
     return found
 
 
-def widen(decisions: DecisionModule | None, tables: Tables) -> None:
+def set_rule_versions(decisions: DecisionModule | None, tables: Tables) -> None:
     """Have a decision module hold all versions of the rules that the tables have."""
     if isinstance(decisions, Scheduler):
         decisions.widen(tables.rows(decisions.set))
 
 
-def rollout(
+def create_rollout(
     settings: Settings,
-    world: Environment,
-    ground: ClusterRuntime,
+    environment: Environment,
+    runtime: ClusterRuntime,
     tables: Tables,
     widened: Callable[[tuple[str, ...]], None],
-    source: random.Random,
+    rng: random.Random,
     *,
     decides: Callable[[str], bool] = lambda digest: True,
     judges: bool = False,
@@ -166,34 +166,37 @@
     )
     # Danger: with one seed in all settings every process would throw the same coins, and a burst that all see
     # would fall to one version as a whole.
-    coin = random.Random(f"{source.getrandbits(62)}/{settings.name}/{ground.identity.incarnation}")
+    coin = random.Random(f"{rng.getrandbits(62)}/{settings.name}/{runtime.identity.incarnation}")
     return RolloutService(
-        ground,
+        runtime,
         tables,
         parts,
         clock=net.clock(),
-        wall_ms=world.wall_ms,
+        wall_ms=environment.wall_ms,
         rng=coin,
-        log=world.log,
+        log=environment.log,
         on_versions_changed=widened,
         planner_has_version=decides,
         may_lead=judges,
-        zone_of=lambda name: next((m.zone for m in ground.members() if m.name == name), ""),
+        zone_of=lambda name: next((m.zone for m in runtime.members() if m.name == name), ""),
     )
 
 
-def follow_list(
-    settings: Settings, world: Environment, nodes: NodeClient, listed: Callable[[NodeList], None]
+def create_node_list_watch(
+    settings: Settings,
+    environment: Environment,
+    node_client: NodeClient,
+    on_report: Callable[[NodeList], None],
 ) -> NodeListWatch:
     """Return what follows the node list by a program's settings."""
     source = settings.node_list
     return NodeListWatch(
         NodeListState(source.cluster, max_nodes=source.max_nodes),
-        nodes,
+        node_client,
         NodeListSource(source.address, settings.name, source.poll_ms, source.timeout_ms, cache=source.cache),
-        on_report=listed,
-        wall_ms=world.wall_ms,
-        log=world.log,
+        on_report=on_report,
+        wall_ms=environment.wall_ms,
+        log=environment.log,
     )
 
 
@@ -209,7 +212,7 @@
             tell(attempt.node.shard, outcome)
 
 
-def placed(settings: Settings) -> dict[str, ReplicaPlacement]:
+def replica_placements(settings: Settings) -> dict[str, ReplicaPlacement]:
     """Return where the copies lie of the volumes that have some."""
     return {
         name: ReplicaPlacement(tuple(v.shards), {zone: tuple(shards) for zone, shards in v.copies.items()})
@@ -222,7 +225,7 @@
 class Components:
     """What a gateway is made of; the laboratory puts parts in that are broken on purpose."""
 
-    decisions: Callable[[Settings, int, float], DecisionModule] = scheduler
+    decisions: Callable[[Settings, int, float], DecisionModule] = create_scheduler
     ledger: type[Ledger] = Ledger
     driver: type[TaskDriver] = TaskDriver
     edge: type[EdgeDecisions] = EdgeDecisions
@@ -231,19 +234,23 @@
 class Gateway:
     """One dispatcher.  `run` serves until cancelled; `serve` and `serve_admin` take connected streams."""
 
-    def __init__(self, settings: Settings, world: Environment, *, parts: Components | None = None) -> None:
+    def __init__(
+        self, settings: Settings, environment: Environment, *, components: Components | None = None
+    ) -> None:
         """Build all parts; nothing runs before `run`."""
         self.settings = settings
-        self.world = world
-        self.parts = parts or Components()
+        self.environment = environment
+        self.components = components or Components()
         self.started = False
         self.stopping = False
         self.metrics = _Watched(
-            world.log, [c.name for c in settings.classes], log_requests=settings.observe.log_requests
+            environment.log, [c.name for c in settings.classes], log_requests=settings.observe.log_requests
         )
         self.metrics.when_ended = []
-        self.copies: ReplicatedVolumes | None = None
-        self.node_client = NodeClient(world.connect, settings.nodes, user_agent=f"cressrock/{settings.name}")
+        self.replicated_volumes: ReplicatedVolumes | None = None
+        self.node_client = NodeClient(
+            environment.connect, settings.nodes, user_agent=f"cressrock/{settings.name}"
+        )
         self.server: Server | None = None
         self.front: Front | None = None
         self.driver: TaskDriver | None = None
@@ -251,9 +258,11 @@
         self.runtime: ClusterRuntime | None = None
         self.presence: PresenceService | None = None
         self.rollout: RolloutService[Version] | None = None
-        self.zones: EdgeFailover | None = None
+        self.failover: EdgeFailover | None = None
         self._zone_names: dict[int, str] = {}
-        self.routes: dict[bytes, Callable[[Exchange], Awaitable[None]]] = {}  # of rooms, by path's beginning
+        self.admin_routes: dict[
+            bytes, Callable[[Exchange], Awaitable[None]]
+        ] = {}  # of rooms, by path's beginning
         self.payload_store = PayloadStore(
             memory_bytes=settings.payloads.memory_bytes,
             spill_bytes=settings.payloads.spill_bytes,
@@ -262,10 +271,10 @@
 
     async def run(self, *, task_status: TaskStatus[None] = anyio.TASK_STATUS_IGNORED) -> None:
         """Serve until cancelled; reports started once connections can be taken."""
-        settings, world = self.settings, self.world
+        settings, world = self.settings, self.environment
         now = anyio.current_time() * 1000
         source = random.Random(world.seed)
-        ledger = self.parts.ledger(
+        ledger = self.components.ledger(
             drain_grace_ms=settings.scheduler.drain_grace_ms,
             answer_slack_ms=settings.scheduler.answer_slack_ms,
             max_open=settings.front.max_requests * 4,
@@ -275,8 +284,8 @@
             nodes = await stack.enter_async_context(self.node_client)
             tasks: TaskGroup = await stack.enter_async_context(anyio.create_task_group())
             edge = self._edge(ledger, source) if settings.pair.planners else None
-            driver = self.driver = self.parts.driver(
-                edge or self.parts.decisions(settings, source.getrandbits(62), now),
+            driver = self.driver = self.components.driver(
+                edge or self.components.decisions(settings, source.getrandbits(62), now),
                 ledger,
                 nodes,
                 interface_settings(settings).classes,
@@ -286,7 +295,7 @@
                 reader_patience_ms=settings.front.reader_patience_ms,
                 clock=net.clock(),
             )
-            watch = self.node_list_watch = follow_list(settings, world, nodes, self._listed)
+            watch = self.node_list_watch = create_node_list_watch(settings, world, nodes, self._listed)
             driver.subscribe = watch.subscribe
             self.front = Front(
                 settings, driver, self.payload_store, self.metrics, source=source, clock=driver.clock
@@ -301,11 +310,11 @@
             watch.load_cache()
             watch.subscribe()
             # Drawn last, and only where there is one: without it every seed gives what it gave.
-            self.runtime = common_ground(settings, world, "edge", source)
+            self.runtime = create_runtime(settings, world, "edge", source)
             if self.runtime is not None:
                 if settings.presence is not None:
-                    self.presence = common_presence(settings, self.runtime, lambda: self.settings.volumes)
-                    self.routes[b"/v1/presence/"] = self.presence.handle
+                    self.presence = create_presence(settings, self.runtime, lambda: self.settings.volumes)
+                    self.admin_routes[b"/v1/presence/"] = self.presence.handle
                     self.front.served = self.presence.record_served_volume
                     self.front.locked = self.presence.record_lock
                 await tasks.start(self.runtime.run)
@@ -314,11 +323,11 @@
                 if settings.rollout is not None:
                     self.rollout = self._rollout(self.runtime, driver, edge, source)
                     self.front.choose = self.rollout.choose
-                    self.routes[b"/v1/rollout"] = self.rollout.serve
+                    self.admin_routes[b"/v1/rollout"] = self.rollout.serve
                     tasks.start_soon(self.rollout.run)
                 if settings.zones is not None:
-                    self.zones = self._zones(self.runtime, driver, source)
-                    tasks.start_soon(self.zones.run)
+                    self.failover = self._zones(self.runtime, driver, source)
+                    tasks.start_soon(self.failover.run)
                 self._serve_copies(self.runtime, driver, tasks)
             tasks.start_soon(driver.run)
             if edge is not None:
@@ -331,7 +340,7 @@
 
     def _serve_copies(self, ground: ClusterRuntime, driver: TaskDriver, tasks: TaskGroup) -> None:
         """Serve the volumes that have copies, if there are any."""
-        found, part = placed(self.settings), self.settings.copies
+        found, part = replica_placements(self.settings), self.settings.copies
         if not found or self.settings.council is None or self.front is None:
             return
         reach = ReachabilityTracker()
@@ -339,7 +348,7 @@
             part.first_share, part.follow_share, part.told_ms, part.ask_ms, self.settings.council.hold_ms
         )
         fleet = self.settings.fleet
-        self.copies = self.front.copies = ReplicatedVolumes(
+        self.replicated_volumes = self.front.copies = ReplicatedVolumes(
             found,
             ground,
             shares,
@@ -347,13 +356,13 @@
             zone=fleet.zone if fleet is not None else "",
             regions=part.regions,
             clock=driver.clock,
-            log=self.world.log,
+            log=self.environment.log,
             retry_after_ms=self.settings.front.retry_after_ms,
         )
         self.metrics.when_ended.append(
             lambda shard, outcome: reach.record_outcome(shard, outcome, driver.clock())
         )
-        tasks.start_soon(ReachabilityPublisher(self.copies, ground.gossip, part.look_ms).run)
+        tasks.start_soon(ReachabilityPublisher(self.replicated_volumes, ground.gossip, part.look_ms).run)
 
     def _edge(self, ledger: Ledger, source: random.Random) -> EdgeDecisions:
         pair, scheduler = self.settings.pair, self.settings.scheduler
@@ -366,10 +375,10 @@
                 scheduler, hosts=pair.edges, budget_free=0.0, cold_bears=0.0, limits_lent=True
             )
             settings = msgspec.structs.replace(self.settings, scheduler=careful)
-            own = self.parts.decisions(settings, source.getrandbits(62), now)
+            own = self.components.decisions(settings, source.getrandbits(62), now)
             lending = EdgeQuota(interface_settings(settings).plans, self._edges_of, pair.lend_ms, now)
         turns = KeyOrdering(interface_settings(self.settings).classes, scheduler.order_settle_ms)
-        return self.parts.edge(
+        return self.components.edge(
             ledger,
             away,
             jitter,
@@ -390,9 +399,9 @@
             rows = tables.rows(interface_settings(self.settings))
             driver.classes, self.metrics.classes = rows.classes, names * tables.used
             if edge is None:
-                widen(driver.decisions, tables)
+                set_rule_versions(driver.decisions, tables)
                 return
-            widen(edge.local, tables)
+            set_rule_versions(edge.local, tables)
             if edge.ordering is not None:
                 edge.ordering.classes = rows.classes
             if edge.quota is not None:
@@ -402,17 +411,19 @@
             edge.knows_versions, edge.plans_per_version = True, len(self.settings.plans)
             edge.version_of = lambda arrival: tables.told(arrival.request_class, arrival.plan)
         decides = edge.decides if edge is not None else (lambda digest: True)
-        return rollout(self.settings, self.world, ground, tables, widened, source, decides=decides)
+        return create_rollout(
+            self.settings, self.environment, ground, tables, widened, source, decides=decides
+        )
 
     def _zones(self, ground: ClusterRuntime, driver: TaskDriver, source: random.Random) -> EdgeFailover:
         settings, fleet, council = self.settings.zones, self.settings.fleet, self.settings.council
         assert settings is not None and fleet is not None
         lots = random.Random(source.getrandbits(62))
         choice = ZoneRouter(fleet.zone, settings.regions(), settings, driver.clock(), lots)
-        zones = EdgeFailover(choice, ground, driver.clock, self._zone_of, self.world.log)
+        zones = EdgeFailover(choice, ground, driver.clock, self._zone_of, self.environment.log)
         zones.watch(driver)
         hold_ms = council.hold_ms if council is not None else 0.0
-        self.routes[b"/v1/zones/"] = FailoverAdmin(settings, ground, hold_ms, zones.status).handle
+        self.admin_routes[b"/v1/zones/"] = FailoverAdmin(settings, ground, hold_ms, zones.status).handle
         return zones
 
     def _zone_of(self, node: Node) -> str:
@@ -439,26 +450,26 @@
                 min_wait_ms=pair.reconnect_least_ms,
                 max_wait_ms=pair.reconnect_most_ms,
             ),
-            self.world.connect,
+            self.environment.connect,
             driver.request_batch,
             name=self.settings.name,
             incarnation=f"{source.getrandbits(48):012x}",
             clock=driver.clock,
             limits=LinkBounds(ping_ms=pair.ping_ms, silent_ms=pair.silent_ms),
-            log=self.world.log,
+            log=self.environment.log,
         )
 
     def _listed(self, report: NodeList) -> None:
         assert self.driver is not None
         self.driver.receive_node_list(report)
-        if self.copies is not None:
-            self.copies.on_node_list(self.driver.ledger.nodes.values())
+        if self.replicated_volumes is not None:
+            self.replicated_volumes.on_node_list(self.driver.ledger.nodes.values())
         for node in report.nodes:
             if node.state is NodeState.GONE:
                 self.node_client.close_idle(node.name)
 
     def _failed(self, error: BaseException) -> None:
-        self.world.log.error("defect", error=repr(error), exc_info=error)
+        self.environment.log.error("defect", error=repr(error), exc_info=error)
 
     async def serve(self, stream: Stream) -> None:
         """Serve one client's connection."""
@@ -503,7 +514,7 @@
             )
             if getattr(settings, name) != getattr(self.settings, name)
         ]
-        if placed(settings) != placed(self.settings):
+        if replica_placements(settings) != replica_placements(self.settings):
             fixed.append("volumes.*.copies")
         if not fixed and self.front is not None:
             self.settings = settings
@@ -520,8 +531,8 @@
             "why": self.not_ready_reasons(),
             "fleet": self.runtime.status() if self.runtime is not None else None,
             "presence": self.presence.status() if self.presence is not None else None,
-            "zones": self.zones.status() if self.zones is not None else None,
-            **({"copies": self.copies.status()} if self.copies is not None else {}),
+            "zones": self.failover.status() if self.failover is not None else None,
+            **({"copies": self.replicated_volumes.status()} if self.replicated_volumes is not None else {}),
         }
 
     def not_ready_reasons(self) -> list[str]:
@@ -569,7 +580,7 @@
             b"/metrics": lambda: (200, admin.METRICS, self.render_metrics()),
             b"/v1/status": lambda: admin.status(self.status()),
         }
-        await admin.serve(exchange, self.routes, pages)
+        await admin.serve(exchange, self.admin_routes, pages)
 
     def _readyz(self) -> tuple[int, bytes, bytes]:
         why = self.not_ready_reasons()
--- a/cressrock/programs/planner.py
+++ b/cressrock/programs/planner.py
@@ -25,11 +25,11 @@
 from cressrock.programs.gateway import (
     Components,
     Environment,
-    common_ground,
-    follow_list,
-    placed,
-    rollout,
-    widen,
+    create_node_list_watch,
+    create_rollout,
+    create_runtime,
+    replica_placements,
+    set_rule_versions,
 )
 from cressrock.replication.manager import ManagerSettings, ReplicaManager
 from cressrock.rollout.service import RolloutService
@@ -42,32 +42,38 @@
 class PlannerProgram:
     """One planner.  `run` serves until cancelled; `serve` takes edges' connections."""
 
-    def __init__(self, settings: Settings, world: Environment, *, parts: Components | None = None) -> None:
+    def __init__(
+        self, settings: Settings, environment: Environment, *, components: Components | None = None
+    ) -> None:
         """Take an epoch and keep it before anything is done under it.  Raises OSError."""
         # What a former epoch's planner tried again nobody can prove: it counts as spent.
         scheduler = msgspec.structs.replace(
             settings.scheduler, budget_begins_spent=True, limits_lent=settings.pair.edges > 0
         )
         self.settings = msgspec.structs.replace(settings, scheduler=scheduler)
-        self.world = world
-        self.parts = parts or Components()
+        self.environment = environment
+        self.components = components or Components()
         store = EpochStore(settings.pair.epoch_file)
-        self.epoch = next_epoch(store.read(), world.wall_ms())
+        self.epoch = next_epoch(store.read(), environment.wall_ms())
         store.write(self.epoch)
         self.server: PlannerServer | None = None
         self.runtime: ClusterRuntime | None = None
         self.rollout: RolloutService[Version] | None = None
-        self.zones: FailoverLeader | None = None
-        self.keeper: ReplicaManager | None = None
-        self.routes: dict[bytes, Callable[[Exchange], Awaitable[None]]] = {}  # of rooms, by path's beginning
-        self.nodes = NodeClient(world.connect, settings.nodes, user_agent=f"cressrock/{settings.name}")
+        self.failover: FailoverLeader | None = None
+        self.replica_manager: ReplicaManager | None = None
+        self.admin_routes: dict[
+            bytes, Callable[[Exchange], Awaitable[None]]
+        ] = {}  # of rooms, by path's beginning
+        self.node_client = NodeClient(
+            environment.connect, settings.nodes, user_agent=f"cressrock/{settings.name}"
+        )
 
     async def run(self, *, task_status: TaskStatus[None] = anyio.TASK_STATUS_IGNORED) -> None:
         """Serve until cancelled; reports started once edges can join."""
-        settings, pair, world = self.settings, self.settings.pair, self.world
+        settings, pair, world = self.settings, self.settings.pair, self.environment
         clock = net.clock()
         planner = Planner(
-            self.parts.decisions(settings, world.seed, clock()),
+            self.components.decisions(settings, world.seed, clock()),
             interface_settings(settings).classes,
             self.epoch,
             PlannerLimits(
@@ -76,18 +82,18 @@
             interface_settings(settings).plans,
         )
         async with AsyncExitStack() as stack:
-            nodes = await stack.enter_async_context(self.nodes)
+            nodes = await stack.enter_async_context(self.node_client)
             tasks = await stack.enter_async_context(anyio.create_task_group())
             bounds = LinkBounds(ping_ms=pair.ping_ms, silent_ms=pair.silent_ms)
             server = self.server = PlannerServer(
                 planner, settings.name, clock=clock, limits=bounds, log=world.log
             )
-            self.runtime = common_ground(settings, world, "planner", random.Random(world.seed))
+            self.runtime = create_runtime(settings, world, "planner", random.Random(world.seed))
             if self.runtime is not None:
-                self.keeper = self._keeper(self.runtime, nodes)
-            if self.keeper is not None:
-                self.routes[b"/v1/copies"] = self.keeper.handle
-            watch = follow_list(settings, world, nodes, self._listed)
+                self.replica_manager = self._keeper(self.runtime, nodes)
+            if self.replica_manager is not None:
+                self.admin_routes[b"/v1/copies"] = self.replica_manager.handle
+            watch = create_node_list_watch(settings, world, nodes, self._listed)
             server.subscribe_to_node_list = watch.subscribe
             server.knows_versions = settings.rollout is not None
             watch.load_cache()
@@ -98,19 +104,19 @@
                 await tasks.start(self.runtime.run)
                 if settings.rollout is not None:
                     self.rollout = self._rollout(self.runtime, planner, server)
-                    self.routes[b"/v1/rollout"] = self.rollout.serve
+                    self.admin_routes[b"/v1/rollout"] = self.rollout.serve
                     tasks.start_soon(self.rollout.run)
                 if settings.zones is not None and settings.council is not None:
                     hold_ms = settings.council.hold_ms
-                    zones = self.zones = FailoverLeader(
+                    zones = self.failover = FailoverLeader(
                         settings.zones, self.runtime, hold_ms, clock, world.log
                     )
-                    self.routes[b"/v1/zones/"] = FailoverAdmin(
+                    self.admin_routes[b"/v1/zones/"] = FailoverAdmin(
                         settings.zones, self.runtime, hold_ms, zones.status
                     ).handle
                     tasks.start_soon(zones.run)
-            if self.keeper is not None:
-                tasks.start_soon(self.keeper.run)
+            if self.replica_manager is not None:
+                tasks.start_soon(self.replica_manager.run)
             task_status.started()
             await anyio.sleep_forever()
 
@@ -122,21 +128,21 @@
         def widened(live: tuple[str, ...]) -> None:
             rows = tables.rows(interface_settings(self.settings))
             planner.set_rule_versions(rows.classes, rows.plans, tables.places())
-            widen(planner.decisions, tables)
+            set_rule_versions(planner.decisions, tables)
             server.announce_rule_versions(live)  # only now: what edges offer under a version is decided by it
 
-        source = random.Random(self.world.seed + 1)  # beside the ground's, which is drawn from the seed
-        return rollout(self.settings, self.world, ground, tables, widened, source, judges=True)
+        source = random.Random(self.environment.seed + 1)  # beside the ground's, which is drawn from the seed
+        return create_rollout(self.settings, self.environment, ground, tables, widened, source, judges=True)
 
     def _listed(self, report: NodeList) -> None:
         assert self.server is not None
         self.server.receive_node_list(report)
-        if self.keeper is not None:
-            self.keeper.on_node_list(report)
+        if self.replica_manager is not None:
+            self.replica_manager.on_node_list(report)
 
     def _keeper(self, ground: ClusterRuntime, nodes: NodeClient) -> ReplicaManager | None:
         """Return what keeps the copies in sync; None where no volume has any, or this holds no seat."""
-        found, part, council = placed(self.settings), self.settings.copies, self.settings.council
+        found, part, council = replica_placements(self.settings), self.settings.copies, self.settings.council
         if not found or council is None or council.store is None:
             return None
         figures = ManagerSettings(
@@ -158,7 +164,7 @@
             figures,
             regions=part.regions,
             clock=net.clock(),
-            log=self.world.log,
+            log=self.environment.log,
             incarnation=f"{self.settings.name}-{self.epoch}",
         )
 
@@ -170,8 +176,8 @@
             "epoch": self.epoch,
             "edges": edges,
             "fleet": self.runtime.status() if self.runtime is not None else None,
-            "zones": self.zones.status() if self.zones is not None else None,
-            **({"copies": self.keeper.status()} if self.keeper is not None else {}),
+            "zones": self.failover.status() if self.failover is not None else None,
+            **({"copies": self.replica_manager.status()} if self.replica_manager is not None else {}),
         }
 
     async def admin(self, exchange: Exchange) -> None:
@@ -180,7 +186,7 @@
             b"/healthz": admin.healthz,
             b"/v1/status": lambda: admin.status(self.status()),
         }
-        await admin.serve(exchange, self.routes, pages)
+        await admin.serve(exchange, self.admin_routes, pages)
 
     async def serve(self, stream: Stream) -> None:
         """Serve one edge's connection."""
--- a/cressrock/runtime.py
+++ b/cressrock/runtime.py
@@ -33,13 +33,17 @@
     run_in_thread,
     run_inline,
 )
-from cressrock.consensus.transport import Environment as CouncilWorld
+from cressrock.consensus.transport import Environment as ConsensusEnvironment
 from cressrock.errors import CressrockError
 from cressrock.errors.consensus import InvalidDecisionError, NoQuorumError
 from cressrock.gossip.anti_entropy import AntiEntropySettings
 from cressrock.gossip.store import GossipStore, GossipStoreSettings, Origin
-from cressrock.gossip.transport import ClusterTransport, ClusterTransportSettings, DatagramSocket
-from cressrock.gossip.transport import TransportEnvironment as FleetWorld
+from cressrock.gossip.transport import (
+    ClusterTransport,
+    ClusterTransportSettings,
+    DatagramSocket,
+    TransportEnvironment,
+)
 from cressrock.http.channel import BROKEN, Stream
 from cressrock.membership.membership import Identity, Member, MembershipSettings
 from cressrock.membership.view_cache import ViewCache
@@ -48,8 +52,12 @@
 
 Serve = Callable[[Stream], Coroutine[Any, Any, None]]
 Close = Callable[[], Awaitable[None]]
-Begun = Callable[[Stream, bytes], Coroutine[Any, Any, None]]  # and what was read after the first four bytes
-OVERHEAD = 32  # of an entry in the spread, beside its value
+# Takes a stream and what was read of it after its first MAGIC_BYTES.
+StreamHandler = Callable[[Stream, bytes], Coroutine[Any, Any, None]]
+MAGIC_BYTES = 4
+READ_BYTES = 65536
+GOSSIP_ROUNDS_PER_PERIOD = 5  # of the membership protocol
+GOSSIP_ENTRY_OVERHEAD_BYTES = 32  # of an entry in the gossip state, beside its value
 
 
 class Sockets(Protocol):
@@ -89,7 +97,7 @@
         return await net.connect(host, port)
 
 
-class _Telling:
+class _NotifyingGossip:
     """The spread as the fleet's carrier sees it, which tells of each merge."""
 
     def __init__(self, spread: GossipStore, merged: Callable[[], None]) -> None:
@@ -103,7 +111,7 @@
         self._merged()
 
 
-class _Peeked:
+class _PeekedStream:
     """A stream of which the first bytes were read already."""
 
     def __init__(self, stream: Stream, first: bytes) -> None:
@@ -141,12 +149,12 @@
 
     def __init__(
         self,
-        place: NodeIdentity,
+        identity: NodeIdentity,
         sockets: Sockets,
         *,
         clock: Callable[[], float],
         wall_ms: Callable[[], float],
-        source: random.Random,
+        rng: random.Random,
         log: Any,
         allow_threads: bool = True,
         is_collector: bool = False,
@@ -155,93 +163,101 @@
         time).  `collects`: it reads evidence, so where it holds a seat it is a collector.  Raises
         StoreNewer for a newer program's `seen_file`.
         """
-        self.identity, self.sockets, self.clock, self.wall_ms = place, sockets, clock, wall_ms
-        self.source, self.log, self.allow_threads = source, log, allow_threads
-        self.gossip = GossipStore(place.name, place.incarnation, GossipStoreSettings(), source)
-        part = place.council
-        self.is_collector = is_collector and part is not None and part.store is not None
+        self.identity, self.sockets, self.clock, self.wall_ms = identity, sockets, clock, wall_ms
+        self.rng, self.log, self.allow_threads = rng, log, allow_threads
+        self.gossip = GossipStore(identity.name, identity.incarnation, GossipStoreSettings(), rng)
+        council = identity.council
+        self.is_collector = is_collector and council is not None and council.store is not None
         self.evidence = EvidenceChannel(
-            (place.name, place.incarnation),
-            place.fleet.zone,
+            (identity.name, identity.incarnation),
+            identity.fleet.zone,
             self.gossip,
             clock=clock,
-            source=random.Random(f"{place.name}/{place.incarnation}/evidence"),
+            source=random.Random(f"{identity.name}/{identity.incarnation}/evidence"),
             log=log,
-            replicas=part.seats if part is not None else (),
-            sends_reports=place.role == "edge",
+            replicas=council.seats if council is not None else (),
+            sends_reports=identity.role == "edge",
             is_collector=self.is_collector,
-            max_gossip_senders=place.fleet.collect_from,
+            max_gossip_senders=identity.fleet.collect_from,
         )
-        self._viewing = ViewCache()
+        self._view_cache = ViewCache()
         self.membership: ClusterTransport | None = None
         self.replica: ConsensusReplica | None = None
         self.consensus: ConsensusClient | None = None
-        seen = place.council.seen_file if place.council is not None else None
+        seen = identity.council.seen_file if identity.council is not None else None
         self.decision_cache = DecisionCache(seen, clock)
         self.addresses: dict[str, str] = {}  # what was bound: fleet, council
         self.rejected_decisions = 0  # decrees in the spread that could not be read
         self.on_gossip_change: list[Callable[[Origin, str], None]] = []  # told of each changed entry
-        self.stream_handlers: dict[bytes, Begun] = {}  # of rooms, by the four bytes that they begin with
+        self.stream_handlers: dict[
+            bytes, StreamHandler
+        ] = {}  # of rooms, by the four bytes that they begin with
         self.on_leaving: list[Callable[[], None]] = []  # told as an orderly end begins
-        self._taker = DecisionSubscriber()
-        self._teller = DecisionPublisher(self.gossip.settings.max_value_bytes - OVERHEAD)
-        self._ask: set[str] = set()
-        self._news = anyio.Event()
+        self._decision_subscriber = DecisionSubscriber()
+        self._decision_publisher = DecisionPublisher(
+            self.gossip.settings.max_value_bytes - GOSSIP_ENTRY_OVERHEAD_BYTES
+        )
+        self._topics_to_fetch: set[str] = set()
+        self._fetch_wanted = anyio.Event()
 
     async def run(self, *, task_status: TaskStatus[None] = anyio.TASK_STATUS_IGNORED) -> None:
         """Take part until cancelled; started once bound.
 
         Raises BindError; errors.fleet.Fenced once a newer life of this name is heard of.
         """
-        place, part = self.identity, self.identity.fleet
+        settings = self.identity.fleet
         async with anyio.create_task_group() as tasks:
             bound, datagrams, close = await self.sockets.listen_tcp_and_udp(
-                part.listen, self._serve, tasks, setting="fleet.listen"
+                settings.listen, self._serve, tasks, setting="fleet.listen"
             )
             self.addresses["fleet"] = bound
-            identity = Identity(
-                place.name,
-                place.incarnation,
-                part.advertise or bound,
-                place.role,
-                part.zone,
-                part.region,
-                messages.CAPABILITY if self.is_collector else b"",
-            )
-            settings = ClusterTransportSettings(
-                seeds=tuple(part.seeds),
-                routes=part.routes,
-                membership=MembershipSettings(
-                    cluster=part.cluster,
-                    protocol_period_ms=part.period_ms,
-                    gossip_interval_ms=part.period_ms / 5,
-                    tolerated_pause_ms=part.ride_out_ms,
-                ),
-                anti_entropy=AntiEntropySettings(period_ms=part.period_ms / 5),
-            )
-            world = FleetWorld(datagrams, self.sockets.connect, self.clock)
-            state = _Telling(self.gossip, self._merged)
-            fleet = self.membership = ClusterTransport(
-                settings, identity, world, state, self.source, self.log
-            )
+            transport = self.membership = self._cluster_transport(bound, datagrams)
             evidence = self.evidence
-            evidence.send, evidence.members, fleet.on_collector_message = (
-                fleet.send_collector_message,
-                self.members,
-                evidence.receive,
-            )
-            fleet.event_listeners.append(lambda _event: self._members_changed())
+            evidence.send, evidence.members = transport.send_collector_message, self.members
+            transport.on_collector_message = evidence.receive
+            transport.event_listeners.append(lambda _event: self._members_changed())
             try:
-                if place.council is not None:
-                    await self._sit(place.council, tasks)
-                tasks.start_soon(fleet.run)
+                if self.identity.council is not None:
+                    await self._join_consensus(self.identity.council, tasks)
+                tasks.start_soon(transport.run)
                 tasks.start_soon(evidence.run)
                 task_status.started()
-                await self._asking()
+                await self._fetch_large_decisions()
             finally:
                 with anyio.CancelScope(shield=True):
                     await close()
 
+    def _cluster_transport(self, bound: str, datagrams: DatagramSocket) -> ClusterTransport:
+        """Compose membership and gossip over the bound sockets."""
+        identity, settings = self.identity, self.identity.fleet
+        member = Identity(
+            identity.name,
+            identity.incarnation,
+            settings.advertise or bound,
+            identity.role,
+            settings.zone,
+            settings.region,
+            messages.CAPABILITY if self.is_collector else b"",
+        )
+        return ClusterTransport(
+            ClusterTransportSettings(
+                seeds=tuple(settings.seeds),
+                routes=settings.routes,
+                membership=MembershipSettings(
+                    cluster=settings.cluster,
+                    protocol_period_ms=settings.period_ms,
+                    gossip_interval_ms=settings.period_ms / GOSSIP_ROUNDS_PER_PERIOD,
+                    tolerated_pause_ms=settings.ride_out_ms,
+                ),
+                anti_entropy=AntiEntropySettings(period_ms=settings.period_ms / GOSSIP_ROUNDS_PER_PERIOD),
+            ),
+            member,
+            TransportEnvironment(datagrams, self.sockets.connect, self.clock),
+            _NotifyingGossip(self.gossip, self._on_gossip_merged),
+            self.rng,
+            self.log,
+        )
+
     async def leave(self) -> None:
         """Say to the others that this process ends; returns when they had time to hear it."""
         for tell in self.on_leaving:
@@ -254,83 +270,83 @@
         if not self.stream_handlers:
             await self.membership.serve(stream)
             return
-        first = b""
+        start = b""
         try:
             with anyio.move_on_after(self.membership.settings.exchange_timeout_ms / 1000):
-                while len(first) < 4:
-                    first += await stream.receive(65536)
+                while len(start) < MAGIC_BYTES:
+                    start += await stream.receive(READ_BYTES)
         except BROKEN:
-            pass
-        begun = self.stream_handlers.get(first[:4])
-        if begun is not None:
-            await begun(stream, first[4:])
+            pass  # the membership sees the same end of the stream, and counts it
+        handler = self.stream_handlers.get(start[:MAGIC_BYTES])
+        if handler is not None:
+            await handler(stream, start[MAGIC_BYTES:])
         else:
-            await self.membership.serve(_Peeked(stream, first))
+            await self.membership.serve(_PeekedStream(stream, start))
 
     # --- the council
 
-    async def _sit(self, part: CouncilSettings, tasks: TaskGroup) -> None:
+    async def _join_consensus(self, council: CouncilSettings, tasks: TaskGroup) -> None:
         place = self.identity
-        world = CouncilWorld(
+        environment = ConsensusEnvironment(
             self.clock,
             self.wall_ms,
             self.sockets.connect,
-            self.source,
+            self.rng,
             self.log,
             run_in_thread if self.allow_threads else run_inline,
-            self.source.randbytes,
+            self.rng.randbytes,
         )
         self.consensus = ConsensusClient(
-            world, tasks, place.fleet.cluster, place.name, part.seats, cache=self.decision_cache
+            environment, tasks, place.fleet.cluster, place.name, council.seats, cache=self.decision_cache
         )
-        if part.store is None:
+        if council.store is None:
             return
         seat = self.replica = ConsensusReplica(
-            world,
+            environment,
             ReplicaSettings(
                 name=place.name,
                 cluster=place.fleet.cluster,
-                replicas=part.seats,
-                store=Path(part.store),
-                start=part.start,
-                renewal_interval_ms=part.renew_ms,
-                timing=RaftSettings(election_ms=part.election_ms, heartbeat_ms=part.heartbeat_ms),
+                replicas=council.seats,
+                store=Path(council.store),
+                start=council.start,
+                renewal_interval_ms=council.renew_ms,
+                timing=RaftSettings(election_ms=council.election_ms, heartbeat_ms=council.heartbeat_ms),
             ),
-            publish=self._publish,
+            publish=self._publish_decisions,
         )
         self.addresses["council"], _ = await self.sockets.listen(
-            part.listen, seat.serve, tasks, setting="council.listen"
+            council.listen, seat.serve, tasks, setting="council.listen"
         )
         tasks.start_soon(seat.run)
 
-    def _publish(self, decrees: tuple[d.Decision, ...]) -> None:
+    def _publish_decisions(self, decrees: tuple[d.Decision, ...]) -> None:
         """Put what this seat knows into the spread, and take it for this process too."""
         assert self.replica is not None
         standing = {decree.topic: decree for decree in self.replica.decisions.all_decisions()}
         standing |= {decree.topic: decree for decree in decrees if decree.topic in standing}
         beat = max((decree.renewal for decree in decrees), default=0)
         for decree in decrees:
-            for found in self._taker.receive_decision(decree):
+            for found in self._decision_subscriber.receive_decision(decree):
                 self.decision_cache.receive(found)
-        for change in self._teller.publish(standing.values(), beat):
+        for change in self._decision_publisher.publish(standing.values(), beat):
             if change.value is None:
                 self.gossip.remove(change.key)
             else:
                 self.gossip.put(change.key, change.value)
 
-    def _merged(self) -> None:
+    def _on_gossip_merged(self) -> None:
         """Look at what a merge changed; called by the fleet after each."""
         for origin, key in self.gossip.drain_changes():
             if key.startswith((DECISION_PREFIX, RENEWAL_PREFIX)):
                 value = self.gossip.value_of(key, origin)
                 if value is not None:
-                    self._take(key, value)
+                    self._receive_decisions(key, value)
             for tell in self.on_gossip_change:
                 tell(origin, key)
 
-    def _take(self, key: str, value: bytes) -> None:
+    def _receive_decisions(self, key: str, value: bytes) -> None:
         try:
-            decrees, topics = self._taker.receive_entry(key, value)
+            decrees, topics = self._decision_subscriber.receive_entry(key, value)
         except CressrockError as wrong:
             self.rejected_decisions += 1
             if self.rejected_decisions == 1:
@@ -339,23 +355,23 @@
         for decree in decrees:
             self.decision_cache.receive(decree)
         if topics:
-            self._ask.update(topics)
-            self._news.set()
+            self._topics_to_fetch.update(topics)
+            self._fetch_wanted.set()
 
-    async def _asking(self) -> None:
+    async def _fetch_large_decisions(self) -> None:
         """Ask a seat for decrees that are too large for the spread, one after another."""
         while True:
-            await self._news.wait()
-            self._news = anyio.Event()
-            while self._ask and self.consensus is not None:
-                topic = min(self._ask)
-                self._ask.discard(topic)
+            await self._fetch_wanted.wait()
+            self._fetch_wanted = anyio.Event()
+            while self._topics_to_fetch and self.consensus is not None:
+                topic = min(self._topics_to_fetch)
+                self._topics_to_fetch.discard(topic)
                 try:
                     decree = await self.consensus.read(topic)
                 except (NoQuorumError, InvalidDecisionError):
                     continue  # the next mark of any seat asks again
                 if decree is not None:
-                    for found in self._taker.receive_decision(decree):
+                    for found in self._decision_subscriber.receive_decision(decree):
                         self.decision_cache.receive(found)
 
     # --- what others may look at
@@ -374,12 +390,12 @@
         if self.membership is None:
             return ()
         now = self.clock()
-        if self._viewing.is_stale(now):
-            self._viewing.store(self.membership.membership.view(now), now, self.clock())
-        return self._viewing.view
+        if self._view_cache.is_stale(now):
+            self._view_cache.store(self.membership.membership.view(now), now, self.clock())
+        return self._view_cache.view
 
     def _members_changed(self) -> None:
-        self._viewing.invalidate()
+        self._view_cache.invalidate()
         self.evidence.on_members_changed()
 
     def status(self) -> dict[str, Any]:
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -81,7 +81,10 @@
     async def program(rig):
         body = bytes(range(256)) * 4096 * 8  # 8 MiB
         assert (await rig.ask("PUT", "/demo/big", body)).status == 201
-        assert rig.gateway.payload_store.memory_used_bytes == 0 and rig.gateway.payload_store.spilled_payloads >= 1
+        assert (
+            rig.gateway.payload_store.memory_used_bytes == 0
+            and rig.gateway.payload_store.spilled_payloads >= 1
+        )
         assert (await rig.ask("GET", "/demo/big")).body == body
         assert rig.gateway.driver.ledger.entries == {}
 
--- a/tests/test_judge.py
+++ b/tests/test_judge.py
@@ -69,24 +69,24 @@
 
     lost = 0
 
-    def _deny(self, name, verdict, reason, retry_after_ms):
+    def _give_denial(self, name, verdict, reason, retry_after_ms):
         self.lost += 1
         if self.lost % 2:
-            super()._deny(name, verdict, reason, retry_after_ms)
+            super()._give_denial(name, verdict, reason, retry_after_ms)
 
 
 class Hasty(Driver):
     """Rule 2: a write is sent a second time while its first attempt is out."""
 
-    def _carry_out(self, action, now):
-        super()._carry_out(action, now)
+    def _execute(self, action, now):
+        super()._execute(action, now)
         if isinstance(action, Send) and action.request in self.pending:
             if self.pending[action.request].op.method == b"PUT":
-                super()._carry_out(action, now)
+                super()._execute(action, now)
 
-    def _tell(self, name, rank, event):
+    def _enqueue(self, name, rank, event):
         if getattr(event, "attempt", 0) == 0:  # the scheduler knows of one attempt alone
-            super()._tell(name, rank, event)
+            super()._enqueue(name, rank, event)
 
 
 class Deaf(Scheduler):
@@ -129,7 +129,7 @@
 class Trusting(Ledger):
     """A ledger without the fence of rule 2's refusals."""
 
-    def may_refuse(self, entry):
+    def may_reject(self, entry):
         return True
 
 
