--- a/cressrock/dispatch/driver.py
+++ b/cressrock/dispatch/driver.py
@@ -1,9 +1,9 @@
 """The driver: hands what happened to the scheduler's decisions in batches, and carries out its orders.
 
-It takes no decision and knows no protocol: a transport carries the attempts, and whoever runs the driver
-calls `turn` when it asks for one.  One wake serves many events; a process that stood still hands over all
-that waited, with the time each client has truly left and the time each answer truly took.  Orders are
-carried out in order; the ledger stands before each of them.
+It decides nothing and knows no protocol: a transport carries the attempts, and whoever runs the driver
+calls `process_batch` when it asks for one.  One batch serves many events; a process that stood still hands
+over all that waited, with the time each client has truly left and the time each answer truly took.  Orders
+are executed in order, each of them after the ledger's check.
 """
 
 from __future__ import annotations
@@ -56,7 +56,7 @@
 
 
 class Observer(Protocol):
-    """Where the driver tells what it did; structured logs and metrics, or a test's list."""
+    """Where the driver reports what it did: structured logs and metrics, or a test's list."""
 
     def fence_tripped(self, trip: FenceTrip) -> None:
         """Report an order that a fence stopped."""
@@ -76,7 +76,7 @@
 
 @dataclass(slots=True)
 class _PendingOperation:
-    """An operation that somebody waits for."""
+    """An operation whose client still waits for its answer."""
 
     op: ShardRequest
     label: str
@@ -129,7 +129,8 @@
 class Driver:
     """One dispatcher's driver.
 
-    `wake` is called when a turn is wanted; `turn` has to be called then, and again when `due` says.
+    `request_wakeup` is called when a batch is wanted; `process_batch` has to be called then, and again at
+    `next_batch_ms`.
     """
 
     def __init__(
@@ -162,7 +163,7 @@
         self.clock = clock
         self.request_wakeup = request_wakeup
         self.pending: dict[str, _PendingOperation] = {}
-        # Attempts out live longer than the slot whose client has left: they can still be ordered off.
+        # Attempts in flight outlive the operation whose client has left: they can still be cancelled.
         self.in_flight: dict[tuple[str, int], _Call] = {}
         self._inbox: deque[tuple[float, int, str, Event | _PendingOperation]] = deque()
         self._timers: dict[int, float] = {}
@@ -171,7 +172,7 @@
     # --- what happened
 
     def receive_node_list(self, report: NodeList) -> None:
-        """Hand over news of the node list; the ledger knows it from this moment, as rule 3 counts."""
+        """Hand over a report of the node list; the ledger knows it from this moment, as rule 3 counts."""
         if report.kind is not ListKind.FAILED:
             complete = report.kind is not ListKind.CHANGES
             self.ledger.update_nodes(report.nodes, self.clock(), complete=complete)
@@ -188,7 +189,7 @@
         since: float | None = None,
         present: Callable[[], bool] = lambda: True,
     ) -> Denial | None:
-        """Take an operation; `answer` gets its one final answer later, unless it is denied here and now.
+        """Accept an operation; `answer` gets its one final answer later, unless it is denied here and now.
 
         `present` tells whether the client is still there; it is asked just before each attempt's first byte,
         and False counts as its having left.
@@ -227,7 +228,8 @@
         entry = self.ledger.entries.get(name)
         call = self.in_flight.get((name, len(entry.attempts) - 1)) if entry is not None else None
         if call is not None and call.handle is not None:
-            # Danger: where attempts may not be cancelled, the rest of it would arrive, and it begin, later.
+            # Danger: where attempts may not be cancelled, the rest of the request would arrive, and the work
+            # begin, later.
             call.handle.abandon()
         self.observer.answered(
             pending.op.request_class, Verdict.LEFT, Reason.LEFT, self.clock() - pending.accepted_at_ms
@@ -235,7 +237,7 @@
         return True
 
     def abort_pending(self) -> None:
-        """Give everything that is owed its final answer now: the process ends, and nobody else can."""
+        """Give every pending operation its final answer now: the process ends, and nobody else can."""
         for name in list(self.pending):
             entry = self.ledger.entries.get(name)
             harmless = entry is not None and self.ledger.may_reject(entry)
@@ -243,7 +245,7 @@
             self._give_denial(name, end(name, Reason.STOPPING), Reason.STOPPING, 0.0)
 
     def request_batch(self) -> None:
-        """Ask for a turn though nothing happened here: the decisions have orders of their own accord."""
+        """Ask for a batch though nothing happened here: the decision module has orders of its own."""
         self._batch_requested = True
         self.request_wakeup()
 
@@ -254,11 +256,11 @@
     # --- the loop
 
     def next_batch_ms(self) -> float:
-        """Return when the next turn has to be taken at the latest, should nothing happen."""
+        """Return when the next batch has to be processed at the latest, should nothing happen."""
         return min(min(self._timers.values(), default=FOREVER), self.ledger.next_overdue_ms())
 
     def process_batch(self) -> None:
-        """Hand over what has happened, and carry out what is ordered."""
+        """Hand over what has happened, and execute what is ordered."""
         now = self.clock()
         waiting = sorted(self._inbox, key=_arrival_order)
         self._inbox.clear()
@@ -340,7 +342,7 @@
         call.handle = self.transport.start(call)
 
     def _give_denial(self, name: str, verdict: Verdict | None, reason: Reason, retry_after_ms: float) -> None:
-        """Hand on a refusal or a failure, once; None says that the answer was given before."""
+        """Give a rejection or a failure, once; a verdict of None says that the answer was given before."""
         pending = self.pending.get(name)
         if verdict is None or pending is None:
             return
@@ -357,7 +359,7 @@
             pending.op.request_class, verdict, reason, self.clock() - pending.accepted_at_ms
         )
 
-    # --- attempts, as the transport reports them
+    # --- what the transport reports
 
     def _on_response_started(self, call: _Call, reply: Any) -> bool:
         if not self.ledger.commit(call.name):
--- a/cressrock/dispatch/ledger.py
+++ b/cressrock/dispatch/ledger.py
@@ -1,8 +1,8 @@
-"""The ledger: every storage operation from taken to one final answer, and every attempt to its outcome.
+"""The ledger: every storage operation from acceptance to one final answer, every attempt to its outcome.
 
-Pure: time comes in with each call.  It is also the last fence.  By a fixed reading of the rules, on what
+Pure: time comes in with each call.  It is also the last check.  By a fixed reading of the rules, on what
 it knows itself, it stops an order that would break rule 1 (one answer, in time, nothing sent after),
-rule 2 (no effect twice) or rule 3 (drains).  It picks nothing: what it stops is counted as a defect.
+rule 2 (no effect twice) or rule 3 (drains).  It chooses nothing: what it stops is counted as a defect.
 """
 
 from __future__ import annotations
@@ -31,7 +31,7 @@
 
 @dataclass(slots=True)
 class Attempt:
-    """One sending of an operation to a node; `outcome` is None while it is out."""
+    """One sending of an operation to a node; `outcome` is None while it is in flight."""
 
     number: int
     node: Node
@@ -46,7 +46,7 @@
 
 @dataclass(slots=True)
 class Entry:
-    """An operation that the ledger holds: until its answer is given and no attempt is out."""
+    """An operation from its acceptance until its answer is given and no attempt is in flight."""
 
     name: str
     exchange: str
@@ -71,7 +71,7 @@
 
 @dataclass(frozen=True, slots=True)
 class FenceTrip:
-    """An order that was not carried out, and the rule that it would have broken."""
+    """An order that was not executed, and the rule that it would have broken."""
 
     fence: Fence
     operation: str
@@ -81,16 +81,17 @@
 
 @dataclass(frozen=True, slots=True)
 class Settled:
-    """What an outcome did: `over` the operation has its answer; `now` this outcome was the answer."""
+    """Whether the operation has its answer after an outcome, and whether this outcome was that answer."""
 
     is_answered: bool
     answered_now: bool
 
 
 class Ledger:
-    """All that is owed by one dispatcher.  Times are milliseconds on the caller's monotonic clock.
+    """All operations that one dispatcher has to answer.
 
-    `max_open` bounds what is held: beyond it `take` returns None and the caller refuses at the door.
+    Times are milliseconds on the caller's monotonic clock.  `max_open` bounds the entries: beyond it `accept`
+    returns None and the caller rejects at admission.
     """
 
     def __init__(
@@ -101,7 +102,7 @@
         max_open: int,
         max_nodes: int = 16384,
     ) -> None:
-        """Start with nothing owed and no node known."""
+        """Start with no operation and no node."""
         self.drain_grace_ms = drain_grace_ms
         self.answer_slack_ms = answer_slack_ms
         self.max_open = max_open
@@ -110,7 +111,7 @@
         self.nodes: dict[str, Node] = {}
         self.withdrawn_at_ms: dict[
             str, float
-        ] = {}  # when this dispatcher was told that a node drains or is gone
+        ] = {}  # when this dispatcher first knew that a node drains or is gone
         self.fence_trips: Counter[Fence] = Counter()
         self.answer_counts: Counter[Verdict] = Counter()
         self._overdue_heap: list[tuple[float, str]] = []
@@ -120,9 +121,9 @@
     def accept(
         self, name: str, exchange: str, request_class: RequestClass, deadline_ms: float, now_ms: float
     ) -> Entry | None:
-        """Take an operation: from here one final answer is owed.  None where the bound is reached.
+        """Accept an operation: from here one final answer is owed.  None where the bound is reached.
 
-        Raises ValueError for a name that is held already: names are never reused.
+        Raises ValueError for a name that is in use: names are never reused.
         """
         if name in self.entries:
             raise ValueError(f"operation {name} is held already")
@@ -133,7 +134,7 @@
         return entry
 
     def send(self, name: str, node: str, now_ms: float) -> Attempt | FenceTrip:
-        """Enter an attempt that was ordered, unless it would break a rule."""
+        """Record an attempt that was ordered, unless it would break a rule."""
         entry = self.entries.get(name)
         if entry is None:
             return self._record_trip(Fence.UNKNOWN, name, f"send to {node}")
@@ -204,7 +205,7 @@
         return first_run.sent_at_ms + entry.request_class.deduplication_window_ms
 
     def commit(self, name: str) -> bool:
-        """Enter that an answer has begun to leave for the client: it is the final one.  False if too late."""
+        """Record that an answer began to leave for the client: it is the final one.  False if too late."""
         entry = self.entries.get(name)
         if entry is None or entry.verdict is not None:
             return False
@@ -212,7 +213,7 @@
         return True
 
     def record_outcome(self, name: str, number: int, outcome: Outcome) -> Settled:
-        """Enter an attempt's outcome.  The first OK is the answer; a late one is for the module alone.
+        """Record an attempt's outcome.  The first OK is the answer; a late one is for the module alone.
 
         Raises ValueError for an attempt that was never sent or has its outcome already.
         """
@@ -228,7 +229,7 @@
         return settled
 
     def reject(self, name: str, reason: Reason) -> Verdict | None:
-        """Give a refusal where a retry is provably harmless, else a failure.  None if already answered."""
+        """Reject where a retry is provably harmless, else fail.  None if already answered."""
         entry = self.entries.get(name)
         if entry is None or entry.verdict is not None:
             return None
@@ -245,7 +246,7 @@
         return self._set_verdict(entry, Verdict.FAILED, reason)
 
     def client_left(self, name: str) -> bool:
-        """Enter that the client no longer waits: nothing more is owed.  False if it was over before."""
+        """Record that the client no longer waits: nothing more is owed.  False if it was over before."""
         entry = self.entries.get(name)
         if entry is None or entry.verdict is not None:
             return False
@@ -274,7 +275,7 @@
         return entry is None or entry.verdict is not None
 
     def may_reject(self, entry: Entry) -> bool:
-        """Whether a refusal is true: nothing may have run, or all that may have is safe to repeat."""
+        """Whether a rejection is true: nothing may have run, or all that may have is idempotent."""
         if entry.request_class.idempotency is Idempotency.ALWAYS or entry.first_run() is None:
             return True
         return (
@@ -285,7 +286,7 @@
     # --- nodes
 
     def update_nodes(self, nodes: Iterable[Node], now_ms: float, *, complete: bool) -> None:
-        """Enter a report of the node list; what a complete one lacks is gone."""
+        """Apply a report of the node list; a node that a complete one lacks is gone."""
         listed = {line.name: line for line in nodes}
         if complete:
             for name, node in self.nodes.items():
@@ -301,7 +302,7 @@
             self._drop_oldest_removed()
 
     def barred(self, node: str, now_ms: float) -> bool:
-        """Whether a node's drain grace is over, counted from when this dispatcher was first told."""
+        """Whether a node's drain grace is over, counted from when this dispatcher first knew of it."""
         withdrawn_at_ms = self.withdrawn_at_ms.get(node)
         return withdrawn_at_ms is not None and now_ms > withdrawn_at_ms + self.drain_grace_ms
 
@@ -312,7 +313,7 @@
         for name in removed[: len(self.nodes) - self.max_nodes]:
             del self.nodes[name], self.withdrawn_at_ms[name]
 
-    # --- inside
+    # --- internal
 
     @staticmethod
     def _same_group(group: DeduplicationScope, first: Node, other: Node) -> bool:
--- a/cressrock/dispatch/node_client.py
+++ b/cressrock/dispatch/node_client.py
@@ -1,7 +1,7 @@
 """Connections to the storage nodes: pools, and one attempt's exchange on one of them.
 
-A carrier: it holds no figure but what its settings say and picks no node.  What it reports is exact about
-one thing above all: whether a byte of the request can have reached the node.
+It has no tuned number but its settings and chooses no node.  What it reports is exact about one thing above
+all: whether a byte of the request can have reached the node.
 """
 
 from __future__ import annotations
@@ -80,7 +80,7 @@
         self.done = anyio.Event()
 
     async def chunk(self) -> bytes:
-        """Return some bytes, b"" at the end.  Raises Cut where the node broke off."""
+        """Return some bytes, b"" at the end.  Raises PayloadTruncatedError where the node broke off."""
         if self.finished:
             return b""
         self.idle_since = None
@@ -155,9 +155,9 @@
     ) -> tuple[Reply, NodePayload | None]:
         """Send an operation and return the answer, with its payload if that is handed on as it comes.
 
-        Raises NoConnection and Overtaken (never ran), Gone (may have run), Cut (the client's own payload
-        broke off), TooLarge or h11.RemoteProtocolError (the answer is no HTTP).  Cancelling closes the
-        connection.
+        Raises NoConnectionError and SentTooLateError (never ran), ConnectionLostError (may have run),
+        PayloadTruncatedError (the client's own payload broke off), MessageTooLargeError or
+        h11.RemoteProtocolError (the answer is no HTTP).  Cancelling closes the connection.
         """
         channel = await self._acquire(node)
         try:
--- a/cressrock/dispatch/operation.py
+++ b/cressrock/dispatch/operation.py
@@ -1,6 +1,6 @@
-"""A storage operation over HTTP as the fronts name it, and what comes back: the seam to dispatch.
+"""A storage operation over HTTP as the front ends name it, and what comes back: the interface to dispatch.
 
-Nothing here, nor below, knows by which front an operation came.
+Nothing here, nor in the layers below, knows by which front end an operation came.
 """
 
 from __future__ import annotations
@@ -50,7 +50,7 @@
     """The payload of an answer that still comes in from a node."""
 
     async def chunk(self) -> bytes:
-        """Return some bytes, b"" at the end.  Raises Cut where the node broke off."""
+        """Return some bytes, b"" at the end.  Raises PayloadTruncatedError where the node broke off."""
 
     def abandon(self) -> None:
         """Say that nobody reads on; the attempt ends."""
--- a/cressrock/dispatch/spool.py
+++ b/cressrock/dispatch/spool.py
@@ -1,6 +1,6 @@
 """Payloads that may have to be sent again: in memory while small, in an unnamed temporary file above.
 
-A `Store` bounds the bytes that all spools together hold in memory; over it they spill at once.
+A `PayloadStore` bounds the bytes that all spools together hold in memory; over it they spill at once.
 """
 
 from __future__ import annotations
@@ -70,12 +70,15 @@
         self._wake()
 
     def fail(self) -> None:
-        """Say that the rest will never come; waiting readers raise Cut."""
+        """Say that the rest will never come; waiting readers raise PayloadTruncatedError."""
         self.broken = True
         self._wake()
 
     async def chunk(self, offset: int) -> bytes:
-        """Return the bytes that begin at an offset, waiting for them; b"" at the end.  Raises Cut."""
+        """Return the bytes that begin at an offset, waiting for them; b"" at the end.
+
+        Raises PayloadTruncatedError.
+        """
         while offset >= self.size:
             if self.complete:
                 return b""
@@ -94,7 +97,7 @@
         return data[start:] if start else data
 
     def close(self) -> None:
-        """Give the memory or the file back.  Readers that still wait raise Cut."""
+        """Give the memory or the file back.  Readers that still wait raise PayloadTruncatedError."""
         if self._file is not None:
             self._file.close()
             self._file = None
--- a/cressrock/dispatch/transport.py
+++ b/cressrock/dispatch/transport.py
@@ -1,7 +1,7 @@
-"""The seam between the driver and what carries attempts to nodes: exchange one attempt for its outcome.
+"""The interface between the driver and what carries attempts to nodes: one attempt in, its outcome back.
 
-Nothing here knows a protocol.  A transport starts an attempt when it is told to, reports that it ended
-exactly once, and picks no node; the driver takes no byte in hand.
+Nothing here knows a protocol.  A transport starts an attempt when it is told to, reports exactly once
+that it ended, and chooses no node; the driver handles no bytes.
 """
 
 from __future__ import annotations
