--- a/cressrock/observe/metrics.py
+++ b/cressrock/observe/metrics.py
@@ -2,6 +2,7 @@
 
 from __future__ import annotations
 
+from collections.abc import Callable
 from typing import Any
 
 from prometheus_client import CollectorRegistry, Counter, Gauge, Histogram, generate_latest
@@ -15,13 +16,14 @@
 
 
 class Metrics:
-    """One dispatcher's metrics, and where the driver tells what it did."""
+    """One dispatcher's metrics; the driver reports here what it did."""
 
     def __init__(self, log: Any, classes: list[str], *, log_requests: bool = False) -> None:
         """`classes` are the request classes' names, in order."""
         self.log = log
         self.classes = classes
         self.log_requests = log_requests
+        self.attempt_listeners: list[Callable[[int, Outcome], None]] = []  # called with shard and outcome
         self.registry = CollectorRegistry()
         r = self.registry
         self.answers = Counter(
@@ -77,7 +79,7 @@
         self._children: dict[tuple[Any, ...], Any] = {}
 
     def child(self, metric: Any, *labels: str) -> Any:
-        """Return a metric's child; kept, since looking one up by its labels is dear on the ordinary path."""
+        """Return a metric's child; cached, since looking one up by its labels is expensive on the ordinary path."""
         key = (id(metric), *labels)
         found = self._children.get(key)
         if found is None:
@@ -94,11 +96,13 @@
         self.log.error("fence", fence=trip.fence.value, operation=trip.operation, detail=trip.detail)
 
     def attempt_ended(self, attempt: Attempt, outcome: Outcome, lag_ms: float, text: str) -> None:
-        """Count an attempt; what did not answer is logged."""
+        """Count an attempt, and call the listeners; what did not answer is logged."""
         name = attempt.node.name
         self.child(self.attempts, name, outcome.value).inc()
         if text:
             self.log.debug("attempt", node=name, outcome=outcome.value, lag_ms=round(lag_ms, 1), text=text)
+        for listener in self.attempt_listeners:
+            listener(attempt.node.shard, outcome)
 
     def answered(self, request_class: int, verdict: Verdict, reason: Reason | None, ms: float) -> None:
         """Count an operation's final answer."""
