--- a/cressrock/lab/localcost_lists.py
+++ b/cressrock/lab/localcost_lists.py
@@ -98,7 +98,7 @@
         "receive": fresh_cpu_ms(Held, lambda one: one.servers.receive(value, 1.0, LONG_AGO + 2e9)),
     }
     report = Held().servers.receive(value, 1.0, LONG_AGO + 2e9)
-    parts["ledger"] = fresh_cpu_ms(Held, lambda one: one.ledger.news(report.nodes, 1.0, complete=True))
+    parts["ledger"] = fresh_cpu_ms(Held, lambda one: one.ledger.update_nodes(report.nodes, 1.0, complete=True))
     parts["act"] = fresh_cpu_ms(Held, lambda one: one.brain.act(2.0, [report]))
     for part, ms in parts.items():
         yield Figure(f"serverlist.whole.{part}.cpu_ms", ms, "ms", scene=scene)
--- a/tests/test_admin.py
+++ b/tests/test_admin.py
@@ -26,7 +26,7 @@
 def program(kind, routes=None, why=()):
     """Return what a program's `admin` reads of it, and its `admin`."""
     parts = SimpleNamespace(
-        routes=routes or {}, ready=lambda: list(why), measure=lambda: b"metrics", status=lambda: {"name": "x"}
+        routes=routes or {}, not_ready_reasons=lambda: list(why), render_metrics=lambda: b"metrics", status=lambda: {"name": "x"}
     )
     parts._readyz = lambda: Gateway._readyz(parts)
     return lambda exchange: kind.admin(parts, exchange)
--- a/tests/test_judge.py
+++ b/tests/test_judge.py
@@ -129,7 +129,7 @@
 class Trusting(Ledger):
     """A ledger without the fence of rule 2's refusals."""
 
-    def may_refuse(self, entry):
+    def may_reject(self, entry):
         return True
 
 
--- a/tests/test_platform_leaving.py
+++ b/tests/test_platform_leaving.py
@@ -75,7 +75,7 @@
 
 def tell(s, name, index, state):
     """Have the program hear of a server, at once."""
-    s.program.driver.listed(NodeList(ListKind.CHANGES, (Node(name, index, state=state),)))
+    s.program.driver.receive_node_list(NodeList(ListKind.CHANGES, (Node(name, index, state=state),)))
 
 
 @leaving
