--- a/benchmarks/fences.py
+++ b/benchmarks/fences.py
@@ -31,39 +31,43 @@
 class CountedAgain(EdgeDecisions):
     """What another decider had is offered as if nobody had counted it."""
 
-    def _route(self, name, now):
-        held = self.operations.get(name)
-        if held is not None:
-            held.counted, held.taken_at = False, now
-        return super()._route(name, now)
+    def _hand_over(self, name, now):
+        pending = self.operations.get(name)
+        if pending is not None:
+            pending.counted_in_budget, pending.accepted_at_ms = False, now
+        return super()._hand_over(name, now)
 
 
 class AttemptsUntold(EdgeDecisions):
     """Offers say nothing of attempts that were made: those that follow look like first ones."""
 
-    def _offer(self, name, held, attempts, now):
-        super()._offer(name, held, 0, now)
-        held.shift = -attempts
+    def _offer(self, name, pending, attempts, now):
+        super()._offer(name, pending, 0, now)
+        pending.number_offset = -attempts
 
 
 class NoTurns(EdgeDecisions):
     """Order is not looked at over a change of who decides."""
 
     def __init__(self, *given, **more):
-        super().__init__(*given, **more | {"turns": None})
+        super().__init__(*given, **more | {"ordering": None})
 
 
 class RunsOnForEver(EdgeDecisions):
     """Nobody gives up an attempt whose planner is gone."""
 
-    def _look(self, now, actions):
-        out = {name: held for name, held in self.operations.items() if self.ledger.entries.get(name, None)}
-        kept = {n: h for n, h in out.items() if self.ledger.entries[n].attempt_in_flight() is not None}
-        for name in kept:
+    def _answer_overdue(self, now, actions):
+        entries = {name: self.ledger.entries.get(name) for name in self.operations}
+        running = {
+            name: self.operations[name]
+            for name, entry in entries.items()
+            if entry is not None and entry.attempt_in_flight() is not None
+        }
+        for name in running:
             del self.operations[name]
-        due = super()._look(now, actions)
-        self.operations.update(kept)
-        return due
+        next_check_ms = super()._answer_overdue(now, actions)
+        self.operations.update(running)
+        return next_check_ms
 
 
 class LendsWhatItLikes(EdgeDecisions):
--- a/cressrock/edge/attempt_history.py
+++ b/cressrock/edge/attempt_history.py
@@ -1,63 +1,82 @@
-"""What an edge has taken and tried again within the budget's window, whoever decided, for who decides next.
+"""What an edge accepted and retried within the retry budget's window, for the next decider.  Pure.
 
-Pure.  The budget of further attempts is a share of what was taken within a window.  Danger: two deciders one
-after another, each within it at its own times, are not within it together: the requests that allowed the
-former's attempts leave the window before these attempts do.  So whoever takes over is told of both.  Each
-line is told once to each decider, and never what it has counted itself.
+The retry budget is a share of what was accepted within a window.  Danger: two deciders one after another,
+each within it at its own times, are not within it together: the requests that allowed the former's retries
+leave the window before these retries do.  So whoever takes over is told of both.  Each line is reported once
+to each decider, and never what it has counted itself.
 """
 
 from __future__ import annotations
 
 from collections import OrderedDict, deque
+from collections.abc import Hashable
 from dataclasses import dataclass
 
-MOST = 8192  # of each kind that are told: they fit a frame of the link
-MARKS = 64  # deciders of which it is known what they were told
+MAX_REPORTED = 8192  # lines of each kind: they fit a frame of the link
+MAX_DECIDERS = 64  # of which it is remembered what was reported to them
 
 
 @dataclass(frozen=True, slots=True)
 class _Line:
     number: int
-    at: float
-    by: object
+    at_ms: float
+    decider: Hashable
 
 
-class Record:
-    """One edge's record.  `window_ms` is the budget's; a decider is named by any value that is its own."""
+@dataclass(frozen=True, slots=True)
+class Unreported:
+    """When others' retries were made and requests accepted, as far as a decider has not been told."""
+
+    retried_at_ms: tuple[float, ...]
+    accepted_at_ms: tuple[float, ...]
+
+
+class AttemptHistory:
+    """One edge's retries and requests.  A decider is named by any hashable value that is its own."""
 
     def __init__(self, window_ms: float) -> None:
-        """Start with nothing taken."""
+        """Start with no requests.  `window_ms` is the budget's; 0: there is no budget and nothing is kept."""
         self.window_ms = window_ms
-        self.count = 0
-        self.extra: deque[_Line] = deque()
-        self.taken: deque[_Line] = deque()
-        self._marks: OrderedDict[object, int] = OrderedDict()
+        self._newest_number = 0
+        self._retries: deque[_Line] = deque()
+        self._accepted: deque[_Line] = deque()
+        self._reported: OrderedDict[Hashable, int] = OrderedDict()  # newest line, by decider
 
-    def _enter(self, lines: deque[_Line], by: object, at: float) -> None:
+    def add_retry(self, decider: Hashable, now: float) -> None:
+        """Enter a retry that a decider ordered."""
+        self._add(self._retries, decider, now)
+
+    def add_accepted(self, decider: Hashable, now: float) -> None:
+        """Enter a request that a decider counts."""
+        self._add(self._accepted, decider, now)
+
+    def _add(self, lines: deque[_Line], decider: Hashable, now: float) -> None:
         if not self.window_ms:
             return
-        self.count += 1
-        lines.append(_Line(self.count, at, by))
-        while lines[0].at < at - self.window_ms - 1:
+        self._newest_number += 1
+        lines.append(_Line(self._newest_number, now, decider))
+        while lines[0].at_ms < now - self.window_ms - 1:
             lines.popleft()
 
-    def tried(self, by: object, now: float) -> None:
-        """Enter a further attempt that a decider ordered."""
-        self._enter(self.extra, by, now)
+    def drain_unreported(self, decider: Hashable, now: float) -> Unreported:
+        """Return what others did within the window since the last call for a decider."""
+        reported, oldest_ms = self._reported.pop(decider, 0), now - self.window_ms - 1
+        self._reported[decider] = self._newest_number
+        if len(self._reported) > MAX_DECIDERS:
+            self._reported.popitem(last=False)
+        return Unreported(
+            self._by_others(self._retries, decider, reported, oldest_ms),
+            self._by_others(self._accepted, decider, reported, oldest_ms),
+        )
 
-    def took(self, by: object, now: float) -> None:
-        """Enter a request that a decider counts."""
-        self._enter(self.taken, by, now)
-
-    def tell(self, to: object, now: float) -> tuple[list[float], list[float]]:
-        """Return when others' further attempts were made and requests taken, as far as `to` was not told."""
-        mark, since = self._marks.pop(to, 0), now - self.window_ms - 1
-        self._marks[to] = self.count
-        if len(self._marks) > MARKS:
-            self._marks.popitem(last=False)
-        # Beyond the bound the oldest go: safe for what allows attempts; of attempts they leave the soonest.
-        found = [
-            [line.at for line in lines if line.number > mark and line.by != to and line.at >= since][-MOST:]
-            for lines in (self.extra, self.taken)
+    @staticmethod
+    def _by_others(
+        lines: deque[_Line], decider: Hashable, reported: int, oldest_ms: float
+    ) -> tuple[float, ...]:
+        times = [
+            line.at_ms
+            for line in lines
+            if line.number > reported and line.decider != decider and line.at_ms >= oldest_ms
         ]
-        return found[0], found[1]
+        # Beyond the bound the oldest go: safe for what allows retries; of retries they leave the soonest.
+        return tuple(times[-MAX_REPORTED:])
--- a/cressrock/edge/decisions.py
+++ b/cressrock/edge/decisions.py
@@ -1,82 +1,74 @@
-"""The edge's side of the decisions: what happened goes up a link, grants come down, and without a planner the
-edge goes on as one careful host of many.  Pure; to the driver it stands where the decision module stands.
-
-Each held operation has one decider at a time: the planner of the present session, this edge's own decisions,
-or nobody.  It changes hands only while no attempt of it is out, and it says what was done before (`attempts`)
-and that it has been counted (`counted`).  What an edge's own decisions may do needs nobody's word:
-
-- limits: their units are this edge's own, which it lends to who decides (`edge/lending`);
-- cold nodes: by their settings these bear nothing from them;
-- the budget: no free attempts, and a share of those operations alone that came through this edge; who takes
-  over is told what was taken and tried again before (`edge/record`);
-- order: an operation waits while its key is in use, or rests, by another decider's attempt (`edge/turns`);
+"""The edge's side of the decisions: events go up the link, grants come down, and without a planner it goes on
+as one careful host of many.  Pure; to the driver it stands where the scheduler stands.
+
+Each pending operation has one decider at a time: the planner of the present session, this edge's local
+scheduler, or nobody.  It changes hands only while no attempt of it is in flight, and it says which attempts
+were made before and whether a retry budget has counted it.  What the local scheduler may do needs nobody's
+agreement:
+
+- limits: their units are this edge's own quota, which it leases to the decider (`edge/limit_leases`);
+- nodes that warm up: by its settings the local scheduler sends them nothing;
+- the retry budget: no free attempts, and a share of those operations alone that came through this edge; who
+  takes over is told what was accepted and retried before (`edge/attempt_history`);
+- order: an operation waits while its key is in use, or rests, by another decider's attempt (`edge/ordering`);
 - one answer, no effect twice, drains: the ledger, as ever.
 """
 
 from __future__ import annotations
 
-import math
 import random
-from collections import Counter, deque
-from collections.abc import Callable
-from dataclasses import dataclass, replace
-from enum import Enum
+from collections import Counter
+from dataclasses import replace
 
-import msgspec
-
-from cressrock import interface as i
 from cressrock.dispatch.driver import DecisionModule
-from cressrock.dispatch.ledger import Ledger
-from cressrock.dispatch.quota import EdgeQuota, lease_duration_ms
-from cressrock.edge.attempt_history import Record
-from cressrock.edge.disposition import DisconnectedPolicy, Fate, fate, next_look, retry_after
-from cressrock.edge.grants import Grants, Stale, Unused
+from cressrock.dispatch.ledger import Entry, Ledger
+from cressrock.dispatch.quota import EdgeQuota
+from cressrock.edge.attempt_history import AttemptHistory
+from cressrock.edge.attempts import AttemptTracker
+from cressrock.edge.disposition import (
+    DisconnectedPolicy,
+    Disposition,
+    disposition_of,
+    next_check_ms,
+    retry_after_ms,
+)
+from cressrock.edge.grants import GrantFence
+from cressrock.edge.limit_leases import LimitLeases
+from cressrock.edge.local_orders import EDGE_TIMER, LocalOrders
+from cressrock.edge.operations import Decider, OperationTable, PendingOperation
 from cressrock.edge.ordering import KeyOrdering
-from cressrock.link import messages as m
+from cressrock.edge.outbox import Outbox
+from cressrock.edge.planner_orders import PlannerOrders
+from cressrock.edge.planner_session import PlannerSession
+from cressrock.interface import (
+    Action,
+    Arrival,
+    AttemptEnded,
+    ClientLeft,
+    Event,
+    Fail,
+    LimitLease,
+    NodeList,
+    Reject,
+    RetryBudgetUsage,
+    SetTimer,
+    TimerFired,
+)
+from cressrock.link import messages
 
-RING = 1  # the token of this edge's one timer; those of its own decisions come above it
 FOREVER = float("inf")
 
 
-class Decider(Enum):
-    """Who decides about a held operation."""
-
-    NOBODY = "nobody"
-    PLANNER = "planner"
-    LOCAL = "own"
-
-
-@dataclass(slots=True)
-class _Held:
-    arrival: i.Arrival
-    taken_at: float
-    deadline: float
-    decider: Decider = Decider.NOBODY
-    counted: bool = False  # in somebody's budget, or its moment to be counted has passed
-    shift: int = 0  # attempts that its decider has numbered and this edge never made
-
-
-@dataclass(frozen=True, slots=True)
-class _Sent:
-    """Who ordered an attempt, and how far that decider's numbers of attempts are ahead of the ledger's."""
-
-    decider: Decider
-    shift: int
-    volume: str
-    plan: int
-    units: float
-
-
 class EdgeDecisions:
-    """Held operations, the present session, and what is to go up.
+    """Pending operations, the present session with a planner, and who decides about what.
 
-    `outbox` holds events in order; the carrier sends them as far as the planner gave credit.
+    `outbox` holds events for the planner; the connection sends them as far as the planner gave credit.
     """
 
     def __init__(
         self,
         ledger: Ledger,
-        away: DisconnectedPolicy,
+        policy: DisconnectedPolicy,
         source: random.Random,
         *,
         ordering: KeyOrdering | None = None,
@@ -87,479 +79,281 @@
         uncounted_after_ms: float = 0.0,
         budget_window_ms: float = 0.0,
     ) -> None:
-        """Start without a planner.  `tick_ms`: so often at least the planner hears this edge's clock.
+        """Start without a planner.  `tick_ms`: so often at least a planner is sent this edge's clock.
 
-        `late_ms`: what is decided about later than so after it was taken no budget counts; `budget_ms` is the
-        budget's window.
+        An operation that is handed over later than `uncounted_after_ms` after it was accepted is counted in
+        no retry budget; `budget_window_ms` is that budget's window.
         """
-        self.tick_ms = tick_ms
-        self.late_ms = uncounted_after_ms
-        self.last_up = 0.0
+        self.uncounted_after_ms = uncounted_after_ms
         self.ledger = ledger
-        self.grants = Grants(ledger)
-        self.away = away
+        self.policy = policy
         self.random = source
         self.ordering = ordering
-        self.local = local  # told as little as said above
+        self.local = local
         self.quota = quota
-        self.record = Record(budget_window_ms)
-        self.stamp, self.stamp_at = 0, 0.0  # the planner's newest, and when it came
-        self.max_outbox = max_outbox
-        self.operations: dict[str, _Held] = {}
-        self.outbox: deque[m.Event] = deque()
-        self.sequence = 0
-        self.away_since: float | None = 0.0
-        self.fates: Counter[Fate] = Counter()
-        self._orders: deque[tuple[str, m.Order]] = deque()
-        self._own_events: list[i.Event] = []
-        self._adrift: dict[str, None] = {}  # held by nobody who decides: looked at in each turn, in order
-        self._out: dict[str, _Sent] = {}  # who ordered the attempt that is out
-        self._told_barred: set[str] = set()
-        self.when_outbox: Callable[[], None] = lambda: None
-        # Versions of the rules: what a class's and a plan's number stand for, and which the planner holds.
+        self.table = OperationTable(ledger)
+        self.grants = GrantFence(ledger)
+        self.outbox = Outbox(max_outbox, uncounted_after_ms)
+        history = AttemptHistory(budget_window_ms)
+        self.session = PlannerSession(self.grants, self.outbox, history, tick_ms=tick_ms)
+        self.disconnected_since_ms: float | None = 0.0
+        self.dispositions: Counter[Disposition] = Counter()
+        self._attempts = AttemptTracker(self.table, self.session, ordering, quota)
+        self._leases = LimitLeases(quota, self.table) if quota is not None else None
+        self._planner_orders = PlannerOrders(self.table, self.session, self._attempts)
+        self._local_orders = LocalOrders(local, self.table, self._attempts)
+        # Rule versions: what the numbers of classes and plans stand for.
         self.knows_versions = False
-        self.plans_per_version = 0  # of one version; 0: there is one
-        self.version_of: Callable[[i.Arrival], tuple[str, int, int]] = lambda a: ("", a.request_class, a.plan)
-        self.theirs: frozenset[str] | None = frozenset()  # None: not told yet
+        self.plans_per_version = 0  # 0: there is one version
+        self.version_of = settings_version
         self.version_fallbacks = 0  # operations that came to a planner without their version
 
+    @property
+    def operations(self) -> dict[str, PendingOperation]:
+        """The operations without a final answer, by name."""
+        return self.table.operations
+
     # --- the link's side
 
     def planner_joined(self, planner: str, epoch: int, now: float, *, versioned: bool = False) -> bool:
-        """Enter a planner's epoch: what can lawfully be decided by it is offered.  False: it is too old.
+        """Enter a planner's epoch and offer it what it can lawfully decide about.  False: it is too old.
 
-        `versioned`: it will tell which versions of the rules it holds.
+        `versioned`: the planner will announce which rule versions it holds.
         """
-        if not self.grants.joined(planner, epoch):
+        if not self.session.enter(planner, epoch, now, versioned=versioned):
             return False
-        self.away_since, self.stamp, self.stamp_at = None, 0, now
-        self.theirs = None if versioned else frozenset()
-        self._change()
-        self._tell_planner(now)
-        for name in list(self._adrift):
-            self._route(name, now)
+        self.disconnected_since_ms = None
+        self._revoke_operations()
+        self.session.report_history(now)
+        for name in list(self.table.undecided):
+            self._hand_over(name, now)
         return True
 
     def planner_lost(self, now: float) -> None:
-        """Enter that the planner is away: no grant is valid from here on, and nothing goes up."""
-        if self.away_since is None:
-            self.away_since = now
-        self.grants.away()
-        self.theirs = frozenset()
-        self._change()
-        extra, taken = self.record.tell(Decider.LOCAL, now)
-        if extra or taken:
-            self._own_events.append(i.RetryBudgetUsage(tuple(extra), tuple(taken)))
-
-    def _change(self) -> None:
-        """Take back what the former decider had, the most urgent first."""
-        self.outbox.clear()
-        self._orders.clear()
-        self._told_barred.clear()
-        for name, sent in list(self._out.items()):
-            if sent.decider is Decider.PLANNER:
-                self._out[name] = replace(sent, decider=Decider.NOBODY)
-        for name, held in sorted(self.operations.items(), key=lambda item: (item[1].deadline, item[0])):
-            if held.decider is Decider.PLANNER:
-                held.decider = Decider.NOBODY
-            elif held.decider is Decider.LOCAL:
-                self._take_back(name, held)
-            if held.decider is Decider.NOBODY:
-                self._adrift[name] = None
-
-    def _take_back(self, name: str, held: _Held) -> None:
-        """Take an operation from the own decisions, if another decider may go on with it.
-
-        What may have run and is not simply repeatable stays: its window and its rack are known here alone.
-        Danger: two deciders would each keep order on a key apart; what has to run in order never stays.
-        """
-        entry = self.ledger.entries.get(name)
-        if entry is None or entry.verdict is not None or entry.attempt_in_flight() is not None:
-            return
-        if (
-            entry.first_run() is None
-            or entry.request_class.idempotency is i.Idempotency.ALWAYS
-            or entry.request_class.ordered
-        ):
-            self._own_events.append(i.ClientLeft(name))
-            held.decider = Decider.NOBODY
+        """Enter that there is no planner: from here on no grant is valid and nothing is sent."""
+        if self.disconnected_since_ms is None:
+            self.disconnected_since_ms = now
+        self.session.leave()
+        self._revoke_operations()
+        unreported = self.session.history.drain_unreported(Decider.LOCAL, now)
+        if unreported.retried_at_ms or unreported.accepted_at_ms:
+            usage = RetryBudgetUsage(unreported.retried_at_ms, unreported.accepted_at_ms)
+            self._local_orders.add_event(usage)
+
+    def _revoke_operations(self) -> None:
+        for name in self.table.revoke_all():
+            self._local_orders.add_event(ClientLeft(name))
 
     def decides(self, version: str) -> bool:
-        """Whether a request that came now would be decided by this version of the rules."""
-        if self.grants.planner is None:
+        """Return whether a request that came now would be decided by this rule version."""
+        if not self.session.is_open:
             return self.local is not None
-        return self.theirs is not None and version in self.theirs
+        return self.session.versions is not None and version in self.session.versions
 
-    def receive_order(self, planner: str, order: m.Order) -> None:
-        """Take an order in; it is carried out at the next turn, if it is still valid then."""
-        self._orders.append((planner, order))
+    def receive_order(self, planner: str, order: messages.PlannerOrder) -> None:
+        """Keep an order until the next batch; it is carried out if it is still valid then."""
+        self.session.receive_order(planner, order)
 
     def tick(self, now: float) -> None:
-        """Tell the planner this edge's clock, by which its grants are valid, while something is held."""
+        """Send the planner this edge's clock, by which its grants are valid, while something is pending."""
         if self.next_tick() > now:
             return
-        self._lend_planner(now)
+        self._lease_to_planner(now)
         if not self.outbox:
-            self._up(m.Tick(0, now), now)
+            self.session.report(messages.EdgeClock(0, now), now)
 
     def next_tick(self) -> float:
-        """Return when `tick` has something to tell; infinity with nothing held or no planner."""
-        if self.grants.planner is None or not self.operations:
-            return FOREVER
-        return self.last_up + self.tick_ms
+        """Return when `tick` has something to send; infinity with nothing pending or no planner."""
+        return self.session.next_tick_ms() if self.table.operations else FOREVER
 
     # --- the driver's side
 
-    def act(self, now_ms: float, events: list[i.Event]) -> list[i.Action]:
-        """Take in a batch and return what is to be done, as the decision module does."""
+    def act(self, now_ms: float, events: list[Event]) -> list[Action]:
+        """Take in a batch of events and return what is to be done, as the scheduler does."""
         for event in events:
             match event:
-                case i.NodeList():
-                    self._own_events.append(event)
-                case i.TimerFired(token):
-                    if token > RING:
-                        self._own_events.append(i.TimerFired(token - RING - 1))
-                case i.Arrival():
-                    self.operations[event.request] = _Held(event, now_ms, now_ms + event.remaining_ms)
-                    self._adrift[event.request] = None
-                case i.AttemptEnded():
-                    self._ended(event, now_ms)
-                case i.ClientLeft(request):
-                    self._left(request, now_ms)
-        actions: list[i.Action] = []
-        while self._orders:
-            self._carry(*self._orders.popleft(), now_ms, actions)
-        again = self._settle(now_ms, actions)
-        due = min(again, self._look(now_ms, actions))
-        if due < FOREVER:
-            actions.append(i.SetTimer(due, RING))
+                case NodeList():
+                    self._local_orders.add_event(event)
+                case TimerFired(token):
+                    self._local_orders.add_timer(token)
+                case Arrival():
+                    self.table.accept(event, now_ms)
+                case AttemptEnded():
+                    self._attempt_ended(event, now_ms)
+                case ClientLeft(request):
+                    self._client_left(request, now_ms)
+        actions: list[Action] = []
+        while (order := self.session.next_order(now_ms)) is not None:
+            if isinstance(order, messages.ClockStamp):
+                self._lease_to_planner(now_ms)
+            elif (action := self._planner_orders.execute(order, now_ms)) is not None:
+                actions.append(action)
+        wake_at_ms = FOREVER
+        for name in list(self.table.undecided):
+            wake_at_ms = min(wake_at_ms, self._hand_over(name, now_ms))
+        if not self.session.is_open:
+            self._lease_to_local(now_ms)
+        self._local_orders.execute(now_ms, actions)
+        wake_at_ms = min(wake_at_ms, self._answer_overdue(now_ms, actions))
+        if wake_at_ms < FOREVER:
+            actions.append(SetTimer(wake_at_ms, EDGE_TIMER))
         return actions
 
-    def _settle(self, now: float, actions: list[i.Action]) -> float:
-        """Give what nobody decides about to somebody, and let the own decisions have their turn.
-
-        Returns when to look again at what has to wait for its key.
-        """
-        again = FOREVER
-        for name in list(self._adrift):
-            again = min(again, self._route(name, now))
-        if self.grants.planner is None:
-            for volume, plan, wanted in self._wanted(Decider.LOCAL):
-                self._lend_own(volume, plan, wanted, now)
-        if self.local is not None and self._own_events:
-            events, self._own_events = self._own_events, []
-            for action in self.local.act(now, events):
-                self._own_order(action, now, actions)
-        elif self.local is None:
-            self._own_events.clear()
-        return again
-
-    def _route(self, name: str, now: float) -> float:
-        """Hand an operation to the planner, else to the own decisions; returns when to try again."""
-        held, entry = self.operations.get(name), self.ledger.entries.get(name)
-        if held is None or entry is None or entry.verdict is not None:
-            self._adrift.pop(name, None)
+    def _attempt_ended(self, event: AttemptEnded, now: float) -> None:
+        """Report an attempt's outcome to who ordered it; what is then without a decider gets one."""
+        name, pending = event.request, self.table.operations.get(event.request)
+        attempt = self._attempts.finish(event, now)
+        if attempt is not None:
+            number = event.attempt + attempt.number_offset
+            if attempt.decider is Decider.LOCAL:
+                self._local_orders.add_event(replace(event, attempt=number))
+                if pending is not None and not event.settled and self.session.is_open:
+                    if self.table.revoke_local(name, pending):
+                        self._local_orders.add_event(ClientLeft(name))
+            elif attempt.decider is Decider.PLANNER and self.session.is_open:
+                self.session.report(
+                    messages.AttemptEnded(
+                        0,
+                        now,
+                        name,
+                        number,
+                        event.outcome.value,
+                        event.settled,
+                        event.latency_ms,
+                        event.reported_usage,
+                        event.units_elsewhere,
+                    ),
+                    now,
+                )
+        if event.settled:
+            self.table.remove(name)
+        elif pending is not None and pending.decider is Decider.NOBODY:
+            # It ran on from before a change of decider: now it can be handed over.
+            self.table.undecided[name] = None
+
+    def _client_left(self, name: str, now: float) -> None:
+        pending = self.table.remove(name)
+        if pending is not None and pending.decider is Decider.LOCAL:
+            self._local_orders.add_event(ClientLeft(name))
+        elif pending is not None and pending.decider is Decider.PLANNER:
+            self.session.report(messages.ClientLeft(0, now, name), now)
+
+    # --- handing over
+
+    def _hand_over(self, name: str, now: float) -> float:
+        """Give an operation to the planner, else to the local scheduler; return when to try again."""
+        pending, entry = self.table.operations.get(name), self.ledger.entries.get(name)
+        if pending is None or entry is None or entry.verdict is not None:
+            self.table.undecided.pop(name, None)
             return FOREVER
-        if fate(entry, now, joined=True, away=self.away) is not Fate.OFFER:
-            return FOREVER  # an attempt runs on, or `_look` answers it
-        # Danger: counted only now, it would allow further attempts for longer than its own window lasts.
-        held.counted = held.counted or now > held.taken_at + self.late_ms
-        free = self._free_at(held, now)
-        if free > now:
-            return free
-        if self.grants.planner is not None:
-            version = self.version_of(held.arrival)[0]
-            if version and self.theirs is None:
-                return FOREVER  # the planner's first word, on its way, says whether it holds that version
-            self._offer(name, held, len(entry.attempts), now)
+        if disposition_of(entry, now, joined=True, policy=self.policy) is not Disposition.OFFER:
+            return FOREVER  # an attempt is in flight, or `_answer_overdue` answers it
+        # Danger: counted only now, it would allow retries for longer than the budget's window lasts.
+        pending.counted_in_budget = (
+            pending.counted_in_budget or now > pending.accepted_at_ms + self.uncounted_after_ms
+        )
+        free_at_ms = self._attempts.free_at_ms(pending, now)
+        if free_at_ms > now:
+            return free_at_ms
+        if self.session.is_open:
+            if self.session.versions is None and self.version_of(pending.arrival)[0]:
+                return FOREVER  # the planner's announcement, on its way, says whether it holds that version
+            self._offer(name, pending, len(entry.attempts), now)
         elif self.local is not None:
-            held.decider, held.shift = Decider.LOCAL, 0
-            waited = held.arrival.waited_ms
-            passed = now - held.taken_at
-            self._own_events.append(
-                replace(
-                    held.arrival,
-                    remaining_ms=max(0.0, held.deadline - now),
-                    waited_ms=waited if waited < 0 else waited + passed,
-                    earlier_attempts=len(entry.attempts),
-                    counted_in_budget=held.counted,
-                )
-            )
+            self._local_orders.take_over(pending, entry, now)
         else:
             return FOREVER
-        if not held.counted:
-            self.record.took(self._by(held.decider), held.taken_at)
-        held.counted = True
-        del self._adrift[name]
+        if not pending.counted_in_budget:
+            decider = self.session.decider if pending.decider is Decider.PLANNER else pending.decider
+            self.session.history.add_accepted(decider, pending.accepted_at_ms)
+        pending.counted_in_budget = True
+        del self.table.undecided[name]
         return FOREVER
 
-    def _tell_planner(self, now: float) -> None:
-        """Tell the planner what others decided about that counts in its budget."""
-        extra, taken = self.record.tell(self._by(Decider.PLANNER), now)
-        if extra or taken:
-            # Rounded to the safe side: attempts were made later, requests came earlier.
-            ages = [int(now - at) for at in extra], [math.ceil(now - at) for at in taken]
-            self._up(m.Counted(0, now, *ages), now)
-
-    def _by(self, decider: Decider) -> object:
-        """Name a decider for the record."""
-        return (self.grants.planner, self.grants.epoch) if decider is Decider.PLANNER else decider
-
-    def _wanted(self, decider: Decider) -> list[tuple[str, int, float]]:
-        """Return volumes with a limit, their plan, and the units that wait with a decider."""
-        if self.quota is None:
-            return []
-        found: dict[str, tuple[int, float]] = {}
-        for name, held in self.operations.items():
-            a = held.arrival
-            if held.decider is decider and name not in self._out and self.quota.is_limited(a.plan):
-                found[a.volume] = (a.plan, found.get(a.volume, (0, 0.0))[1] + a.units)
-        return [(volume, plan, units) for volume, (plan, units) in found.items()]
-
-    def _waiting_units(self, volume: str) -> float:
-        """Return the units of a volume that wait with the planner."""
-        return sum(
-            held.arrival.units
-            for name, held in self.operations.items()
-            if held.arrival.volume == volume and held.decider is Decider.PLANNER and name not in self._out
-        )
-
-    def _lend_planner(self, now: float) -> None:
-        for volume, plan, wanted in self._wanted(Decider.PLANNER):
-            if units := self._loan(volume, plan, wanted, now):
-                # A plan's limit is the same in all versions; to the planner it goes by the settings' number.
-                self._up(
-                    m.LimitLease(
-                        0, now, volume, plan % (self.plans_per_version or plan + 1), units, self.stamp
-                    ),
-                    now,
-                )
-
-    def _loan(self, volume: str, plan: int, wanted: float, now: float) -> float:
-        """Return units for the planner; none by an old stamp, by which they would hardly count there."""
-        if self.quota is None:
-            return 0.0
-        if now > self.stamp_at + lease_duration_ms(self.quota.plans[plan], self.quota.lend_ms) / 4:
-            return 0.0
-        return self.quota.lease(volume, plan, wanted, now)
-
-    def _lend_own(self, volume: str, plan: int, wanted: float, now: float) -> None:
-        if self.quota is not None and (units := self.quota.lease(volume, plan, wanted, now)):
-            until = now + lease_duration_ms(self.quota.plans[plan], self.quota.lend_ms)
-            self._own_events.append(i.LimitLease(volume, units, until))
-
-    def _free_at(self, held: _Held, now: float) -> float:
-        return now if self.ordering is None else self.ordering.free_at(held.arrival, now)
-
-    def _offer(self, name: str, held: _Held, attempts: int, now: float) -> None:
-        held.decider, held.shift = Decider.PLANNER, 0
-        a = held.arrival
-        lent = 0.0
-        if self.quota is not None and self.quota.is_limited(a.plan):
-            lent = self._loan(a.volume, a.plan, self._waiting_units(a.volume), now)
-        version, cls, plan = self.version_of(a)
-        if version and version not in (self.theirs or ()):
-            version = ""  # its planner changed to one that lacks it: by the settings' own, its time as given
+    def _offer(self, name: str, pending: PendingOperation, attempts: int, now: float) -> None:
+        """Offer an operation to the planner, with units of its volume's limit."""
+        self.table.assign(pending, Decider.PLANNER)
+        arrival = pending.arrival
+        leased_units = 0.0
+        if self._leases is not None and self._leases.quota.is_limited(arrival.plan):
+            demand = self._leases.demand_at_planner(arrival.volume, arrival.plan)
+            leased_units = self._leases.lease_by_stamp(demand, self.session.stamped_at_ms, now)
+        version, request_class, plan = self.version_of(arrival)
+        if version and version not in (self.session.versions or ()):
+            # Its planner changed to one that lacks the version: it goes by the settings' own, its time as
+            # given.
+            version = ""
             self.version_fallbacks += 1
-        request = m.Request(
+        request = messages.Request(
             0,
             now,
             name,
-            a.volume,
-            a.key[:512],
-            a.units,
-            max(0.0, held.deadline - self.away.answer_margin_ms),
+            arrival.volume,
+            arrival.key[:512],
+            arrival.units,
+            max(0.0, pending.deadline_ms - self.policy.answer_margin_ms),
             plan,
-            cls,
-            a.shard,
-            a.sharing_hosts,
-            a.waited_ms if a.waited_ms < 0 else a.waited_ms + now - held.taken_at,
+            request_class,
+            arrival.shard,
+            arrival.sharing_hosts,
+            arrival.waited_ms if arrival.waited_ms < 0 else arrival.waited_ms + now - pending.accepted_at_ms,
             attempts,
-            held.counted,
-            lent,
-            self.stamp,
+            pending.counted_in_budget,
+            leased_units,
+            self.session.stamp,
             version,
         )
-        self._up(request, now)
-
-    def _left(self, name: str, now: float) -> None:
-        held = self.operations.pop(name, None)
-        self._adrift.pop(name, None)
-        if held is not None and held.decider is Decider.LOCAL:
-            self._own_events.append(i.ClientLeft(name))
-        elif held is not None and held.decider is Decider.PLANNER:
-            self._up(m.Left(0, now, name), now)
-
-    def _ended(self, event: i.AttemptEnded, now: float) -> None:
-        """Tell an attempt's outcome to who ordered it; what is then without a decider gets one."""
-        name, held = event.request, self.operations.get(event.request)
-        if self.ordering is not None:
-            self.ordering.ended(name, event.outcome, now)
-        sent = self._out.pop(name, None)
-        if sent is not None and self.quota is not None and self.quota.is_limited(sent.plan):
-            self.quota.record_outcome(sent.volume, sent.plan, sent.units, now)
-        if sent is not None and sent.decider is Decider.LOCAL:
-            self._own_events.append(replace(event, attempt=event.attempt + sent.shift))
-            if held is not None and not event.settled and self.grants.planner is not None:
-                self._take_back(name, held)
-        elif sent is not None and sent.decider is Decider.PLANNER and self.grants.planner is not None:
-            ended = m.AttemptEnded(
-                0,
-                now,
-                name,
-                event.attempt + sent.shift,
-                event.outcome.value,
-                event.settled,
-                event.latency_ms,
-                event.reported_usage,
-                event.units_elsewhere,
-            )
-            self._up(ended, now)
-        if event.settled:
-            self.operations.pop(name, None)
-            self._adrift.pop(name, None)
-        elif held is not None and held.decider is Decider.NOBODY:
-            # It ran on from before a change: now its fate can be decided.
-            self._adrift[name] = None
-
-    def next_up(self, now: float) -> m.Event:
-        """Take the next event out to be sent; one that waited for credit is counted by nobody any more."""
-        event = self.outbox.popleft()
-        if isinstance(event, m.Request) and now > event.at_ms + self.late_ms:
-            return msgspec.structs.replace(event, counted_in_budget=True)
-        return event
-
-    def _up(self, event: m.Event, now: float) -> None:
-        if len(self.outbox) >= self.max_outbox:
-            return  # the planner reads nothing; the link's silence or this edge's deadlines end it
-        self.sequence += 1
-        self.last_up = now
-        self.outbox.append(msgspec.structs.replace(event, sequence=self.sequence, at_ms=now))
-        self.when_outbox()
-
-    # --- orders
-
-    def _carry(self, planner: str, order: m.Order, now: float, actions: list[i.Action]) -> None:
-        if isinstance(order, m.ClockStamp):
-            if planner == self.grants.planner:
-                self.stamp, self.stamp_at = order.number, now
-                self._lend_planner(now)
-            return
-        if isinstance(order, m.RuleVersions):
-            if planner == self.grants.planner:
-                self.theirs = frozenset(order.versions)
+        self.session.report(request, now)
+
+    def _lease_to_planner(self, now: float) -> None:
+        if self._leases is None:
             return
-        if planner != self.grants.planner or order.epoch != self.grants.epoch:
-            if isinstance(order, m.Grant):
-                self.grants.check(planner, order, now)  # counts it
+        for demand in self._leases.demands(Decider.PLANNER):
+            if units := self._leases.lease_by_stamp(demand, self.session.stamped_at_ms, now):
+                # A plan's limit is the same in all versions; to the planner it goes by the settings' number.
+                plan = demand.plan % (self.plans_per_version or demand.plan + 1)
+                lease = messages.LimitLease(0, now, demand.volume, plan, units, self.session.stamp)
+                self.session.report(lease, now)
+
+    def _lease_to_local(self, now: float) -> None:
+        if self._leases is None:
             return
-        held = self.operations.get(order.operation)
-        match order:
-            case m.Grant(_, _, operation, _, node, _, within_ms):
-                unused = self._check(planner, order, held, now)
-                if unused is None and held is not None:
-                    self._send(held, i.Send(operation, node, within_ms), now, actions)
-                    return
-                # The planner counts this attempt as out: it must hear that it never ran.
-                self._up(
-                    m.AttemptEnded(0, now, operation, order.attempt, i.Outcome.ABANDONED.value, False, 0.0),
-                    now,
-                )
-                entry = self.ledger.entries.get(operation)
-                if held is not None and entry is not None:
-                    held.shift = order.attempt + 1 - len(entry.attempts)
-                drains = isinstance(unused, Unused) and unused.reason is Stale.DRAINS
-                if drains and node not in self._told_barred:
-                    self._told_barred.add(node)
-                    self._up(m.Barred(0, now, node), now)
-            case m.Answer(_, operation, refused, stay_away_ms):
-                if held is not None and held.decider is Decider.PLANNER:
-                    del self.operations[operation]
-                    actions.append(i.Reject(operation, stay_away_ms) if refused else i.Fail(operation))
-            case m.CallOff(_, operation, attempt):
-                sent = self._out.get(operation)
-                if sent is not None and sent.decider is Decider.PLANNER:
-                    actions.append(i.Cancel(operation, attempt - sent.shift))
-
-    def _check(self, planner: str, grant: m.Grant, held: _Held | None, now: float) -> Unused | None:
-        """Say why a grant is not valid here, by all that this edge itself knows."""
-        unused = self.grants.check(planner, grant, now, shift=held.shift if held is not None else 0)
-        if unused is not None:
-            return unused
-        if held is None or held.decider is not Decider.PLANNER:
-            return self.grants.down(Stale.DECIDER, grant)
-        if self._free_at(held, now) > now:
-            return self.grants.down(Stale.TURN, grant)
-        return None
-
-    def _own_order(self, action: i.Action, now: float, actions: list[i.Action]) -> None:
-        held = self.operations.get(getattr(action, "request", ""))
-        mine = held is not None and held.decider is Decider.LOCAL
-        match action:
-            case i.Send(request):
-                entry = self.ledger.entries.get(request)
-                if held is not None and mine and entry is not None and self._free_at(held, now) <= now:
-                    self._send(held, action, now, actions)
-                elif entry is not None:
-                    number = len(entry.attempts) + (held.shift if held is not None else 0)
-                    moot = i.AttemptEnded(request, number, i.Outcome.ABANDONED, False, 0.0, charged=False)
-                    self._own_events.append(moot)
-                    if held is not None:
-                        held.shift += 1
-            case i.Reject(request) | i.Fail(request):
-                if mine:
-                    del self.operations[request]
-                    actions.append(action)
-            case i.Cancel(request, attempt):
-                sent = self._out.get(request)
-                if sent is not None and sent.decider is Decider.LOCAL:
-                    actions.append(i.Cancel(request, attempt - sent.shift))
-            case i.SetTimer(at_ms, token):
-                actions.append(i.SetTimer(at_ms, token + RING + 1))
-            case _:
-                actions.append(action)
+        for demand in self._leases.demands(Decider.LOCAL):
+            if units := self._leases.lease(demand, now):
+                expires_at_ms = now + self._leases.duration_ms(demand.plan)
+                self._local_orders.add_event(LimitLease(demand.volume, units, expires_at_ms))
+
+    # --- deadlines
 
-    def _send(self, held: _Held, action: i.Send, now: float, actions: list[i.Action]) -> None:
-        a = held.arrival
-        self._out[action.request] = _Sent(held.decider, held.shift, a.volume, a.plan, a.units)
-        entry = self.ledger.entries.get(action.request)
-        if entry is not None and entry.attempts:
-            self.record.tried(self._by(held.decider), now)
-            if held.decider is Decider.LOCAL and self.grants.planner is not None:
-                self._tell_planner(now)
-        if self.quota is not None and self.quota.is_limited(a.plan):
-            self.quota.record_sent(a.volume, a.plan, a.units, now)
-        if self.ordering is not None:
-            self.ordering.sent(held.arrival)
-        actions.append(action)
-
-    # --- what nobody decides about in time
-
-    def _look(self, now: float, actions: list[i.Action]) -> float:
-        """Answer what nobody decides about in time; returns when to look again."""
-        waiting = []
-        for name in list(self.operations):
+    def _answer_overdue(self, now: float, actions: list[Action]) -> float:
+        """Answer what nobody decides about in time; return when to check again."""
+        waiting: list[Entry] = []
+        for name in list(self.table.operations):
             entry = self.ledger.entries.get(name)
             if entry is None or entry.verdict is not None:
-                del self.operations[name]
+                del self.table.operations[name]
                 continue
-            held = self.operations[name]
-            if held.decider is Decider.LOCAL:
+            pending = self.table.operations[name]
+            if pending.decider is Decider.LOCAL:
                 continue  # its own answer comes, and the ledger stands behind it
-            found = fate(entry, now, joined=self.grants.planner is not None, away=self.away)
-            if found is Fate.REFUSE:
-                since = self.away_since if self.away_since is not None else now
-                actions.append(i.Reject(name, retry_after(since, now, self.away, self.random)))
-            elif found is Fate.FAIL and (
-                held.decider is Decider.NOBODY or entry.attempt_in_flight() is not None
+            disposition = disposition_of(entry, now, joined=self.session.is_open, policy=self.policy)
+            if disposition is Disposition.REJECT:
+                since_ms = self.disconnected_since_ms if self.disconnected_since_ms is not None else now
+                actions.append(Reject(name, retry_after_ms(since_ms, now, self.policy, self.random)))
+            elif disposition is Disposition.FAIL and (
+                pending.decider is Decider.NOBODY or entry.attempt_in_flight() is not None
             ):
-                actions.append(i.Fail(name))
+                actions.append(Fail(name))
             else:
                 waiting.append(entry)
                 continue
-            self.fates[found] += 1
-            del self.operations[name]
-            self._adrift.pop(name, None)
-            if held.decider is Decider.PLANNER and self.grants.planner is not None:
-                self._up(m.Left(0, now, name), now)
-        return next_look(waiting, now, self.away)
+            self.dispositions[disposition] += 1
+            self.table.remove(name)
+            if pending.decider is Decider.PLANNER and self.session.is_open:
+                self.session.report(messages.ClientLeft(0, now, name), now)
+        return next_check_ms(waiting, now, self.policy)
+
+
+def settings_version(arrival: Arrival) -> tuple[str, int, int]:
+    """Number classes and plans by the settings' own rules."""
+    return "", arrival.request_class, arrival.plan
--- /dev/null
+++ b/cressrock/edge/local_orders.py
@@ -0,0 +1,111 @@
+"""The edge's own scheduler, which decides while there is no planner: events for it, and its orders.  Pure."""
+
+from __future__ import annotations
+
+from dataclasses import replace
+
+from cressrock.dispatch.driver import DecisionModule
+from cressrock.dispatch.ledger import Entry
+from cressrock.edge.attempts import AttemptTracker
+from cressrock.edge.operations import Decider, OperationTable, PendingOperation
+from cressrock.interface import (
+    Action,
+    AttemptEnded,
+    Cancel,
+    Event,
+    Fail,
+    Outcome,
+    Reject,
+    Send,
+    SetTimer,
+    TimerFired,
+)
+
+EDGE_TIMER = 1  # the token of the edge's one timer; the local scheduler's tokens are put above it
+
+
+class LocalOrders:
+    """Feeds the local scheduler and turns its orders into actions of the driver.
+
+    Without a scheduler nothing is decided here: what waits, waits for a planner.
+    """
+
+    def __init__(
+        self, scheduler: DecisionModule | None, table: OperationTable, attempts: AttemptTracker
+    ) -> None:
+        """Check orders against what `table` holds."""
+        self._scheduler = scheduler
+        self._custody = table
+        self._attempts = attempts
+        self._events: list[Event] = []
+
+    def add_event(self, event: Event) -> None:
+        """Keep an event for the scheduler's next turn."""
+        self._events.append(event)
+
+    def add_timer(self, token: int) -> None:
+        """Pass on a timer that fired, if the scheduler set it."""
+        if token > EDGE_TIMER:
+            self._events.append(TimerFired(token - EDGE_TIMER - 1))
+
+    def take_over(self, pending: PendingOperation, entry: Entry, now: float) -> None:
+        """Make the scheduler the decider of an operation, with the time that is truly left."""
+        self._custody.assign(pending, Decider.LOCAL)
+        arrival = pending.arrival
+        waited_ms = arrival.waited_ms
+        self._events.append(
+            replace(
+                arrival,
+                remaining_ms=max(0.0, pending.deadline_ms - now),
+                waited_ms=waited_ms if waited_ms < 0 else waited_ms + (now - pending.accepted_at_ms),
+                earlier_attempts=len(entry.attempts),
+                counted_in_budget=pending.counted_in_budget,
+            )
+        )
+
+    def execute(self, now: float, actions: list[Action]) -> None:
+        """Let the scheduler decide on what came, and append what its orders stand for."""
+        events, self._events = self._events, []
+        if self._scheduler is not None and events:
+            for order in self._scheduler.act(now, events):
+                if (action := self._action_for(order, now)) is not None:
+                    actions.append(action)
+
+    def _action_for(self, order: Action, now: float) -> Action | None:
+        match order:
+            case Send(request):
+                return self._send(request, order, now)
+            case Reject(request) | Fail(request):
+                pending = self._custody.operations.get(request)
+                if pending is None or pending.decider is not Decider.LOCAL:
+                    return None
+                del self._custody.operations[request]
+                return order
+            case Cancel(request, number):
+                attempt = self._custody.ordered.get(request)
+                if attempt is None or attempt.decider is not Decider.LOCAL:
+                    return None
+                return Cancel(request, number - attempt.number_offset)
+            case SetTimer(at_ms, token):
+                return SetTimer(at_ms, token + EDGE_TIMER + 1)
+        return order
+
+    def _send(self, request: str, order: Send, now: float) -> Send | None:
+        entry = self._custody.ledger.entries.get(request)
+        if entry is None:
+            return None
+        pending = self._custody.operations.get(request)
+        if (
+            pending is not None
+            and pending.decider is Decider.LOCAL
+            and self._attempts.free_at_ms(pending, now) <= now
+        ):
+            self._attempts.start(pending, now)
+            return order
+        # The scheduler counts this attempt as in flight: it must hear that it never ran.
+        number = len(entry.attempts) + (pending.number_offset if pending is not None else 0)
+        abandoned = AttemptEnded(request, number, Outcome.ABANDONED, False, 0.0, charged=False)
+        self._events.append(abandoned)
+        if pending is not None:
+            pending.number_offset += 1
+        return None
--- a/cressrock/edge/planner_link.py
+++ b/cressrock/edge/planner_link.py
@@ -1,19 +1,30 @@
-"""The edge's link to its planners: a carrier.  It connects, feeds the link's state, and keeps its times."""
+"""Keeps an edge joined to one of its planners: connects, serves the link to its end, and connects again."""
 
 from __future__ import annotations
 
 from collections.abc import Awaitable, Callable
-from typing import Any
 
 import anyio
 
 from cressrock.edge.decisions import EdgeDecisions
-from cressrock.edge.disposition import ReconnectBackoff
+from cressrock.edge.reconnect import ReconnectBackoff
 from cressrock.http.channel import BROKEN, Stream
-from cressrock.link.connection import LinkCarrier
-from cressrock.link.protocol import LENDING, RULE_VERSIONS, Closed, Link, LinkLimits, Opened, Role, State
+from cressrock.link import messages
+from cressrock.link.connection import EventLog, LinkConnection
+from cressrock.link.protocol import (
+    LIMIT_LEASES,
+    RULE_VERSIONS,
+    Closed,
+    Link,
+    LinkEvent,
+    LinkLimits,
+    LinkState,
+    Opened,
+    Role,
+)
 
 Connect = Callable[[str, int], Awaitable[Stream]]
+NOT_REACHED = "not reached"
 
 
 class PlannerLink:
@@ -21,100 +32,125 @@
 
     def __init__(
         self,
-        core: EdgeDecisions,
-        reconnect: ReconnectBackoff,
+        edge: EdgeDecisions,
+        backoff: ReconnectBackoff,
         connect: Connect,
-        poke: Callable[[], None],
+        wake_driver: Callable[[], None],
         *,
         name: str,
         incarnation: str,
         clock: Callable[[], float],
         limits: LinkLimits,
-        log: Any,
+        log: EventLog,
     ) -> None:
-        """`poke` asks the driver for a turn; `clock` is the driver's, in milliseconds."""
-        self.core = core
-        self.reconnect = reconnect
+        """`wake_driver` asks the driver for a batch; `clock` is the driver's, in milliseconds."""
+        self.edge = edge
+        self.backoff = backoff
         self.connect = connect
-        self.poke = poke
+        self.wake_driver = wake_driver
         self.name = name
-        self.life = incarnation
+        self.incarnation = incarnation
         self.clock = clock
-        self.bounds = limits
+        self.limits = limits
         self.log = log
-        self.joins = 0
 
     async def run(self) -> None:
-        """Serve until cancelled: join, serve the link to its end, join again."""
+        """Serve until cancelled: connect, serve the link to its end, connect again."""
         while True:
-            at, address = self.reconnect.next()
-            await anyio.sleep(max(0.0, at - self.clock()) / 1000)
-            host, _, port = address.rpartition(":")
-            why = "not reached"
-            try:
-                with anyio.move_on_after(self.bounds.greeting_ms / 1000):
-                    stream = await self.connect(host, int(port))
-                    why = ""
-            except BROKEN as failed:
-                why = str(failed) or "not reached"
-            if not why:
-                try:
-                    why = await self._serve(stream, address)
-                except Exception as error:  # noqa: BLE001  a defect; the edge's promises outlive its link
-                    self.log.error("defect", error=repr(error), exc_info=error)
-                    why = "a defect of this edge"
-            self.core.planner_lost(self.clock())
-            self.reconnect.lost(self.clock())
-            self.poke()
-            self.log.warning("planner away", planner=address, why=why)
+            attempt = self.backoff.next_attempt()
+            await anyio.sleep(max(0.0, attempt.at_ms - self.clock()) / 1000)
+            reason = await self._connect_and_serve(attempt.planner)
+            self.edge.planner_lost(self.clock())
+            self.backoff.planner_lost(self.clock())
+            self.wake_driver()
+            self.log.warning("edge.planner_lost", planner=attempt.planner, reason=reason)
+
+    async def _connect_and_serve(self, address: str) -> str:
+        """Serve one connection to its end; return why it ended or did not begin."""
+        host, _, port = address.rpartition(":")
+        try:
+            with anyio.move_on_after(self.limits.greeting_ms / 1000) as timeout:
+                stream = await self.connect(host, int(port))
+        except BROKEN as error:
+            return str(error) or NOT_REACHED
+        if timeout.cancelled_caught:
+            return NOT_REACHED
+        try:
+            return await self._serve(stream, address)
+        except Exception as error:  # noqa: BLE001  a defect; the edge's promises outlive its link
+            self.log.error("defect", error=repr(error), exc_info=error)
+            return "a defect of this edge"
 
     async def _serve(self, stream: Stream, address: str) -> str:
-        """Serve one connection to its end; returns why it ended."""
-        can = {LENDING: self.core.quota is not None, RULE_VERSIONS: self.core.knows_versions}
-        able = tuple(name for name, it_does in can.items() if it_does)
+        capabilities = []
+        if self.edge.quota is not None:
+            capabilities.append(LIMIT_LEASES)
+        if self.edge.knows_versions:
+            capabilities.append(RULE_VERSIONS)
         link = Link(
-            Role.EDGE, self.name, self.clock(), incarnation=self.life, capabilities=able, bounds=self.bounds
-        )
-        carrier = LinkCarrier(
-            link,
-            stream,
-            self.clock,
-            told=lambda told: self._told(link, told, address),
-            fill=lambda: self._fill(link),
-            due=self.core.next_tick,
+            Role.EDGE,
+            self.name,
+            self.clock(),
+            incarnation=self.incarnation,
+            capabilities=tuple(capabilities),
+            limits=self.limits,
         )
-        self.core.when_outbox = carrier.wake
-        return await carrier.run()
+        connection = LinkConnection(link, stream, EdgeLinkHandler(self, link, address), self.clock)
+        self.edge.outbox.on_added = connection.wake
+        return await connection.run()
+
+
+class EdgeLinkHandler:
+    """Passes one link's events to the edge's decisions, and their events to the link."""
 
-    def _told(self, link: Link, told: list[Any], address: str) -> str | None:
-        """Hand on what the link told; returns why it is over, if it is."""
-        for one in told:
-            match one:
+    def __init__(self, planner_link: PlannerLink, link: Link, address: str) -> None:
+        """Serve the link to the planner at an address."""
+        self._owner = planner_link
+        self._edge = planner_link.edge
+        self._link = link
+        self._address = address
+
+    def handle_events(self, events: list[LinkEvent]) -> str | None:
+        """Pass on what the link reported; return why it is over, if it is."""
+        for event in events:
+            match event:
                 case Opened():
-                    if (LENDING in one.capabilities) != (self.core.quota is not None):
-                        link.close("pair.edges: set it at this planner and its edges, or at neither")
-                        return "no agreement on who holds the limits"
-                    versioned = RULE_VERSIONS in one.capabilities
-                    if not self.core.planner_joined(address, one.epoch, self.clock(), versioned=versioned):
-                        newest = self.core.grants.newest.get(address, 0)
-                        link.close(f"epoch {one.epoch} is over, {newest} was seen")
-                        return "its epoch is over"
-                    self.joins += 1
-                    self.reconnect.reached()
-                    self.log.info("planner joined", planner=address, epoch=one.epoch)
-                    self.poke()
+                    if (reason := self._join(event)) is not None:
+                        return reason
                 case Closed(reason):
                     return reason
-                case _:
-                    self.core.receive_order(address, one)
-                    link.taken(1)
-                    self.poke()
+                case _ if isinstance(event, messages.PlannerOrder):
+                    self._edge.receive_order(self._address, event)
+                    self._link.return_credit(1)
+                    self._owner.wake_driver()
+        return None
+
+    def _join(self, opened: Opened) -> str | None:
+        """Enter the planner's epoch; return why the link is over, if it is."""
+        owner, edge, address = self._owner, self._edge, self._address
+        if (LIMIT_LEASES in opened.capabilities) != (edge.quota is not None):
+            self._link.close("pair.edges: set it at this planner and its edges, or at neither")
+            return "no agreement on who holds the limits"
+        versioned = RULE_VERSIONS in opened.capabilities
+        if not edge.planner_joined(address, opened.epoch, owner.clock(), versioned=versioned):
+            newest = edge.grants.newest_epochs.get(address, 0)
+            self._link.close(f"epoch {opened.epoch} is over, {newest} was seen")
+            return "its epoch is over"
+        owner.backoff.planner_joined()
+        owner.log.info("edge.planner_joined", planner=address, epoch=opened.epoch)
+        owner.wake_driver()
         return None
 
-    def _fill(self, link: Link) -> None:
-        """Send what waits to go up, as far as the planner gave credit; else at least the time."""
-        if self.core.grants.planner is None or link.state is not State.OPEN:
+    def send_pending(self) -> None:
+        """Send what waits for the planner, as far as it gave credit; else at least the time."""
+        edge = self._edge
+        if not edge.session.is_open or self._link.state is not LinkState.OPEN:
             return
-        self.core.tick(self.clock())
-        while self.core.outbox and link.credit > 0:
-            link.send(self.core.next_up(self.clock()))
+        now = self._owner.clock()
+        edge.tick(now)
+        while edge.outbox and self._link.credit > 0:
+            self._link.send(edge.outbox.pop_next(self._owner.clock()))
+
+    def next_send_ms(self) -> float:
+        """Return when the planner has to be sent this edge's clock."""
+        return self._edge.next_tick()
--- a/cressrock/lab/drill.py
+++ b/cressrock/lab/drill.py
@@ -332,7 +332,7 @@
 
     @staticmethod
     def _joined(life: Life) -> bool:
-        return life.last_of("planner joined", "planner away") == "planner joined"
+        return life.last_of("edge.planner_joined", "edge.planner_lost") == "edge.planner_joined"
 
     # --- what is measured
 
--- a/cressrock/lab/localcost_sockets.py
+++ b/cressrock/lab/localcost_sockets.py
@@ -653,7 +653,7 @@
             }
             async with _gateway(folder / "edge", "edge", mine) as process:
                 served = await _logged(process, "serving")
-                await process.said("planner joined")
+                await process.said("edge.planner_joined")
                 yield process, int(served.rpartition(":")[2])
 
 
--- a/cressrock/planner/epochs.py
+++ b/cressrock/planner/epochs.py
@@ -1,8 +1,8 @@
-"""Epochs that are never used twice, also with the store lost.  Pure but for `Store`.
+"""Epochs that are never used twice, also with the store lost.  Pure but for `EpochStore`.
 
 A planner's epoch is one more than the one it kept, and at least the wall clock's milliseconds: a planner that
-lost its file still begins above every epoch that a former life can have used, unless its clock was set back;
-then the edges, which remember the newest epoch they saw, refuse it, and it begins again above that.
+lost its file still begins above every epoch that a former process can have used, unless its clock was set
+back; then the edges, which remember the newest epoch they saw, refuse it, and it begins again above that.
 """
 
 from __future__ import annotations
@@ -10,17 +10,19 @@
 import os
 from pathlib import Path
 
+FILE_FORMAT = "cressrock-epoch-1"
 
-def next_epoch(kept: int | None, wall_ms: float, seen: int = 0) -> int:
-    """Return the epoch of a new life.  `seen` is the newest one that an edge says it has seen."""
-    return max((kept or 0) + 1, int(wall_ms), seen + 1)
+
+def next_epoch(stored: int | None, wall_ms: float, seen: int = 0) -> int:
+    """Return the epoch of a new start.  `seen` is the newest one that an edge says it has seen."""
+    return max((stored or 0) + 1, int(wall_ms), seen + 1)
 
 
 class EpochStore:
     """Keeps the newest epoch in a file, written whole and flushed before the epoch is used."""
 
     def __init__(self, path: str | None) -> None:
-        """None keeps nothing: the wall clock alone parts the lives."""
+        """Keep the epoch at `path`; None keeps nothing: the wall clock alone separates the epochs."""
         self.path = Path(path) if path else None
 
     def read(self) -> int | None:
@@ -31,10 +33,10 @@
             text = self.path.read_text(encoding="ascii")
         except (OSError, UnicodeDecodeError):
             return None
-        name, _, figure = text.partition(" ")
-        number = figure.removesuffix("\n")
+        file_format, _, line = text.partition(" ")
+        number = line.removesuffix("\n")
         # The closing newline tells a whole file from one that was cut within its number.
-        if name != "cressrock-epoch-1" or not figure.endswith("\n") or not number.isdigit():
+        if file_format != FILE_FORMAT or not line.endswith("\n") or not number.isdigit():
             return None
         return int(number)
 
@@ -42,9 +44,9 @@
         """Keep an epoch.  Raises OSError, before which nothing of the former file is lost."""
         if self.path is None:
             return
-        part = self.path.with_name(self.path.name + ".part")
-        with open(part, "w", encoding="ascii") as file:
-            file.write(f"cressrock-epoch-1 {epoch}\n")
+        partial = self.path.with_name(self.path.name + ".part")
+        with open(partial, "w", encoding="ascii") as file:
+            file.write(f"{FILE_FORMAT} {epoch}\n")
             file.flush()
             os.fsync(file.fileno())
-        os.replace(part, self.path)
+        os.replace(partial, self.path)
--- a/cressrock/planner/server.py
+++ b/cressrock/planner/server.py
@@ -1,165 +1,193 @@
-"""The planner program's carrier: links of edges, the node list, and a step of the planner for each batch."""
+"""The planner's service: edges' links, and one step of the planner for each batch of what came by them."""
 
 from __future__ import annotations
 
 from collections import deque
 from collections.abc import Callable
-from typing import Any
 
 import anyio
 import anyio.lowlevel
 
 from cressrock.http.channel import Stream
 from cressrock.interface import NodeList
-from cressrock.link import messages as m
-from cressrock.link.connection import LinkCarrier
+from cressrock.link import messages
+from cressrock.link.connection import EventLog, LinkConnection
 from cressrock.link.protocol import (
-    LENDING,
+    LIMIT_LEASES,
     RULE_VERSIONS,
     Closed,
     Link,
+    LinkEvent,
     LinkLimits,
+    LinkState,
     Opened,
-    OutOfCredit,
     Role,
 )
 from cressrock.planner.planner import Planner
 
 FOREVER = float("inf")
-
-
-class _Session:
-    """One edge's connection."""
-
-    def __init__(self, link: Link) -> None:
-        self.link = link
-        self.carrier: LinkCarrier | None = None
-        self.waiting: deque[m.Order] = deque()
-        self.edge = ""
-        self.number = 0
-        self.hears_rules = False
+TIMER_SLACK_S = 1e-6  # a timer that fires a rounding error too early would find nothing to do
 
 
 class PlannerServer:
-    """Serves edges' links.  `step` runs in one task, one step for all that came."""
+    """Serves edges' links.  `run` steps the planner in one task, once for all that came."""
 
     def __init__(
-        self, planner: Planner, name: str, *, clock: Callable[[], float], limits: LinkLimits, log: Any
+        self,
+        planner: Planner,
+        name: str,
+        *,
+        clock: Callable[[], float],
+        limits: LinkLimits,
+        log: EventLog,
     ) -> None:
         """`clock` gives monotonic milliseconds."""
         self.planner = planner
         self.name = name
         self.clock = clock
-        self.bounds = limits
+        self.limits = limits
         self.log = log
-        self.sessions: dict[str, _Session] = {}
+        self.sessions: dict[str, EdgeConnection] = {}  # the present one of each edge
         self.subscribe_to_node_list: Callable[[], None] = lambda: None
-        self.rules: tuple[str, ...] = ()  # versions held beside the settings' own
-        self.knows_versions = False  # whether this process knows of versions at all
-        self._news = anyio.Event()
+        self.rule_versions: tuple[str, ...] = ()  # held beside the settings' own
+        self.knows_versions = False  # whether this process knows of rule versions at all
+        self._wake = anyio.Event()
 
     def receive_node_list(self, report: NodeList) -> None:
-        """Take in news of the node list."""
+        """Receive a report of the node list."""
         self.planner.receive_node_list(report)
-        self._news.set()
+        self.wake()
 
     def announce_rule_versions(self, versions: tuple[str, ...]) -> None:
-        """Tell all edges which versions of the rules are held here from now on."""
-        if versions == self.rules:
+        """Announce to all edges which rule versions are held here from now on."""
+        if versions == self.rule_versions:
             return
-        self.rules = versions
+        self.rule_versions = versions
         for session in self.sessions.values():
-            if session.hears_rules:
-                session.waiting.append(m.RuleVersions(list(versions)))
-                if session.carrier is not None:
-                    session.carrier.wake()
+            if session.hears_rule_versions:
+                session.send([messages.RuleVersions(list(versions))])
+
+    def wake(self) -> None:
+        """Have the planner step on what came."""
+        self._wake.set()
 
     async def run(self) -> None:
         """Plan until cancelled."""
-        self._news.set()
-        wake = FOREVER
+        self._wake.set()
+        wake_at_ms = FOREVER
         while True:
-            with anyio.move_on_at(wake / 1000 + 1e-6):
-                await self._news.wait()
+            with anyio.move_on_at(wake_at_ms / 1000 + TIMER_SLACK_S):
+                await self._wake.wait()
             await anyio.lowlevel.checkpoint()
-            self._news = anyio.Event()
-            outcome = self.planner.step(self.clock())
-            wake = outcome.wake_at_ms
-            if outcome.subscribe:
+            self._wake = anyio.Event()
+            result = self.planner.step(self.clock())
+            wake_at_ms = result.wake_at_ms
+            if result.subscribe:
                 self.subscribe_to_node_list()
-            for line in outcome.lines:
+            for line in result.log_lines:
                 self.log.warning("scheduler", text=line)
-            for name, orders in outcome.orders.items():
+            for name, orders in result.orders.items():
                 session = self.sessions.get(name)
                 if session is not None:
-                    session.waiting.extend(orders)
-                    if session.carrier is not None:
-                        session.carrier.wake()
+                    session.send(orders)
 
     async def serve(self, stream: Stream) -> None:
-        """Serve one edge's connection to its end."""
+        """Serve one edge's connection to its end; when cancelled, its session ends too."""
+        capabilities = []
+        if self.planner.limits.lease_ms:
+            capabilities.append(LIMIT_LEASES)
+        if self.knows_versions:
+            capabilities.append(RULE_VERSIONS)
         link = Link(
             Role.PLANNER,
             self.name,
             self.clock(),
             epoch=self.planner.epoch,
-            capabilities=((LENDING,) if self.planner.bounds.lease_ms else ())
-            + ((RULE_VERSIONS,) if self.knows_versions else ()),
-            bounds=self.bounds,
+            capabilities=tuple(capabilities),
+            limits=self.limits,
         )
-        session = _Session(link)
-        session.carrier = LinkCarrier(
-            link,
-            stream,
-            self.clock,
-            told=lambda told: self._told(session, told),
-            fill=lambda: self._fill(session),
-        )
-        why = "cancelled"
+        session = EdgeConnection(self, link, stream)
+        reason = "cancelled"
         try:
-            why = await session.carrier.run()
+            reason = await session.connection.run()
         finally:
-            if self.sessions.get(session.edge) is session:
-                del self.sessions[session.edge]
-            if session.edge and self.planner.leave(session.edge, session.number):
-                self.log.info("edge left", edge=session.edge, why=why)
-                self._news.set()
-
-    def _told(self, session: _Session, told: list[Any]) -> str | None:
-        for one in told:
-            match one:
+            self._end_session(session, reason)
+
+    def _end_session(self, session: EdgeConnection, reason: str) -> None:
+        if self.sessions.get(session.edge) is session:
+            del self.sessions[session.edge]
+        if session.edge and self.planner.leave(session.edge, session.number):
+            self.log.info("planner.edge_left", edge=session.edge, reason=reason)
+            self.wake()
+
+
+class EdgeConnection:
+    """One edge's connection: passes its events to the planner and the planner's orders to it."""
+
+    def __init__(self, server: PlannerServer, link: Link, stream: Stream) -> None:
+        """Serve one accepted stream."""
+        self.connection = LinkConnection(link, stream, self, server.clock)
+        self.edge = ""  # its name, once it has joined
+        self.number = 0  # of its session at the planner
+        self.hears_rule_versions = False
+        self._server = server
+        self._link = link
+        self._pending: deque[messages.PlannerOrder] = deque()
+
+    def send(self, orders: list[messages.PlannerOrder]) -> None:
+        """Queue orders and have them sent."""
+        self._pending.extend(orders)
+        self.connection.wake()
+
+    def handle_events(self, events: list[LinkEvent]) -> str | None:
+        """Pass on what the link reported; return why it is over, if it is."""
+        for event in events:
+            match event:
                 case Opened():
-                    lends = LENDING in one.capabilities
-                    if lends != bool(self.planner.bounds.lease_ms):
-                        # Danger: one makes units of the limits and the other lends them: twice the limit.
-                        session.link.close("pair.edges: set it at this edge and its planner, or at neither")
-                        return "no agreement on who holds the limits"
-                    number = self.planner.join(one.peer, one.life, self.clock())
-                    if number is None:
-                        session.link.close("no more edges are taken")
-                        return "too many edges"
-                    session.edge, session.number = one.peer, number
-                    session.hears_rules = RULE_VERSIONS in one.capabilities
-                    if session.hears_rules:
-                        session.waiting.append(m.RuleVersions(list(self.rules)))
-                    self.sessions[one.peer] = session
-                    self.log.info("edge joined", edge=one.peer, life=one.life)
+                    if (reason := self._join(event)) is not None:
+                        return reason
                 case Closed(reason):
                     return reason
-                case _:
-                    if not self.planner.receive_event(session.edge, session.number, one, self.clock()) and (
-                        self.sessions.get(session.edge) is not session
-                    ):
-                        session.link.close("this edge has joined by another connection")
+                case _ if isinstance(event, messages.EdgeEvent):
+                    if not self._receive(event):
+                        self._link.close("this edge has joined by another connection")
                         return "fenced"
-                    session.link.taken(1)
-                    self._news.set()
         return None
 
-    def _fill(self, session: _Session) -> None:
-        while session.waiting:
-            try:
-                session.link.send(session.waiting[0])
-            except (OutOfCredit, ValueError):
-                return
-            session.waiting.popleft()
+    def _join(self, opened: Opened) -> str | None:
+        """Begin the edge's session; return why the link is over, if it is."""
+        server = self._server
+        if (LIMIT_LEASES in opened.capabilities) != bool(server.planner.limits.lease_ms):
+            # Danger: one makes units of the limits and the other leases them: twice the limit.
+            self._link.close("pair.edges: set it at this edge and its planner, or at neither")
+            return "no agreement on who holds the limits"
+        number = server.planner.join(opened.peer, opened.incarnation, server.clock())
+        if number is None:
+            self._link.close("no more edges are taken")
+            return "too many edges"
+        self.edge, self.number = opened.peer, number
+        self.hears_rule_versions = RULE_VERSIONS in opened.capabilities
+        if self.hears_rule_versions:
+            self._pending.append(messages.RuleVersions(list(server.rule_versions)))
+        server.sessions[opened.peer] = self
+        server.log.info("planner.edge_joined", edge=opened.peer, incarnation=opened.incarnation)
+        return None
+
+    def _receive(self, event: messages.EdgeEvent) -> bool:
+        """Pass an event to the planner.  False where this edge has joined by another connection."""
+        server = self._server
+        accepted = server.planner.receive_event(self.edge, self.number, event, server.clock())
+        if not accepted and server.sessions.get(self.edge) is not self:
+            return False
+        self._link.return_credit(1)
+        server.wake()
+        return True
+
+    def send_pending(self) -> None:
+        """Send the orders that wait, as far as the edge gave credit."""
+        while self._pending and self._link.state is LinkState.OPEN and self._link.credit > 0:
+            self._link.send(self._pending.popleft())
+
+    def next_send_ms(self) -> float:
+        """Return infinity: orders are sent when the planner steps."""
+        return FOREVER
--- a/cressrock/programs/gateway.py
+++ b/cressrock/programs/gateway.py
@@ -27,9 +27,10 @@
 from cressrock.dispatch.spool import PayloadStore
 from cressrock.dispatch.task_driver import TaskDriver
 from cressrock.edge.decisions import EdgeDecisions
-from cressrock.edge.disposition import DisconnectedPolicy, ReconnectBackoff
+from cressrock.edge.disposition import DisconnectedPolicy
 from cressrock.edge.ordering import KeyOrdering
 from cressrock.edge.planner_link import PlannerLink
+from cressrock.edge.reconnect import ReconnectBackoff
 from cressrock.failover.carrier import EdgeFailover, FailoverAdmin
 from cressrock.failover.routing import ZoneRouter
 from cressrock.http.channel import Stream
--- a/tests/compatibility/link_cases.py
+++ b/tests/compatibility/link_cases.py
@@ -7,8 +7,8 @@
 
 import msgspec
 
-from cressrock.link import messages as m
-from cressrock.link.protocol import Closed, Link, LinkLimits, Opened, OutOfCredit, Role, State
+from cressrock.link import messages
+from cressrock.link.protocol import Closed, Link, LinkLimits, LinkState, Opened, OutOfCreditError, Role
 from tests.compatibility.canonical import Digest
 
 SEEDS = range(60)
@@ -16,23 +16,23 @@
 UNREADABLE = "a message that cannot be read"
 
 
-def wire_values() -> list[m.Message]:
+def wire_values() -> list[messages.Message]:
     """Return several values of every message type, some with their optional fields left out."""
     return [
-        m.Hello([2], "edge-1", "0a1b2c"),
-        m.Hello([3, 2, 1], "e", "l", ["lends limits", "versions of rules"], 256),
-        m.Welcome(2, "planner-1", 0),
-        m.Welcome(65535, "p", 2**53, ["lends limits"], 1),
-        m.Parting(""),
-        m.Parting("no common version: we speak [2], the peer [1]"),
-        m.Parting("é" * 512),
-        m.Ping(0),
-        m.Ping(2**53),
-        m.Pong(1),
-        m.Credit(1),
-        m.Credit(10**6),
-        m.Request(1, 0.0, "r-1", "v", "", 0.0, 0.0, 0, 0, -1, 0),
-        m.Request(
+        messages.Hello([2], "edge-1", "0a1b2c"),
+        messages.Hello([3, 2, 1], "e", "l", ["lends limits", "versions of rules"], 256),
+        messages.Welcome(2, "planner-1", 0),
+        messages.Welcome(65535, "p", 2**53, ["lends limits"], 1),
+        messages.Goodbye(""),
+        messages.Goodbye("no common version: we speak [2], the peer [1]"),
+        messages.Goodbye("é" * 512),
+        messages.Ping(0),
+        messages.Ping(2**53),
+        messages.Pong(1),
+        messages.Credit(1),
+        messages.Credit(10**6),
+        messages.Request(1, 0.0, "r-1", "v", "", 0.0, 0.0, 0, 0, -1, 0),
+        messages.Request(
             2**40,
             1234.5,
             "r-2",
@@ -51,23 +51,23 @@
             9,
             "trial-7",
         ),
-        m.Request(7, 1e15, "r" * 128, "v", "k" * 512, 1e9, 1e15, 1, 1, 0, 1, -1.0, 0, True),
-        m.AttemptEnded(3, 17.25, "r-1", 0, "ok", True, 4.5),
-        m.AttemptEnded(4, 18.0, "r-2", 2, "no connection", False, 0.0, 12, 3.5),
-        m.Left(5, 19.0, "r-1"),
-        m.Barred(6, 20.0, "n0:7000"),
-        m.Counted(7, 21.0, [], []),
-        m.Counted(8, 22.0, [0, 17, 10**9], [1, 70000]),
-        m.LimitLease(9, 23.0, "v", 1, 4.5, 12),
-        m.Tick(10, 24.0),
-        m.Grant(1, 7, "r-1", 0, "n0:7000", 400.0),
-        m.Grant(2**53, 2**53, "r-2", 3, "n1", 1e15, 250.5),
-        m.Answer(7, "r-1", True),
-        m.Answer(7, "r-1", False, 1500.0),
-        m.CallOff(7, "r-1", 1),
-        m.ClockStamp(12),
-        m.RuleVersions([]),
-        m.RuleVersions(["trial-7"]),
+        messages.Request(7, 1e15, "r" * 128, "v", "k" * 512, 1e9, 1e15, 1, 1, 0, 1, -1.0, 0, True),
+        messages.AttemptEnded(3, 17.25, "r-1", 0, "ok", True, 4.5),
+        messages.AttemptEnded(4, 18.0, "r-2", 2, "no connection", False, 0.0, 12, 3.5),
+        messages.ClientLeft(5, 19.0, "r-1"),
+        messages.NodeDraining(6, 20.0, "n0:7000"),
+        messages.BudgetHistory(7, 21.0, [], []),
+        messages.BudgetHistory(8, 22.0, [0, 17, 10**9], [1, 70000]),
+        messages.LimitLease(9, 23.0, "v", 1, 4.5, 12),
+        messages.EdgeClock(10, 24.0),
+        messages.Grant(1, 7, "r-1", 0, "n0:7000", 400.0),
+        messages.Grant(2**53, 2**53, "r-2", 3, "n1", 1e15, 250.5),
+        messages.FinalAnswer(7, "r-1", True),
+        messages.FinalAnswer(7, "r-1", False, 1500.0),
+        messages.CancelAttempt(7, "r-1", 1),
+        messages.ClockStamp(12),
+        messages.RuleVersions([]),
+        messages.RuleVersions(["trial-7"]),
     ]
 
 
@@ -104,15 +104,15 @@
                         "opened",
                         result.version,
                         result.peer,
-                        result.life,
+                        result.incarnation,
                         result.epoch,
                         list(result.capabilities),
                     ]
                 )
             case Closed():
-                lines.append(["closed", _plain(result.reason), result.ours])
+                lines.append(["closed", _plain(result.reason), result.by_us])
             case _:
-                lines.append(["message", m.encode(result).hex()])
+                lines.append(["message", messages.encode(result).hex()])
     return lines
 
 
@@ -123,8 +123,8 @@
 
 def refusals() -> dict[str, object]:
     """Return how the link ends for each way of breaking the protocol: results, bytes out and state."""
-    hello = m.encode(m.Hello([2], "e", "l"))
-    left = m.encode(m.Left(0, 0.0, "r"))
+    hello = messages.encode(messages.Hello([2], "e", "l"))
+    left = messages.encode(messages.ClientLeft(0, 0.0, "r"))
     answers: dict[str, object] = {}
 
     def planner(name: str, data: bytes) -> None:
@@ -132,34 +132,37 @@
 
     planner("frame too long", b"\xff\xff\xff\xff")
     planner("event before the handshake", left)
-    planner("credit before the handshake", m.encode(m.Credit(1)))
-    planner("welcome to a planner", m.encode(m.Welcome(2, "x", 1)))
+    planner("credit before the handshake", messages.encode(messages.Credit(1)))
+    planner("welcome to a planner", messages.encode(messages.Welcome(2, "x", 1)))
     planner("second hello", hello + hello)
-    planner("no common version", m.encode(m.Hello([1, 3], "e", "l")))
-    planner("goodbye first", m.encode(m.Parting("stopping")))
-    planner("ping first", m.encode(m.Ping(9)))
-    planner("pong unasked", m.encode(m.Pong(9)))
-    planner("order up", hello + m.encode(m.CallOff(7, "r", 0)))
-    planner("endless credit", hello + m.encode(m.Credit(10**6)) * 11)
-    planner("more than credit", hello + b"".join(m.encode(m.Left(n, 0.0, "r")) for n in range(257)))
-    planner("event after the end", m.encode(m.Parting("stopping")) + left)
+    planner("no common version", messages.encode(messages.Hello([1, 3], "e", "l")))
+    planner("goodbye first", messages.encode(messages.Goodbye("stopping")))
+    planner("ping first", messages.encode(messages.Ping(9)))
+    planner("pong unasked", messages.encode(messages.Pong(9)))
+    planner("order up", hello + messages.encode(messages.CancelAttempt(7, "r", 0)))
+    planner("endless credit", hello + messages.encode(messages.Credit(10**6)) * 11)
+    planner(
+        "more than credit",
+        hello + b"".join(messages.encode(messages.ClientLeft(n, 0.0, "r")) for n in range(257)),
+    )
+    planner("event after the end", messages.encode(messages.Goodbye("stopping")) + left)
     answers["hello to an edge"] = _answer(ends_of()[0], hello)
-    answers["version never offered"] = _answer(ends_of()[0], m.encode(m.Welcome(1, "p", 1)))
-    answers["second welcome"] = _answer(_open_ends()[0], m.encode(m.Welcome(2, "p", 1)))
+    answers["version never offered"] = _answer(ends_of()[0], messages.encode(messages.Welcome(1, "p", 1)))
+    answers["second welcome"] = _answer(_open_ends()[0], messages.encode(messages.Welcome(2, "p", 1)))
     answers["event down"] = _answer(_open_ends()[0], left)
     answers["long reason"] = [
         described(_open_ends()[0].close("x" * 600)),
         described(_open_ends()[1].close("y")),
     ]
     slow = ends_of()[1]
-    answers["no greeting"] = [slow.next_due(), described(slow.tick(2000.0)), slow.take_bytes().hex()]
+    answers["no greeting"] = [slow.next_tick_ms(), described(slow.tick(2000.0)), slow.take_bytes().hex()]
     silent = _open_ends()[0]
     answers["silent"] = [
-        described(silent.tick(silent.next_due())),
+        described(silent.tick(silent.next_tick_ms())),
         silent.take_bytes().hex(),
         described(silent.tick(2000.0)),
         silent.take_bytes().hex(),
-        silent.next_due() == float("inf"),
+        silent.next_tick_ms() == float("inf"),
     ]
     ended = _open_ends()[0]
     answers["end of stream"] = [
@@ -190,23 +193,23 @@
     return rows
 
 
-def _drawn_event(draw: random.Random, number: int) -> m.Event:
+def _drawn_event(draw: random.Random, number: int) -> messages.EdgeEvent:
     return draw.choice(
         (
-            m.Left(number, float(number), f"r{number}"),
-            m.Tick(number, 1.5 * number),
-            m.AttemptEnded(number, float(number), f"r{number}", 0, "reset", False, 2.0),
-            m.Request(number, float(number), f"r{number}", "v", "k", 1.0, 99.0, 0, 0, -1, 1),
+            messages.ClientLeft(number, float(number), f"r{number}"),
+            messages.EdgeClock(number, 1.5 * number),
+            messages.AttemptEnded(number, float(number), f"r{number}", 0, "reset", False, 2.0),
+            messages.Request(number, float(number), f"r{number}", "v", "k", 1.0, 99.0, 0, 0, -1, 1),
         )
     )
 
 
-def _drawn_order(draw: random.Random, number: int) -> m.Order:
+def _drawn_order(draw: random.Random, number: int) -> messages.PlannerOrder:
     return draw.choice(
         (
-            m.ClockStamp(number),
-            m.Grant(number, 7, f"r{number}", 0, "n", 50.0),
-            m.Answer(7, f"r{number}", True, 5.0),
+            messages.ClockStamp(number),
+            messages.Grant(number, 7, f"r{number}", 0, "n", 50.0),
+            messages.FinalAnswer(7, f"r{number}", True, 5.0),
         )
     )
 
@@ -216,10 +219,10 @@
     parts: list[str] = []
     while data:
         size = int.from_bytes(data[:4], "big")
-        message = m.decode(data[4 : 4 + size])
-        if isinstance(message, m.Parting):
+        message = messages.decode(data[4 : 4 + size])
+        if isinstance(message, messages.Goodbye):
             message = msgspec.structs.replace(message, reason=_plain(message.reason))
-            parts.append(m.encode(message).hex())
+            parts.append(messages.encode(message).hex())
         else:
             parts.append(data[: 4 + size].hex())
         data = data[4 + size :]
@@ -230,12 +233,12 @@
     """Drive two ends by a seed over a stream that splits, delays and at times corrupts; return the digest."""
     draw = random.Random(f"link/{seed}")
     digest = Digest()
-    bounds = LinkLimits(
+    limits = LinkLimits(
         credit=draw.choice((4, 16, 256)), ping_ms=draw.choice((50.0, 500.0)), silent_ms=2000.0
     )
     ends = {
-        "e": Link(Role.EDGE, "e", 0.0, incarnation=f"l{seed}", capabilities=("a", "b"), bounds=bounds),
-        "p": Link(Role.PLANNER, "p", 0.0, epoch=seed, capabilities=("b",), bounds=bounds),
+        "e": Link(Role.EDGE, "e", 0.0, incarnation=f"l{seed}", capabilities=("a", "b"), limits=limits),
+        "p": Link(Role.PLANNER, "p", 0.0, epoch=seed, capabilities=("b",), limits=limits),
     }
     pipes = {"e": b"", "p": b""}  # bytes on the way to that end
     untaken = {"e": 0, "p": 0}
@@ -252,7 +255,7 @@
             try:
                 link.send(message)
                 digest.add([name, "sent"])
-            except OutOfCredit:
+            except OutOfCreditError:
                 digest.add([name, "out of credit"])
             except ValueError:
                 digest.add([name, "not open"])
@@ -267,7 +270,7 @@
             digest.add([name, "received", described(results)])
         elif kind < 0.8:
             count, untaken[name] = untaken[name], 0
-            link.taken(count)
+            link.return_credit(count)
         elif kind < 0.995:
             digest.add([name, "tick", described(link.tick(now))])
         else:
@@ -280,9 +283,9 @@
             )
         written = link.take_bytes()
         pipes[other] += written
-        due = link.next_due()
+        due = link.next_tick_ms()
         digest.add([name, now, _masked(written), due, link.credit, link.state.value])
-        if all(end.state is State.CLOSED for end in ends.values()):
+        if all(end.state is LinkState.CLOSED for end in ends.values()):
             break
     return digest.hex()
 
--- a/tests/compatibility/pair_cases.py
+++ b/tests/compatibility/pair_cases.py
@@ -5,61 +5,63 @@
 import random
 from dataclasses import replace
 
-from cressrock import interface as i
+from cressrock import interface
 from cressrock.dispatch.ledger import FenceTrip, Ledger
 from cressrock.dispatch.quota import EdgeQuota
 from cressrock.dispatch.reasons import Reason
-from cressrock.edge.attempt_history import Record
+from cressrock.edge.attempt_history import AttemptHistory
 from cressrock.edge.decisions import EdgeDecisions
 from cressrock.edge.disposition import (
     DisconnectedPolicy,
-    ReconnectBackoff,
-    fate,
-    next_look,
-    offers,
-    retry_after,
+    disposition_of,
+    most_urgent_offers,
+    next_check_ms,
+    retry_after_ms,
 )
-from cressrock.edge.grants import Grants, Unused
+from cressrock.edge.grants import GrantFence, RejectedGrant
 from cressrock.edge.ordering import KeyOrdering
-from cressrock.link import messages as m
+from cressrock.edge.reconnect import ReconnectBackoff
+from cressrock.link import messages
 from cressrock.planner.epochs import next_epoch
 from cressrock.planner.planner import Planner, PlannerLimits
 from tests.compatibility.canonical import Digest
 
 SEEDS = range(48)
 LABELS: dict[type, str] = {
-    i.NodeList: "node list",
-    i.Arrival: "arrival",
-    i.AttemptEnded: "ended",
-    i.ClientLeft: "client left",
-    i.LimitLease: "lent",
-    i.RetryBudgetUsage: "counted",
-    i.TimerFired: "wake",
-    i.Send: "send",
-    i.Reject: "reject",
-    i.Fail: "fail",
-    i.Cancel: "cancel",
-    i.SetTimer: "set timer",
-    i.Subscribe: "subscribe",
+    interface.NodeList: "node list",
+    interface.Arrival: "arrival",
+    interface.AttemptEnded: "ended",
+    interface.ClientLeft: "client left",
+    interface.LimitLease: "lent",
+    interface.RetryBudgetUsage: "counted",
+    interface.TimerFired: "wake",
+    interface.Send: "send",
+    interface.Reject: "reject",
+    interface.Fail: "fail",
+    interface.Cancel: "cancel",
+    interface.SetTimer: "set timer",
+    interface.Subscribe: "subscribe",
 }
 CLASSES = (
-    i.RequestClass(latency_objective_ms=300, deadline_ms=4000, idempotency=i.Idempotency.ALWAYS),
-    i.RequestClass(
+    interface.RequestClass(
+        latency_objective_ms=300, deadline_ms=4000, idempotency=interface.Idempotency.ALWAYS
+    ),
+    interface.RequestClass(
         latency_objective_ms=500,
         deadline_ms=4000,
-        idempotency=i.Idempotency.KEYED,
+        idempotency=interface.Idempotency.KEYED,
         deduplication_window_ms=4000,
         ordered=True,
     ),
-    i.RequestClass(
+    interface.RequestClass(
         latency_objective_ms=500,
         deadline_ms=4000,
-        idempotency=i.Idempotency.KEYED,
+        idempotency=interface.Idempotency.KEYED,
         deduplication_window_ms=4000,
     ),
-    i.RequestClass(latency_objective_ms=500, deadline_ms=4000),
+    interface.RequestClass(latency_objective_ms=500, deadline_ms=4000),
 )
-PLANS = (i.Plan(), i.Plan(limit_rate=24.0, limit_burst=48.0, limit_slack=8.0))
+PLANS = (interface.Plan(), interface.Plan(limit_rate=24.0, limit_burst=48.0, limit_slack=8.0))
 NODES = ("n0", "n1", "n2")
 
 
@@ -72,47 +74,47 @@
         self.heard = heard
         self.open: dict[str, list[int | bool]] = {}  # [next attempt's number, an attempt is out]
 
-    def act(self, now_ms: float, events: list[i.Event]) -> list[i.Action]:
+    def act(self, now_ms: float, events: list[interface.Event]) -> list[interface.Action]:
         """Take in events; answer with drawn orders, a few of them about requests that are unknown."""
         for event in events:
             self.heard.add([now_ms, event])
             match event:
-                case i.Arrival():
+                case interface.Arrival():
                     self.open[event.request] = [event.earlier_attempts, False]
-                case i.AttemptEnded():
+                case interface.AttemptEnded():
                     if event.settled:
                         self.open.pop(event.request, None)
                     elif event.request in self.open:
                         self.open[event.request] = [event.attempt + 1, False]
-                case i.ClientLeft(request):
+                case interface.ClientLeft(request):
                     self.open.pop(request, None)
-        actions: list[i.Action] = []
+        actions: list[interface.Action] = []
         for name, (number, is_out) in list(self.open.items()):
             kind = self.draw.random()
             if is_out:
                 if kind < 0.1:
-                    actions.append(i.Cancel(name, int(number)))
+                    actions.append(interface.Cancel(name, int(number)))
             elif kind < 0.6:
                 self.open[name][1] = True
-                actions.append(i.Send(name, self.draw.choice(NODES), self.draw.choice((0.0, 250.0))))
+                actions.append(interface.Send(name, self.draw.choice(NODES), self.draw.choice((0.0, 250.0))))
             elif kind < 0.65:
                 del self.open[name]
-                actions.append(i.Reject(name, self.draw.choice((0.0, 700.0))))
+                actions.append(interface.Reject(name, self.draw.choice((0.0, 700.0))))
             elif kind < 0.7:
                 del self.open[name]
-                actions.append(i.Fail(name))
+                actions.append(interface.Fail(name))
         if self.draw.random() < 0.1:
-            actions.append(i.Cancel("nobody's", 0))
+            actions.append(interface.Cancel("nobody's", 0))
         if self.draw.random() < 0.2:
-            actions.append(i.SetTimer(now_ms + self.draw.choice((1.0, 50.0)), self.draw.randrange(3)))
+            actions.append(interface.SetTimer(now_ms + self.draw.choice((1.0, 50.0)), self.draw.randrange(3)))
         if self.draw.random() < 0.02:
-            actions.append(i.Subscribe())
+            actions.append(interface.Subscribe())
         return actions
 
 
-def _nodes(draw: random.Random) -> tuple[i.Node, ...]:
-    states = [i.NodeState.READY] * 6 + [i.NodeState.DRAINING]
-    return tuple(i.Node(name, index, state=draw.choice(states)) for index, name in enumerate(NODES))
+def _nodes(draw: random.Random) -> tuple[interface.Node, ...]:
+    states = [interface.NodeState.READY] * 6 + [interface.NodeState.DRAINING]
+    return tuple(interface.Node(name, index, state=draw.choice(states)) for index, name in enumerate(NODES))
 
 
 class EdgeStream:
@@ -125,7 +127,7 @@
         self.now = 0.0
         self.ledger = Ledger(drain_grace_ms=250, answer_slack_ms=8, max_open=400)
         self.ledger.update_nodes(
-            (i.Node(name, index) for index, name in enumerate(NODES)), 0.0, complete=True
+            (interface.Node(name, index) for index, name in enumerate(NODES)), 0.0, complete=True
         )
         self.edge = EdgeDecisions(
             self.ledger,
@@ -187,21 +189,25 @@
                 attempt = attempts + (draw.random() < 0.03)
                 node = draw.choice((*NODES, "never listed") if draw.random() < 0.1 else NODES)
                 until = self.now + draw.choice((400.0, 400.0, 400.0, -1.0))
-                self.edge.receive_order(name, m.Grant(number, epoch, operation, attempt, node, until, 250.0))
+                self.edge.receive_order(
+                    name, messages.Grant(number, epoch, operation, attempt, node, until, 250.0)
+                )
                 self.offered[operation] = attempts + 1
             elif kind < 0.33:
-                self.edge.receive_order(name, m.Answer(epoch, operation, draw.random() < 0.5, 900.0))
+                self.edge.receive_order(
+                    name, messages.FinalAnswer(epoch, operation, draw.random() < 0.5, 900.0)
+                )
                 del self.offered[operation]
             elif kind < 0.36:
-                self.edge.receive_order(name, m.CallOff(epoch, operation, max(0, attempts - 1)))
+                self.edge.receive_order(name, messages.CancelAttempt(epoch, operation, max(0, attempts - 1)))
         if draw.random() < 0.1:
-            self.edge.receive_order(name, m.ClockStamp(draw.randrange(1, 1000)))
+            self.edge.receive_order(name, messages.ClockStamp(draw.randrange(1, 1000)))
         if draw.random() < 0.05:
-            self.edge.receive_order(name, m.RuleVersions(draw.choice((["trial"], []))))
+            self.edge.receive_order(name, messages.RuleVersions(draw.choice((["trial"], []))))
 
-    def _events(self) -> list[i.Event]:
+    def _events(self) -> list[interface.Event]:
         draw = self.draw
-        events: list[i.Event] = []
+        events: list[interface.Event] = []
         for _ in range(draw.choice((0, 0, 1, 2))):
             name, index = f"r{self.count}", draw.randrange(len(CLASSES))
             self.count += 1
@@ -212,42 +218,44 @@
             key = draw.choice(("", "k1", "k2"))
             waited = draw.choice((-1.0, 0.0, 40.0))
             events.append(
-                i.Arrival(
+                interface.Arrival(
                     name, f"v{plan}", key, draw.choice((1.0, 3.0)), remaining, plan, index, 0, 1, waited
                 )
             )
         for entry in list(self.ledger.entries.values()):
             out = entry.attempt_in_flight()
             if out is not None and draw.random() < 0.25:
-                outcome = draw.choice(list(i.Outcome))
+                outcome = draw.choice(list(interface.Outcome))
                 settled = self.ledger.record_outcome(entry.name, out.number, outcome)
                 events.append(
-                    i.AttemptEnded(entry.name, out.number, outcome, settled.is_answered, 2.0, 3, 0.5)
+                    interface.AttemptEnded(entry.name, out.number, outcome, settled.is_answered, 2.0, 3, 0.5)
                 )
             elif entry.verdict is None and draw.random() < 0.01 and self.ledger.client_left(entry.name):
-                events.append(i.ClientLeft(entry.name))
+                events.append(interface.ClientLeft(entry.name))
         if draw.random() < 0.05:
             nodes = _nodes(draw)
             self.ledger.update_nodes(nodes, self.now, complete=True)
-            events.append(i.NodeList(i.ListKind.COMPLETE, nodes))
+            events.append(interface.NodeList(interface.ListKind.COMPLETE, nodes))
         if draw.random() < 0.1:
-            events.append(i.TimerFired(draw.randrange(4)))
+            events.append(interface.TimerFired(draw.randrange(4)))
         return events
 
-    def _act(self, events: list[i.Event]) -> None:
+    def _act(self, events: list[interface.Event]) -> None:
         for action in self.edge.act(self.now, events):
             self.digest.add([self.now, action])
             match action:
-                case i.Send(request, node):
+                case interface.Send(request, node):
                     attempt = self.ledger.send(request, node, self.now)
                     if isinstance(attempt, FenceTrip):
                         self.digest.add(["fenced", attempt.fence])
-                        moot = i.AttemptEnded(request, attempt.number, i.Outcome.ABANDONED, False, 0.0)
+                        moot = interface.AttemptEnded(
+                            request, attempt.number, interface.Outcome.ABANDONED, False, 0.0
+                        )
                         for answer in self.edge.act(self.now, [moot]):
                             self.digest.add([self.now, answer])
-                case i.Reject(request):
+                case interface.Reject(request):
                     self.ledger.reject(request, Reason.SCHEDULER)
-                case i.Fail(request):
+                case interface.Fail(request):
                     self.ledger.fail(request, Reason.ATTEMPTS)
 
     def _send_up(self) -> None:
@@ -257,14 +265,14 @@
         for _ in range(self.draw.choice((0, 1, 100))):
             if not self.edge.outbox:
                 break
-            event = self.edge.next_up(self.now)
-            self.digest.add(m.encode(event))
+            event = self.edge.outbox.pop_next(self.now)
+            self.digest.add(messages.encode(event))
             match event:
-                case m.Request():
-                    self.offered[event.operation] = event.attempts
-                case m.Left():
+                case messages.Request():
+                    self.offered[event.operation] = event.earlier_attempts
+                case messages.ClientLeft():
                     self.offered.pop(event.operation, None)
-                case m.AttemptEnded() if event.settled:
+                case messages.AttemptEnded() if event.settled:
                     self.offered.pop(event.operation, None)
 
 
@@ -278,7 +286,9 @@
     draw = random.Random(f"planner/{seed}")
     digest = Digest(LABELS)
     module = DrawnDecisions(random.Random(f"planner/{seed}/module"), digest)
-    bounds = PlannerLimits(max_inside=draw.choice((10, 200)), max_edges=3, lease_ms=draw.choice((0.0, 400.0)))
+    bounds = PlannerLimits(
+        max_scheduled=draw.choice((10, 200)), max_edges=3, lease_ms=draw.choice((0.0, 400.0))
+    )
     planner = Planner(module, CLASSES, 77 + seed, bounds, PLANS)
     if seed % 4 == 0:
         planner.set_rule_versions(CLASSES * 2, PLANS * 2, {"": (0, 0), "trial": (len(CLASSES), len(PLANS))})
@@ -299,7 +309,7 @@
         elif kind < 0.04:
             digest.add(["leave", planner.leave(name, sessions[name] - (draw.random() < 0.3))])
         elif kind < 0.07:
-            planner.receive_node_list(i.NodeList(draw.choice(list(i.ListKind)), _nodes(draw)))
+            planner.receive_node_list(interface.NodeList(draw.choice(list(interface.ListKind)), _nodes(draw)))
         else:
             for _ in range(draw.choice((1, 1, 4))):
                 sequences[name] += draw.choice((1, 1, 1, 1, 1, 0))
@@ -311,23 +321,25 @@
             outcome = planner.step(now)
             for edge, orders in outcome.orders.items():
                 for order in orders:
-                    digest.add([edge, m.encode(order)])
+                    digest.add([edge, messages.encode(order)])
                     match order:
-                        case m.Grant():
+                        case messages.Grant():
                             known[edge][order.operation] = order.attempt
-                        case m.Answer():
+                        case messages.FinalAnswer():
                             known[edge].pop(order.operation, None)
             digest.add([outcome.wake_at_ms, outcome.subscribe])
     digest.add(sorted(planner.dropped.values()))
     return digest.hex()
 
 
-def _event_up(draw: random.Random, sequence: int, clock: float, count: int, known: dict[str, int]) -> m.Event:
+def _event_up(
+    draw: random.Random, sequence: int, clock: float, count: int, known: dict[str, int]
+) -> messages.EdgeEvent:
     operation = draw.choice(sorted(known)) if known and draw.random() < 0.9 else f"r{count}"
     kind = draw.random()
     if kind < 0.4:
         plan = draw.randrange(len(PLANS))
-        return m.Request(
+        return messages.Request(
             sequence,
             clock,
             f"r{count - (draw.random() < 0.02)}",
@@ -347,18 +359,20 @@
             draw.choice(("", "", "trial", "unknown")),
         )
     if kind < 0.75:
-        outcome = draw.choice([*(o.value for o in i.Outcome), "not known yet"])
+        outcome = draw.choice([*(o.value for o in interface.Outcome), "not known yet"])
         attempt = known.get(operation, 0) + (draw.random() < 0.05)
-        return m.AttemptEnded(sequence, clock, operation, attempt, outcome, draw.random() < 0.4, 3.0, 2, 0.5)
+        return messages.AttemptEnded(
+            sequence, clock, operation, attempt, outcome, draw.random() < 0.4, 3.0, 2, 0.5
+        )
     if kind < 0.82:
-        return m.Left(sequence, clock, operation)
+        return messages.ClientLeft(sequence, clock, operation)
     if kind < 0.86:
-        return m.Barred(sequence, clock, draw.choice((*NODES, "never listed")))
+        return messages.NodeDraining(sequence, clock, draw.choice((*NODES, "never listed")))
     if kind < 0.92:
-        return m.LimitLease(sequence, clock, "v1", draw.choice((1, 1, 7)), 3.0, draw.randrange(12))
+        return messages.LimitLease(sequence, clock, "v1", draw.choice((1, 1, 7)), 3.0, draw.randrange(12))
     if kind < 0.95:
-        return m.Counted(sequence, clock, [100, 40], [300])
-    return m.Tick(sequence, clock)
+        return messages.BudgetHistory(sequence, clock, [100, 40], [300])
+    return messages.EdgeClock(sequence, clock)
 
 
 def grants_digest(seed: int) -> str:
@@ -366,16 +380,16 @@
     draw = random.Random(f"grants/{seed}")
     digest = Digest(LABELS)
     ledger = Ledger(drain_grace_ms=250, answer_slack_ms=8, max_open=400)
-    ledger.update_nodes((i.Node(name, index) for index, name in enumerate(NODES)), 0.0, complete=True)
-    grants = Grants(ledger, max_used=draw.choice((8, 65536)))
+    ledger.update_nodes((interface.Node(name, index) for index, name in enumerate(NODES)), 0.0, complete=True)
+    grants = GrantFence(ledger, max_used=draw.choice((8, 65536)))
     now, number = 0.0, 0
     for step in range(400):
         now += draw.choice((0.0, 1.0, 40.0))
         kind = draw.random()
         if kind < 0.04:
-            digest.add(grants.joined(draw.choice(("p", "q")), draw.randrange(1, 6)))
+            digest.add(grants.enter_epoch(draw.choice(("p", "q")), draw.randrange(1, 6)))
         elif kind < 0.05:
-            grants.away()
+            grants.leave_epoch()
         elif kind < 0.1:
             ledger.update_nodes(_nodes(draw), now, complete=True)
         elif kind < 0.4:
@@ -384,7 +398,7 @@
             for entry in list(ledger.entries.values()):
                 out = entry.attempt_in_flight()
                 if out is not None and draw.random() < 0.5:
-                    ledger.record_outcome(entry.name, out.number, draw.choice(list(i.Outcome)))
+                    ledger.record_outcome(entry.name, out.number, draw.choice(list(interface.Outcome)))
         else:
             number += 1
             names = sorted(ledger.entries)
@@ -393,7 +407,7 @@
             attempt = len(entry.attempts) if entry is not None and draw.random() < 0.9 else 1
             planner = grants.planner if grants.planner and draw.random() < 0.95 else "p"
             epoch = grants.epoch if draw.random() < 0.95 else 1
-            grant = m.Grant(
+            grant = messages.Grant(
                 number - draw.choice((0, 0, 0, 0, 1, 20)),
                 max(0, epoch),
                 name,
@@ -402,19 +416,19 @@
                 now + draw.choice((100.0, 100.0, -1.0)),
             )
             if draw.random() < 0.2:
-                unused = grants.check(planner, grant, now, shift=draw.choice((0, 1)))
+                unused = grants.check(planner, grant, now, number_offset=draw.choice((0, 1)))
                 digest.add(None if unused is None else [unused.reason, unused.operation])
             else:
                 used = grants.use(planner, grant, now)
                 match used:
-                    case Unused():
+                    case RejectedGrant():
                         digest.add([used.reason, used.operation])
                     case FenceTrip():
                         digest.add(["fenced", used.fence, used.operation, used.number])
                     case _:
                         digest.add(["attempt", used.number, used.node.name])
-    digest.add(sorted([reason.value, count] for reason, count in grants.turned_down.items()))
-    digest.add(sorted(grants.newest.items()))
+    digest.add(sorted([reason.value, count] for reason, count in grants.rejections.items()))
+    digest.add(sorted(grants.newest_epochs.items()))
     return digest.hex()
 
 
@@ -423,10 +437,10 @@
     draw = random.Random(f"without planner/{seed}")
     digest = Digest(LABELS)
     figures = DisconnectedPolicy(
-        answer_margin_ms=draw.choice((100.0, 20.0)), retry_least_ms=500.0, retry_most_ms=4000.0
+        answer_margin_ms=draw.choice((100.0, 20.0)), min_retry_after_ms=500.0, max_retry_after_ms=4000.0
     )
     ledger = Ledger(drain_grace_ms=250, answer_slack_ms=8, max_open=400)
-    ledger.update_nodes((i.Node(name, index) for index, name in enumerate(NODES)), 0.0, complete=True)
+    ledger.update_nodes((interface.Node(name, index) for index, name in enumerate(NODES)), 0.0, complete=True)
     for index in range(60):
         name = f"r{index}"
         entry = ledger.accept(name, "x", draw.choice(CLASSES), draw.uniform(500, 4000), 0.0)
@@ -437,27 +451,35 @@
             out = entry.attempt_in_flight()
             if out is not None and draw.random() < 0.7:
                 ledger.record_outcome(
-                    name, out.number, draw.choice([o for o in i.Outcome if o is not i.Outcome.OK])
+                    name,
+                    out.number,
+                    draw.choice([o for o in interface.Outcome if o is not interface.Outcome.OK]),
                 )
     entries = list(ledger.entries.values())
     for _ in range(40):
         now = draw.uniform(0, 4200)
         for joined in (False, True):
-            digest.add([fate(entry, now, joined=joined, away=figures) for entry in entries])
-        digest.add(next_look(entries, now, figures))
-        digest.add([entry.name for entry in offers(entries, now, figures, most=draw.choice((1, 20, 100)))])
-        digest.add(retry_after(now * draw.random(), now, figures, draw))
-    digest.add(next_look([], 0.0, figures))
+            digest.add([disposition_of(entry, now, joined=joined, policy=figures) for entry in entries])
+        digest.add(next_check_ms(entries, now, figures))
+        digest.add(
+            [
+                entry.name
+                for entry in most_urgent_offers(entries, now, figures, max_offers=draw.choice((1, 20, 100)))
+            ]
+        )
+        digest.add(retry_after_ms(now * draw.random(), now, figures, draw))
+    digest.add(next_check_ms([], 0.0, figures))
     reconnect = ReconnectBackoff(
         ("p:1", "q:1", "r:1")[: 1 + seed % 3], draw, min_wait_ms=100.0, max_wait_ms=8000.0
     )
     for _ in range(60):
         now += draw.uniform(0, 2000)
         if draw.random() < 0.2:
-            reconnect.reached()
+            reconnect.planner_joined()
         else:
-            reconnect.lost(now)
-        digest.add(list(reconnect.next()))
+            reconnect.planner_lost(now)
+        attempt = reconnect.next_attempt()
+        digest.add([attempt.at_ms, attempt.planner])
     return digest.hex()
 
 
@@ -465,32 +487,32 @@
     """Drive the history of attempts and the order on keys; return the digest of all answers."""
     draw = random.Random(f"history/{seed}")
     digest = Digest(LABELS)
-    record = Record(draw.choice((0.0, 200.0, 5000.0)))
+    record = AttemptHistory(draw.choice((0.0, 200.0, 5000.0)))
     deciders = [f"d{index}" for index in range(80 if seed % 6 == 0 else 3)]
     turns = KeyOrdering(CLASSES, 300.0)
-    out: list[i.Arrival] = []
+    out: list[interface.Arrival] = []
     now = 0.0
     for step in range(600):
         now += draw.choice((0.0, 1.0, 20.0))
         decider = draw.choice(deciders)
         kind = draw.random()
         if kind < 0.3:
-            record.tried(decider, now)
+            record.add_retry(decider, now)
         elif kind < 0.6:
-            record.took(decider, now - draw.choice((0.0, 1.0)))
+            record.add_accepted(decider, now - draw.choice((0.0, 1.0)))
         else:
-            extra, taken = record.tell(decider, now)
-            digest.add([list(extra), list(taken)])
+            unreported = record.drain_unreported(decider, now)
+            digest.add([list(unreported.retried_at_ms), list(unreported.accepted_at_ms)])
         key = draw.choice(("", *(f"k{index}" for index in range(100 if seed % 5 == 0 else 4))))
-        arrival = i.Arrival(f"r{step}", "v", key, 1.0, 4000.0, 0, draw.randrange(len(CLASSES)))
-        digest.add(turns.free_at(arrival, now))
+        arrival = interface.Arrival(f"r{step}", "v", key, 1.0, 4000.0, 0, draw.randrange(len(CLASSES)))
+        digest.add(turns.free_at_ms(arrival, now))
         if draw.random() < 0.4:
-            turns.sent(arrival)
+            turns.attempt_started(arrival)
             out.append(arrival)
         if out and draw.random() < 0.4:
             ended = out.pop(draw.randrange(len(out)))
-            turns.ended(ended.request, draw.choice(list(i.Outcome)), now)
-            digest.add(turns.free_at(replace(ended, request="other"), now))
+            turns.attempt_ended(ended.request, draw.choice(list(interface.Outcome)), now)
+            digest.add(turns.free_at_ms(replace(ended, request="other"), now))
     return digest.hex()
 
 
--- a/tests/compatibility/pair_link_cases.py
+++ b/tests/compatibility/pair_link_cases.py
@@ -8,14 +8,15 @@
 
 import anyio
 
-from cressrock import interface as i
+from cressrock import interface
 from cressrock.dispatch.ledger import FenceTrip, Ledger
 from cressrock.dispatch.quota import EdgeQuota
 from cressrock.dispatch.reasons import Reason
 from cressrock.edge.decisions import EdgeDecisions
-from cressrock.edge.disposition import DisconnectedPolicy, ReconnectBackoff
+from cressrock.edge.disposition import DisconnectedPolicy
 from cressrock.edge.ordering import KeyOrdering
 from cressrock.edge.planner_link import PlannerLink
+from cressrock.edge.reconnect import ReconnectBackoff
 from cressrock.lab.day import simulate
 from cressrock.lab.simnet import SimNet, SimStream
 from cressrock.link.protocol import LinkLimits as LinkBounds
@@ -75,7 +76,7 @@
         self.count = 0
         self.ledger = Ledger(drain_grace_ms=250, answer_slack_ms=8, max_open=400)
         self.ledger.update_nodes(
-            (i.Node(name, index) for index, name in enumerate(NODES)), 0.0, complete=True
+            (interface.Node(name, index) for index, name in enumerate(NODES)), 0.0, complete=True
         )
         self.edge = EdgeDecisions(
             self.ledger,
@@ -115,7 +116,9 @@
         module = DrawnDecisions(random.Random(f"{address}/{self.epoch}"), Digest())
         bounds = PlannerLimits(lease_ms=400.0 if self.planner_lends else 0.0)
         planner = Planner(module, CLASSES, epoch or self.epoch, bounds, PLANS)
-        planner.receive_node_list(i.NodeList(i.ListKind.COMPLETE, tuple(self.ledger.nodes.values())))
+        planner.receive_node_list(
+            interface.NodeList(interface.ListKind.COMPLETE, tuple(self.ledger.nodes.values()))
+        )
         server = PlannerServer(
             planner,
             address,
@@ -142,49 +145,60 @@
     async def drive(self) -> None:
         """Take requests and carry out the edge's orders until cancelled."""
         next_arrival = 0.0
-        ends: list[tuple[float, str, int, i.Outcome]] = []
-        stopped: list[i.AttemptEnded] = []
+        ends: list[tuple[float, str, int, interface.Outcome]] = []
+        stopped: list[interface.AttemptEnded] = []
         while True:
             due = min([next_arrival, *(end[0] for end in ends)])
             with anyio.move_on_at(due / 1000 + 1e-6):
                 await self.poked.wait()
             self.poked = anyio.Event()
             now = self.clock()
-            events: list[i.Event] = [*stopped]
+            events: list[interface.Event] = [*stopped]
             stopped.clear()
             for end in sorted((e for e in ends if e[0] <= now), key=lambda e: e[:3]):
                 ends.remove(end)
                 _, name, number, outcome = end
                 settled = self.ledger.record_outcome(name, number, outcome)
-                events.append(i.AttemptEnded(name, number, outcome, settled.is_answered, 20.0, 1, 0.5))
+                events.append(
+                    interface.AttemptEnded(name, number, outcome, settled.is_answered, 20.0, 1, 0.5)
+                )
             if now >= next_arrival:
                 next_arrival = now + 23.7
                 events.append(self._arrival(now))
             for action in self.edge.act(now, events):
                 match action:
-                    case i.Send(request, node):
+                    case interface.Send(request, node):
                         attempt = self.ledger.send(request, node, now)
                         if isinstance(attempt, FenceTrip):
                             stopped.append(
-                                i.AttemptEnded(request, attempt.number, i.Outcome.ABANDONED, False, 0.0)
+                                interface.AttemptEnded(
+                                    request, attempt.number, interface.Outcome.ABANDONED, False, 0.0
+                                )
                             )
                             self.poked.set()
                             continue
                         outcome = self.draw.choice(
-                            (i.Outcome.OK, i.Outcome.OK, i.Outcome.FULL, i.Outcome.RESET)
+                            (
+                                interface.Outcome.OK,
+                                interface.Outcome.OK,
+                                interface.Outcome.FULL,
+                                interface.Outcome.RESET,
+                            )
                         )
                         ends.append((now + self.draw.uniform(5, 60), request, attempt.number, outcome))
-                    case i.Reject(request):
+                    case interface.Reject(request):
                         self.ledger.reject(request, Reason.SCHEDULER)
-                    case i.Fail(request):
+                    case interface.Fail(request):
                         self.ledger.fail(request, Reason.ATTEMPTS)
 
-    def _arrival(self, now: float) -> i.Arrival:
+    def _arrival(self, now: float) -> interface.Arrival:
         name, index = f"r{self.count}", self.draw.choice((0, 1, 2))
         self.count += 1
         self.ledger.accept(name, "x", CLASSES[index], now + 1000, now)
         plan = self.draw.randrange(len(PLANS))
-        return i.Arrival(name, f"v{plan}", self.draw.choice(("", "k")), 1.0, 1000.0, plan, index, 0, 1)
+        return interface.Arrival(
+            name, f"v{plan}", self.draw.choice(("", "k")), 1.0, 1000.0, plan, index, 0, 1
+        )
 
     def trace(self) -> list[object]:
         """Return for each connection whom it reached, the last bytes each way and a digest of all."""
@@ -267,7 +281,7 @@
 
 async def _no_room(stage: _Scene) -> None:
     server, _ = stage.servers["p:1"]
-    for index in range(server.planner.bounds.max_edges):
+    for index in range(server.planner.limits.max_edges):
         server.planner.join(f"other-{index}", "l", 0.0)
     await anyio.sleep(1)
 
--- a/tests/compatibility/test_link.py
+++ b/tests/compatibility/test_link.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from cressrock.link import messages as m
+from cressrock.link import messages
 from tests.compatibility import link_cases
 from tests.compatibility.canonical import load
 
@@ -14,19 +14,19 @@
 
 def test_every_message_type_is_recorded():
     assert len(WIRE) == len(VALUES)
-    assert {type(value) for value in VALUES} == set(m.Any.__args__)
+    assert {type(value) for value in VALUES} == set(messages.AnyMessage.__args__)
 
 
 @pytest.mark.parametrize(("value", "recorded"), CASES)
 def test_message_is_encoded_as_recorded(value, recorded):
-    assert m.encode(value).hex() == recorded
+    assert messages.encode(value).hex() == recorded
 
 
 @pytest.mark.parametrize(("value", "recorded"), CASES)
 def test_recorded_bytes_are_read_as_the_same_message(value, recorded):
     frame = bytes.fromhex(recorded)
     assert int.from_bytes(frame[:4], "big") == len(frame) - 4
-    assert m.decode(frame[4:]) == value
+    assert messages.decode(frame[4:]) == value
 
 
 def test_handshakes_are_as_recorded():
--- /dev/null
+++ b/tests/planner/__init__.py
@@ -0,0 +1,1 @@
+"""Tests of cressrock/planner."""
--- a/tests/test_drill.py
+++ b/tests/test_drill.py
@@ -485,7 +485,7 @@
 
 def test_a_drill_of_cuts_kills_stops_and_resets_keeps_every_rule(tmp_path):
     joined, some = st.Step(0, st.Until("joined")), st.Step(0, st.Until("answered", 15))
-    away = st.Until("logged", 1, "d0", "planner away")
+    away = st.Until("logged", 1, "d0", "edge.planner_lost")
     steps = [
         joined,
         some,
@@ -522,7 +522,7 @@
     )
     report = rehearse(Drill(script, steps, logs=str(tmp_path)))
     assert not report.findings and not report.found.breaches, (report.findings, report.found.breaches[:3])
-    assert len(report.marks) == len(steps) and report.counts["d0"]["planner away"] >= 2
+    assert len(report.marks) == len(steps) and report.counts["d0"]["edge.planner_lost"] >= 2
     assert report.found.figures["answered"] == report.found.figures["requests"] >= 90
     assert report.exits == {"p0": [0], "p1": [-signal.SIGKILL, 0], "d0": [0], "d1": [0]}
     assert {p.name for p in tmp_path.iterdir()} >= {"p1.1.log", "p1.2.log", "d0.jsonnet"}
--- a/tests/test_rollout_parts.py
+++ b/tests/test_rollout_parts.py
@@ -15,7 +15,8 @@
 from cressrock.rollout import lifecycle as s
 from cressrock.scheduler.scheduler import Scheduler
 from cressrock.settings.load import convert
-from tests.test_edge import CLASSES, PLANS, World
+from tests.edge.support import CLASSES, PLANS
+from tests.edge.support import EdgeHarness as World
 from tests.test_rollout import BASE
 
 # --- the decision module
