--- a/cressrock/aggregation/__init__.py
+++ b/cressrock/aggregation/__init__.py
@@ -1,1 +1,1 @@
-"""Evidence on its way up: tellers, a collector for each zone, one summary a zone for the council's seats."""
+"""Reports of many processes on their way to the consensus replicas, by collectors that summarize them."""
--- a/cressrock/aggregation/channel.py
+++ b/cressrock/aggregation/channel.py
@@ -1,8 +1,8 @@
-"""A process's evidence on its way: its teller, and its collector where it announces one, on the fleet's wire.
+"""One process's reports on their way, by gossip or to collectors; and its own collector, where it is one.
 
-Rooms `put` their entries here and do not ask which way holds; `words`, `teller` and `collector` decide.
-Nothing waits for any of it: without collectors evidence goes by the spread, and without that each goes on
-alone.
+Cluster features `publish` their entries here and do not ask which way holds; `delivery`, `sender` and
+`collector` decide.  Nothing waits for any of it: without collectors reports go by gossip, and without that
+each process goes on alone.
 """
 
 from __future__ import annotations
@@ -13,27 +13,47 @@
 
 import anyio
 
-from cressrock.aggregation import messages as w
-from cressrock.aggregation.collector import MemberInfo, ReportCollector, SummarizerRegistry
-from cressrock.aggregation.sender import (
-    CARRIED_S,
-    AggregationTimings,
+from cressrock.aggregation.collector import ReportCollector
+from cressrock.aggregation.delivery import (
+    GOSSIP_WRITES_PER_S,
     DeliveryMode,
-    OutgoingMessage,
-    ReportSender,
     derive_max_gossip_senders,
     gossip_interval_ms,
 )
+from cressrock.aggregation.member_watch import MembersView, MemberWatch
+from cressrock.aggregation.members import MemberInfo
+from cressrock.aggregation.messages import (
+    CAPABILITY,
+    OutgoingMessage,
+    ReportAck,
+    decode,
+    decode_broadcast,
+    encode,
+)
+from cressrock.aggregation.ranking import Origin
+from cressrock.aggregation.sender import ReportSender
+from cressrock.aggregation.summarizer import SummarizerRegistry
+from cressrock.aggregation.timings import AggregationTimings
 from cressrock.errors import CressrockError
 from cressrock.errors.aggregation import AggregationError
 from cressrock.membership.membership import Member
 from cressrock.membership.packets import MemberState
 
-Origin = tuple[str, int]
+MIN_WAIT_MS = 1.0  # between two rounds of `run`
+
+
+class EventLog(Protocol):
+    """Where events are logged, each by name and fields."""
+
+    def info(self, event: str, **fields: Any) -> None:
+        """Log an event."""
+
+    def warning(self, event: str, **fields: Any) -> None:
+        """Log an event that an operator should see."""
 
 
 class Gossip(Protocol):
-    """What is asked of the spread."""
+    """The gossip store, as a process writes its own entries into it."""
 
     def put(self, key: str, value: bytes) -> None:
         """Set an own entry."""
@@ -43,7 +63,7 @@
 
 
 class EvidenceChannel:
-    """`run` it in a task group beside the fleet's carrier, which gives `receive` what others say."""
+    """`run` it in a task group beside the membership's transport, which gives `receive` what others send."""
 
     def __init__(
         self,
@@ -53,84 +73,71 @@
         *,
         clock: Callable[[], float],
         source: random.Random,
-        log: Any,
+        log: EventLog,
         replicas: Iterable[str] = (),
         sends_reports: bool = True,
         is_collector: bool = False,
         max_gossip_senders: int = 0,
-        times: AggregationTimings | None = None,
+        timings: AggregationTimings | None = None,
     ) -> None:
-        """`seats`: names of the council's seats.  `tells`: this process is missed if it tells nothing.
-        `collects`: it announces that it collects.
+        """`replicas`: names of the consensus replicas.  `sends_reports`: it is missed if it reports nothing.
 
-        `most`: tellers that still tell by the spread; 0: derived.
+        `is_collector`: it announces that it collects.  `max_gossip_senders`: so many still report by gossip;
+        0: derived.
         """
-        self.me, self.gossip, self.clock, self.log, self.tells = me, gossip, clock, log, sends_reports
-        self.times = times or AggregationTimings()
-        self.seats = tuple(replicas)
-        now = clock()
-        self.sender = ReportSender(zone, self.times, source, now)
+        self.me, self.gossip, self.clock, self.log = me, gossip, clock, log
+        self.sends_reports = sends_reports
+        self.timings = timings or AggregationTimings()
+        now_ms = clock()
+        self.sender = ReportSender(zone, self.timings, source, now_ms)
         self.summarizers = SummarizerRegistry()
-        self.collector = ReportCollector(me, self.times, self.summarizers, now) if is_collector else None
-        self.delivery_mode = DeliveryMode(
-            max_gossip_senders or derive_max_gossip_senders(self.times.renewal_interval_ms),
-            self.times.renewal_interval_ms,
-        )
+        self.collector = ReportCollector(me, self.timings, self.summarizers, now_ms) if is_collector else None
+        hold_ms = self.timings.renewal_interval_ms
+        self.delivery_mode = DeliveryMode(max_gossip_senders or derive_max_gossip_senders(hold_ms), hold_ms)
         self.send: Callable[[str, bytes], None] = lambda name, data: None  # to a member, one datagram
-        self.members: Callable[[], tuple[Member, ...]] = lambda: ()
-        self.sender_count = 0  # members that tell
+        self.members: Callable[[], MembersView] = lambda: ()
         self.rejected: dict[str, int] = {}  # messages that could not be read, by code
         self.unsent = 0  # entries that neither way took
         self._entries: dict[str, bytes] = {}
-        self._in_spread: set[str] = set()
+        self._in_gossip: set[str] = set()
         self._source = source
-        self._hold_until = 0.0  # nothing goes into the spread before: not all of many in one moment
-        self._factor = 1.0
-        self._collectors: tuple[Origin, ...] = ()
-        self._dumb: tuple[str, ...] = ()
-        self._stale = True  # the members changed
-        self._of: tuple[Member, ...] | None = None
-        self._refreshed = now
-        self._news = anyio.Event()
+        self._gossip_hold_until_ms = 0.0  # nothing is gossiped before: not all of many in one moment
+        self._interval_factor = 1.0  # drawn, so that many do not gossip in step
+        self._watch = MemberWatch(tuple(replicas), self.timings.summary_ttl_ms, now_ms)
+        self._wake = anyio.Event()
 
-    # --- what rooms ask
+    # --- what cluster features ask
+
+    @property
+    def sender_count(self) -> int:
+        """Return how many members report."""
+        return self._watch.sender_count
 
     @property
     def uses_collectors(self) -> bool:
-        """Whether this process tells collectors."""
+        """Whether this process reports to collectors."""
         return self.delivery_mode.collecting
 
     def publish(self, key: str, value: bytes | None) -> None:
-        """Set an own entry of evidence; None removes it.  What neither way takes is counted and logged."""
+        """Set an own entry; None removes it.  What neither way takes is counted and logged."""
         if value is None:
             self._entries.pop(key, None)
         else:
             self._entries[key] = value
         if self.uses_collectors:
-            self._tell(key, value)
-            self._news.set()
-        elif self.clock() >= self._hold_until:
-            self._spread(key, value)
-
-    def _tell(self, key: str, value: bytes | None) -> None:
-        try:
-            self.sender.put(key, value, self.clock())
-        except AggregationError as wrong:
-            self._untold(key, wrong)
-
-    def _untold(self, key: str, wrong: CressrockError) -> None:
-        self.unsent += 1
-        if self.unsent == 1:
-            self.log.warning("evidence not told", key=key, **wrong.fields())
+            self._put_to_sender(key, value)
+            self._wake.set()
+        elif self.clock() >= self._gossip_hold_until_ms:
+            self._put_to_gossip(key, value)
 
-    def broadcast(self, room: str) -> bytes:
-        """Return what came down for a room; b"" while there is nothing."""
+    def broadcast(self, name: str) -> bytes:
+        """Return what the summarizer of this name broadcasts; b"" while there is nothing."""
         if not self.uses_collectors:
             return b""
         try:
-            return w.decode_broadcast(self.sender.broadcast).get(room, b"")
-        except AggregationError as wrong:
-            self._refuse(wrong)
+            return decode_broadcast(self.sender.broadcast).get(name, b"")
+        except AggregationError as error:
+            self._count_rejected(error)
             return b""
 
     def is_evidence_requested(self) -> bool:
@@ -138,143 +145,155 @@
         return self.uses_collectors and self.sender.is_evidence_requested(self.clock())
 
     def update_interval_ms(self) -> float | None:
-        """Return how often evidence may change while it is wanted; None: as the spread bears."""
+        """Return how often evidence may change while it is requested; None: as gossip bears."""
         return self.sender.update_interval_ms() if self.uses_collectors else None
 
     def min_interval_ms(self) -> float:
-        """Return the least time between two tellings: where many tell by the spread, what it carries."""
+        """Return the least time between two reports: where many report by gossip, what that carries."""
         if self.uses_collectors:
             return 0.0
-        return gossip_interval_ms(self.sender_count, CARRIED_S, self.times.renewal_interval_ms) * self._factor
+        usual_ms = self.timings.renewal_interval_ms
+        return gossip_interval_ms(self.sender_count, GOSSIP_WRITES_PER_S, usual_ms) * self._interval_factor
+
+    # --- what comes in
 
     def on_members_changed(self) -> None:
-        """Hear that the members changed."""
-        self._stale = True
+        """Look at the members anew."""
+        self._watch.invalidate()
 
     def receive_gossip(self, origin: Origin, key: str, value: bytes | None) -> None:
-        """Hear evidence that came by the spread; a collector takes that of processes that tell by it."""
+        """Give an entry that came by gossip to the collector: its origin may report by gossip alone."""
         if self.collector is not None and origin != self.me:
-            now = self.clock()
-            self._refresh(now)
-            self.collector.receive_gossip(now, *origin, key, value)
+            now_ms = self.clock()
+            self._update_members(now_ms)
+            self.collector.receive_gossip(now_ms, *origin, key, value)
 
-    def receive(self, sender: str, life: int, data: bytes) -> None:
+    def receive(self, sender: str, incarnation: int, data: bytes) -> None:
         """Take a message of another process; unreadable ones are counted."""
         try:
-            message = w.decode(data)
-        except AggregationError as wrong:
-            self._refuse(wrong)
+            message = decode(data)
+        except AggregationError as error:
+            self._count_rejected(error)
             return
-        now = self.clock()
-        if isinstance(message, w.ReportAck):
-            if self.sender.receive(now, sender, life, message):
-                self._news.set()
+        now_ms = self.clock()
+        if isinstance(message, ReportAck):
+            if self.sender.receive(now_ms, sender, incarnation, message):
+                self._wake.set()
         elif self.collector is not None:
-            self._refresh(now)
-            self._send(self.collector.receive(now, sender, life, message))
-            self.collector.record_cost(1, self.clock() - now)
+            self._update_members(now_ms)
+            self._send_all(self.collector.receive(now_ms, sender, incarnation, message))
+            self.collector.record_cost(1, self.clock() - now_ms)
 
-    def _refuse(self, wrong: AggregationError) -> None:
-        self.rejected[wrong.code] = self.rejected.get(wrong.code, 0) + 1
-        if self.rejected[wrong.code] == 1:
-            self.log.warning("evidence refused", **wrong.fields())
+    def _count_rejected(self, error: AggregationError) -> None:
+        self.rejected[error.code] = self.rejected.get(error.code, 0) + 1
+        if self.rejected[error.code] == 1:
+            self.log.warning("aggregation.message_rejected", **error.fields())
 
     # --- how it runs
 
     async def run(self) -> None:
         """Serve until cancelled."""
         while True:
-            now = self.clock()
-            self._refresh(now)
-            self._look(now)
-            self._send(self.sender.tick(now))
-            if self.collector is not None:
-                self._send(self.collector.tick(now))
-            self._news = anyio.Event()
-            due = min(max(self.sender.next_due_ms() - self.clock(), 1.0), self.times.summary_interval_ms)
-            with anyio.move_on_after(due / 1000):
-                await self._news.wait()
-
-    def _send(self, sends: Iterable[OutgoingMessage]) -> None:
-        for out in sends:
-            data = w.encode(out.message)
-            if out.recipient == self.me[0]:  # it collects its own zone
+            self.step()
+            self._wake = anyio.Event()
+            due_ms = max(self.sender.next_due_ms() - self.clock(), MIN_WAIT_MS)
+            with anyio.move_on_after(min(due_ms, self.timings.summary_interval_ms) / 1000):
+                await self._wake.wait()
+
+    def step(self) -> None:
+        """Do what is due now, once."""
+        now_ms = self.clock()
+        self._update_members(now_ms)
+        self._update_delivery(now_ms)
+        self._send_all(self.sender.tick(now_ms))
+        if self.collector is not None:
+            self._send_all(self.collector.tick(now_ms))
+
+    def _send_all(self, sends: Iterable[OutgoingMessage]) -> None:
+        for outgoing in sends:
+            data = encode(outgoing.message)
+            if outgoing.recipient == self.me[0]:  # it collects its own zone
                 self.receive(*self.me, data)
             else:
-                self.send(out.recipient, data)
+                self.send(outgoing.recipient, data)
 
-    def _refresh(self, now: float) -> None:
+    def _update_members(self, now_ms: float) -> None:
         """Take the members' view, if it changed."""
-        if not self._stale:
-            return
-        found = self.members()
-        if found is self._of and now < self._refreshed + self.times.summary_ttl_ms:
-            return  # the view of thousands is not made anew at each change
-        self._of, self._refreshed, self._stale = found, now, False
-        there = (MemberState.ALIVE, MemberState.SUSPECT)
-        members = [m for m in found if m.state in there]
-        self._collectors = tuple(
-            sorted((m.name, m.process_incarnation) for m in members if m.extra == w.CAPABILITY)
-        )
-        self._dumb = tuple(m.name for m in members if m.name in self.seats and m.extra != w.CAPABILITY)
-        self.sender_count = sum(m.role == "edge" for m in members)
-        if self.collector is not None:
-            peers = [
-                MemberInfo(
-                    m.name,
-                    m.process_incarnation,
-                    m.zone,
-                    m.state is MemberState.ALIVE,
-                    True,
-                    m.role == "edge",
-                    m.extra == w.CAPABILITY,
-                )
-                for m in members
-            ]
-            self.collector.update_members(peers, self.seats, now)
-
-    def _look(self, now: float) -> None:
-        """Tell by one way or the other, and move all entries where it changed."""
+        present = self._watch.refresh(now_ms, self.members)
+        if present is not None and self.collector is not None:
+            members = [_member_info(member) for member in present]
+            self.collector.update_members(members, self._watch.replicas)
+
+    def _update_delivery(self, now_ms: float) -> None:
+        """Report by one way or the other, and move all entries where it changed."""
         before = self.uses_collectors
-        collecting = self.delivery_mode.update(now, self.sender_count, len(self._collectors), self._dumb)
-        wanted = collecting and self.tells or not self.sender.is_empty()
-        self.sender.update_collectors(self._collectors if wanted else (), now)
+        collecting = self.delivery_mode.update(
+            now_ms, self.sender_count, len(self._watch.collectors), self._watch.incapable_replicas
+        )
+        reporting = collecting and self.sends_reports or not self.sender.is_empty()
+        self.sender.update_collectors(self._watch.collectors if reporting else ())
         if collecting != before:
-            self.log.info(
-                "evidence", way="collectors" if collecting else "spread", why=self.delivery_mode.reason
-            )
-            self._factor = 0.5 + self._source.random()
-            self._hold_until = now + self.min_interval_ms()
+            self._change_delivery(now_ms, collecting)
+        if not collecting and self._gossip_hold_until_ms and now_ms >= self._gossip_hold_until_ms:
+            self._gossip_hold_until_ms = 0.0
             for key, value in sorted(self._entries.items()):
-                self._tell(key, value if collecting else None)
-        if not collecting and self._hold_until and now >= self._hold_until:
-            self._hold_until = 0.0
-            for key, value in sorted(self._entries.items()):
-                self._spread(key, value)
-        elif collecting and self._in_spread and self.sender.is_acknowledged():
-            for key in sorted(self._in_spread):  # only now: a collector has them
-                self._spread(key, None)
+                self._put_to_gossip(key, value)
+        elif collecting and self._in_gossip and self.sender.is_acknowledged():
+            for key in sorted(self._in_gossip):  # only now: a collector has them
+                self._put_to_gossip(key, None)
+
+    def _change_delivery(self, now_ms: float, collecting: bool) -> None:
+        way = "collectors" if collecting else "gossip"
+        self.log.info("aggregation.delivery_changed", way=way, reason=self.delivery_mode.reason)
+        self._interval_factor = 0.5 + self._source.random()
+        self._gossip_hold_until_ms = now_ms + self.min_interval_ms()
+        for key, value in sorted(self._entries.items()):
+            self._put_to_sender(key, value if collecting else None)
+
+    def _put_to_sender(self, key: str, value: bytes | None) -> None:
+        try:
+            self.sender.put(key, value, self.clock())
+        except AggregationError as error:
+            self._count_unsent(key, error)
 
-    def _spread(self, key: str, value: bytes | None) -> None:
+    def _put_to_gossip(self, key: str, value: bytes | None) -> None:
         try:
             if value is not None:
                 self.gossip.put(key, value)
-                self._in_spread.add(key)
-            elif key in self._in_spread:
-                self._in_spread.discard(key)
+                self._in_gossip.add(key)
+            elif key in self._in_gossip:
+                self._in_gossip.discard(key)
                 self.gossip.remove(key)
-        except CressrockError as wrong:
-            self._untold(key, wrong)
+        except CressrockError as error:
+            self._count_unsent(key, error)
+
+    def _count_unsent(self, key: str, error: CressrockError) -> None:
+        self.unsent += 1
+        if self.unsent == 1:
+            self.log.warning("aggregation.report_unsent", key=key, **error.fields())
 
-    def status(self) -> Mapping[str, Any]:
+    def status(self) -> Mapping[str, object]:
         """Return plain values for an admin port."""
-        teller = self.sender
+        sender, collector = self.sender, self.collector
+        recipient = sender.collector[0] if sender.collector is not None and self.uses_collectors else ""
         return {
             "collecting": self.uses_collectors,
             "why": self.delivery_mode.reason,
-            "to": teller.collector[0] if teller.collector is not None and self.uses_collectors else "",
-            "answered": teller.is_acknowledged(),
-            "counts": dict(teller.counts),
+            "to": recipient,
+            "answered": sender.is_acknowledged(),
+            "counts": dict(sender.counts),
             "refused": dict(self.rejected),
-            "collector": self.collector.status(self.clock()) if self.collector is not None else None,
+            "collector": collector.status(self.clock()) if collector is not None else None,
         }
+
+
+def _member_info(member: Member) -> MemberInfo:
+    return MemberInfo(
+        member.name,
+        member.process_incarnation,
+        member.zone,
+        alive=member.state is MemberState.ALIVE,
+        is_present=True,
+        sends_reports=member.role == "edge",
+        is_collector=member.extra == CAPABILITY,
+    )
--- a/cressrock/errors/aggregation.py
+++ b/cressrock/errors/aggregation.py
@@ -1,4 +1,4 @@
-"""What fails between tellers of evidence and its collectors."""
+"""What fails between senders of reports and their collectors."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
 
 
 class ReportTooLargeError(AggregationError):
-    """An entry of evidence is larger than one datagram carries; it was not told."""
+    """An entry of evidence is larger than one datagram carries; it was not sent."""
 
     code: ClassVar[str] = "collect-too-large"
     remedy: ClassVar[str] = "tell it in smaller pieces, as the spread would want too; the text names the key"
--- a/cressrock/errors/failover.py
+++ b/cressrock/errors/failover.py
@@ -1,4 +1,4 @@
-"""What fails around zones: evidence, decrees, moves of writes."""
+"""What fails around zone failover: evidence, decisions, moves of writes."""
 
 from __future__ import annotations
 
@@ -8,21 +8,21 @@
 
 
 class FailoverError(CressrockError):
-    """Something of the zones' part failed; the types below say what."""
+    """Something of zone failover failed; the types below say what."""
 
     code: ClassVar[str] = "zones"
     remedy: ClassVar[str] = "look at `zones` in the process's status; traffic goes on by its own evidence"
 
 
 class MalformedFailoverDataError(FailoverError):
-    """Bytes that should be evidence or a decree about zones cannot be read; they count as none."""
+    """Bytes that should be evidence or a decision about zones cannot be read; they count as none."""
 
     code: ClassVar[str] = "zones-malformed"
     remedy: ClassVar[str] = "find the process named as their origin: another program, or a damaged path"
 
 
 class UnsupportedFailoverVersionError(FailoverError):
-    """Evidence or a decree about zones is of a version that this program does not read; it counts as none."""
+    """Evidence or a decision about zones has a version that this program does not read; it counts as none."""
 
     code: ClassVar[str] = "zones-version"
     remedy: ClassVar[str] = "bring the processes to neighbouring versions, planners with seats last"
--- a/cressrock/programs/gateway.py
+++ b/cressrock/programs/gateway.py
@@ -30,7 +30,8 @@
 from cressrock.edge.disposition import DisconnectedPolicy, ReconnectBackoff
 from cressrock.edge.ordering import KeyOrdering
 from cressrock.edge.planner_link import PlannerLink
-from cressrock.failover.carrier import EdgeFailover, FailoverAdmin
+from cressrock.failover.admin import FailoverAdmin
+from cressrock.failover.edge import EdgeFailover
 from cressrock.failover.routing import ZoneRouter
 from cressrock.http.channel import Stream
 from cressrock.http.server import Exchange, Server
@@ -413,7 +414,7 @@
         assert settings is not None and fleet is not None
         lots = random.Random(source.getrandbits(62))
         choice = ZoneRouter(fleet.zone, settings.regions(), settings, driver.clock(), lots)
-        zones = EdgeFailover(choice, ground, driver.clock, self._zone_of, self.world.log)
+        zones = EdgeFailover(choice, ground, driver.clock, self._zone_of)
         zones.watch(driver)
         hold_ms = council.hold_ms if council is not None else 0.0
         self.routes[b"/v1/zones/"] = FailoverAdmin(settings, ground, hold_ms, zones.status).handle
--- a/cressrock/programs/planner.py
+++ b/cressrock/programs/planner.py
@@ -13,7 +13,8 @@
 
 from cressrock import net
 from cressrock.dispatch.node_client import NodeClient
-from cressrock.failover.carrier import FailoverAdmin, FailoverLeader
+from cressrock.failover.admin import FailoverAdmin
+from cressrock.failover.leader import FailoverLeader
 from cressrock.http.channel import Stream
 from cressrock.http.server import Exchange
 from cressrock.interface import NodeList
--- a/cressrock/settings/reference.py
+++ b/cressrock/settings/reference.py
@@ -10,7 +10,7 @@
 from msgspec import inspect as shapes
 
 from cressrock.dispatch.node_client import PoolBounds
-from cressrock.failover.decision import FailoverSettings, ZoneSettings
+from cressrock.failover.settings import FailoverSettings, ZoneSettings
 from cressrock.http.server import ServerBounds
 from cressrock.settings import types
 
--- a/cressrock/settings/types.py
+++ b/cressrock/settings/types.py
@@ -9,7 +9,7 @@
 
 from cressrock import interface
 from cressrock.dispatch.node_client import PoolBounds
-from cressrock.failover.decision import FailoverSettings
+from cressrock.failover.settings import FailoverSettings
 from cressrock.http.server import ServerBounds
 
 Milliseconds = Annotated[float, Meta(ge=0, le=1e9)]
--- a/tests/compatibility/test_zones.py
+++ b/tests/compatibility/test_zones.py
@@ -5,7 +5,7 @@
 import msgspec
 import pytest
 
-from cressrock.failover.decision import FailoverSettings
+from cressrock.failover.settings import FailoverSettings
 from tests.compatibility import zones_cases as cases
 from tests.compatibility.canonical import load
 
