--- a/tests/test_capacity_small.py
+++ b/tests/test_capacity_small.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from cressrock.failover import carrier as zones_carrier
+from cressrock.failover.evidence_feed import EvidenceFeed
 from cressrock.gossip.store import GossipStore, GossipStoreSettings
 from cressrock.lab import capacity, hollow_turns
 from cressrock.lab.capacity import Point
@@ -98,7 +98,7 @@
             self.collected.append((origin, key))
 
     ground = Ground()
-    heard = zones_carrier.EvidenceFeed(hollow_turns.zones_of(30), ground, lambda: 0.0)
+    heard = EvidenceFeed(hollow_turns.zones_of(30), ground, lambda: 0.0)
     for origin in list(ground.gossip._states)[:7]:
         heard.on_gossip_change(origin, hollow_turns.WORD)
         heard.on_gossip_change(origin, "decree/zones")
