--- /dev/null
+++ b/tests/compatibility/consensus_streams.py
@@ -0,0 +1,652 @@
+"""Seeded streams of inputs for the consensus core, its decisions and connections; digests of what they do."""
+
+from __future__ import annotations
+
+import random
+from collections.abc import Callable
+from functools import partial
+from typing import Any
+
+import msgspec
+
+from cressrock.council import decrees, messages, news, wire
+from cressrock.council.log import HardState, Snapshot, Stored, first, force_new
+from cressrock.council.messages import Entry
+from cressrock.council.raft import Ready, Role, Seat, Timing
+from cressrock.errors import CressrockError
+from tests.compatibility.canonical import Digest
+
+ROLES = {
+    Role.LEARNER: "learner",
+    Role.FOLLOWER: "follower",
+    Role.ASKING: "pre-candidate",
+    Role.CANDIDATE: "candidate",
+    Role.LEADER: "leader",
+}
+
+
+def attempt(call: Callable[[], Any]) -> Any:
+    """Return what a call returns, or the code of the error that it raised."""
+    try:
+        return call()
+    except CressrockError as error:
+        return ["error", error.code]
+    except ValueError:
+        return ["error", "value"]
+
+
+# --- the consensus core
+
+
+class MemoryDisk:
+    """What one replica's disk holds; batches are written in the documented order."""
+
+    def __init__(self, stored: Stored) -> None:
+        self.hard, self.snapshot = stored.hard, stored.snapshot
+        self.entries = list(stored.entries)
+
+    def load(self) -> Stored:
+        return Stored(self.hard, self.snapshot, tuple(self.entries))
+
+    def write(self, ready: Ready) -> None:
+        if ready.truncate_from is not None:
+            self.entries = [entry for entry in self.entries if entry.index < ready.truncate_from]
+        if ready.snapshot is not None:
+            index = ready.snapshot.index
+            fits = any((entry.index, entry.term) == (index, ready.snapshot.term) for entry in self.entries)
+            begins = self.snapshot is not None and self.snapshot.index == index
+            self.entries = [entry for entry in self.entries if entry.index > index] if fits or begins else []
+            self.snapshot = ready.snapshot
+        for entry in ready.entries:
+            self.entries = [held for held in self.entries if held.index < entry.index]
+            self.entries.append(entry)
+        if ready.hard is not None:
+            self.hard = ready.hard
+
+
+def plain_entry(entry: Entry) -> list[Any]:
+    return [entry.term, entry.index, entry.kind, entry.data]
+
+
+def plain_hard(hard: HardState | None) -> list[Any] | None:
+    return hard and [hard.term, hard.voted_for, hard.commit, hard.generation]
+
+
+def plain_snapshot(snapshot: Snapshot | None) -> list[Any] | None:
+    return snapshot and [snapshot.index, snapshot.term, list(snapshot.seats), snapshot.data]
+
+
+def plain_message(receiver: str, message: messages.SeatMessage) -> list[Any]:
+    """Return a message as its bytes on the wire, without the words of a reason."""
+    if isinstance(message, messages.Refused):
+        message = msgspec.structs.replace(message, reason="")
+    return [receiver, messages.encode("c", "s", receiver, message)]
+
+
+def plain_batch(ready: Ready) -> list[Any]:
+    return [
+        plain_hard(ready.hard),
+        plain_snapshot(ready.snapshot),
+        ready.restore,
+        ready.truncate_from,
+        [plain_entry(entry) for entry in ready.entries],
+        [plain_message(to, message) for to, message in ready.messages],
+        [plain_entry(entry) for entry in ready.committed],
+        [[read.token, read.index] for read in ready.reads],
+        list(ready.lost_reads),
+        ready.to_keep,
+    ]
+
+
+def draw_timing(source: random.Random) -> Timing:
+    """Return times and bounds; half of the streams have bounds so narrow that they are met all the time."""
+    narrow = source.random() < 0.5
+    if not narrow:
+        return Timing(election_ms=100.0, heartbeat_ms=source.choice([10.0, 30.0]), max_behind=8)
+    return Timing(
+        election_ms=100.0,
+        heartbeat_ms=20.0,
+        stick_ms=source.choice([None, 60.0]),
+        lease_ms=source.choice([None, 150.0]),
+        pre_vote=source.random() < 0.7,
+        max_entries=source.choice([1, 3]),
+        max_bytes=64,
+        max_entry=40,
+        max_inflight=source.choice([1, 2, 3]),
+        max_uncommitted=200,
+        max_apply=source.choice([1, 4]),
+        snapshot_piece=7,
+        max_snapshot=300,
+        max_outbox=source.choice([3, 20]),
+        max_reads=2,
+        max_learners=1,
+        max_behind=2,
+        forget_elections=3.0,
+    )
+
+
+class ReplicaGroup:
+    """Several replicas, their disks and the messages under way, driven by one stream of chance."""
+
+    def __init__(self, seed: int) -> None:
+        self.chance = random.Random(seed)
+        self.digest = Digest()
+        self.timing = draw_timing(self.chance)
+        self.now = 0.0
+        count = self.chance.choice([1, 2, 3, 3, 3, 5])
+        self.names = [f"n{number}" for number in range(count + 2)]
+        self.founders = tuple(self.names[:count])
+        self.disks: dict[str, MemoryDisk] = {}
+        self.replicas: dict[str, Seat] = {}
+        self.applied: dict[str, bytes] = {}
+        self.under_way: list[tuple[str, str, messages.SeatMessage]] = []
+        self.cut: set[str] = set()
+        self.loss = self.chance.choice([0.0, 0.02, 0.15])
+        self.tokens = 0
+        self.chaos = self.chance.choice([0.2, 1.0])
+        for name in self.names:
+            stored = first(self.founders) if name in self.founders else Stored()
+            self.disks[name] = MemoryDisk(stored)
+            self.start(name)
+
+    def start(self, name: str) -> None:
+        stored = self.disks[name].load()
+        source = random.Random(self.chance.getrandbits(32))
+        self.replicas[name] = Seat(name, stored, self.timing, source, self.now)
+        self.applied[name] = stored.snapshot.data if stored.snapshot else b""
+
+    def record(self, name: str) -> None:
+        replica = self.replicas[name]
+        self.digest.add([
+            name, ROLES[replica.role], replica.term, replica.voted_for, replica.leader, replica.commit,
+            replica.generation, bool(replica.turned_away), list(replica.seats), replica.has_ready(),
+            replica.next_due(), sorted(replica.counts.items()),
+        ])  # fmt: skip
+
+    # --- what may happen
+
+    def pass_time(self) -> None:
+        due = min((replica.next_due() for replica in self.replicas.values()), default=self.now + 10)
+        if self.chance.random() < 0.7 and due < self.now + 1000:
+            self.now = max(self.now, due)
+        else:
+            self.now += self.chance.choice([0.0, 1.0, 5.0, 30.0, 120.0])
+        for name in sorted(self.replicas):
+            if self.chance.random() < 0.95:
+                self.replicas[name].tick(self.now)
+
+    def deliver(self) -> None:
+        for _ in range(self.chance.randint(1, 12)):
+            if not self.under_way:
+                return
+            late = self.chance.random() < 0.1 * self.chaos
+            position = self.chance.randrange(len(self.under_way)) if late else 0
+            sender, receiver, message = self.under_way[position]
+            if self.chance.random() >= 0.03 * self.chaos:
+                del self.under_way[position]
+            lost = self.chance.random() < self.loss or sender in self.cut or receiver in self.cut
+            if not lost and receiver in self.replicas:
+                self.receive(receiver, sender, message)
+
+    def receive(self, receiver: str, sender: str, message: messages.SeatMessage) -> None:
+        answer = attempt(lambda: self.replicas[receiver].receive(self.now, sender, message))
+        if answer is not None:
+            self.digest.add([receiver, answer])
+            del self.replicas[receiver]  # a replica that has diverged stops
+
+    def batch(self, name: str) -> None:
+        replica = self.replicas[name]
+        for _ in range(6):
+            if not replica.has_ready():
+                return
+            ready = replica.ready()
+            self.digest.add([name, plain_batch(ready)])
+            if self.chance.random() < 0.01 * self.chaos:
+                self.start(name)  # the disk took nothing of it: made anew from what it has
+                return
+            self.disks[name].write(ready)
+            if self.chance.random() < 0.01 * self.chaos:
+                self.start(name)  # kept, and never sent
+                return
+            self.under_way += [(name, to, message) for to, message in ready.messages]
+            if ready.restore and ready.snapshot is not None:
+                self.applied[name] = ready.snapshot.data
+            for entry in ready.committed:
+                self.applied[name] = (self.applied[name] + entry.data)[-90:]
+            assert attempt(replica.ready) == ["error", "value"]
+            replica.advance(ready)
+            last = ready.committed[-1].index if ready.committed else 0
+            if last and self.chance.random() < 0.1:
+                self.digest.add(
+                    ["compact", attempt(lambda last=last: replica.compact(last, self.state(name)))]
+                )
+
+    def state(self, name: str) -> bytes:
+        return self.applied[name] * self.chance.choice([1, 1, 1, 5])
+
+    def ask(self, name: str) -> None:
+        replica = self.replicas[name]
+        kind = self.chance.choices(
+            ["propose", "read", "add", "remove", "both", "transfer", "campaign", "compact", "clone"],
+            [30, 12, 6, 4, 1, 3, 1, 1, 2],
+        )[0]
+        other = self.chance.choice(self.names)
+        match kind:
+            case "propose":
+                data = self.chance.randbytes(self.chance.choice([0, 1, 8, 30, 45]))
+                answer = attempt(lambda: replica.propose(self.now, data))
+            case "read":
+                self.tokens += 1
+                answer = attempt(lambda: replica.read_index(self.now, self.tokens))
+            case "add":
+                answer = attempt(lambda: replica.change_seats(self.now, add=other))
+            case "remove":
+                answer = attempt(lambda: replica.change_seats(self.now, remove=other))
+            case "both":
+                answer = attempt(lambda: replica.change_seats(self.now, add=other, remove=name))
+            case "transfer":
+                answer = attempt(lambda: replica.transfer(self.now, other))
+            case "campaign":
+                answer = replica.campaign(self.now, transfer=self.chance.random() < 0.3)
+            case "compact":
+                answer = attempt(lambda: replica.compact(self.chance.randint(0, 30), b"data"))
+            case _:
+                self.replicas[name] = replica.clone()
+                answer = None
+        self.digest.add([name, kind, answer])
+
+    def leaders_first(self) -> str:
+        leaders = [name for name, replica in sorted(self.replicas.items()) if replica.role is Role.LEADER]
+        if leaders and self.chance.random() < 0.8:
+            return self.chance.choice(leaders)
+        return self.chance.choice(sorted(self.replicas))
+
+    def disturb(self) -> None:
+        kind = self.chance.choices(
+            ["cut", "heal", "restart", "stop", "start", "forge", "vote", "force", "lose"],
+            [6, 10, 4, 2, 6, 8, 6, 0.4, 0.4],
+        )[0]
+        name = self.chance.choice(self.names)
+        match kind:
+            case "cut":
+                self.cut.add(name)
+            case "heal":
+                self.cut.clear()
+            case "restart" if name in self.replicas:
+                self.start(name)
+            case "stop":
+                self.replicas.pop(name, None)
+            case "start" if name not in self.replicas:
+                self.start(name)
+            case "forge" if name in self.replicas:
+                self.forge(name)
+            case "vote" if name in self.replicas:
+                self.stand_against_a_leader(name)
+            case "force":
+                self.disks[name] = MemoryDisk(force_new(self.disks[name].load(), name))
+                self.start(name)
+            case "lose":
+                self.disks[name] = MemoryDisk(Stored())
+                self.start(name)
+
+    def forge(self, name: str) -> None:
+        """Send what no correct replica need have sent, often in the name of the leader."""
+        replica = self.replicas[name]
+        sender = self.chance.choice([replica.leader or name, self.chance.choice(self.names)])
+        entries = self.disks[name].entries
+        if entries and self.chance.random() < 0.5:
+            # A heartbeat that matches this log early on and says that more is committed than it shows.
+            unsure = [entry for entry in entries[:-1] if entry.index >= replica.commit]
+            entry = self.chance.choice(unsure or entries)
+            message: messages.SeatMessage = messages.Append(
+                generation=replica.generation, term=replica.term, previous_index=entry.index,
+                previous_term=entry.term, commit=entry.index + self.chance.randint(0, 5), round=1,
+            )  # fmt: skip
+        else:
+            message = self.forged(replica)
+        self.receive(name, sender, message)
+
+    def stand_against_a_leader(self, name: str) -> None:
+        """Ask for a vote just before, at and after the end of the time in which a leader is followed."""
+        replica = self.replicas[name]
+        if not replica.leader or replica.leader == name:
+            return
+        head = {"generation": replica.generation, "term": replica.term}
+        self.receive(name, replica.leader, messages.Append(**head, previous_index=0, previous_term=0))
+        self.now = max(self.now, float(int(self.now) + 1))
+        if name in self.replicas:
+            self.receive(name, replica.leader, messages.Append(**head, previous_index=0, previous_term=0))
+        self.now += self.timing.stick + self.chance.choice([-1, 0, 0, 1])
+        if name not in self.replicas:
+            return
+        last = {"last_index": 10**6, "last_term": replica.term + 1}
+        if self.chance.random() < 0.5:
+            ask: messages.SeatMessage = messages.PreVote(**head, next_term=replica.term + 1, **last)
+        else:
+            ask = messages.Vote(generation=replica.generation, term=replica.term + 1, **last)
+        self.receive(name, self.chance.choice(self.names), ask)
+
+    def forged(self, replica: Seat) -> messages.SeatMessage:
+        """Return a message that no correct replica need have sent."""
+        chance = self.chance
+        term = max(0, replica.term + chance.randint(-1, 1))
+        head = {"generation": replica.generation, "term": term}
+        index = max(0, replica.commit + chance.randint(-3, 3))
+        make = chance.choice([
+            lambda: messages.Append(
+                **head, previous_index=index, previous_term=term, commit=index, round=chance.randint(0, 9),
+                entries=(
+                    Entry(term, index + chance.randint(0, 2), chance.choice(["command", "seats"]), b"f"),
+                ),
+            ),
+            lambda: messages.Append(
+                **head, previous_index=index, previous_term=max(0, term - 1), commit=index
+            ),
+            lambda: messages.AppendReply(**head, accepted=True, match=index + 100, round=1),
+            lambda: messages.AppendReply(
+                **head, accepted=False, previous_index=index, conflict_term=chance.randint(0, 3),
+                conflict_index=index, round=chance.randint(0, 300),
+            ),
+            lambda: messages.InstallSnapshot(
+                **head, index=index + 5, index_term=term + chance.randint(0, 1), seats=("n0", "n0"), offset=0,
+                size=3, data=b"abc",
+            ),
+            lambda: messages.InstallSnapshot(
+                **head, index=index + 5, index_term=max(0, term - 1), seats=("n0", "n1"), offset=0,
+                size=chance.choice([2, 10**9]), data=b"abc",
+            ),
+            lambda: messages.InstallSnapshotReply(**head, index=index, offset=chance.randint(0, 9), round=1),
+            lambda: messages.TimeoutNow(**head),
+            lambda: messages.Vote(**head, last_index=index, last_term=term, transfer=chance.random() < 0.5),
+            lambda: messages.Refused(generation=replica.generation + 1, term=term, reason="forged"),
+        ])  # fmt: skip
+        return make()
+
+    def run(self, steps: int) -> str:
+        for _ in range(steps):
+            step = self.chance.choices(["time", "deliver", "ask", "disturb"], [30, 50, 14, 4 * self.chaos])[0]
+            if step == "time" or not self.replicas:
+                self.pass_time()
+            elif step == "deliver":
+                self.deliver()
+            elif step == "ask":
+                self.ask(self.leaders_first())
+            if step == "disturb" or not self.replicas:
+                self.disturb()
+            for name in sorted(self.replicas):
+                if self.chance.random() < 0.9:
+                    self.batch(name)
+                self.record(name)
+            del self.under_way[:-400]
+        for name, disk in sorted(self.disks.items()):
+            self.digest.add([
+                name, plain_hard(disk.hard), plain_snapshot(disk.snapshot),
+                [plain_entry(entry) for entry in disk.entries],
+            ])  # fmt: skip
+        return self.digest.hex()
+
+
+def consensus_digest(seed: int) -> str:
+    """Return the digest of one group of replicas under losses, elections, changes and snapshots."""
+    return ReplicaGroup(seed).run(420)
+
+
+# --- the state machine of decisions
+
+
+def plain_outcome(outcome: decrees.Outcome | None) -> Any:
+    if outcome is None:
+        return None
+    if isinstance(outcome, decrees.Done):
+        return ["done", outcome.number]
+    if isinstance(outcome, decrees.Clash):
+        return ["clash", outcome.number]
+    return ["refused", outcome.reason]
+
+
+def plain_decision(decree: decrees.Decree | None) -> bytes | None:
+    return decree and decrees.encode(decree)
+
+
+def draw_command(chance: random.Random, state: decrees.Decrees) -> decrees.Command | None:
+    topic = f"topic/{chance.randint(0, 8)}"
+    request = f"r{max(0, state.applied + chance.choice([0, 0, 0, 0, -1, -2, -9]))}"
+    asked_at = max(0, state.applied - chance.choice([0, 0, 1, 3, 12]))
+    standing = state.get(topic)
+    number = standing.number if standing else 0
+    if_number = chance.choice([None, None, None, number, 0, number + 1])
+    match chance.choices(["decide", "drop", "ground", "none"], [70, 15, 5, 8])[0]:
+        case "decide":
+            value = chance.randbytes(chance.choice([0, 3, 12, 30, 45]))
+            return decrees.Decide(
+                topic, value, chance.choice([0.5, 300.0]), "p", request, asked_at, if_number
+            )
+        case "drop":
+            return decrees.Drop(topic, request, asked_at, if_number)
+        case "ground":
+            limits = decrees.Limits(
+                chance.randint(1, 9), chance.randint(10, 60), chance.randint(50, 300), chance.randint(1, 20)
+            )
+            sure = chance.choice([None, max(0, state.applied - 4)])
+            ground = state.number + chance.randint(-50, 2000)
+            return decrees.Ground(max(0, ground), chance.choice([None, limits]), sure)
+    return None
+
+
+def decisions_digest(seed: int) -> str:
+    """Return the digest of one log applied to the state machine, with snapshots taken and restored."""
+    chance = random.Random(seed)
+    digest = Digest()
+    state = decrees.Decrees(chance.choice([None, decrees.Limits(4, 40, 120, 6)]))
+    for _ in range(250):
+        command = draw_command(chance, state)
+        index = state.applied + (2 if chance.random() < 0.01 else 1)
+        data = decrees.encode(command) if command is not None else b""
+        if data and chance.random() < 0.02:
+            data = chance.choice(
+                [bytes((9,)) + data[1:], bytes((0,)) + data[1:], data[:-1], data + b"x", b"\x01"]
+            )
+        answer = attempt(partial(state.apply, index, data))
+        if isinstance(answer, tuple):
+            applied, outcome = answer
+            digest.add([decrees.encode(applied), plain_outcome(outcome)])
+            if not isinstance(applied, decrees.Ground):
+                digest.add(plain_outcome(state.outcome(applied.request)))
+                digest.add(plain_decision(state.get(applied.topic)))
+        else:
+            digest.add(answer)
+        digest.add([state.applied, state.number, state.offset])
+        if chance.random() < 0.1:
+            kept = state.snapshot()
+            digest.add([kept, [plain_decision(decree) for decree in state.all()]])
+            state = decrees.Decrees.restore(kept, state.applied)
+    digest.add(attempt(lambda: decrees.Decrees.restore(b"\x07bad")))
+    digest.add([decrees.Decrees.restore(b"", 7).applied, state.snapshot()])
+    return digest.hex()
+
+
+# --- decisions on their way to a reader
+
+
+def plain_reading(answer: Any) -> Any:
+    if isinstance(answer, decrees.Decree):
+        return ["counts", plain_decision(answer)]
+    if isinstance(answer, decrees.Expired):
+        return ["expired", plain_decision(answer.decree), answer.since]
+    return answer
+
+
+def news_digest(seed: int) -> str:
+    """Return the digest of what seats publish and what a process makes of it, with losses and repeats."""
+    chance = random.Random(seed)
+    digest = Digest()
+    limit = chance.choice([1000, 60])
+    tellers = [news.Teller(limit) for _ in range(3)]
+    taker = news.Taker(chance.choice([1000, 5]))
+    reader = decrees.Reader(max_topics=chance.choice([1000, 6]))
+    renewals = decrees.Beats(chance.choice([2048, 2]))
+    standing: dict[str, decrees.Decree] = {}
+    entries: list[tuple[str, bytes]] = []
+    number, now, term, tokens = 100, 0.0, 1, [0]
+    topics = [f"t{at}" for at in range(chance.choice([4, 130]))]
+    for _ in range(220):
+        now += chance.choice([0.0, 5.0, 40.0])
+        term += chance.random() < 0.03
+        for topic in chance.sample(topics, chance.choice([0, 1, 3])):
+            number += 1
+            value = chance.randbytes(chance.choice([1, 10, 80]))
+            standing[topic] = decrees.Decree(topic, number, value, chance.choice([50.0, 400.0]), "p")
+        if standing and chance.random() < 0.1:
+            del standing[chance.choice(sorted(standing))]
+        tokens.append(renewals.ask(term, now))
+        beat = renewals.confirmed(chance.choice(tokens[-3:]), term, now + chance.choice([0.0, 30.0]), 25.0)
+        digest.add(beat)
+        seen_at_teller = [decree for decree in standing.values() if chance.random() < 0.95]
+        if beat and chance.random() < 0.3:
+            seen_at_teller = list(decrees.renewed(seen_at_teller, beat))
+        for change in chance.choice(tellers).tell(seen_at_teller, beat or 0):
+            digest.add([change.key, change.value])
+            if change.value is not None:
+                entries.append((change.key, change.value))
+        if chance.random() < 0.1:
+            bad = chance.choice([b"", b"\x81bad", b"\x82", b"\x09old", b"\x01bad"])
+            entries.append((chance.choice(["beat/0", "decree/t0", "other/x"]), bad))
+        del entries[:-60]
+        for _ in range(chance.choice([0, 3, 10])):
+            if entries:
+                key, value = chance.choice(entries)
+                answer = attempt(lambda key=key, value=value: taker.take(key, value))
+                receive(digest, reader, answer, now)
+        if standing and chance.random() < 0.2:
+            answered = chance.choice(sorted(standing.values(), key=lambda decree: decree.topic))
+            receive(digest, reader, (taker.found(answered), []), now)
+        topic = chance.choice(topics)
+        digest.add([plain_reading(reader.get(topic, now)), reader.next_end(now), reader.number(topic)])
+        if chance.random() < 0.03:
+            seen = reader.seen()
+            digest.add([seen, list(reader.topics())])
+            reader = decrees.Reader(seen, max_topics=reader.max_topics)
+    digest.add(attempt(lambda: decrees.Reader(b"\x01bad").topics()))
+    digest.add(attempt(lambda: decrees.Reader(b"\x05").topics()))
+    return digest.hex()
+
+
+def receive(digest: Digest, reader: decrees.Reader, answer: Any, now: float) -> None:
+    """Pass decisions on to the reader; record what was returned at each step."""
+    if isinstance(answer, tuple):
+        found, wanted = answer
+        digest.add([[plain_decision(decree) for decree in found], list(wanted)])
+        digest.add([reader.take(decree, now) for decree in found])
+    else:
+        digest.add(answer)
+
+
+# --- connections
+
+
+def plain_event(event: wire.Event) -> list[Any]:
+    """Return an event without the words of a reason."""
+    match event:
+        case wire.Opened():
+            return [
+                "opened", event.version, event.who, event.seat, event.council, list(event.founders),
+                event.applied,
+            ]  # fmt: skip
+        case wire.Closed():
+            return ["closed", event.code, event.ours]
+        case _:
+            return ["message", wire.encode(event)]
+
+
+def plain_bytes(data: bytes) -> list[Any]:
+    """Return the frames in `data`, partings without their words."""
+    found: list[Any] = []
+    while data:
+        size = int.from_bytes(data[:4], "big")
+        body, data = data[4 : 4 + size], data[4 + size :]
+        decoded = msgspec.msgpack.decode(body)
+        found.append(decoded[:2] if decoded[0] == "parting" else body)
+    return found
+
+
+def connection_digest(seed: int) -> str:
+    """Return the digest of one connection: two ends, bytes in pieces, time, faults of a peer."""
+    chance = random.Random(seed)
+    digest = Digest()
+    bounds = wire.Bounds(max_frame=chance.choice([1 << 20, 60]), max_queue=chance.choice([4 << 20, 40]))
+    ends: list[wire.Talk] = []
+    for dials in (True, False):
+        me = wire.Me(
+            chance.choice(["c", "c", "c", "c", "other"]), "a#1" if dials else "b#2",
+            not dials or chance.random() < 0.7,
+            chance.choice(["", "0f", "0f", "0e"]), ("a#1", "b#2"), 5,
+        )  # fmt: skip
+        versions = chance.choice([(1,), (1,), (1, 2), (2,)])
+        ends.append(wire.Talk(dials, me, 0.0, bounds=bounds, versions=versions))
+    way = [bytearray(), bytearray()]  # bytes on their way from each end
+    now = 0.0
+    offered: list[Any] = [
+        wire.Raft(b"data"),
+        wire.Ask(1, wire.Read("t"), True),
+        wire.Answer(1, wire.Later("busy"), 9),
+        wire.Raft(b"x" * 70),
+    ]
+    forged = [
+        wire.Ping(1),
+        wire.Pong(1, 4),
+        wire.Welcome(1, "x"),
+        wire.Hello((1,), "c", "x"),
+        wire.Parting("c", "r"),
+    ]
+    for _ in range(60):
+        side = chance.randrange(2)
+        end = ends[side]
+        match chance.choices(["bytes", "send", "time", "forge", "close", "end"], [60, 20, 15, 2, 0.5, 0.5])[
+            0
+        ]:
+            case "bytes":
+                data = end.take_bytes()
+                digest.add(plain_bytes(data))
+                way[side] += data
+                count = chance.choice([1, 7, 1000, 1000])
+                piece, way[side] = bytes(way[side][:count]), way[side][count:]
+                events = ends[1 - side].receive_data(piece, now) if piece else []
+            case "send":
+                events = []
+                digest.add(
+                    end.send(
+                        chance.choice([message for message in offered if allowed(side, message, chance)])
+                    )
+                )
+            case "time":
+                now += chance.choice([1.0, 100.0, 300.0, 300.0, 1300.0])
+                events = end.tick(now)
+            case "forge":
+                message = chance.choice([*forged, *offered])
+                garbage = chance.choice(
+                    [wire.encode(message), wire.encode(message), b"\0\0\0\x02\xc1\xc1", b"\x7f" * 4]
+                )
+                events = end.receive_data(garbage, now)
+            case "close":
+                events = end.close("council-founded", "founded: greet again")
+            case _:
+                events = end.receive_end()
+        digest.add([plain_event(event) for event in events])
+        digest.add(
+            [end.state is wire.State.OPEN, end.peer, end.peer_seat, end.lost, end.applied, end.next_due()]
+        )
+    return digest.hex()
+
+
+def allowed(side: int, message: Any, chance: random.Random) -> bool:
+    """Whether this end would send such a message, or a rare breach of that."""
+    kind = wire.Answer if side == 0 else wire.Ask
+    return not isinstance(message, kind) or chance.random() < 0.02
+
+
+STREAMS: dict[str, tuple[Callable[[int], str], range]] = {
+    "consensus": (consensus_digest, range(60)),
+    "decisions": (decisions_digest, range(40)),
+    "news": (news_digest, range(40)),
+    "connection": (connection_digest, range(150)),
+}
--- /dev/null
+++ b/tests/compatibility/record_consensus.py
@@ -0,0 +1,62 @@
+"""Record the wire bytes, stored files and decisions of the consensus.
+
+Run as `python -m tests.compatibility.record_consensus`, once, on the version whose bytes, files and decisions
+are to stay; a recorded fixture is never written again.
+"""
+
+from __future__ import annotations
+
+import tempfile
+from pathlib import Path
+
+from cressrock.council import decrees, messages, wire
+from tests.compatibility import consensus_cases as cases
+from tests.compatibility.canonical import FIXTURES, save
+from tests.compatibility.consensus_streams import STREAMS
+
+
+def record_wire() -> None:
+    """Write the bytes of every message."""
+    save("consensus-wire", {
+        "messages": {
+            name: messages.encode(cases.CLUSTER, cases.SENDER, cases.RECEIVER, message).hex()
+            for name, message in cases.seat_messages().items()
+        },
+        "seats": messages.pack_seats(("a#1", "b#2")).hex(),
+        "frames": {name: wire.encode(frame).hex() for name, frame in cases.frames().items()},
+        "commands": {name: decrees.encode(command).hex() for name, command in cases.commands().items()},
+        "decisions": {name: decrees.encode(decree).hex() for name, decree in cases.decisions().items()},
+        "told": cases.told_decisions(),
+        "state": cases.snapshot().snapshot().hex(),
+        "seen": cases.reader().seen().hex(),
+        "refused": cases.refused_bytes(),
+    })  # fmt: skip
+
+
+def record_files() -> None:
+    """Write the stored files, and what each store holds."""
+    with tempfile.TemporaryDirectory() as directory:
+        for name, write in cases.FILES.items():
+            path = Path(directory) / name
+            write(path)
+            with (FIXTURES / name).open("xb") as file:
+                file.write(path.read_bytes())
+        seats = {"consensus-store": "a", "consensus-store-new": "b", "consensus-store-removed": "c"}
+        content = {
+            name: cases.store_content(cases.copy_of(FIXTURES / f"{name}.bin", Path(directory)), seat)
+            for name, seat in seats.items()
+        }
+        save("consensus-stores", content)
+
+
+def record_digests() -> None:
+    """Write one digest for each stream and seed."""
+    save("consensus-digests", {
+        name: {str(seed): digest(seed) for seed in seeds} for name, (digest, seeds) in STREAMS.items()
+    })  # fmt: skip
+
+
+if __name__ == "__main__":
+    record_wire()
+    record_files()
+    record_digests()
--- /dev/null
+++ b/tests/compatibility/test_consensus.py
@@ -0,0 +1,239 @@
+"""The consensus protocol's bytes, its stored files and its decisions are those that were recorded."""
+
+from __future__ import annotations
+
+import pytest
+
+from cressrock.council import decrees, messages, news, recover, wire
+from cressrock.council.client import Kept
+from cressrock.council.log import HardState
+from cressrock.council.messages import Entry
+from cressrock.council.store import Store
+from cressrock.errors.council import MessageRefused, StoreForeign, StoreLost
+from cressrock.planner import epochs
+from tests.compatibility import consensus_cases as cases
+from tests.compatibility.canonical import FIXTURES, load
+from tests.compatibility.consensus_streams import STREAMS
+
+WIRE = load("consensus-wire")
+STORES = load("consensus-stores")
+DIGESTS = load("consensus-digests")
+
+
+@pytest.fixture
+def stored(tmp_path):
+    """Return a function that gives a copy of a recorded file which may be written."""
+    return lambda name: cases.copy_of(FIXTURES / f"{name}.bin", tmp_path)
+
+
+def test_every_recorded_example_is_still_built():
+    assert set(cases.seat_messages()) == set(WIRE["messages"])
+    assert set(cases.frames()) == set(WIRE["frames"])
+    assert set(cases.commands()) == set(WIRE["commands"])
+    assert set(cases.decisions()) == set(WIRE["decisions"])
+    assert {name: set(map(str, seeds)) for name, (_, seeds) in STREAMS.items()} == {
+        name: set(digests) for name, digests in DIGESTS.items()
+    }
+
+
+@pytest.mark.parametrize("name", WIRE["messages"])
+def test_a_message_between_replicas_has_its_recorded_bytes(name):
+    message, recorded = cases.seat_messages()[name], bytes.fromhex(WIRE["messages"][name])
+    assert messages.encode(cases.CLUSTER, cases.SENDER, cases.RECEIVER, message) == recorded
+    assert messages.decode(recorded, cases.CLUSTER) == (cases.SENDER, cases.RECEIVER, message)
+
+
+@pytest.mark.parametrize("name", WIRE["refused"])
+def test_recorded_bytes_that_are_no_message_are_refused_for_their_recorded_reason(name):
+    with pytest.raises(MessageRefused) as caught:
+        messages.decode(bytes.fromhex(WIRE["refused"][name]), cases.CLUSTER)
+    assert caught.value.reason == name.split()[0]
+
+
+def test_a_membership_entry_has_its_recorded_bytes():
+    recorded = bytes.fromhex(WIRE["seats"])
+    assert messages.pack_seats(("a#1", "b#2")) == recorded
+    assert messages.unpack_seats(recorded) == ("a#1", "b#2")
+
+
+@pytest.mark.parametrize("name", WIRE["frames"])
+def test_a_frame_has_its_recorded_bytes(name):
+    frame, recorded = cases.frames()[name], bytes.fromhex(WIRE["frames"][name])
+    assert wire.encode(frame) == recorded
+    assert int.from_bytes(recorded[:4], "big") == len(recorded) - 4
+    assert decoded(recorded) == frame
+
+
+def decoded(recorded):
+    """Return the frame that a connection's end makes of the bytes; a greeting is shown by its event."""
+    founders = (cases.SENDER, cases.RECEIVER)
+    me = wire.Me(cases.CLUSTER, "x#1", True, "", founders)
+    dialled = wire.Talk(True, me, 0.0)
+    accepting = wire.Talk(False, me, 0.0)
+    decoder = wire._decoder
+    frame = decoder.decode(recorded[4:])
+    match frame:
+        case wire.Hello():
+            events = accepting.receive_data(recorded, 1.0)
+            assert [(event.who, event.seat, event.council, event.founders) for event in events] == [
+                (frame.who, frame.seat, frame.council, frame.founders)
+            ]
+        case wire.Welcome():
+            events = dialled.receive_data(recorded, 1.0)
+            assert [(event.version, event.who, event.applied) for event in events] == [
+                (frame.version, frame.who, frame.applied)
+            ]
+        case wire.Parting():
+            events = accepting.receive_data(recorded, 1.0)
+            assert events == [wire.Closed(frame.code, frame.reason, ours=False)]
+    return frame
+
+
+@pytest.mark.parametrize("name", WIRE["commands"])
+def test_a_command_of_the_log_has_its_recorded_bytes(name):
+    command, recorded = cases.commands()[name], bytes.fromhex(WIRE["commands"][name])
+    assert decrees.encode(command) == recorded
+    assert decrees.decode_command(recorded) == command
+
+
+@pytest.mark.parametrize("name", WIRE["decisions"])
+def test_a_decision_has_its_recorded_bytes(name):
+    decision, recorded = cases.decisions()[name], bytes.fromhex(WIRE["decisions"][name])
+    assert decrees.encode(decision) == recorded
+    assert decrees.decode_decree(recorded) == decision
+
+
+def test_what_is_published_by_gossip_has_its_recorded_keys_and_bytes():
+    assert cases.told_decisions() == WIRE["told"]
+    assert decrees.spread_key("zone/a") == "decree/zone/a"
+
+
+def test_recorded_gossip_is_read_as_the_decisions_that_were_published():
+    taker = news.Taker()
+    for step in WIRE["told"]:
+        standing = [decrees.decode_decree(bytes.fromhex(data)) for data in step["standing"]]
+        by_topic = {decree.topic: decree for decree in standing}
+        for key, value in step["changes"]:
+            if value is None:
+                continue
+            found, wanted = taker.take(key, bytes.fromhex(value))
+            for topic in wanted:
+                found = taker.found(by_topic[topic])
+            for decree in found:
+                stands = by_topic[decree.topic]
+                assert (decree.number, decree.value, decree.hold_ms) == (
+                    stands.number,
+                    stands.value,
+                    stands.hold_ms,
+                )
+                assert decree.renewed in (step["beat"], stands.renewed)
+
+
+def test_a_state_snapshot_has_its_recorded_bytes_and_is_restored_from_them():
+    recorded = bytes.fromhex(WIRE["state"])
+    assert cases.snapshot().snapshot() == recorded
+    assert decrees.Decrees.restore(recorded).snapshot() == recorded
+    assert decrees.Decrees.restore(recorded).all() == cases.snapshot().all()
+
+
+def test_a_readers_memory_has_its_recorded_bytes_and_is_read_from_them():
+    recorded = bytes.fromhex(WIRE["seen"])
+    assert cases.reader().seen() == recorded
+    assert decrees.Reader(recorded, max_topics=2).seen() == recorded
+
+
+# --- stored files
+
+
+@pytest.mark.parametrize(
+    ("name", "seat"),
+    [("consensus-store", "a"), ("consensus-store-new", "b"), ("consensus-store-removed", "c")],
+)
+def test_a_recorded_store_is_read_whole(stored, name, seat):
+    assert cases.store_content(stored(name), seat) == STORES[name]
+
+
+@pytest.mark.parametrize(
+    ("name", "write", "seat"),
+    [
+        ("consensus-store", cases.write_store, "a"),
+        ("consensus-store-new", cases.write_new_store, "b"),
+        ("consensus-store-removed", cases.write_removed_store, "c"),
+    ],
+)
+def test_a_store_written_today_holds_what_the_recorded_one_does(tmp_path, name, write, seat):
+    write(tmp_path / "store")
+    assert cases.store_content(tmp_path / "store", seat) == STORES[name]
+
+
+def test_a_recorded_store_is_written_on(stored):
+    path = stored("consensus-store")
+    store = Store(path, cluster=cases.CLUSTER, seat="a", expect=True)
+    store.write(HardState(4, "b#2", 11, 1), None, [Entry(4, 12, "empty"), Entry(4, 13, "command", b"x")], 12)
+    store.close()
+    before = STORES["consensus-store"]
+    after = cases.store_content(path, "a")
+    assert after["hard"] == [4, "b#2", 11, 1]
+    assert after["entries"] == [*before["entries"][:3], [4, 12, "empty", ""], [4, 13, "command", "78"]]
+    assert (after["header"], after["snapshot"]) == (before["header"], before["snapshot"])
+
+
+def test_a_recorded_store_is_that_of_one_cluster_and_seat(stored):
+    with pytest.raises(StoreForeign):
+        Store(stored("consensus-store"), cluster="cluster-2", seat="a")
+    with pytest.raises(StoreForeign):
+        Store(stored("consensus-store"), cluster=cases.CLUSTER, seat="b")
+    with pytest.raises(StoreLost):
+        Store(stored("consensus-store").with_name("none"), cluster=cases.CLUSTER, seat="a", expect=True)
+
+
+def test_a_recorded_store_is_recovered_to_a_group_of_one(stored):
+    path = stored("consensus-store")
+    before = STORES["consensus-store"]
+    recover.recover(str(path), cases.CLUSTER, "a", 1_900_000_000_000.0, force=False)
+    assert cases.store_content(path, "a") == before
+    recover.recover(str(path), cases.CLUSTER, "a", 1_900_000_000_000.0, force=True)
+    after = cases.store_content(path, "a")
+    identity = before["identity"]
+    assert after["hard"] == [4, "", 9, 2]
+    assert after["entries"][: len(before["entries"])] == before["entries"]
+    ground = decrees.encode(decrees.Ground(1_900_000_000_000, None, 9))
+    assert after["entries"][len(before["entries"]) :] == [
+        [4, 13, "seats", messages.pack_seats((identity,)).hex()],
+        [4, 14, "command", ground.hex()],
+    ]
+
+
+def test_a_recorded_reader_file_is_read_and_written_on(stored):
+    path = stored("consensus-reader")
+    kept = Kept(path, lambda: 200.0)
+    assert kept.torn == ""
+    for decree in cases.decisions().values():
+        assert kept.reader.number(decree.topic) == decree.number
+        assert kept.get(decree.topic) is None
+    assert kept.reader.seen() == path.read_bytes()
+    kept.take(decrees.Decree("new", 10, b"v", 1000.0))
+    assert Kept(path, lambda: 300.0).reader.number("new") == 10
+
+
+def test_a_reader_file_written_today_has_the_recorded_bytes(stored, tmp_path):
+    cases.write_reader(tmp_path / "reader")
+    assert (tmp_path / "reader").read_bytes() == stored("consensus-reader").read_bytes()
+
+
+def test_a_recorded_epoch_file_is_read_and_written_on(stored):
+    path = stored("consensus-epoch")
+    assert path.read_bytes() == b"cressrock-epoch-1 1800000000777\n"
+    store = epochs.Store(str(path))
+    assert store.read() == 1_800_000_000_777
+    store.write(1_800_000_000_778)
+    assert path.read_bytes() == b"cressrock-epoch-1 1800000000778\n"
+
+
+# --- decisions
+
+
+@pytest.mark.parametrize("name", STREAMS)
+def test_a_stream_of_inputs_gives_the_recorded_decisions(name):
+    digest, seeds = STREAMS[name]
+    assert {str(seed): digest(seed) for seed in seeds} == DIGESTS[name]
