--- a/tests/compatibility/consensus_cases.py
+++ b/tests/compatibility/consensus_cases.py
@@ -76,7 +76,7 @@
     return decisions.DecisionLimits(12, 300, 4000, 5)
 
 
-def decisions() -> dict[str, decisions.Decision]:
+def decision_examples() -> dict[str, decisions.Decision]:
     """Return decisions, with and without their optional fields."""
     return {
         "whole": decisions.Decision(
@@ -106,7 +106,7 @@
 
 def frames() -> dict[str, wire.Frame]:
     """Return the frames of a connection, every type, with and without their optional fields."""
-    whole = decisions()["whole"]
+    whole = decision_examples()["whole"]
     founders = (SENDER, RECEIVER, "c#00000000000000c3")
     found: dict[str, wire.Frame] = {
         "hello": wire.Hello((1, 2), CLUSTER, SENDER, True, "0123456789abcdef", founders),
@@ -141,7 +141,7 @@
 
 def told_decisions() -> list[dict[str, Any]]:
     """Return what a seat puts into the spread for a few states, one after the other: keys and values."""
-    found = decisions()
+    found = decision_examples()
     teller = decision_gossip.DecisionPublisher(200)
     many = [decisions.Decision(f"many/{at:03}", 1000 + at, b"v", 9000.0, "p") for at in range(100)]
     steps: list[tuple[list[decisions.Decision], int]] = [
@@ -246,7 +246,7 @@
 def write_reader(path: Path) -> None:
     """Write the file in which a process keeps what it has seen of decisions."""
     kept = DecisionCache(path, lambda: 100.0)
-    for decree in decisions().values():
+    for decree in decision_examples().values():
         kept.receive(decree)
 
 
--- a/tests/compatibility/consensus_streams.py
+++ b/tests/compatibility/consensus_streams.py
@@ -458,7 +458,7 @@
             applied, outcome = answer
             digest.add([decisions.encode(applied), plain_outcome(outcome)])
             if not isinstance(applied, decisions.SetVersionBase):
-                digest.add(plain_outcome(state.outcome(applied.request)))
+                digest.add(plain_outcome(state.outcome(applied.request_id)))
                 digest.add(plain_decision(state.get(applied.topic)))
         else:
             digest.add(answer)
--- a/tests/compatibility/test_consensus.py
+++ b/tests/compatibility/test_consensus.py
@@ -31,7 +31,7 @@
     assert set(cases.seat_messages()) == set(WIRE["messages"])
     assert set(cases.frames()) == set(WIRE["frames"])
     assert set(cases.commands()) == set(WIRE["commands"])
-    assert set(cases.decisions()) == set(WIRE["decisions"])
+    assert set(cases.decision_examples()) == set(WIRE["decisions"])
     assert {name: set(map(str, seeds)) for name, (_, seeds) in STREAMS.items()} == {
         name: set(digests) for name, digests in DIGESTS.items()
     }
@@ -99,7 +99,7 @@
 
 @pytest.mark.parametrize("name", WIRE["decisions"])
 def test_a_decision_has_its_recorded_bytes(name):
-    decision, recorded = cases.decisions()[name], bytes.fromhex(WIRE["decisions"][name])
+    decision, recorded = cases.decision_examples()[name], bytes.fromhex(WIRE["decisions"][name])
     assert decisions.encode(decision) == recorded
     assert decisions.decode_decision(recorded) == decision
 
@@ -213,7 +213,7 @@
     path = stored("consensus-reader")
     kept = DecisionCache(path, lambda: 200.0)
     assert kept.corrupt_reason == ""
-    for decree in cases.decisions().values():
+    for decree in cases.decision_examples().values():
         assert kept.reader.last_version(decree.topic) == decree.version
         assert kept.get(decree.topic) is None
     assert kept.reader.to_bytes() == path.read_bytes()
--- a/tests/test_council_carrier.py
+++ b/tests/test_council_carrier.py
@@ -65,7 +65,7 @@
         )
 
     async def start(self, name, **changes):
-        made = {"start": "found", "timing": FAST, "renew_ms": 200, **self.changes, **changes}
+        made = {"start": "found", "timing": FAST, "renewal_interval_ms": 200, **self.changes, **changes}
         pages = made.pop("max_pages", 0)
         seats = {one: f"seat:{number + 1}" for number, one in enumerate(NAMES)}
         settings = ReplicaSettings(name, "c", seats, self.path / name, **made)
@@ -99,8 +99,8 @@
                 stream.reset()
 
     def leader(self):
-        leads = [s for s in self.seats.values() if s.seat and s.seat.role is Role.LEADER]
-        return max(leads, key=lambda s: s.seat.term).settings.name if leads else None
+        leads = [s for s in self.seats.values() if s.raft and s.raft.role is Role.LEADER]
+        return max(leads, key=lambda s: s.raft.term).settings.name if leads else None
 
     async def until(self, true, within=30):
         with anyio.fail_after(within):
@@ -131,27 +131,27 @@
             await fleet.start(name)
         council = fleet.client()
         first = await council.decide("zone/a", b"1", 5000)
-        assert first.number > 1e12 and first.by == "client"
+        assert first.version > 1e12 and first.author == "client"
         with pytest.raises(e.DecisionConflictError) as conflict:
-            await council.decide("zone/a", b"2", 5000, if_number=0)
-        assert conflict.value.version == first.number
-        second = await council.decide("zone/a", b"2", 5000, if_number=first.number)
+            await council.decide("zone/a", b"2", 5000, if_version=0)
+        assert conflict.value.version == first.version
+        second = await council.decide("zone/a", b"2", 5000, if_version=first.version)
         found = await council.read("zone/a")
-        assert found.number == second.number > first.number and found.value == b"2" and found.renewal
-        assert council.reader.get("zone/a") == found
+        assert found.version == second.version > first.version and found.value == b"2" and found.renewal
+        assert council.cache.get("zone/a") == found
         assert await council.read("zone/b") is None
         with pytest.raises(e.DecisionTooLargeError):
             await council.decide("zone/a", bytes(60000), 5000)
         with pytest.raises(e.DecisionTooLargeError):
             await council.decide("zone/a", bytes(600000), 5000)
-        assert await council.drop("zone/a", second.number) > second.number
+        assert await council.drop("zone/a", second.version) > second.version
         assert await council.read("zone/a") is None
         # The leader goes: another leads, nothing is lost, and the same request is not applied twice.
-        request = council.request()
-        third = await council.decide("zone/a", b"3", 5000, request=request)
+        request = council.new_request_id()
+        third = await council.decide("zone/a", b"3", 5000, request_id=request)
         await fleet.stop(fleet.leader())
-        assert await council.decide("zone/a", b"3", 5000, request=request) == third
-        assert (await council.read("zone/a")).number == third.number
+        assert await council.decide("zone/a", b"3", 5000, request_id=request) == third
+        assert (await council.read("zone/a")).version == third.version
         status = await council.status(fleet.leader())
         assert status["role"] == "leader" and len(status["seats"]) == 3 and status["store_bytes"] > 0
         lead = fleet.leader()
@@ -194,11 +194,11 @@
             for decree in fleet.published[name]:
                 two.receive(decree, fleet.clock())
         assert isinstance(one.get("zone/a", fleet.clock()), d.Expired)
-        assert two.get("zone/a", fleet.clock()).version == new.number
+        assert two.get("zone/a", fleet.clock()).version == new.version
         # The cut heals: the former leader follows, and what it could not decide is gone or follows the log.
         fleet.cut.clear()
-        await fleet.until(lambda: fleet.seats[old].decrees.get("zone/a") is not None)
-        await fleet.until(lambda: fleet.seats[old].decrees.get("zone/a").number >= new.number)
+        await fleet.until(lambda: fleet.seats[old].decisions.get("zone/a") is not None)
+        await fleet.until(lambda: fleet.seats[old].decisions.get("zone/a").version >= new.version)
         assert (await council.read("zone/a")).value == b"new"
 
     sim(4, tmp_path, program)
@@ -213,7 +213,7 @@
         # This client reaches one seat alone, which does not lead.
         council = fleet.client("far", [follower])
         decree = await council.decide("t", b"1", 2000)
-        assert (await council.read("t")).number == decree.number
+        assert (await council.read("t")).version == decree.version
 
     sim(5, tmp_path, program)
 
@@ -229,23 +229,23 @@
                 down = next(name for name in NAMES if name != fleet.leader())
                 await fleet.stop(down)
             last = await council.decide(f"t{number % 5}", b"%d" % number, 2000)
-        assert all(len(seat.seat.log.entries) <= 21 for seat in fleet.seats.values())
+        assert all(len(seat.raft.log.entries) <= 21 for seat in fleet.seats.values())
         await fleet.start(down)  # so far behind that a snapshot has to teach it
-        await fleet.until(lambda: fleet.seats[down].decrees.number >= last.number)
-        assert fleet.seats[down].decrees.get("t4") == fleet.seats[fleet.leader()].decrees.get("t4")
+        await fleet.until(lambda: fleet.seats[down].decisions.version >= last.version)
+        assert fleet.seats[down].decisions.get("t4") == fleet.seats[fleet.leader()].decisions.get("t4")
         for name in NAMES:
             await fleet.stop(name)
         fleet.published.clear()
         await fleet.start(down, start="expect")
         await anyio.sleep(2)
         # Alone it is no council: nothing of what lay in its store is told as if it were fresh.
-        assert fleet.seats[down].seat and not fleet.published[down]
+        assert fleet.seats[down].raft and not fleet.published[down]
         for name in set(NAMES) - {down}:
             await fleet.start(name, start="expect")
-        assert (await council.read("t4")).number == last.number
-        assert (await council.decide("t4", b"x", 2000, if_number=last.number)).number > last.number
+        assert (await council.read("t4")).version == last.version
+        assert (await council.decide("t4", b"x", 2000, if_version=last.version)).version > last.version
 
-    sim(6, tmp_path, program, max_log=20)
+    sim(6, tmp_path, program, max_log_entries=20)
 
 
 def test_a_client_that_stays_is_never_forgotten_and_a_late_repeat_is(tmp_path):
@@ -253,13 +253,13 @@
         for name in NAMES:
             await fleet.start(name)
         council, other = fleet.client(), fleet.client("other")
-        first = council.request()
-        await council.decide("t", b"first", 2000, request=first)
+        first = council.new_request_id()
+        await council.decide("t", b"first", 2000, request_id=first)
         last = None
         for number in range(20):
-            last = await council.decide("t", b"%d" % number, 2000, last and last.number)
+            last = await council.decide("t", b"%d" % number, 2000, last and last.version)
         await anyio.sleep(1)  # pings bring the other client, which asked nothing yet, no older index than now
-        assert (await other.decide("u", b"", 2000)).number > last.number
+        assert (await other.decide("u", b"", 2000)).version > last.version
         # The late repeat of a request, from a process that does not know better, is not applied again.
         stale = fleet.client("stale")
         stale._applied = 0
@@ -271,7 +271,7 @@
 
         reply = await ask(d.Decide("t", b"first", 2000.0, "client", first, 0))
         assert reply == d.Rejected("forgotten")
-        assert (await council.read("t")).number == last.number
+        assert (await council.read("t")).version == last.version
 
     sim(11, tmp_path, program, limits=d.DecisionLimits(max_requests=4))
 
@@ -295,14 +295,14 @@
             await fleet.stop(lost)
         (tmp_path / lost).unlink(missing_ok=True)
         await fleet.start(lost, start="join")
-        await fleet.until(lambda: fleet.seats[lost].seat and fleet.seats[lost].seat.role is Role.FOLLOWER)
-        await fleet.until(lambda: fleet.seats[lost].decrees.number >= last.number)
+        await fleet.until(lambda: fleet.seats[lost].raft and fleet.seats[lost].raft.role is Role.FOLLOWER)
+        await fleet.until(lambda: fleet.seats[lost].decisions.version >= last.version)
         sits = fleet.seats[lost].identity
-        assert sits != former and sits in fleet.seats[lost].seat.seats
-        assert former not in fleet.seats[lost].seat.seats and len(fleet.seats[lost].seat.seats) == 3
+        assert sits != former and sits in fleet.seats[lost].raft.voters
+        assert former not in fleet.seats[lost].raft.voters and len(fleet.seats[lost].raft.voters) == 3
         # Now it counts: with one of the others gone the council goes on by its vote.
         await fleet.stop(next(name for name in NAMES if name != lost))
-        assert (await council.decide("t", b"x", 2000, if_number=last.number)).number > last.number
+        assert (await council.decide("t", b"x", 2000, if_version=last.version)).version > last.version
 
     sim(7, tmp_path, program)
 
@@ -326,11 +326,11 @@
         assert fleet.leader() in ("p1", "p3")
         with pytest.raises(e.NoQuorumError):
             await fleet.client("asks", ["p2"]).read("t", timeout_ms=500)
-        assert (await council.read("t")).number == last.number
+        assert (await council.read("t")).version == last.version
         # With room again it is the seat that it was, and catches up.
         await fleet.stop("p2")
         await fleet.start("p2", start="expect")
-        await fleet.until(lambda: fleet.seats["p2"].decrees.number >= last.number)
+        await fleet.until(lambda: fleet.seats["p2"].decisions.version >= last.version)
 
     sim(8, tmp_path, program)
 
@@ -361,10 +361,10 @@
         await fleet.start("p1")
         for name in ("p2", "p3"):
             await fleet.start(name, start="join")
-        await fleet.until(lambda: all(s.seat and len(s.seat.seats) == 3 for s in fleet.seats.values()))
+        await fleet.until(lambda: all(s.raft and len(s.raft.voters) == 3 for s in fleet.seats.values()))
         found = await council.read(f"t{9 % 3}")
-        assert found.value == b"9" and found.number >= last.number
-        assert (await council.decide("t0", b"x", 2000)).number > last.number + 1000
+        assert found.value == b"9" and found.version >= last.version
+        assert (await council.decide("t0", b"x", 2000)).version > last.version + 1000
         # A seat of the former generation that comes back after all is turned away.
         await fleet.stop("p3")
         (tmp_path / "p3").unlink()
--- a/tests/test_council_processes.py
+++ b/tests/test_council_processes.py
@@ -198,14 +198,14 @@
                 stands = await council.read("list")
                 items = json.loads(stands.value) if stands else []
                 if stands:
-                    self.reads.append((began, self.tick(), items, stands.number))
+                    self.reads.append((began, self.tick(), items, stands.version))
                 count += 1
                 item = f"{label}{count}"
                 record = [item, self.tick(), None, None]
                 self.appends.append(record)
                 value = json.dumps([*items, item]).encode()
-                made = await council.decide("list", value, 60000, stands.number if stands else 0)
-                record[2:] = [self.tick(), made.number]
+                made = await council.decide("list", value, 60000, stands.version if stands else 0)
+                record[2:] = [self.tick(), made.version]
             except (e.DecisionConflictError, e.NoQuorumError, e.RequestForgottenError) as wrong:
                 if isinstance(wrong, e.DecisionConflictError):
                     self.appends.remove(record)  # known not to stand
--- a/tests/test_council_store.py
+++ b/tests/test_council_store.py
@@ -21,7 +21,7 @@
 
 
 def make(path, **changes):
-    return ReplicaStore(path, **{"cluster": "c", "seat": "p1", "draw": draw, **changes})
+    return ReplicaStore(path, **{"cluster": "c", "replica": "p1", "random_bytes": draw, **changes})
 
 
 def entries(start, count, term=1, data=b"x"):
@@ -60,7 +60,7 @@
     store.write(None, None, entries(3, 1, term=2), truncate_from=3)
     store.write(HardState(2, "", 3, 1))
     store.close()
-    again = make(path, expect=True)
+    again = make(path, must_exist=True)
     wanted = entries(1, 2) + entries(3, 1, term=2)
     assert again.load() == StoredState(HardState(2, "", 3, 1), None, wanted)
     # The seat's own snapshot keeps what follows it; a leader's that the log does not lead to replaces all.
@@ -104,16 +104,16 @@
 
 def test_each_wrong_store_is_told_by_its_own_type(tmp_path):
     with pytest.raises(e.StoreMissingError):
-        make(tmp_path / "none", expect=True)
+        make(tmp_path / "none", must_exist=True)
     assert not (tmp_path / "none").exists()
     (tmp_path / "empty").touch()  # the disk's file is there, its content is not: lost as well
     with pytest.raises(e.StoreMissingError):
-        make(tmp_path / "empty", expect=True)
+        make(tmp_path / "empty", must_exist=True)
     path = filled(tmp_path / "seat")
     with pytest.raises(e.ForeignStoreError, match="cluster 'c'"):
         make(path, cluster="d")
     with pytest.raises(e.ForeignStoreError, match="seat 'p1'"):
-        make(path, seat="p2")
+        make(path, replica="p2")
     change(path, "PRAGMA user_version=0")
     with pytest.raises(e.StoreTooOldError, match="format 0"):
         make(path)
@@ -192,16 +192,16 @@
     program = """
         import resource, signal, sys
         from cressrock.consensus.raft.log import HardState
-        from cressrock.consensus.raft.messages import Entry
-        from cressrock.consensus.store import Store
-        from cressrock.errors.consensus import StoreFull
-        store = Store(sys.argv[1], cluster="c", seat="p1")
+        from cressrock.consensus.raft.messages import LogEntry
+        from cressrock.consensus.store import ReplicaStore
+        from cressrock.errors.consensus import StoreFullError
+        store = ReplicaStore(sys.argv[1], cluster="c", replica="p1")
         signal.signal(signal.SIGXFSZ, signal.SIG_IGN)
         resource.setrlimit(resource.RLIMIT_FSIZE, (200_000, 200_000))
         try:
             for index in range(1, 1000):
-                store.write(HardState(1, "", 0, 1), None, (Entry(1, index, "command", bytes(3000)),))
-        except StoreFull:
+                store.write(HardState(1, "", 0, 1), None, (LogEntry(1, index, "command", bytes(3000)),))
+        except StoreFullError:
             print("full after", index - 1)
     """
     run = [sys.executable, "-c", textwrap.dedent(program), str(tmp_path / "seat")]
@@ -216,12 +216,12 @@
     program = """
         import sys
         from cressrock.consensus.raft.log import HardState
-        from cressrock.consensus.raft.messages import Entry
-        from cressrock.consensus.store import Store
-        store = Store(sys.argv[1], cluster="c", seat="p1")
+        from cressrock.consensus.raft.messages import LogEntry
+        from cressrock.consensus.store import ReplicaStore
+        store = ReplicaStore(sys.argv[1], cluster="c", replica="p1")
         index = len(store.load().entries)
         while True:
-            pair = (Entry(1, index + 1, "command", bytes(5000)), Entry(1, index + 2, "command", bytes(5000)))
+            pair = (LogEntry(1, index + 1, "command", bytes(5000)), LogEntry(1, index + 2, "command", bytes(5000)))
             store.write(HardState(index + 2, "", 0, 1), None, pair)
             index += 2
             print(index, flush=True)
--- a/tests/test_decrees.py
+++ b/tests/test_decrees.py
@@ -205,7 +205,7 @@
 
 def confirm(beats, term, token=None, now=10, term_now=None):
     token = beats.ask(term, 0) if token is None else token
-    return beats.confirmed(token, term if term_now is None else term_now, now, 300)
+    return beats.confirm(token, term if term_now is None else term_now, now, 300)
 
 
 def test_beats_grow_over_leaders_and_only_confirmed_reads_of_the_same_term_earn_one():
--- a/tests/test_raft.py
+++ b/tests/test_raft.py
@@ -60,10 +60,10 @@
                     ready = seat.ready()
                     self.stores[name].write(ready)
                     self.wire += [(name, to, message) for to, message in ready.messages]
-                    if ready.restore:
+                    if ready.restore_snapshot:
                         self.applied[name] = [ready.snapshot.data]
                     self.applied[name] += [entry.data for entry in ready.committed if entry.kind == "command"]
-                    self.reads += ready.reads
+                    self.reads += ready.confirmed_reads
                     self.lost += ready.lost_reads
                     seat.advance(ready)
             if not self.wire:
@@ -80,7 +80,7 @@
         end = self.now + ms
         self.settle()
         while True:
-            due = min((seat.next_due() for seat in self.seats.values()), default=end)
+            due = min((seat.next_deadline_ms() for seat in self.seats.values()), default=end)
             if due > end:
                 break
             self.now = max(self.now, due)
@@ -92,10 +92,10 @@
     def lead(self, name):
         self.run(250)
         leader = self.leader()
-        if leader.me != name:
-            leader.transfer(self.now, name)
+        if leader.name != name:
+            leader.transfer_leadership(self.now, name)
             self.settle()
-        assert self.leader().me == name
+        assert self.leader().name == name
         return self.leader()
 
     def leader(self):
@@ -112,7 +112,7 @@
         leader.propose(table.now, b"%d" % number)
     table.settle()
     assert set(map(tuple, table.applied.values())) == {(b"0", b"1", b"2", b"3", b"4")}
-    assert all(seat.leader == leader.me for seat in table.seats.values())
+    assert all(seat.leader == leader.name for seat in table.seats.values())
 
 
 def test_a_cut_off_leader_gives_up_and_what_only_it_has_is_replaced():
@@ -124,7 +124,7 @@
     lost = old.propose(table.now, b"lost")
     assert old.role is Role.LEADER
     table.run(400)
-    assert old.role is not Role.LEADER and old.counts["quorum_lost"] == 1
+    assert old.role is not Role.LEADER and old.drop_counts["quorum_lost"] == 1
     table.leader().propose(table.now, b"new")
     table.cut.clear()
     table.run(400)
@@ -142,7 +142,7 @@
     assert table.seats["c"].term == term and table.seats["c"].role is Role.PRE_CANDIDATE
     table.cut.clear()
     table.run(300)
-    assert table.leader().me == "a" and table.seats["a"].term == term
+    assert table.leader().name == "a" and table.seats["a"].term == term
 
 
 def test_a_seat_that_hears_its_leader_gives_no_vote_even_in_a_higher_term():
@@ -151,7 +151,7 @@
     seat, term = table.seats["b"], table.seats["b"].term
     request = m.RequestVote(generation=1, term=term + 5, last_index=99, last_term=99)
     seat.receive(table.now + 5, "c", request)
-    assert seat.term == term and seat.counts["sticky"] == 1
+    assert seat.term == term and seat.drop_counts["sticky"] == 1
     seat.receive(table.now + 101, "c", request)
     assert seat.term == term + 5 and seat.voted_for == "c"
 
@@ -206,7 +206,7 @@
     seat.receive(table.now + 500, "c", m.RequestVote(generation=1, term=9, last_index=99, last_term=8))
     voted = seat.ready()
     assert voted.messages[-1][1].granted
-    assert voted.hard == HardState(9, "c", seat.commit, 1)
+    assert voted.hard_state == HardState(9, "c", seat.commit, 1)
 
 
 def test_logs_meet_again_in_steps_of_terms_not_of_entries():
@@ -217,7 +217,7 @@
     wrong = tuple(LogEntry(term, base + 1 + number, "command", b"w") for number in range(500))
     table.stop("c")
     for _ in range(3):  # terms pass without c
-        other = table.leader().me
+        other = table.leader().name
         table.lead("b" if other == "a" else "a")
     for number in range(400):
         table.leader().propose(table.now, b"%d" % number)
@@ -230,7 +230,7 @@
     table.run(100)
     refused = [one for one in table.said if isinstance(one, m.AppendEntriesReply) and not one.accepted]
     assert len(refused) <= 4 and before <= base
-    assert table.stores["c"].entries == table.stores[leader.me].entries
+    assert table.stores["c"].entries == table.stores[leader.name].entries
     assert table.applied["c"][-400:] == [b"%d" % number for number in range(400)]
 
 
@@ -257,20 +257,20 @@
     table.start("d", StoredState())
     with pytest.raises(MembershipChangeRefusedError, match="taught"):
         leader.change_voters(table.now, add="d")
-    assert table.seats["d"].role is Role.LEARNER and table.seats["d"].next_due() == float("inf")
+    assert table.seats["d"].role is Role.LEARNER and table.seats["d"].next_deadline_ms() == float("inf")
     table.run(50)
     assert table.applied["d"] == table.applied["a"] and table.seats["d"].generation == 1
     leader.change_voters(table.now, add="d")
-    assert leader.seats == ("a", "b", "c", "d")  # from here on three of four, though it is not committed
+    assert leader.voters == ("a", "b", "c", "d")  # from here on three of four, though it is not committed
     with pytest.raises(MembershipChangeRefusedError, match="not committed"):
         leader.change_voters(table.now, remove="c")
     table.settle()
     leader.change_voters(table.now, remove="c")
     table.settle()
-    assert all(table.seats[name].seats == ("a", "b", "d") for name in "abd")
+    assert all(table.seats[name].voters == ("a", "b", "d") for name in "abd")
     assert table.seats["c"].role is Role.LEARNER
     table.run(50)
-    assert "c" not in leader.peers and table.leader() is leader  # it knows that it is out and is let go
+    assert "c" not in leader.progress and table.leader() is leader  # it knows that it is out and is let go
     with pytest.raises(MembershipChangeRefusedError):
         leader.change_voters(table.now, add="e", remove="b")
     fresh = RaftNode("a", initial_state(("a", "b", "c")), table.timing, random.Random(1), 0.0)
@@ -287,7 +287,7 @@
     leader = table.lead("a")
     leader.change_voters(table.now, remove="a")
     table.run(300)
-    assert table.leader().me in "bc" and table.seats["a"].role is Role.LEARNER
+    assert table.leader().name in "bc" and table.seats["a"].role is Role.LEARNER
     table.leader().propose(table.now, b"on")
     table.settle()
     assert table.applied["b"] == table.applied["c"] == [b"on"]
@@ -299,17 +299,17 @@
     table = Table("a", "b", "c")
     leader = table.lead("a")
     leader.propose(table.now, b"x")
-    leader.transfer(table.now, "c")
+    leader.transfer_leadership(table.now, "c")
     with pytest.raises(NotLeaderError) as refused:
         leader.propose(table.now, b"y")
     assert refused.value.leader_hint == "c"
     table.settle()
-    assert table.leader().me == "c" and table.applied["c"] == [b"x"]
+    assert table.leader().name == "c" and table.applied["c"] == [b"x"]
     table.isolate("a")
-    table.seats["c"].transfer(table.now, "a")  # who cannot take it
+    table.seats["c"].transfer_leadership(table.now, "a")  # who cannot take it
     for _ in range(12):
         table.run(10)
-    assert table.leader().me == "c"
+    assert table.leader().name == "c"
     table.leader().propose(table.now, b"z")
 
 
@@ -352,7 +352,7 @@
     table.settle()
     leader.propose(table.now, b"after")
     table.settle()
-    assert table.stores["a"].snapshot.index == leader.log.base
+    assert table.stores["a"].snapshot.index == leader.log.snapshot_index
     with pytest.raises(ConsensusBusyError):
         leader.compact(leader.commit, bytes(timing.max_snapshot_bytes + 1))
     source = random.Random(5)
@@ -375,7 +375,7 @@
     assert table.stores["c"].snapshot.voters == ("a", "b", "c")
     again = RaftNode("c", table.stores["c"].load(), timing, random.Random(1), 0.0)
     assert again.voters == ("a", "b", "c") and again.commit >= again.log.snapshot_index
-    assert table.leader().me == "a"
+    assert table.leader().name == "a"
 
 
 def test_an_oversized_snapshot_is_not_taken_in():
@@ -416,7 +416,7 @@
     assert [len(message.entries) for message in appends] == [1, 1]
     for _ in range(50):
         table.seats["b"].receive(table.now, "a", appends[0])
-    assert len(table.seats["b"].outbox) == 20 and table.seats["b"].counts["outbox_full"] == 30
+    assert len(table.seats["b"].outbox) == 20 and table.seats["b"].drop_counts["outbox_full"] == 30
 
 
 def test_entries_of_one_message_are_bounded_in_bytes():
@@ -442,12 +442,12 @@
     new.run(250)
     new.leader().propose(new.now, b"y")
     new.settle()
-    assert new.applied["b"] == [b"x", b"y"] and new.seats["b"].seats == ("b",)
+    assert new.applied["b"] == [b"x", b"y"] and new.seats["b"].voters == ("b",)
     new.start("a", old["a"])
     new.run(500)
     back = new.seats["a"]
-    assert "generation 2" in back.turned_away and back.next_due() == float("inf")
-    assert new.seats["b"].counts["generation"] >= 1 and new.leader().me == "b"
+    assert "generation 2" in back.excluded_reason and back.next_deadline_ms() == float("inf")
+    assert new.seats["b"].drop_counts["generation"] >= 1 and new.leader().name == "b"
     new.stop("a")
     new.start("d", StoredState())
     with pytest.raises(MembershipChangeRefusedError):
