--- a/tests/compatibility/consensus_streams.py
+++ b/tests/compatibility/consensus_streams.py
@@ -5,7 +5,7 @@
 import random
 from collections.abc import Callable
 from functools import partial
-from typing import Any
+from typing import Any, ClassVar
 
 import msgspec
 
@@ -129,6 +129,11 @@
 class ReplicaGroup:
     """Several replicas, their disks and the messages under way, driven by one stream of chance."""
 
+    DISTURBANCES = 2.5
+    WEIGHTS: ClassVar[dict[str, float]] = {
+        "cut": 6, "heal": 10, "restart": 4, "stop": 2, "start": 6, "forge": 3, "force": 0.3, "lose": 0.3,
+    }  # fmt: skip
+
     def __init__(self, seed: int) -> None:
         self.chance = random.Random(seed)
         self.digest = Digest()
@@ -274,10 +279,7 @@
         return self.chance.choice(sorted(self.replicas))
 
     def disturb(self) -> None:
-        kind = self.chance.choices(
-            ["cut", "heal", "restart", "stop", "start", "forge", "force", "lose"],
-            [6, 10, 4, 2, 6, 3, 0.3, 0.3],
-        )[0]
+        kind = self.chance.choices(list(self.WEIGHTS), list(self.WEIGHTS.values()))[0]
         name = self.chance.choice(self.names)
         match kind:
             case "cut":
@@ -291,7 +293,9 @@
             case "start" if name not in self.replicas:
                 self.start(name)
             case "forge" if name in self.replicas:
-                self.receive(name, self.chance.choice(self.names), self.forged(self.replicas[name]))
+                self.forge(name)
+            case "vote" if name in self.replicas:
+                self.stand_against_a_leader(name)
             case "force":
                 self.disks[name] = MemoryDisk(force_single_voter(self.disks[name].load(), name))
                 self.start(name)
@@ -299,6 +303,12 @@
                 self.disks[name] = MemoryDisk(StoredState())
                 self.start(name)
 
+    def forge(self, name: str) -> None:
+        self.receive(name, self.chance.choice(self.names), self.forged(self.replicas[name]))
+
+    def stand_against_a_leader(self, name: str) -> None:
+        """Only in streams that forge more."""
+
     def forged(self, replica: RaftNode) -> messages.RaftMessage:
         """Return a message that no correct replica need have sent."""
         chance = self.chance
@@ -365,9 +375,8 @@
 
     def run(self, steps: int) -> str:
         for _ in range(steps):
-            step = self.chance.choices(["time", "deliver", "ask", "disturb"], [30, 50, 14, 2.5 * self.chaos])[
-                0
-            ]
+            weights = [30, 50, 14, self.DISTURBANCES * self.chaos]
+            step = self.chance.choices(["time", "deliver", "ask", "disturb"], weights)[0]
             if step == "time" or not self.replicas:
                 self.pass_time()
             elif step == "deliver":
@@ -393,11 +402,64 @@
         return self.digest.hex()
 
 
+class ForgingReplicaGroup(ReplicaGroup):
+    """A group in which more is forged: early commits, and votes around the end of a leader's stickiness."""
+
+    DISTURBANCES = 4
+    WEIGHTS: ClassVar[dict[str, float]] = {
+        "cut": 6, "heal": 10, "restart": 4, "stop": 2, "start": 6, "forge": 8, "vote": 6, "force": 0.4,
+        "lose": 0.4,
+    }  # fmt: skip
+
+    def forge(self, name: str) -> None:
+        """Send what no correct replica need have sent, often in the name of the leader."""
+        replica = self.replicas[name]
+        sender = self.chance.choice([replica.leader or name, self.chance.choice(self.names)])
+        entries = self.disks[name].entries
+        if entries and self.chance.random() < 0.5:
+            # A heartbeat that matches this log early on and says that more is committed than it shows.
+            unsure = [entry for entry in entries[:-1] if entry.index >= replica.commit]
+            entry = self.chance.choice(unsure or entries)
+            message: messages.RaftMessage = messages.AppendEntries(
+                generation=replica.generation, term=replica.term, previous_index=entry.index,
+                previous_term=entry.term, commit=entry.index + self.chance.randint(0, 5), round=1,
+            )  # fmt: skip
+        else:
+            message = self.forged(replica)
+        self.receive(name, sender, message)
+
+    def stand_against_a_leader(self, name: str) -> None:
+        """Ask for a vote just before, at and after the end of the time in which a leader is followed."""
+        replica = self.replicas[name]
+        if not replica.leader or replica.leader == name:
+            return
+        head = {"generation": replica.generation, "term": replica.term}
+        self.receive(name, replica.leader, messages.AppendEntries(**head, previous_index=0, previous_term=0))
+        self.now = max(self.now, float(int(self.now) + 1))
+        if name in self.replicas:
+            heartbeat = messages.AppendEntries(**head, previous_index=0, previous_term=0)
+            self.receive(name, replica.leader, heartbeat)
+        self.now += self.timing.effective_stickiness_ms + self.chance.choice([-1, 0, 0, 1])
+        if name not in self.replicas:
+            return
+        last = {"last_index": 10**6, "last_term": replica.term + 1}
+        if self.chance.random() < 0.5:
+            ask: messages.RaftMessage = messages.PreVote(**head, next_term=replica.term + 1, **last)
+        else:
+            ask = messages.RequestVote(generation=replica.generation, term=replica.term + 1, **last)
+        self.receive(name, self.chance.choice(self.names), ask)
+
+
 def consensus_digest(seed: int) -> str:
     """Return the digest of one group of replicas under losses, elections, changes and snapshots."""
     return ReplicaGroup(seed).run(420)
 
 
+def forged_digest(seed: int) -> str:
+    """Return the digest of one group of replicas among which messages are forged."""
+    return ForgingReplicaGroup(seed).run(420)
+
+
 # --- the state machine of decisions
 
 
@@ -667,3 +729,5 @@
     "news": (news_digest, range(40)),
     "connection": (connection_digest, range(150)),
 }
+
+FORGED_SEEDS = range(60)
--- a/tests/compatibility/test_consensus.py
+++ b/tests/compatibility/test_consensus.py
@@ -14,11 +14,12 @@
 from cressrock.planner import epochs
 from tests.compatibility import consensus_cases as cases
 from tests.compatibility.canonical import FIXTURES, load
-from tests.compatibility.consensus_streams import STREAMS
+from tests.compatibility.consensus_streams import FORGED_SEEDS, STREAMS, forged_digest
 
 WIRE = load("consensus-wire")
 STORES = load("consensus-stores")
 DIGESTS = load("consensus-digests")
+FORGED = load("consensus-forged")
 
 
 @pytest.fixture
@@ -242,3 +243,7 @@
 def test_a_stream_of_inputs_gives_the_recorded_decisions(name):
     digest, seeds = STREAMS[name]
     assert {str(seed): digest(seed) for seed in seeds} == DIGESTS[name]
+
+
+def test_replicas_among_which_messages_are_forged_give_the_recorded_decisions():
+    assert {str(seed): forged_digest(seed) for seed in FORGED_SEEDS} == FORGED
--- a/tests/compatibility/test_recorded_files.py
+++ b/tests/compatibility/test_recorded_files.py
@@ -10,6 +10,7 @@
     "collect_wire.json": "63b580500d17b01b51107c90239ebfe75fd773e7c474cb000723a1ffaff8d50f",
     "consensus-digests.json": "5093a0bef093985399b0de0c455151a18198d09198ed4b32dacf8559c43d6678",
     "consensus-epoch.bin": "f65a621e0452972aaba53f5afb0e0997337f0312aa3dea0c657c5cfe06885068",
+    "consensus-forged.json": "cc02aebf52f0ae90f5716f030b304e42446a55d267f3c5f63b2c7113188c7f3f",
     "consensus-reader.bin": "e615021815ff6b61df5ca40f4ad9117b076e5d63dd442ef7d1e3bf87d9155216",
     "consensus-store-new.bin": "28c44e0d48ba1140f495d84755c9834b13ddd817e4bc7db601854429e57c10fd",
     "consensus-store-removed.bin": "5ce9c494515ba53174a9c6fbc12367c98c3e38be6c378b398d8db630f1582bac",
