--- a/benchmarks/members.py
+++ b/benchmarks/members.py
@@ -19,8 +19,9 @@
 sys.path.insert(0, str(Path(__file__).parent.parent))
 
 from cressrock.lab.fleetsim import FleetSim  # noqa: E402
-from cressrock.membership.membership import MemberDead, MembershipSettings, MemberSuspected  # noqa: E402
+from cressrock.membership.events import MemberDead, MemberSuspected  # noqa: E402
 from cressrock.membership.packets import MemberState  # noqa: E402
+from cressrock.membership.settings import MembershipSettings  # noqa: E402
 
 CUTS = ("two", "three", "one-way", "ring", "single")
 PERIOD = MembershipSettings().protocol_period_ms
--- a/benchmarks/spread.py
+++ b/benchmarks/spread.py
@@ -18,7 +18,8 @@
 
 sys.path.insert(0, str(Path(__file__).parent.parent))
 
-from cressrock.gossip.store import GossipStore, GossipStoreSettings  # noqa: E402
+from cressrock.gossip.settings import GossipStoreSettings  # noqa: E402
+from cressrock.gossip.store import GossipStore  # noqa: E402
 from cressrock.lab.spreadsim import SpreadNet  # noqa: E402
 
 ENTRIES, SIZE = 3, 40
--- a/cressrock/aggregation/channel.py
+++ b/cressrock/aggregation/channel.py
@@ -26,8 +26,8 @@
 )
 from cressrock.errors import CressrockError
 from cressrock.errors.aggregation import AggregationError
-from cressrock.membership.membership import Member
 from cressrock.membership.packets import MemberState
+from cressrock.membership.types import Member
 
 Origin = tuple[str, int]
 
--- a/cressrock/errors/gossip.py
+++ b/cressrock/errors/gossip.py
@@ -1,4 +1,4 @@
-"""Errors of the spread: own writes past a bound, and bytes from others that cannot be merged."""
+"""Errors of the replicated state: own writes past a bound, and bytes from others that cannot be merged."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class GossipError(CressrockError):
-    """The spread could not do what it was asked; nothing was changed."""
+    """The replicated state could not do what it was asked; nothing was changed."""
 
     code: ClassVar[str] = "spread"
     remedy: ClassVar[str] = "see the text; the spread's state is as it was before"
@@ -18,7 +18,9 @@
     """A key, an item or a value of one's own is empty or larger than one datagram may carry of it."""
 
     code: ClassVar[str] = "spread-too-large"
-    remedy: ClassVar[str] = "keep less in one entry, or raise max_key or max_value in all processes alike"
+    remedy: ClassVar[str] = (
+        "keep less in one entry, or raise max_key_bytes or max_value_bytes in all processes alike"
+    )
 
 
 class OriginFullError(GossipError):
@@ -29,7 +31,7 @@
 
 
 class MalformedGossipError(GossipError):
-    """Bytes from another process are no digest or parcel of the spread; they were dropped whole."""
+    """Bytes from another process are no gossip message; they were dropped whole."""
 
     code: ClassVar[str] = "spread-malformed"
     remedy: ClassVar[str] = "look which sender it is: another program, or a damaged path, uses this port"
--- a/cressrock/errors/membership.py
+++ b/cressrock/errors/membership.py
@@ -1,4 +1,4 @@
-"""What fails between the processes of a fleet."""
+"""Errors of membership, its datagrams and its exchanges."""
 
 from __future__ import annotations
 
@@ -20,14 +20,14 @@
 
 
 class UnsupportedPacketVersionError(DatagramError):
-    """A datagram speaks a version of the fleet's messages that this process does not know."""
+    """A datagram is of a version of the wire format that this process does not know."""
 
     code = "fleet-version"
     remedy = "bring both processes to neighbouring versions of the program; the log names its address"
 
 
 class MalformedPacketError(DatagramError):
-    """A datagram cannot be read as a message of the fleet."""
+    """A datagram or a frame cannot be read."""
 
     code = "fleet-malformed"
     remedy = "find what else sends to this port; between processes of the fleet it points at a damaged path"
@@ -37,18 +37,18 @@
     """A datagram or a frame is larger than is taken."""
 
     code = "fleet-too-large"
-    remedy = "use one max_datagram on all processes, below what the path carries without fragments"
+    remedy = "use one max_datagram_bytes on all processes, below what the path carries without fragments"
 
 
 class StateExchangeError(CressrockError):
-    """A full exchange of the member list ended before both sides had said all."""
+    """A full exchange of the member list ended before both sides had sent all."""
 
     code = "fleet-exchange"
     remedy = "open the fleet's port for TCP as well as UDP, both ways; it is tried again by itself"
 
 
 class FencedError(CressrockError):
-    """Another process of the same name has a newer life; this one has to stop."""
+    """Another process of the same name has a newer process incarnation; this one has to stop."""
 
     code = "fleet-fenced"
     remedy = "stop this process, or give it a name of its own: two processes were started under one name"
--- a/cressrock/failover/carrier.py
+++ b/cressrock/failover/carrier.py
@@ -28,8 +28,8 @@
 from cressrock.http.channel import Headers
 from cressrock.http.server import Exchange
 from cressrock.interface import Node
-from cressrock.membership.membership import Member
 from cressrock.membership.packets import MemberState as Life
+from cressrock.membership.types import Member
 
 MAX_ASKED = 4096  # bytes of a question to the admin port
 ROOM = "zones"  # the name under which sums go down
--- a/cressrock/failover/evidence.py
+++ b/cressrock/failover/evidence.py
@@ -23,7 +23,7 @@
 
 from cressrock.errors.failover import FailoverError
 from cressrock.failover.decision import VERSION, FailoverSettings, decode_versioned
-from cressrock.gossip.store import GossipStoreSettings
+from cressrock.gossip.settings import GossipStoreSettings
 from cressrock.interface import Outcome
 
 REPORT_KEY_PREFIX = "zones/"
--- a/cressrock/gossip/__init__.py
+++ b/cressrock/gossip/__init__.py
@@ -1,1 +1,1 @@
-"""Replicated key-value state: each entry owned by its origin, told by gossip, repaired by anti-entropy."""
+"""Replicated key-value state that every process holds alike, its anti-entropy, and the transport."""
--- a/cressrock/gossip/anti_entropy.py
+++ b/cressrock/gossip/anti_entropy.py
@@ -1,129 +1,154 @@
-"""When the spread's bytes go to whom: newest changes to a few, a digest to one, answers in a budget.  Pure.
+"""Who gets the gossip's bytes and how many a second: a member's traffic must not grow with the cluster.
 
-The spread itself chooses which bytes; here stands who gets them and how many a second, so that a member's
-traffic does not grow with the fleet.
+In each round the newest changes go to a few members and a digest to one; answers to digests keep to a budget.
+Which bytes they are the store chooses.
 """
 
 from __future__ import annotations
 
 import random
+from collections import Counter
 from collections.abc import Collection
 from dataclasses import dataclass
-from typing import Any, Protocol
+from typing import Protocol
 
 from cressrock.errors import CressrockError
-from cressrock.membership import packets as m
-from cressrock.membership.membership import FOREVER, Membership, OutgoingMessage
+from cressrock.gossip.messages import Origin
+from cressrock.gossip.reconciliation import Cursor, EncodedMessage
+from cressrock.membership.membership import Membership
+from cressrock.membership.packets import GossipDelta, GossipDigest, Packet, updates_capacity
+from cressrock.membership.types import NEVER_MS, OutgoingMessage
 
 
 class GossipState(Protocol):
-    """What is needed of the spread's state."""
+    """What is needed of the replicated state; `GossipStore` has it."""
 
     def recent_changes(self, max_bytes: int) -> bytes:
         """Return the newest changes, empty where nothing waits."""
 
     def digest(self, max_bytes: int) -> bytes:
-        """Return a slice of what is held."""
+        """Return up to which version some origins are known."""
 
     def deltas(self, digest: bytes, max_bytes: int, count: int) -> list[bytes]:
-        """Return what a digest's sender lacks, in up to so many pieces."""
+        """Return what a digest's sender lacks, in up to so many messages."""
 
     def merge(self, data: bytes) -> None:
-        """Merge a delta.  Raises a CressrockError where it is malformed."""
+        """Merge a message.  Raises a CressrockError where it is malformed."""
 
-    def full_state(self, after: Any, max_bytes: int) -> tuple[bytes, Any]:
-        """Return a piece of everything and where to go on, None at the end."""
+    def full_state(self, after: Cursor | None, max_bytes: int) -> EncodedMessage:
+        """Return a message of everything and where to go on, None at the end."""
 
-    def retain_origins(self, origins: Collection[tuple[str, int]]) -> None:
-        """Take the lives whose state is kept."""
+    def retain_origins(self, origins: Collection[Origin]) -> None:
+        """Keep the state of these processes alone."""
 
 
 @dataclass(frozen=True, slots=True)
 class AntiEntropySettings:
-    """Bounds of the spread's traffic for one process."""
+    """Bounds of the gossip's traffic for one process."""
 
     period_ms: float = 1000.0
-    fan: int = 3  # members that a change is told to in a period
-    bytes_s: int = 20_000  # answers to digests, on the average of a second
-    burst: int = 20_000  # and at once
-    answers: int = 4  # datagrams for one digest: who lags catches up in fewer rounds
+    fanout: int = 3  # members that a change is sent to in a period
+    reply_bytes_per_s: int = 20_000  # answers to digests, on the average of a second
+    reply_burst_bytes: int = 20_000  # and at once
+    max_deltas_per_digest: int = 4  # datagrams for one digest: who lags catches up in fewer rounds
+
+
+class ReplyBudget:
+    """A token bucket for the bytes of answers."""
+
+    def __init__(self, settings: AntiEntropySettings, now_ms: float) -> None:
+        """Begin full."""
+        self._settings = settings
+        self._available_bytes = float(settings.reply_burst_bytes)
+        self._filled_at_ms = now_ms
+
+    def available_bytes(self, now_ms: float) -> float:
+        """Return what may be sent at this time."""
+        earned = (now_ms - self._filled_at_ms) * self._settings.reply_bytes_per_s / 1000
+        burst = float(self._settings.reply_burst_bytes)
+        self._available_bytes, self._filled_at_ms = min(self._available_bytes + earned, burst), now_ms
+        return self._available_bytes
+
+    def spend(self, size: int) -> None:
+        """Count bytes that are sent."""
+        self._available_bytes -= size
 
 
 class AntiEntropy:
-    """One process's share of the spread's traffic."""
+    """One process's share of the gossip's traffic."""
 
     def __init__(
         self,
-        members: Membership,
-        spread: GossipState,
+        membership: Membership,
+        store: GossipState,
         settings: AntiEntropySettings,
-        source: random.Random,
+        rng: random.Random,
         now_ms: float,
     ) -> None:
-        """`members` says who is there; the time of the first round is drawn."""
-        self.members = members
-        self.spread = spread
+        """`membership` says who is there; the time of the first round is drawn."""
+        self.membership = membership
+        self.store = store
         self.settings = settings
-        self.refused: dict[str, int] = {}
-        self._admitted = -1  # `lives_changed` of the members as the spread was last told
-        self._due = now_ms + settings.period_ms * source.random()
-        self._left = float(settings.burst)
-        self._at = now_ms
-        self._room = m.room(members.settings.max_datagram_bytes, members.settings.cluster, members.local.name)
+        self.error_counts: Counter[str] = Counter()
+        self._retained_version = -1  # of `membership.process_ids`, as the store last got them
+        self._next_round_ms = now_ms + settings.period_ms * rng.random()
+        self._budget = ReplyBudget(settings, now_ms)
+        limits = membership.settings
+        self._max_bytes = updates_capacity(limits.max_datagram_bytes, limits.cluster, membership.local.name)
 
     def next_tick_ms(self) -> float:
         """Return when `tick` has something to do."""
-        return self._due if self.members.next_tick_ms() < FOREVER else FOREVER
+        return self._next_round_ms if self.membership.next_tick_ms() < NEVER_MS else NEVER_MS
 
     def tick(self, now_ms: float) -> list[OutgoingMessage]:
-        """Return what goes out in this period."""
-        if now_ms < self._due or self.members.next_tick_ms() == FOREVER:
+        """Return what goes out in this round."""
+        if now_ms < self._next_round_ms or self.membership.next_tick_ms() == NEVER_MS:
             return []
-        self._due = now_ms + self.settings.period_ms
-        if self._admitted != self.members.lives_changed:
+        self._next_round_ms = now_ms + self.settings.period_ms
+        if self._retained_version != self.membership.process_ids_version:
             # Only then: it looks at everybody, and each round that alone is 3 % of a core at 4,800 members.
-            self._admitted = self.members.lives_changed
-            self.spread.retain_origins(self.members.process_ids())
-        sends: list[OutgoingMessage] = []
-        for name, address in self.members.draw(self.settings.fan):
-            if data := self.spread.recent_changes(self._room):
-                sends.append(OutgoingMessage(name, address, m.GossipDelta(data)))
-        for name, address in self.members.draw(1):
-            if data := self.spread.digest(self._room):
-                sends.append(OutgoingMessage(name, address, m.GossipDigest(data)))
-        return sends
-
-    def receive(self, now_ms: float, letter: m.Letter) -> list[OutgoingMessage]:
-        """Take in a Digest or a Delta of a known member; returns the answer, as far as the budget goes."""
-        address = self.members.address(letter.sender)
+            self._retained_version = self.membership.process_ids_version
+            self.store.retain_origins(self.membership.process_ids())
+        messages: list[OutgoingMessage] = []
+        for name, address in self.membership.draw_peers(self.settings.fanout):
+            if data := self.store.recent_changes(self._max_bytes):
+                messages.append(OutgoingMessage(name, address, GossipDelta(data)))
+        for name, address in self.membership.draw_peers(1):
+            if data := self.store.digest(self._max_bytes):
+                messages.append(OutgoingMessage(name, address, GossipDigest(data)))
+        return messages
+
+    def receive(self, now_ms: float, packet: Packet) -> list[OutgoingMessage]:
+        """Take in a digest or a delta of a known member; returns the answer, as far as the budget goes."""
+        address = self.membership.address_of(packet.sender)
         if address is None:
-            self._count("spread-unknown-sender")
+            self.error_counts["spread-unknown-sender"] += 1
             return []
         try:
-            if isinstance(letter.body, m.GossipDelta):
-                self.spread.merge(letter.body.data)
-                return []
-            if not isinstance(letter.body, m.GossipDigest):
+            if isinstance(packet.body, GossipDelta):
+                self.store.merge(packet.body.data)
                 return []
-            earned = (now_ms - self._at) * self.settings.bytes_s / 1000
-            self._left, self._at = min(self._left + earned, float(self.settings.burst)), now_ms
-            count = min(self.settings.answers, int(self._left // self._room))
-            if count < 1:
-                self._count("spread-over-budget")
+            if not isinstance(packet.body, GossipDigest):
                 return []
-            pieces = self.spread.deltas(letter.body.data, self._room, count)
-        except CressrockError as wrong:
-            self._count(wrong.code)
+            deltas = self._answer(now_ms, packet.body)
+        except CressrockError as error:
+            # Whatever another process sends must not end this one; the reason is counted.
+            self.error_counts[error.code] += 1
             return []
-        self._left -= sum(map(len, pieces))
-        return [OutgoingMessage(letter.sender, address, m.GossipDelta(data)) for data in pieces]
+        self._budget.spend(sum(map(len, deltas)))
+        return [OutgoingMessage(packet.sender, address, GossipDelta(data)) for data in deltas]
+
+    def _answer(self, now_ms: float, digest: GossipDigest) -> list[bytes]:
+        affordable = int(self._budget.available_bytes(now_ms) // self._max_bytes)
+        count = min(self.settings.max_deltas_per_digest, affordable)
+        if count < 1:
+            self.error_counts["spread-over-budget"] += 1
+            return []
+        return self.store.deltas(digest.data, self._max_bytes, count)
 
     def merge_full_state(self, data: bytes) -> None:
-        """Merge the spread's part of an exchange."""
+        """Merge the gossip's part of an exchange."""
         try:
-            self.spread.merge(data)
-        except CressrockError as wrong:
-            self._count(wrong.code)
-
-    def _count(self, reason: str) -> None:
-        self.refused[reason] = self.refused.get(reason, 0) + 1
+            self.store.merge(data)
+        except CressrockError as error:
+            self.error_counts[error.code] += 1  # the membership's part of the exchange still counts
--- a/cressrock/gossip/transport.py
+++ b/cressrock/gossip/transport.py
@@ -1,33 +1,59 @@
-"""A process's place in its fleet: datagrams and exchanges around the state machines of this room.
+"""Datagrams, timers and exchanges around one process's membership and gossip.
 
-Sockets, clock and randomness come from outside, so that the same carrier runs over loopback and in simulated
-time.  It holds no figure of its own and takes no choice.
+Sockets, clock and random source come from outside, so that the same transport runs over loopback and in
+simulated time.  It holds no tuned number and takes no decision.
 """
 
 from __future__ import annotations
 
 import random
+from collections import Counter
 from collections.abc import Awaitable, Callable, Mapping
 from dataclasses import dataclass, field
-from typing import Any, Protocol
+from typing import Protocol
 
 import anyio
 from anyio.abc import TaskStatus
 
-from cressrock.errors import membership as errors
-from cressrock.gossip import anti_entropy as rounds
+from cressrock.errors.membership import DatagramError, FencedError, StateExchangeError
+from cressrock.gossip.anti_entropy import AntiEntropy, AntiEntropySettings, GossipState
+from cressrock.gossip.exchange import StateExchange
 from cressrock.http.channel import BROKEN, Stream
-from cressrock.membership import packets as m
-from cressrock.membership.membership import (
-    FOREVER,
+from cressrock.membership.events import (
+    DuplicateIdentity,
     Event,
-    Exchange,
     Fenced,
-    Identity,
-    Membership,
-    MembershipSettings,
-    OutgoingMessage,
+    MemberDead,
+    MemberJoined,
+    MemberLeft,
+    MemberRecovered,
+    MemberRestarted,
+    MemberSuspected,
 )
+from cressrock.membership.membership import Membership
+from cressrock.membership.packets import CollectorMessage, GossipDelta, GossipDigest, decode, encode
+from cressrock.membership.settings import MembershipSettings
+from cressrock.membership.types import NEVER_MS, ExchangeRequest, Identity, OutgoingMessage
+
+CLOSE_TIMEOUT_S = 1.0
+MIN_SLEEP_S = 1e-6  # a clock that stands just before a due time must not make the loop spin
+LOG_NAMES: Mapping[type[Event], str] = {
+    MemberJoined: "membership.joined",
+    MemberSuspected: "membership.suspected",
+    MemberRecovered: "membership.recovered",
+    MemberLeft: "membership.left",
+    MemberDead: "membership.dead",
+    MemberRestarted: "membership.restarted",
+    Fenced: "membership.fenced",
+    DuplicateIdentity: "membership.duplicate_identity",
+}
+
+
+class EventLog(Protocol):
+    """Where the transport logs what happens."""
+
+    def info(self, event: str, **fields: object) -> None:
+        """Log one event."""
 
 
 class DatagramSocket(Protocol):
@@ -42,220 +68,194 @@
 
 @dataclass(frozen=True, slots=True)
 class TransportEnvironment:
-    """What a fleet's carrier needs of the world."""
+    """The sockets and the clock (monotonic milliseconds) that a transport uses."""
 
-    datagrams: DatagramSocket
+    datagram_socket: DatagramSocket
     connect: Callable[[str, int], Awaitable[Stream]]
     clock: Callable[[], float]
 
 
 @dataclass(frozen=True, slots=True)
 class ClusterTransportSettings:
-    """Settings of one process's place in the fleet."""
+    """Settings of one process's place in the cluster."""
 
     seeds: tuple[str, ...] = ()  # ip:port each
-    routes: Mapping[str, str] = field(default_factory=dict)  # where a name is reached, before what it says
+    routes: Mapping[str, str] = field(default_factory=dict)  # where a name is reached, whatever it announces
     membership: MembershipSettings = field(default_factory=MembershipSettings)
-    anti_entropy: rounds.AntiEntropySettings = field(default_factory=rounds.AntiEntropySettings)
+    anti_entropy: AntiEntropySettings = field(default_factory=AntiEntropySettings)
     exchange_timeout_ms: float = 5000.0
-    exchanges_served: int = 16  # at a time; more are closed at once and come again by themselves
-    exchange_pieces: int = 512  # of one side: bounds what a peer can make this process take in
+    max_served_exchanges: int = 16  # at a time; more are closed at once and come again by themselves
+    max_exchange_parts: int = 512  # of one side: bounds what a peer can make this process take in
+
+
+def _ignore_collector_message(sender: str, process_incarnation: int, data: bytes) -> None:
+    """Drop reports where no collector runs."""
 
 
 class ClusterTransport:
-    """Members and spread of one process, carried."""
+    """Carries out what one process's membership and anti-entropy ask for."""
 
     def __init__(
         self,
         settings: ClusterTransportSettings,
         identity: Identity,
-        world: TransportEnvironment,
-        spread: rounds.GossipState,
-        source: random.Random,
-        log: Any,
+        environment: TransportEnvironment,
+        store: GossipState,
+        rng: random.Random,
+        log: EventLog,
     ) -> None:
         """`identity.address` is where others reach this process, by UDP and TCP."""
-        now = world.clock()
+        now = environment.clock()
         self.settings = settings
-        self.world = world
+        self.environment = environment
         self.log = log
-        self.spread = spread
-        self.membership = Membership(identity, settings.membership, settings.seeds, source, now)
-        self.rounds = rounds.AntiEntropy(self.membership, spread, settings.anti_entropy, source, now)
+        self.membership = Membership(identity, settings.membership, settings.seeds, rng, now)
+        self.anti_entropy = AntiEntropy(self.membership, store, settings.anti_entropy, rng, now)
         self.event_listeners: list[Callable[[Event], None]] = []
-        self.changed = anyio.Event()  # set, and replaced, at each change of the members
-        self.on_collector_message: Callable[[str, int, bytes], None] = lambda sender, life, data: None
-        self.drop_counts: dict[str, int] = {}  # datagrams and frames not taken, by reason
-        self._news = anyio.Event()
-        self._sleeps_until = FOREVER
-        self._wanted: list[Exchange] = []
+        self.membership_changed = anyio.Event()  # set, and replaced, at each change of the members
+        self.on_collector_message: Callable[[str, int, bytes], None] = _ignore_collector_message
+        self.drop_counts: Counter[str] = Counter()  # datagrams and frames not taken, by reason
+        self._exchange = StateExchange(
+            self.membership, self.anti_entropy, environment.clock, settings.max_exchange_parts
+        )
+        self._wake_up = anyio.Event()
+        self._sleeps_until_ms = NEVER_MS
+        self._requested: list[ExchangeRequest] = []
         self._serving = 0
         self._fenced: Fenced | None = None
 
     async def run(self, *, task_status: TaskStatus[None] = anyio.TASK_STATUS_IGNORED) -> None:
-        """Take part until cancelled.  Raises errors.Fenced once a newer life of the name is heard of."""
+        """Take part until cancelled.  Raises FencedError once a newer process of the name is heard of."""
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(self._receive)
             task_status.started()
             while self._fenced is None:
-                now = self.world.clock()
+                now = self.environment.clock()
                 self.membership.tick(now)
-                self._send(self.rounds.tick(now))
+                self._send(self.anti_entropy.tick(now))
                 self._flush()
-                for wanted in self._wanted:
-                    tasks.start_soon(self._exchange, wanted)
-                self._wanted.clear()
-                self._sleeps_until = min(self.membership.next_tick_ms(), self.rounds.next_tick_ms())
-                self._news = anyio.Event()
-                with anyio.move_on_after(max(self._sleeps_until - self.world.clock(), 0) / 1000 + 1e-6):
-                    await self._news.wait()
+                for request in self._requested:
+                    tasks.start_soon(self._make_exchange, request)
+                self._requested.clear()
+                await self._sleep()
             tasks.cancel_scope.cancel()
         if self._fenced is not None:
-            name, life, by = self._fenced.name, self.membership.local.process_incarnation, self._fenced.by
-            raise errors.FencedError(f"{name}: life {life} ends, life {by} has the name")
+            local = self.membership.local
+            raise FencedError(
+                f"{local.name}: process incarnation {local.process_incarnation} ends,"
+                f" process incarnation {self._fenced.newer} has the name"
+            )
+
+    async def _sleep(self) -> None:
+        """Wait for the next timer, or for something that cannot wait for it."""
+        self._sleeps_until_ms = min(self.membership.next_tick_ms(), self.anti_entropy.next_tick_ms())
+        self._wake_up = anyio.Event()
+        wait_ms = max(self._sleeps_until_ms - self.environment.clock(), 0)
+        with anyio.move_on_after(wait_ms / 1000 + MIN_SLEEP_S):
+            await self._wake_up.wait()
 
     async def leave(self) -> None:
         """Leave in order: returns when others had the time to hear it; `run` is to be cancelled then."""
-        self.membership.leave(self.world.clock())
+        self.membership.leave(self.environment.clock())
         self._flush()
         await anyio.sleep(self.settings.membership.protocol_period_ms / 1000)
 
-    async def serve(self, stream: Stream) -> None:
-        """Answer an exchange that another process began."""
-        try:
-            if self._serving >= self.settings.exchanges_served or self._fenced is not None:
-                self._drop("exchange-busy")
-                return
-            self._serving += 1
-            try:
-                with anyio.move_on_after(self.settings.exchange_timeout_ms / 1000):
-                    whole = await self._take(stream)
-                    await self._tell(stream, whole)
-            except (errors.DatagramError, errors.StateExchangeError) as wrong:
-                self._drop(wrong.code)
-            except BROKEN:
-                self._drop("exchange-broken")
-            finally:
-                self._serving -= 1
-                self._flush()
-        finally:
-            with anyio.CancelScope(shield=True), anyio.move_on_after(1):
-                await stream.aclose()
-
     # --- datagrams
 
+    def send_collector_message(self, name: str, data: bytes) -> None:
+        """Send a member bytes of the evidence reports in one datagram; an unknown member gets none."""
+        address = self.membership.address_of(name)
+        if address is not None and self._fenced is None:
+            self._send([OutgoingMessage(name, address, CollectorMessage(data))])
+
     async def _receive(self) -> None:
         settings = self.settings.membership
         while self._fenced is None:
-            data, address = await self.world.datagrams.receive()
+            data, address = await self.environment.datagram_socket.receive()
             try:
-                letter = m.decode(data, settings.cluster, settings.max_datagram_bytes)
-            except errors.DatagramError as wrong:
-                self._drop(wrong.code)
+                packet = decode(data, settings.cluster, settings.max_datagram_bytes)
+            except DatagramError as error:
+                self.drop_counts[error.code] += 1  # anybody can send to the port
                 continue
-            now = self.world.clock()
-            self.membership.receive(now, address, letter)
-            if isinstance(letter.body, m.GossipDigest | m.GossipDelta):
-                self._send(self.rounds.receive(now, letter))
-            elif isinstance(letter.body, m.CollectorMessage):
-                self.on_collector_message(letter.sender, letter.life, letter.body.data)
+            now = self.environment.clock()
+            self.membership.receive(now, address, packet)
+            if isinstance(packet.body, GossipDigest | GossipDelta):
+                self._send(self.anti_entropy.receive(now, packet))
+            elif isinstance(packet.body, CollectorMessage):
+                self.on_collector_message(packet.sender, packet.process_incarnation, packet.body.data)
             self._flush()
 
     def _flush(self) -> None:
+        """Carry out what the membership asks for."""
         self._send(self.membership.drain_messages())
         for event in self.membership.drain_events():
-            self.log.info("fleet_" + type(event).__name__.lower(), member=event.name)
+            self.log.info(LOG_NAMES[type(event)], member=event.name)
             if isinstance(event, Fenced):
                 self._fenced = event
             for listener in self.event_listeners:
                 listener(event)
-            changed, self.changed = self.changed, anyio.Event()
+            changed, self.membership_changed = self.membership_changed, anyio.Event()
             changed.set()
-        self._wanted += self.membership.drain_exchanges()
-        if self._wanted or self._fenced is not None or self.membership.next_tick_ms() < self._sleeps_until:
-            self._news.set()
-
-    def send_collector_message(self, name: str, data: bytes) -> None:
-        """Send a member bytes of the collectors in one datagram; who is not known is not told."""
-        address = self.membership.address(name)
-        if address is not None and self._fenced is None:
-            self._send([OutgoingMessage(name, address, m.CollectorMessage(data))])
-
-    def _send(self, sends: list[OutgoingMessage]) -> None:
-        me = self.membership.local
-        for sent in sends:
-            address = self.settings.routes.get(sent.name or "", sent.address)
-            data = m.encode(self.settings.membership.cluster, me.name, me.process_incarnation, sent.message)
-            if len(data) > self.settings.membership.max_datagram_bytes:
-                self._drop("sent-too-large")
+        self._requested += self.membership.drain_exchanges()
+        timer_is_earlier = self.membership.next_tick_ms() < self._sleeps_until_ms
+        if self._requested or self._fenced is not None or timer_is_earlier:
+            self._wake_up.set()
+
+    def _send(self, messages: list[OutgoingMessage]) -> None:
+        local, settings = self.membership.local, self.settings.membership
+        for message in messages:
+            address = self.settings.routes.get(message.name or "", message.address)
+            data = encode(settings.cluster, local.name, local.process_incarnation, message.message)
+            if len(data) > settings.max_datagram_bytes:
+                self.drop_counts["sent-too-large"] += 1
                 continue
-            self.world.datagrams.send(address, data)
+            self.environment.datagram_socket.send(address, data)
 
-    def _drop(self, reason: str) -> None:
-        self.drop_counts[reason] = self.drop_counts.get(reason, 0) + 1
+    # --- exchanges
 
-    # --- the exchange
+    async def serve(self, stream: Stream) -> None:
+        """Answer an exchange that another process began."""
+        try:
+            if self._serving >= self.settings.max_served_exchanges or self._fenced is not None:
+                self.drop_counts["exchange-busy"] += 1
+                return
+            self._serving += 1
+            try:
+                with anyio.move_on_after(self.settings.exchange_timeout_ms / 1000):
+                    with_gossip_state = await self._exchange.receive(stream)
+                    await self._exchange.send(stream, with_gossip_state=with_gossip_state)
+            except (DatagramError, StateExchangeError) as error:
+                self.drop_counts[error.code] += 1  # the other side tries again with somebody
+            except BROKEN:
+                self.drop_counts["exchange-broken"] += 1
+            finally:
+                self._serving -= 1
+                self._flush()
+        finally:
+            await _close(stream)
 
-    async def _exchange(self, wanted: Exchange) -> None:
-        done = False
-        host, _, port = self.settings.routes.get(wanted.name, wanted.address).rpartition(":")
+    async def _make_exchange(self, request: ExchangeRequest) -> None:
+        """Make an exchange that the membership asked for, and tell it how that went."""
+        succeeded = False
+        host, _, port = self.settings.routes.get(request.name, request.address).rpartition(":")
         try:
             with anyio.move_on_after(self.settings.exchange_timeout_ms / 1000):
-                stream = await self.world.connect(host, int(port))
+                stream = await self.environment.connect(host, int(port))
                 try:
-                    await self._tell(stream, wanted.with_gossip_state)
-                    await self._take(stream)
-                    done = True
+                    await self._exchange.send(stream, with_gossip_state=request.with_gossip_state)
+                    await self._exchange.receive(stream)
+                    succeeded = True
                 finally:
-                    with anyio.CancelScope(shield=True), anyio.move_on_after(1):
-                        await stream.aclose()
-        except (OSError, ValueError, *BROKEN) as wrong:
-            self.log.info("fleet_exchange_failed", member=wanted.name, error=repr(wrong))
-        except (errors.DatagramError, errors.StateExchangeError) as wrong:
-            self._drop(wrong.code)
-        self.membership.record_exchange_result(self.world.clock(), done)
+                    await _close(stream)
+        except (OSError, ValueError, *BROKEN) as error:
+            self.log.info("membership.exchange_failed", member=request.name, error=repr(error))
+        except (DatagramError, StateExchangeError) as error:
+            self.drop_counts[error.code] += 1  # recorded below as failed, so it is tried again
+        self.membership.record_exchange_result(self.environment.clock(), succeeded)
         self._flush()
 
-    async def _tell(self, stream: Stream, whole: bool) -> None:
-        cluster, me = self.settings.membership.cluster, self.membership.local
-        pieces = [m.ExchangePart(claims, whole=whole) for claims in self.membership.state_batches()]
-        after: Any = None
-        while whole:
-            data, after = self.spread.full_state(after, m.MAX_FRAME_BYTES // 2)
-            pieces.append(m.ExchangePart(spread=data, whole=True))
-            whole = after is not None
-        pieces.append(m.ExchangePart(last=True))
-        for piece in pieces:
-            await stream.send(m.frame(m.encode(cluster, me.name, me.process_incarnation, piece)))
-
-    async def _take(self, stream: Stream) -> bool:
-        """Read a side's pieces to the last; returns whether the spread is wanted."""
-        held, whole = bytearray(), False
-        for _ in range(self.settings.exchange_pieces):
-            body = await self._frame(stream, held)
-            letter = m.decode(body, self.settings.membership.cluster, m.MAX_FRAME_BYTES)
-            piece = letter.body
-            if not isinstance(piece, m.ExchangePart):
-                raise errors.MalformedPacketError("an exchange holds pieces only")
-            self.membership.merge_remote_state(self.world.clock(), letter.sender, piece.updates)
-            if piece.spread:
-                self.rounds.merge_full_state(piece.spread)
-            whole = whole or piece.whole
-            if piece.last:
-                return whole
-        raise errors.StateExchangeError("an exchange without end")
-
-    @staticmethod
-    async def _frame(stream: Stream, held: bytearray) -> bytes:
-        while True:
-            if len(held) >= 4:
-                size = int.from_bytes(held[:4], "big")
-                if size > m.MAX_FRAME_BYTES:
-                    raise errors.PacketTooLargeError(
-                        f"a frame of {size} bytes; at most {m.MAX_FRAME_BYTES} are taken"
-                    )
-                if len(held) >= 4 + size:
-                    body = bytes(held[4 : 4 + size])
-                    del held[: 4 + size]
-                    return body
-            held += await stream.receive(65536)
+
+async def _close(stream: Stream) -> None:
+    """Close a stream even while its task is cancelled, but not for long."""
+    with anyio.CancelScope(shield=True), anyio.move_on_after(CLOSE_TIMEOUT_S):
+        await stream.aclose()
--- a/cressrock/lab/capacity_page.py
+++ b/cressrock/lab/capacity_page.py
@@ -15,11 +15,11 @@
 
 from cressrock.consensus.decisions import MAX_TOPICS, DecisionLimits
 from cressrock.errors.lab import MissingMeasurementError
-from cressrock.gossip.store import GossipStoreSettings
+from cressrock.gossip.settings import GossipStoreSettings
 from cressrock.lab import capacity, localcost_rows
 from cressrock.lab.capacity import Measurement
 from cressrock.lab.localcost_rows import BOUND, CARRIED, NOT
-from cressrock.membership.membership import MembershipSettings
+from cressrock.membership.settings import MembershipSettings
 from cressrock.platform.serverlist import MOST_TOLD
 from cressrock.rollout.evidence import MAX_ORIGINS
 
--- a/cressrock/lab/collectsim.py
+++ b/cressrock/lab/collectsim.py
@@ -29,7 +29,8 @@
 from cressrock.failover.decision import FailoverDecision
 from cressrock.failover.evaluation import evaluate
 from cressrock.failover.summary import ReportSummarizer, SummaryView, ZoneMember, decode_zone_loads
-from cressrock.gossip.store import GossipStore, GossipStoreSettings
+from cressrock.gossip.settings import GossipStoreSettings
+from cressrock.gossip.store import GossipStore
 from cressrock.lab.zonesim import PLACES, ROUND_MS, Edge, ZoneSim
 from cressrock.membership import packets as m
 
--- a/cressrock/lab/fleetsim.py
+++ b/cressrock/lab/fleetsim.py
@@ -12,8 +12,11 @@
 
 from cressrock.errors.membership import DatagramError
 from cressrock.membership import packets as m
-from cressrock.membership.membership import Event, Fenced, Identity, Membership, MembershipSettings
+from cressrock.membership.events import Event, Fenced
+from cressrock.membership.membership import Membership
 from cressrock.membership.packets import MemberState
+from cressrock.membership.settings import MembershipSettings
+from cressrock.membership.types import Identity
 
 QUEUE = 512  # datagrams that wait at a stopped process, as a socket's buffer would hold
 
@@ -78,13 +81,12 @@
         seeds = tuple(f"m{number}:1" for number in range(3))
         hosts = [self.start(f"m{number}", seeds, zone=f"z{number % 3}") for number in range(count)]
         if joined:
-            claims = [host.members._mine(full=True) for host in hosts]
+            claims = [host.members.state.local.as_update(full=True) for host in hosts]
             for host in hosts:
                 host.members.merge_remote_state(self.now, "", claims)
                 host.members.record_exchange_result(self.now, True)
                 host.members.drain_events()
-                for name in list(host.members._queue.of):
-                    host.members._queue.drop(name)
+                host.members.state.queue.clear()
         return hosts
 
     def kill(self, host: Host) -> None:
@@ -122,12 +124,12 @@
             (host.name, host.members.local.process_incarnation) for host in self.hosts.values() if host.up
         }
         for host in self.hosts.values():
-            members = host.members
-            if len(members._live) + 1 != len(running):
+            table = host.members.state.table
+            if table.cluster_size != len(running):
                 return False
-            for name in members._live.names:
-                record = members._records[name]
-                if record.state is not MemberState.ALIVE or (name, record.life) not in running:
+            for name in table.live.names:
+                record = table.records[name]
+                if record.state is not MemberState.ALIVE or (name, record.process_incarnation) not in running:
                     return False
         return True
 
--- a/cressrock/lab/hollow.py
+++ b/cressrock/lab/hollow.py
@@ -18,18 +18,16 @@
 from cressrock.consensus.decisions import Decision
 from cressrock.errors.membership import DatagramError
 from cressrock.gossip.anti_entropy import AntiEntropy, AntiEntropySettings
-from cressrock.gossip.store import GossipStore, GossipStoreSettings, Origin
+from cressrock.gossip.messages import Origin
+from cressrock.gossip.settings import GossipStoreSettings
+from cressrock.gossip.store import GossipStore
 from cressrock.lab.fleetsim import FleetSim, Host
-from cressrock.lab.hollow_shared import Pool, SharedMembers, SharedSpread, acquaint, fill
+from cressrock.lab.hollow_shared import Pool, SharedMemberTable, SharedSpread, acquaint, fill
 from cressrock.membership import packets as m
-from cressrock.membership.membership import (
-    Event,
-    Fenced,
-    Identity,
-    Membership,
-    MembershipSettings,
-    OutgoingMessage,
-)
+from cressrock.membership.events import Event, Fenced
+from cressrock.membership.membership import Membership
+from cressrock.membership.settings import MembershipSettings
+from cressrock.membership.types import Identity, OutgoingMessage
 
 FIRST_LIFE = 1_790_000_000_000  # as long on the wire as a clock's milliseconds
 HEADERS = 28  # bytes of UDP and IPv4
@@ -118,11 +116,8 @@
         name, place = f"edge-{number:04d}", number % ZONES
         me = Identity(name, life, address(number), "edge", f"zone-{place}", f"region-{place % REGIONS}")
         source = random.Random(self.random.getrandbits(64))
-        members: Membership
-        if self.size.share:
-            members = SharedMembers(me, self.settings, seeds, source, self.now, self.common)
-        else:
-            members = Membership(me, self.settings, seeds, source, self.now)
+        table = SharedMemberTable(source, self.common) if self.size.share else None
+        members = Membership(me, self.settings, seeds, source, self.now, table)
         host = Hollow(name, me.address, members)
         if self.size.spread:
             made: GossipStore
--- a/cressrock/lab/hollow_scenes.py
+++ b/cressrock/lab/hollow_scenes.py
@@ -15,15 +15,14 @@
 
 from cressrock.consensus.decision_gossip import DecisionPublisher
 from cressrock.consensus.decisions import Decision
-from cressrock.gossip.store import Origin
+from cressrock.gossip.messages import EntryKey, EntryKind, Origin
 from cressrock.lab.hollow import ZONES, Hollow, HollowFleet, Size
-from cressrock.membership.membership import Event, MemberDead
+from cressrock.membership.events import Event, MemberDead
 
 Clock = Callable[[], float]  # seconds of processor time
 Figures = dict[str, tuple[float, str]]
-Slot = tuple[int, str, str, str, int]
 
-WORD: Slot = (0, "zones/0", "", "", 0)
+WORD = EntryKey(EntryKind.VALUE, "zones/0")
 WRITES_S = 0.18  # of each edge, while anybody accuses any zone: 40 a second of 230
 WORD_BYTES = 100
 ROUND_MS = 200.0
@@ -184,7 +183,7 @@
 def _words(fleet: HollowFleet) -> None:
     for host in fleet.members:
         assert host.spread is not None
-        host.spread.put(WORD[1], fleet.random.randbytes(WORD_BYTES))
+        host.spread.put(WORD.key, fleet.random.randbytes(WORD_BYTES))
 
 
 def spread_quiet(size: Size, clock: Clock, *, warm_ms: float = 3000, span_ms: float = 10_000) -> Figures:
@@ -213,7 +212,7 @@
     def write(self, host: Hollow) -> None:
         """Let a process write its next word."""
         assert host.spread is not None
-        host.spread.put(WORD[1], self.fleet.random.randbytes(WORD_BYTES))
+        host.spread.put(WORD.key, self.fleet.random.randbytes(WORD_BYTES))
         self.written[host.spread.local].append(self.fleet.now)
 
     def look(self, readers: Iterable[Hollow]) -> None:
@@ -221,7 +220,7 @@
         now = self.fleet.now
         for reader in readers:
             assert reader.spread is not None
-            states = reader.spread._states
+            states = reader.spread.table.states
             for origin, times in self.written.items():
                 state = states.get(origin)
                 entry = state.entries.get(WORD) if state is not None else None
--- a/cressrock/lab/hollow_shared.py
+++ b/cressrock/lab/hollow_shared.py
@@ -16,70 +16,42 @@
 from collections.abc import Sequence
 from typing import Any
 
-from cressrock.gossip import store as s
-from cressrock.gossip.store import GossipStore, GossipStoreSettings, Origin
-from cressrock.membership.membership import Identity, Membership, MembershipSettings, _Record
-from cressrock.membership.packets import MemberState, MemberUpdate
+from cressrock.gossip.entry_table import IndexKey
+from cressrock.gossip.local_writer import LocalWriter
+from cressrock.gossip.merge import StateMerger
+from cressrock.gossip.messages import Origin, OriginSection
+from cressrock.gossip.origin_state import OriginState
+from cressrock.gossip.settings import GossipStoreSettings
+from cressrock.gossip.store import GossipStore
+from cressrock.membership.member_table import MemberRecord, MemberTable
+from cressrock.membership.membership import Membership
+from cressrock.membership.packets import MemberState
+from cressrock.membership.selection import RandomPool
+
+
+def copied(record: MemberRecord) -> MemberRecord:
+    """Return a record of one's own."""
+    return MemberRecord(
+        record.name, record.process_incarnation, record.incarnation, record.state, record.info,
+        record.state_since_ms, record.suspected_at_ms, record.next_last_ping_ms, record.accuser,
+        set(record.accusers), record.confirmed,
+    )  # fmt: skip
 
 
-def copied(record: _Record) -> _Record:
-    """Return a record of one's own."""
-    return _Record(
-        record.name,
-        record.life,
-        record.incarnation,
-        record.state,
-        record.about,
-        record.since,
-        record.suspected,
-        record.called,
-        record.by,
-        set(record.accusers),
-        record.full,
-    )
-
-
-class SharedMembers(Membership):
-    """Members whose records are those of `common` until they differ."""
+class SharedMemberTable(MemberTable):
+    """A table whose records are those of `common` until they differ: whoever changes one copies it first."""
 
-    def __init__(
-        self,
-        me: Identity,
-        settings: MembershipSettings,
-        seeds: tuple[str, ...],
-        source: random.Random,
-        now_ms: float,
-        common: dict[str, _Record],
-    ) -> None:
-        """`common` is the same table for all processes; it is never changed here."""
-        super().__init__(me, settings, seeds, source, now_ms)
+    def __init__(self, rng: random.Random, common: dict[str, MemberRecord]) -> None:
+        """`common` is the same for all processes; it is never changed here."""
+        super().__init__(rng)
         self.common = common
 
-    def _own(self, name: str) -> None:
-        held = self._records.get(name)
-        if held is not None and held is self.common.get(name):
-            self._records[name] = copied(held)
-
-    def _take(
-        self, now: float, claim: MemberUpdate, sender: str, exchange: bool = False
-    ) -> MemberUpdate | None:
-        held = self._records.get(claim.name)
-        if held is not None and held is self.common.get(claim.name):
-            if (
-                claim.state is MemberState.ALIVE is held.state
-                and claim.process_incarnation == held.life
-                and claim.incarnation == held.incarnation
-                and (claim.info is None or claim.info == held.about)
-            ):
-                return None  # changes nothing: not worth a copy
-            self._records[claim.name] = copied(held)
-        return super()._take(now, claim, sender, exchange)
-
-    def _due_resolve(self, now: float, key: str | int) -> None:
-        probe = self._probes.get(int(key))
-        if probe is not None:
-            self._own(probe.name)
-        super()._due_resolve(now, key)
+    def writable(self, record: MemberRecord) -> MemberRecord:
+        """Return the record to change: a copy of a common one."""
+        if record is not self.common.get(record.name):
+            return record
+        own = self.records[record.name] = copied(record)
+        return own
 
 
 def acquaint(all_of: Sequence[Membership], now_ms: float, *, share: bool, only: int | None = None) -> None:
@@ -88,94 +60,88 @@
     What probes come first is drawn by each one's own source.  `only` the first so many know the others.
     """
     records = {
-        members.local.name: _Record(
-            members.local.name,
-            members.local.process_incarnation,
-            0,
-            MemberState.ALIVE,
-            members._about,
-            now_ms,
+        members.local.name: MemberRecord(
+            members.local.name, members.local.process_incarnation, 0, MemberState.ALIVE,
+            members.state.local.info, now_ms,
         )
         for members in all_of
-    }
+    }  # fmt: skip
     names = list(records)
     if share:
         for members in all_of:
-            if isinstance(members, SharedMembers):
-                members.common.update(records)
-    summed = None
+            if isinstance(members.state.table, SharedMemberTable):
+                members.state.table.common.update(records)
+    checksum = None
     for at, members in enumerate(all_of[:only]):
         others = names[:at] + names[at + 1 :]
         held = dict(records)
         del held[members.local.name]
-        members._records = held if share else {name: copied(record) for name, record in held.items()}
-        members._live.names = others
-        members._live.place = {name: place for place, name in enumerate(others)}
-        members._round = list(others)
-        members.rng.shuffle(members._round)
-        members.joined = True
-        members._exchanged = now_ms
-        # All hold the same view, so the sum over it is the same; at 4,800 it takes some ms for each.
-        if summed is None:
-            members._summed = None
-            summed = members._sum()
-        members._summed = summed
-
-
-Pool = dict[tuple[Any, ...], s._State]
-
-
-def _copied(state: s._State) -> s._State:
-    return s._State(
-        state.known,
-        state.floor,
-        state.bytes,
-        state.last,
-        state.ordered,
-        dict(state.entries),
-        list(state.ahead),
-        state.sweep,
-        state.removed,
-    )
+        table = members.state.table
+        table.records = held if share else {name: copied(record) for name, record in held.items()}
+        table.live = RandomPool(others)
+        table.beliefs_version += 1
+        table.probe_order.restart(others)
+        members.record_exchange_result(now_ms, True)
+        # All hold the same view, so the checksum over it is the same; at 4,800 it takes some ms for each.
+        if checksum is None:
+            checksum = members.checksum.value()
+        members.checksum.adopt(checksum)
 
 
-class SharedSpread(GossipStore):
-    """A spread whose states of other origins are those of `pool`, by value."""
+Pool = dict[tuple[Any, ...], OriginState]
 
-    def __init__(
-        self, name: str, life: int, settings: GossipStoreSettings, source: random.Random, pool: Pool
-    ) -> None:
+
+def _copied(state: OriginState) -> OriginState:
+    return OriginState(
+        state.known, state.floor, state.size_bytes, state.last, state.ordered, dict(state.entries),
+        list(state.ahead), state.sweep, state.tombstones,
+    )  # fmt: skip
+
+
+class SharedMerger(StateMerger):
+    """Merges into states of other origins that are those of `pool`, by value."""
+
+    def __init__(self, store: GossipStore, writer: LocalWriter, pool: Pool) -> None:
         """`pool` is the same for all processes; what is in it is never changed."""
-        super().__init__(name, life, settings, source)
+        super().__init__(store.table, writer, store.broadcasts, store.reconciliation)
         self.pool = pool
 
-    def _piece(self, origin: Origin, state: s._State, piece: s._Piece, what: int) -> None:
-        if (
-            state.sweep is None
-            and piece.floor <= state.floor
-            and (piece.upto or _last_of(piece)) <= state.known
-        ):
+    def merge_section(self, origin: Origin, state: OriginState, section: OriginSection, kind: int) -> None:
+        """Merge into a copy, and share that again."""
+        if state.sweep is None and section.floor <= state.floor and section.last_version <= state.known:
             return  # changes nothing: not worth a copy
-        mine = self._states[origin] = _copied(state)
-        super()._piece(origin, mine, piece, what)
+        mine = self._table.states[origin] = _copied(state)
+        super().merge_section(origin, mine, section, kind)
         if mine.sweep is None:
-            self._states[origin] = pooled(self.pool, origin, mine)
+            self._table.states[origin] = pooled(self.pool, origin, mine)
 
-    def _drop(self, origin: Origin) -> None:
-        state = self._states.get(origin)
-        if state is not None and origin != self.local:
-            self._states[origin] = _copied(state)
-        super()._drop(origin)
+    def drop(self, origin: Origin) -> None:
+        """Forget a copy."""
+        state = self._table.states.get(origin)
+        if state is not None and origin != self._table.local:
+            self._table.states[origin] = _copied(state)
+        super().drop(origin)
 
 
-def _last_of(piece: s._Piece) -> int:
-    """Return the last version that a rumour's piece names."""
-    return piece.entries[-1].version if piece.entries else 0
+class SharedSpread(GossipStore):
+    """A store whose states of other origins are those of `pool`, by value."""
+
+    def __init__(
+        self,
+        name: str,
+        process_incarnation: int,
+        settings: GossipStoreSettings,
+        source: random.Random,
+        pool: Pool,
+    ) -> None:
+        """`pool` is the same for all processes; what is in it is never changed."""
+        super().__init__(name, process_incarnation, settings, source)
+        self.merger = SharedMerger(self, self._writer, pool)
 
 
-def pooled(pool: Pool, origin: Origin, state: s._State) -> s._State:
+def pooled(pool: Pool, origin: Origin, state: OriginState) -> OriginState:
     """Return the pool's state of this value; a state under a sweep has none."""
-    entries = tuple((slot, entry.version) for slot, entry in state.entries.items())
+    entries = tuple((key, entry.version) for key, entry in state.entries.items())
     key = (origin, state.known, state.floor, state.last, state.ordered, tuple(state.ahead), entries)
     return pool.setdefault(key, state)
 
@@ -185,19 +151,20 @@
 
     With `only` the first so many do.
     """
-    states = {spread.local: pooled(pool, spread.local, _copied(spread._mine)) for spread in spreads}
+    states = {spread.local: pooled(pool, spread.local, _copied(spread.table.own)) for spread in spreads}
     order = sorted(states)
-    lives = dict(order)
-    live: dict[tuple[int, str], dict[tuple[str, Origin], None]] = {}
+    index: dict[IndexKey, dict[tuple[str, Origin], None]] = {}
     for spread in spreads:
-        for slot in spread._mine.entries:
-            live.setdefault((slot[0], slot[1]), {})[(slot[2], spread.local)] = None
-    total = sum(state.bytes for state in states.values())
+        for key in spread.table.own.entries:
+            index.setdefault((key.kind, key.key), {})[(key.item, spread.local)] = None
+    total = sum(state.size_bytes for state in states.values())
     for spread in spreads[:only]:
         held = dict(states) if share else {origin: _copied(state) for origin, state in states.items()}
-        held[spread.local] = spread._mine
-        spread._states, spread._order, spread._lives = held, list(order), dict(lives)
-        spread._live = {key: dict(places) for key, places in live.items()}
-        spread._bytes, spread._strict = total, True
-        spread._rumours, spread._told, spread._changes = [{}], {}, {}
-        spread._fed, spread._lagging, spread._turn = False, 0, None
+        table = spread.table
+        held[spread.local] = table.own
+        table.states, table.order, table.newest = held, list(order), dict(order)
+        table.index = {key: dict(places) for key, places in index.items()}
+        table.total_bytes, spread.merger.takes_unknown = total, False
+        spread.broadcasts.clear()
+        spread.drain_changes()
+        spread.reconciliation.restart()
--- a/cressrock/lab/hollow_turns.py
+++ b/cressrock/lab/hollow_turns.py
@@ -14,11 +14,14 @@
 from cressrock.failover.decision import FailoverSettings, ZoneSettings
 from cressrock.failover.evaluation import EvaluationMemory, evaluate_reports
 from cressrock.failover.summary import ZoneMember
-from cressrock.gossip.store import GossipStore, GossipStoreSettings
+from cressrock.gossip.settings import GossipStoreSettings
+from cressrock.gossip.store import GossipStore
 from cressrock.lab.hollow import FIRST_LIFE, REGIONS, ZONES, address
 from cressrock.lab.hollow_shared import acquaint, fill
 from cressrock.membership import packets as m
-from cressrock.membership.membership import Identity, Membership, MembershipSettings
+from cressrock.membership.membership import Membership
+from cressrock.membership.settings import MembershipSettings
+from cressrock.membership.types import Identity
 from cressrock.rollout import evidence as rollout
 
 Timer = Callable[[], float]  # seconds of processor time
@@ -118,8 +121,8 @@
         return least * 1000, "ms"
 
     def summed() -> None:
-        members._summed = None
-        members._sum()
+        members.state.table.beliefs_version += 1
+        members.checksum.value()
 
     def view() -> list[ZoneMember]:
         return [
--- a/cressrock/lab/localcost_fleet.py
+++ b/cressrock/lab/localcost_fleet.py
@@ -31,7 +31,8 @@
 from cressrock.lab.hollow import HEADERS, Hollow, HollowFleet, Size, address
 from cressrock.lab.localcost import EDGE, PLANNER, Figure, Usage, usage
 from cressrock.lab.relays import HOST, Relays, _socket
-from cressrock.membership.membership import Identity, Membership
+from cressrock.membership.membership import Membership
+from cressrock.membership.types import Identity
 
 SEATS = 3
 SETTLE_S = 10.0
@@ -294,7 +295,7 @@
 
     def _unsure(self) -> float:
         """Count how often a process held another unsure: on a busy machine calm is none."""
-        return sum(life.counts["fleet_unsure"] for life in self.processes.living())
+        return sum(life.counts["membership.suspected"] for life in self.processes.living())
 
     def relays_passed(self) -> Passed:
         """Return what has passed so far."""
--- a/cressrock/lab/member.py
+++ b/cressrock/lab/member.py
@@ -12,7 +12,6 @@
 import signal
 import sys
 from collections.abc import Collection
-from typing import Any
 
 import anyio
 import uvloop
@@ -20,9 +19,12 @@
 from cressrock import net
 from cressrock.errors.membership import FencedError
 from cressrock.gossip.anti_entropy import AntiEntropySettings
+from cressrock.gossip.reconciliation import Cursor, EncodedMessage
 from cressrock.gossip.transport import ClusterTransport, ClusterTransportSettings, TransportEnvironment
 from cressrock.http.channel import Stream
-from cressrock.membership.membership import Event, Identity, MembershipSettings
+from cressrock.membership.events import Event
+from cressrock.membership.settings import MembershipSettings
+from cressrock.membership.types import Identity
 
 
 class NoSpread:
@@ -43,9 +45,9 @@
     def merge(self, data: bytes) -> None:
         """Take nothing."""
 
-    def full_state(self, after: Any, max_bytes: int) -> tuple[bytes, Any]:
+    def full_state(self, after: Cursor | None, max_bytes: int) -> EncodedMessage:
         """Return nothing, and that it is all."""
-        return b"", None
+        return EncodedMessage(b"", None)
 
     def retain_origins(self, origins: Collection[tuple[str, int]]) -> None:
         """Keep nothing."""
@@ -104,7 +106,7 @@
             seen = {
                 v.name: [
                     v.process_incarnation,
-                    {"SUSPECT": "unsure", "DEAD": "gone"}.get(v.state.name, v.state.name.lower()),
+                    v.state.status_name,
                 ]
                 for v in fleet.membership.view(clock())
             }
--- a/cressrock/lab/spreadsim.py
+++ b/cressrock/lab/spreadsim.py
@@ -10,7 +10,9 @@
 import random
 from collections.abc import Callable
 
-from cressrock.gossip.store import GossipStore, GossipStoreSettings, Origin, full_state_parts
+from cressrock.gossip.messages import Origin
+from cressrock.gossip.settings import GossipStoreSettings
+from cressrock.gossip.store import GossipStore, full_state_parts
 
 FIRST_LIFE = 1_790_000_000_000  # as long on the wire as a clock's milliseconds
 
--- a/cressrock/membership/__init__.py
+++ b/cressrock/membership/__init__.py
@@ -1,1 +1,1 @@
-"""What processes know of each other: members and spread state (pure), datagrams and exchange (carrier)."""
+"""Which processes there are: SWIM with Lifeguard's extensions, without sockets and clock."""
--- a/cressrock/membership/packets.py
+++ b/cressrock/membership/packets.py
@@ -1,13 +1,14 @@
-"""The fleet's datagrams and exchange frames, version 1: MessagePack arrays in one envelope.  Pure.
+"""The wire format of datagrams and exchange frames, version 1: MessagePack arrays in one envelope.
 
-The envelope names version, cluster id, sender and the sender's life; a receiver believes the name in the
-envelope and never the source address, so that relays and translated addresses change nothing.  Elements
-that a newer minor version appends to an array are ignored.  Nothing here is signed: the fleet's port
-belongs on a network of the operators' own.
+The envelope names version, cluster id, sender and the sender's process incarnation; a receiver believes the
+name in the envelope and never the source address, so that relays and translated addresses change nothing.
+Elements that a newer minor version appends to an array are ignored.  Nothing here is signed: the port belongs
+on a network of the operators' own.
 """
 
 from __future__ import annotations
 
+from collections.abc import Iterable
 from enum import IntEnum
 from typing import Annotated
 
@@ -22,146 +23,165 @@
 )
 
 VERSION = 1
-MAX_DATAGRAM_BYTES = (
-    1200  # bytes; below what every path of IPv6 (1280) carries whole, with headers and a tunnel
-)
-MAX_FRAME_BYTES = 65536  # bytes of one frame of the exchange
+MAX_DATAGRAM_BYTES = 1200  # below what every path of IPv6 (1280) carries whole, with headers and a tunnel
+MAX_FRAME_BYTES = 65536  # of one frame of the exchange
+FRAME_LENGTH_BYTES = 4
+ENVELOPE_BYTES = 40  # at most, without the cluster's and the sender's names and the updates
 
 Name = Annotated[str, Meta(min_length=1, max_length=64, pattern=r"^[A-Za-z0-9][A-Za-z0-9._-]*\Z")]
-Place = Annotated[str, Meta(max_length=64)]
+Label = Annotated[str, Meta(max_length=64)]
 Address = Annotated[str, Meta(max_length=128)]
-Count = Annotated[int, Meta(ge=0, le=2**53)]
+Number = Annotated[int, Meta(ge=0, le=2**53)]
 Payload = Annotated[bytes, Meta(max_length=MAX_FRAME_BYTES)]
 
 
 class MemberState(IntEnum):
-    """What is believed of a member; of two claims with one incarnation the greater number counts."""
+    """What is believed of a member; of two updates with one incarnation the greater number counts."""
 
     ALIVE = 0
     SUSPECT = 1
     DEAD = 2
-    LEFT = 3  # its own word, and final for its life
+    LEFT = 3  # said by the member itself, and final for its process incarnation
+
+    @property
+    def status_name(self) -> str:
+        """The name that operators and other programs read; it stays, whatever the code calls the state."""
+        return _STATUS_NAMES[self]
+
 
+_STATUS_NAMES = {
+    MemberState.ALIVE: "alive",
+    MemberState.SUSPECT: "unsure",
+    MemberState.DEAD: "gone",
+    MemberState.LEFT: "left",
+}
 
-class About(Struct, frozen=True, array_like=True):
-    """What a process says of itself, unchanged in one life."""
+
+class MemberInfo(Struct, frozen=True, array_like=True):
+    """What a process says of itself, unchanged in one process incarnation."""
 
     address: Address
-    role: Place
-    zone: Place = ""
-    region: Place = ""
+    role: Label
+    zone: Label = ""
+    region: Label = ""
     extra: Annotated[bytes, Meta(max_length=128)] = b""
 
 
 class MemberUpdate(Struct, frozen=True, array_like=True):
-    """One rumour of one member: a state of (name, life) at an incarnation, and who accuses, if one does."""
+    """What somebody believes of one member.
+
+    `process_incarnation` grows with every start of the name; `incarnation` is SWIM's: it grows within one
+    process incarnation whenever the member refutes a suspicion.  `accuser` is who suspects it, if one does.
+    """
 
     name: Name
-    process_incarnation: Count
-    incarnation: Count
+    process_incarnation: Number
+    incarnation: Number
     state: MemberState
-    by: Annotated[str, Meta(max_length=64)] = ""
-    info: About | None = None
+    accuser: Annotated[str, Meta(max_length=64)] = ""
+    info: MemberInfo | None = None
 
 
-Claims = Annotated[list[MemberUpdate], Meta(max_length=1024)]
+MAX_UPDATES = 1024  # of one message
+UPDATES_PER_BATCH = 1000
+MemberUpdates = Annotated[list[MemberUpdate], Meta(max_length=MAX_UPDATES)]
 
 
-class Body(Struct, frozen=True, array_like=True, tag_field="t"):
-    """Any message of the fleet."""
+class MessageBody(Struct, frozen=True, array_like=True, tag_field="t"):
+    """Any message."""
 
 
-class Ping(Body, frozen=True, tag=1):
-    """Wants an Ack of its number, from one process only: another that now has its address stays silent."""
+class Ping(MessageBody, frozen=True, tag=1):
+    """Asks `target` for an Ack of its number; another process that now has its address stays silent."""
 
-    number: Count
-    to: Name
-    claims: Claims = []
-    view: Count = 0  # a sum over whom the sender holds live; 0 while that is changing
+    number: Number
+    target: Name
+    updates: MemberUpdates = []
+    view_checksum: Number = 0  # over whom the sender believes live; 0 while that is changing
 
 
-class Ack(Body, frozen=True, tag=2):
-    """The answer to a Ping, or a helper's word that the one it was asked about has answered."""
+class Ack(MessageBody, frozen=True, tag=2):
+    """The answer to a Ping, or a helper's report that the member it was asked about has answered."""
 
-    number: Count
-    claims: Claims = []
-    view: Count = 0
+    number: Number
+    updates: MemberUpdates = []
+    view_checksum: Number = 0
 
 
-class Ask(Body, frozen=True, tag=3):
-    """Asks a helper to ping another member: the path between two is not the member's health."""
+class PingRequest(MessageBody, frozen=True, tag=3):
+    """Asks a helper to ping another member (SWIM's ping-req): one bad path is no dead member."""
 
-    number: Count
+    number: Number
     target: Name
     address: Address
-    claims: Claims = []
+    updates: MemberUpdates = []
 
 
-class Nack(Body, frozen=True, tag=4):
-    """A helper's word that it lives but had no answer: its silence would accuse the asker's own health."""
+class Nack(MessageBody, frozen=True, tag=4):
+    """A helper lives but had no answer; no word from it would count against the asker's own health."""
 
-    number: Count
-    claims: Claims = []
+    number: Number
+    updates: MemberUpdates = []
 
 
-class Updates(Body, frozen=True, tag=5):
-    """Claims and nothing else."""
+class Updates(MessageBody, frozen=True, tag=5):
+    """Updates and nothing else."""
 
-    claims: Claims = []
+    updates: MemberUpdates = []
 
 
-class Hello(Body, frozen=True, tag=6):
-    """Sent to a seed by a process that wants in."""
+class JoinRequest(MessageBody, frozen=True, tag=6):
+    """Sent to a seed by a process that wants to join."""
 
-    me: MemberUpdate
+    joiner: MemberUpdate
 
 
-class Welcome(Body, frozen=True, tag=7):
-    """A seed's answer: itself and a bounded draw of live members; the whole list comes by the exchange."""
+class JoinResponse(MessageBody, frozen=True, tag=7):
+    """A seed's answer: itself and a few live members at random; the whole list comes by an exchange."""
 
-    claims: Claims = []
+    updates: MemberUpdates = []
 
 
-class Who(Body, frozen=True, tag=8):
-    """The sender of a datagram is not known here: asks it to say who it is."""
+class IdentityRequest(MessageBody, frozen=True, tag=8):
+    """Asks the sender of a datagram, who is not known here, to describe itself."""
 
 
-class GossipDigest(Body, frozen=True, tag=9):
-    """Opaque bytes of the spread: a slice of what the sender has."""
+class GossipDigest(MessageBody, frozen=True, tag=9):
+    """Opaque bytes of the gossip: the versions that the sender has, for a range of origins."""
 
     data: Payload
 
 
-class GossipDelta(Body, frozen=True, tag=10):
-    """Opaque bytes of the spread: changes."""
+class GossipDelta(MessageBody, frozen=True, tag=10):
+    """Opaque bytes of the gossip: changes."""
 
     data: Payload
 
 
-class ExchangePart(Body, frozen=True, tag=11):
-    """One frame of the exchange: claims in full, a part of the spread, and whether it is the last."""
+class ExchangePart(MessageBody, frozen=True, tag=11):
+    """One frame of an exchange: full updates, a part of the gossip's state, and whether it is the last."""
 
-    updates: Claims = []
-    spread: Payload = b""
+    updates: MemberUpdates = []
+    gossip_state: Payload = b""
     last: bool = False
-    whole: bool = False  # the spread's state is wanted and sent as well
+    with_gossip_state: bool = False  # the gossip's state is wanted and sent as well
 
 
-class CollectorMessage(Body, frozen=True, tag=12):
-    """Opaque bytes of the collectors (`cressrock/collect`); who does not know it drops it as malformed."""
+class CollectorMessage(MessageBody, frozen=True, tag=12):
+    """Opaque bytes of evidence reports; a process that does not know the message drops it as malformed."""
 
     data: Payload
 
 
-Any = (
+Message = (
     Ping
     | Ack
-    | Ask
+    | PingRequest
     | Nack
     | Updates
-    | Hello
-    | Welcome
-    | Who
+    | JoinRequest
+    | JoinResponse
+    | IdentityRequest
     | GossipDigest
     | GossipDelta
     | ExchangePart
@@ -170,10 +190,10 @@
 
 
 class _Envelope(Struct, frozen=True, array_like=True):
-    version: Count
-    cluster: Place
+    version: Number
+    cluster: Label
     sender: Name
-    life: Count
+    process_incarnation: Number
     body: msgspec.Raw
 
 
@@ -182,53 +202,70 @@
     cluster: str = ""
 
 
-class Letter(Struct, frozen=True):
-    """A message that was taken: from which process, and what it says."""
+class Packet(Struct, frozen=True):
+    """A decoded datagram or frame: which process sent it, and the message."""
 
     sender: str
-    life: int
-    body: Any
+    process_incarnation: int
+    body: Message
+
 
+_encode = msgspec.msgpack.Encoder().encode
+_decode_envelope = msgspec.msgpack.Decoder(_Envelope).decode
+_decode_head = msgspec.msgpack.Decoder(_Head).decode
+_decode_message = msgspec.msgpack.Decoder(Message).decode
 
-_ENCODE = msgspec.msgpack.Encoder()
-_ENVELOPE = msgspec.msgpack.Decoder(_Envelope)
-_HEAD = msgspec.msgpack.Decoder(_Head)
-_BODY = msgspec.msgpack.Decoder(Any)
 
+def encoded_size(update: MemberUpdate) -> int:
+    """Return an update's bytes on the wire."""
+    return len(_encode(update))
 
-def size(claim: MemberUpdate) -> int:
-    """Return a claim's bytes on the wire."""
-    return len(_ENCODE.encode(claim))
 
+def batched(updates: Iterable[MemberUpdate], max_bytes: int) -> list[list[MemberUpdate]]:
+    """Return updates in batches of at most so many bytes, and of no more updates than a message holds."""
+    batches: list[list[MemberUpdate]] = [[]]
+    remaining = max_bytes
+    for update in updates:
+        size = encoded_size(update)
+        if size > remaining or len(batches[-1]) >= UPDATES_PER_BATCH:
+            batches.append([])
+            remaining = max_bytes
+        remaining -= size
+        batches[-1].append(update)
+    return batches
 
-def room(max_datagram: int, cluster: str, sender: str) -> int:
-    """Return the bytes that are left for claims in a datagram, with room for the longest fields beside."""
-    return max_datagram - len(cluster) - len(sender) - 40
 
+def updates_capacity(max_datagram_bytes: int, cluster: str, sender: str) -> int:
+    """Return the bytes that are left for updates in a datagram, with the longest fields beside them."""
+    return max_datagram_bytes - len(cluster) - len(sender) - ENVELOPE_BYTES
 
-def encode(cluster: str, sender: str, life: int, body: Any) -> bytes:
+
+def encode(cluster: str, sender: str, process_incarnation: int, message: Message) -> bytes:
     """Return a datagram's bytes."""
-    raw = msgspec.Raw(_ENCODE.encode(body))
-    return _ENCODE.encode(_Envelope(VERSION, cluster, sender, life, raw))
+    raw = msgspec.Raw(_encode(message))
+    return _encode(_Envelope(VERSION, cluster, sender, process_incarnation, raw))
+
 
+def decode(data: bytes, cluster: str, max_bytes: int = MAX_DATAGRAM_BYTES) -> Packet:
+    """Read a datagram.
 
-def decode(data: bytes, cluster: str, max_bytes: int = MAX_DATAGRAM_BYTES) -> Letter:
-    """Read a datagram.  Raises TooLarge, OtherVersion, ForeignCluster or Malformed."""
+    Raises PacketTooLargeError, UnsupportedPacketVersionError, ForeignClusterError or MalformedPacketError.
+    """
     if len(data) > max_bytes:
         raise PacketTooLargeError(f"{len(data)} bytes; at most {max_bytes} are taken")
     try:
         # Version and cluster first: of a foreign message nothing more than these is read.
-        head = _HEAD.decode(data)
+        head = _decode_head(data)
         if head.version != VERSION:
             raise UnsupportedPacketVersionError(f"version {head.version}; spoken here is {VERSION}")
         if head.cluster != cluster:
             raise ForeignClusterError(f"cluster {head.cluster[:64]!r}")
-        envelope = _ENVELOPE.decode(data)
-        return Letter(envelope.sender, envelope.life, _BODY.decode(envelope.body))
-    except (msgspec.DecodeError, RecursionError, UnicodeDecodeError) as wrong:
-        raise MalformedPacketError(str(wrong)[:200]) from None
+        envelope = _decode_envelope(data)
+        return Packet(envelope.sender, envelope.process_incarnation, _decode_message(envelope.body))
+    except (msgspec.DecodeError, RecursionError, UnicodeDecodeError) as error:
+        raise MalformedPacketError(str(error)[:200]) from None
 
 
-def frame(data: bytes) -> bytes:
+def encode_frame(data: bytes) -> bytes:
     """Return an exchange frame: four bytes of length, big end first, and the envelope."""
-    return len(data).to_bytes(4, "big") + data
+    return len(data).to_bytes(FRAME_LENGTH_BYTES, "big") + data
--- /dev/null
+++ b/cressrock/membership/relays.py
@@ -0,0 +1,72 @@
+"""Pings made for other members (SWIM's ping-req), and their answers passed back."""
+
+from __future__ import annotations
+
+from typing import NamedTuple
+
+from cressrock.membership.outbox import Outbox
+from cressrock.membership.packets import PingRequest
+from cressrock.membership.state import MembershipState
+from cressrock.membership.timers import TimerKind
+
+
+class _Relay(NamedTuple):
+    """Who asked for a ping, and the number under which it expects the answer."""
+
+    requester: str
+    number: int
+
+
+class PingRelay:
+    """Pings members that others could not reach."""
+
+    def __init__(self, state: MembershipState, outbox: Outbox) -> None:
+        """Begin with none under way."""
+        self._state = state
+        self._settings = state.settings
+        self._outbox = outbox
+        self._relays: dict[int, _Relay] = {}
+
+    def __len__(self) -> int:
+        """Return how many pings are under way."""
+        return len(self._relays)
+
+    def relay(self, now_ms: float, requester: str, request: PingRequest) -> None:
+        """Ping the request's target; the address known here goes before the one of the request."""
+        table = self._state.table
+        if len(self._relays) >= self._settings.max_members or requester not in table.records:
+            return
+        target = request.target
+        if target == self._state.local.name:
+            return
+        number = self._outbox.next_number()
+        self._relays[number] = _Relay(requester, request.number)
+        known = table.address_of(target) if target in table.records else ""
+        self._outbox.send_ping(target, known or request.address, number)
+        timeout_ms = self._settings.protocol_period_ms * self._settings.ping_timeout_fraction
+        self._state.timers.schedule(now_ms + timeout_ms, TimerKind.RELAY_DEADLINE, number=number)
+
+    def receive_ack(self, number: int) -> None:
+        """Pass an answer back to whoever asked."""
+        relay = self._relays.pop(number, None)
+        if relay is not None and relay.requester in self._state.table.records:
+            address = self._state.table.address_of(relay.requester)
+            self._outbox.send_ack(relay.requester, address, relay.number)
+
+    def send_nack(self, now_ms: float, number: int) -> None:
+        """Tell who asked that there is no answer yet; a late one is still passed on for a period."""
+        relay = self._relays.get(number)
+        if relay is None:
+            return
+        if relay.requester in self._state.table.records:
+            self._outbox.send_nack(relay.requester, relay.number)
+        expires_at_ms = now_ms + self._settings.protocol_period_ms
+        self._state.timers.schedule(expires_at_ms, TimerKind.RELAY_EXPIRY, number=number)
+
+    def expire(self, number: int) -> None:
+        """Wait no longer for an answer."""
+        self._relays.pop(number, None)
+
+    def abandon_all(self) -> None:
+        """Drop all: this process did not run, and whoever asked waits no longer."""
+        self._relays.clear()
--- a/cressrock/presence/service.py
+++ b/cressrock/presence/service.py
@@ -33,10 +33,12 @@
     SessionEndedError,
     SessionUnavailableError,
 )
-from cressrock.gossip.store import EVERYTHING_CHANGED, GossipStore
+from cressrock.gossip.change_log import EVERYTHING_CHANGED
+from cressrock.gossip.store import GossipStore
 from cressrock.http.channel import BROKEN, Stream
 from cressrock.http.server import Exchange
-from cressrock.membership.membership import Member
+from cressrock.membership.packets import MemberState
+from cressrock.membership.types import Member
 from cressrock.presence import agreed_names
 from cressrock.presence import liveness as w
 from cressrock.presence import rooms as r
@@ -305,7 +307,7 @@
                 m.name,
                 m.process_incarnation,
                 m.region,
-                {"SUSPECT": "unsure", "DEAD": "gone"}.get(m.state.name, m.state.name.lower()),
+                m.state.status_name,
                 m.state_since_ms,
             )
             for m in self.place.members()
@@ -324,7 +326,7 @@
         known = {(m.name, m.process_incarnation): m for m in self.place.members()}
         for origin in sorted(wanted):
             member = known.get(origin)
-            if member is not None and member.state.name in ("ALIVE", "SUSPECT"):
+            if member is not None and member.state in (MemberState.ALIVE, MemberState.SUSPECT):
                 self._dialled.add(origin)
                 address = self.place.routes.get(member.name, member.address)
                 tasks.start_soon(self._follow, origin, address)
--- a/cressrock/rollout/service.py
+++ b/cressrock/rollout/service.py
@@ -22,7 +22,8 @@
 from cressrock.errors import CressrockError
 from cressrock.errors.consensus import ConsensusError
 from cressrock.errors.rollout import InvalidRulesError, RolloutError, RolloutNotFoundError
-from cressrock.gossip.store import GossipStore, Origin
+from cressrock.gossip.messages import Origin
+from cressrock.gossip.store import GossipStore
 from cressrock.rollout import evidence as e
 from cressrock.rollout import lifecycle as s
 from cressrock.rollout import verdict as v
--- a/cressrock/runtime.py
+++ b/cressrock/runtime.py
@@ -37,11 +37,14 @@
 from cressrock.errors import CressrockError
 from cressrock.errors.consensus import InvalidDecisionError, NoQuorumError
 from cressrock.gossip.anti_entropy import AntiEntropySettings
-from cressrock.gossip.store import GossipStore, GossipStoreSettings, Origin
+from cressrock.gossip.messages import Origin
+from cressrock.gossip.settings import GossipStoreSettings
+from cressrock.gossip.store import GossipStore
 from cressrock.gossip.transport import ClusterTransport, ClusterTransportSettings, DatagramSocket
 from cressrock.gossip.transport import TransportEnvironment as FleetWorld
 from cressrock.http.channel import BROKEN, Stream
-from cressrock.membership.membership import Identity, Member, MembershipSettings
+from cressrock.membership.settings import MembershipSettings
+from cressrock.membership.types import Identity, Member
 from cressrock.membership.view_cache import ViewCache
 from cressrock.settings.types import CouncilSettings
 from cressrock.settings.types import Fleet as FleetPart
@@ -402,7 +405,7 @@
                     "zone": m.zone,
                     "region": m.region,
                     "address": m.address,
-                    "state": {"SUSPECT": "unsure", "DEAD": "gone"}.get(m.state.name, m.state.name.lower()),
+                    "state": m.state.status_name,
                     "since_ms_ago": round(now - m.state_since_ms),
                 }
                 for m in self.members()
--- a/tests/compatibility/collect_cases.py
+++ b/tests/compatibility/collect_cases.py
@@ -37,8 +37,8 @@
 )
 from cressrock.errors.aggregation import AggregationError
 from cressrock.errors.gossip import OriginFullError
-from cressrock.membership.membership import Member
 from cressrock.membership.packets import MemberState
+from cressrock.membership.types import Member
 from tests.compatibility import collect_virtual as virtual
 from tests.compatibility.canonical import Digest
 from tests.compatibility.collect_virtual import now_ms
--- a/tests/compatibility/copies_cases.py
+++ b/tests/compatibility/copies_cases.py
@@ -26,8 +26,8 @@
 from cressrock.interface import ListKind, Node, NodeList, NodeState, Outcome
 from cressrock.lab.copysim import Text
 from cressrock.lab.rack import Done, Rack, Task
-from cressrock.membership.membership import Member
 from cressrock.membership.packets import MemberState
+from cressrock.membership.types import Member
 from cressrock.replication import (
     in_sync_set,
     manager,
--- a/tests/compatibility/exchange_cases.py
+++ b/tests/compatibility/exchange_cases.py
@@ -7,11 +7,13 @@
 
 import anyio
 
-from cressrock.gossip.store import GossipStore, GossipStoreSettings
+from cressrock.gossip.settings import GossipStoreSettings
+from cressrock.gossip.store import GossipStore
 from cressrock.gossip.transport import ClusterTransport, ClusterTransportSettings, TransportEnvironment
 from cressrock.membership import packets as m
-from cressrock.membership.membership import Identity, MembershipSettings
-from cressrock.membership.packets import About, MemberState, MemberUpdate
+from cressrock.membership.packets import MemberInfo, MemberState, MemberUpdate
+from cressrock.membership.settings import MembershipSettings
+from cressrock.membership.types import Identity
 from tests.compatibility.canonical import canonical
 from tests.compatibility.gossip_cases import look, remover
 
@@ -51,23 +53,23 @@
         """Nothing is held."""
 
 
-def _frames(*bodies: m.Any, sender: str = "n9") -> list[bytes]:
-    return [m.frame(m.encode(CLUSTER, sender, 4, body)) for body in bodies]
+def _frames(*bodies: m.Message, sender: str = "n9") -> list[bytes]:
+    return [m.encode_frame(m.encode(CLUSTER, sender, 4, body)) for body in bodies]
 
 
 def incoming() -> list[list[bytes]]:
     """Return what other sides send, each in the pieces in which it arrives."""
     claims = [
-        MemberUpdate("n9", 4, 0, MemberState.ALIVE, "", About("n9:1", "edge", "z")),
-        MemberUpdate("n8", 4, 2, MemberState.DEAD, "n9", About("n8:1", "planner")),
+        MemberUpdate("n9", 4, 0, MemberState.ALIVE, "", MemberInfo("n9:1", "edge", "z")),
+        MemberUpdate("n8", 4, 2, MemberState.DEAD, "n9", MemberInfo("n8:1", "planner")),
         MemberUpdate("n7", 4, 2, MemberState.LEFT),
     ]
     spread = remover().full_state(None, 4096)[0]
     plain = b"".join(_frames(m.ExchangePart(claims), m.ExchangePart(last=True)))
     whole = b"".join(
         _frames(
-            m.ExchangePart(claims, whole=True),
-            m.ExchangePart(spread=spread, whole=True),
+            m.ExchangePart(claims, with_gossip_state=True),
+            m.ExchangePart(gossip_state=spread, with_gossip_state=True),
             m.ExchangePart(last=True),
         )
     )
@@ -75,13 +77,13 @@
         [plain],
         [whole],
         [whole[i : i + 7] for i in range(0, len(whole), 7)],
-        [*_frames(m.ExchangePart(claims, spread=b"bad")), *_frames(m.ExchangePart(last=True))],
-        _frames(m.ExchangePart(claims), m.Who()),
+        [*_frames(m.ExchangePart(claims, gossip_state=b"bad")), *_frames(m.ExchangePart(last=True))],
+        _frames(m.ExchangePart(claims), m.IdentityRequest()),
         _frames(m.ExchangePart(claims), m.ExchangePart()),
         _frames(*[m.ExchangePart()] * 4, m.ExchangePart(last=True)),
         [(m.MAX_FRAME_BYTES + 1).to_bytes(4, "big") + b"x"],
-        [m.frame(b"no message")],
-        [m.frame(m.encode("d", "n9", 4, m.ExchangePart(last=True)))],
+        [m.encode_frame(b"no message")],
+        [m.encode_frame(m.encode("d", "n9", 4, m.ExchangePart(last=True)))],
     ]
 
 
@@ -91,12 +93,17 @@
     fleet = _process()
 
     async def play() -> None:
-        fleet.membership.receive(0.0, "n2:1", m.Letter("n2", 8, m.Updates([_KNOWN])))
+        fleet.membership.receive(0.0, "n2:1", m.Packet("n2", 8, m.Updates([_KNOWN])))
         await fleet.serve(stream)
 
     anyio.run(play)
     held = canonical(
-        [fleet.membership.view(0.0), fleet.drop_counts, fleet.rounds.refused, look(fleet.spread)[0]]
+        [
+            fleet.membership.view(0.0),
+            fleet.drop_counts,
+            fleet.anti_entropy.error_counts,
+            look(fleet.anti_entropy.store)[0],
+        ]
     )  # type: ignore[arg-type]
     return [stream.sent.hex(), held]
 
@@ -107,7 +114,7 @@
     fleet = _process(stream)
 
     async def play() -> None:
-        fleet.membership.receive(0.0, "n2:1", m.Letter("n2", 8, m.Welcome([_KNOWN])))
+        fleet.membership.receive(0.0, "n2:1", m.Packet("n2", 8, m.JoinResponse([_KNOWN])))
         with anyio.move_on_after(0.2):
             await fleet.run()
 
@@ -115,7 +122,7 @@
     return stream.sent.hex()
 
 
-_KNOWN = MemberUpdate("n2", 8, 1, MemberState.ALIVE, "", About("n2:1", "edge", "z", "r"))
+_KNOWN = MemberUpdate("n2", 8, 1, MemberState.ALIVE, "", MemberInfo("n2:1", "edge", "z", "r"))
 
 
 def _process(stream: _Stream | None = None) -> ClusterTransport:
@@ -126,9 +133,9 @@
 
     spread = GossipStore("n1", 7, GossipStoreSettings(), random.Random(1))
     spread.put("key", b"value")
-    spread.add("map", "item", b"x")
+    spread.add_item("map", "item", b"x")
     settings = ClusterTransportSettings(
-        seeds=("seed:1",), membership=MembershipSettings(cluster=CLUSTER), exchange_pieces=4
+        seeds=("seed:1",), membership=MembershipSettings(cluster=CLUSTER), max_exchange_parts=4
     )
     world = TransportEnvironment(_Datagrams(), connect, lambda: 0.0)
     return ClusterTransport(settings, Identity("n1", 7, "n1:1"), world, spread, random.Random(1), _Log())
--- a/tests/compatibility/gossip_cases.py
+++ b/tests/compatibility/gossip_cases.py
@@ -9,10 +9,14 @@
 
 from cressrock.errors import CressrockError
 from cressrock.gossip.anti_entropy import AntiEntropy, AntiEntropySettings
-from cressrock.gossip.store import GossipStore, GossipStoreSettings, Origin, full_state_parts
+from cressrock.gossip.messages import Origin
+from cressrock.gossip.settings import GossipStoreSettings
+from cressrock.gossip.store import GossipStore, full_state_parts
 from cressrock.membership import packets as m
-from cressrock.membership.membership import Identity, Membership, MembershipSettings, OutgoingMessage
-from cressrock.membership.packets import About, MemberState, MemberUpdate
+from cressrock.membership.membership import Membership
+from cressrock.membership.packets import MemberInfo, MemberState, MemberUpdate
+from cressrock.membership.settings import MembershipSettings
+from cressrock.membership.types import Identity, OutgoingMessage
 from cressrock.membership.view_cache import ViewCache
 from tests.compatibility.canonical import Digest, canonical
 
@@ -20,20 +24,20 @@
 ROUNDS_SEEDS = range(8)
 
 SMALL = GossipStoreSettings(
-    max_key=16,
+    max_key_bytes=16,
     max_value_bytes=60,
     max_origin_bytes=2500,
     max_origins=5,
     max_total_bytes=9000,
-    max_parcel=4000,
-    max_ahead=2,
-    max_rumours=6,
-    max_changes=12,
-    keep_removed=2,
-    lag_digests=2,
-    entry_bytes=100,
+    max_message_bytes=4000,
+    max_ranges_ahead=2,
+    max_pending_changes=6,
+    max_change_notices=12,
+    retained_tombstones=2,
+    catch_up_digests=2,
+    entry_overhead_bytes=100,
 )
-ROOMY = GossipStoreSettings(keep_removed=3, max_rumours=20, max_ahead=3)
+ROOMY = GossipStoreSettings(retained_tombstones=3, max_pending_changes=20, max_ranges_ahead=3)
 KEYS = ("", "a", "b", "key", "map", "much-longer-than-16-characters")
 
 
@@ -45,12 +49,12 @@
     store.put("size", b"")
     store.put("gone", b"x" * 30)
     store.remove("gone")
-    store.count("hits", 3)
-    store.count("hits", 4)
-    store.add("nodes", "a", b"1")
-    store.add("nodes", "b", b"2")
-    store.discard("nodes", "a")
-    store.add("n\u00f6des", "\u00fc", b"\x00\xff")
+    store.increment("hits", 3)
+    store.increment("hits", 4)
+    store.add_item("nodes", "a", b"1")
+    store.add_item("nodes", "b", b"2")
+    store.discard_item("nodes", "a")
+    store.add_item("n\u00f6des", "\u00fc", b"\x00\xff")
     return store
 
 
@@ -58,7 +62,7 @@
     """Return a store that removed another's item, so that it has every kind of entry."""
     store = GossipStore("n2", 8, GossipStoreSettings(), random.Random(2))
     store.merge(example_store().full_state(None, 4096)[0])
-    store.discard("nodes", "b")
+    store.discard_item("nodes", "b")
     return store
 
 
@@ -69,7 +73,7 @@
         remover(),
         GossipStore("n3", 9, GossipStoreSettings(), random.Random(3)),
     )
-    late = GossipStore("n4", 10, GossipStoreSettings(keep_removed=1), random.Random(4))
+    late = GossipStore("n4", 10, GossipStoreSettings(retained_tombstones=1), random.Random(4))
     for number in range(6):
         late.put(f"k{number}", b"v")
         late.remove(f"k{number}")
@@ -163,11 +167,11 @@
     return (
         entries,
         store.size_bytes(),
-        store.sweeps,
-        store.refused,
+        store.completed_sweeps,
+        store.rejected,
         store.max_transmissions(),
         [(sorted(store.values(key).items()), store.origins(key)) for key in KEYS],
-        [(sorted(store.counts(key).items()), store.total(key)) for key in KEYS],
+        [(sorted(store.counters(key).items()), store.counter_total(key)) for key in KEYS],
         [[(item, sorted(by.items())) for item, by in sorted(store.items(key).items())] for key in KEYS],
         [(store.known_version((f"n{i}", 1)), store.value_of("a", (f"n{i}", 1))) for i in range(4)],
     )
@@ -182,11 +186,11 @@
         case 3:
             return _code(store.remove, draw.choice([key, f"k{draw.randrange(30)}"]))
         case 4:
-            return _code(store.count, key, draw.randrange(-1, 5))
+            return _code(store.increment, key, draw.randrange(-1, 5))
         case 5 | 6:
-            return _code(store.add, draw.choice(["map", "map", key]), item, value)
+            return _code(store.add_item, draw.choice(["map", "map", key]), item, value)
         case 7:
-            return _code(store.discard, draw.choice(["map", "map", key]), item)
+            return _code(store.discard_item, draw.choice(["map", "map", key]), item)
     code = ""
     for number in range(8):
         code = _code(store.put, f"t{number}", b"1") or _code(store.remove, f"t{number}")
@@ -264,7 +268,9 @@
     source = random.Random(seed + 1)
     members = Membership(Identity("me", 1, "me:1"), MembershipSettings(cluster="c"), (), source, 0.0)
     store = GossipStore("me", 1, SMALL if seed % 2 else ROOMY, source)
-    limits = AntiEntropySettings(bytes_s=draw.choice([500, 20_000]), burst=draw.choice([500, 3000, 20_000]))
+    limits = AntiEntropySettings(
+        reply_bytes_per_s=draw.choice([500, 20_000]), reply_burst_bytes=draw.choice([500, 3000, 20_000])
+    )
     rounds = AntiEntropy(members, store, limits, source, 0.0)
     others = {name: GossipStore(name, 1, ROOMY, random.Random(name)) for name in ("a", "b", "c", "d")}
     digest = Digest()
@@ -278,8 +284,8 @@
         _write(draw, others[name])
         if step % 10 == 0:
             state = draw.choice([MemberState.ALIVE, MemberState.ALIVE, MemberState.LEFT])
-            claim = MemberUpdate(name, 1, step, state, "", About(f"{name}:1", "edge"))
-            members.receive(now, f"{name}:1", m.Letter("a", 1, m.Updates([claim])))
+            claim = MemberUpdate(name, 1, step, state, "", MemberInfo(f"{name}:1", "edge"))
+            members.receive(now, f"{name}:1", m.Packet("a", 1, m.Updates([claim])))
         body = draw.choice(
             [
                 m.GossipDelta(others[name].recent_changes(900)),
@@ -287,17 +293,17 @@
                 m.GossipDigest(others[name].digest(900)),
                 m.GossipDigest(b"no digest"),
                 m.GossipDelta(b"no delta"),
-                m.Who(),
+                m.IdentityRequest(),
             ]
         )
-        sends += rounds.receive(now, m.Letter(name, 1, body))
+        sends += rounds.receive(now, m.Packet(name, 1, body))
         if draw.random() < 0.1:
             rounds.merge_full_state(next(full_state_parts(others[name], 2000), b""))
         digest.add([_sent(send) for send in sends])
-        digest.add((rounds.next_tick_ms(), sorted(rounds.refused.items())))
+        digest.add((rounds.next_tick_ms(), sorted(rounds.error_counts.items())))
         members.drain_messages()
     digest.add(look(store))
-    members.receive(now, "me:2", m.Letter("me", 2, m.Who()))
+    members.receive(now, "me:2", m.Packet("me", 2, m.IdentityRequest()))
     digest.add((rounds.next_tick_ms(), len(rounds.tick(now + 5000))))
     return digest.hex()
 
--- a/tests/compatibility/membership_cases.py
+++ b/tests/compatibility/membership_cases.py
@@ -9,22 +9,20 @@
 
 from cressrock.errors.membership import DatagramError
 from cressrock.membership import packets as m
-from cressrock.membership.membership import (
+from cressrock.membership.events import (
     DuplicateIdentity,
-    Exchange,
     Fenced,
-    Identity,
     MemberDead,
     MemberJoined,
     MemberLeft,
     MemberRecovered,
     MemberRestarted,
-    Membership,
-    MembershipSettings,
     MemberSuspected,
-    OutgoingMessage,
 )
-from cressrock.membership.packets import About, MemberState, MemberUpdate
+from cressrock.membership.membership import Membership
+from cressrock.membership.packets import MemberInfo, MemberState, MemberUpdate
+from cressrock.membership.settings import MembershipSettings
+from cressrock.membership.types import ExchangeRequest, Identity, OutgoingMessage
 from tests.compatibility.canonical import Digest
 
 LABELS: dict[type, str] = {
@@ -47,8 +45,8 @@
 SHORT = MemberUpdate("a.b-c_d", 2**53, 0, MemberState.ALIVE)
 LEFT = MemberUpdate("a", 5, 3, MemberState.LEFT)
 DEAD = MemberUpdate("host-1", 1_700_000_000_000, 4, MemberState.DEAD, "host-2")
-FULL = MemberUpdate("a", 5, 0, MemberState.ALIVE, "", About("h:1", "edge", "z", "r", b"x"))
-PLAIN = MemberUpdate("b", 6, 1, MemberState.SUSPECT, "c", About("[2001:db8::1]:7400", "planner"))
+FULL = MemberUpdate("a", 5, 0, MemberState.ALIVE, "", MemberInfo("h:1", "edge", "z", "r", b"x"))
+PLAIN = MemberUpdate("b", 6, 1, MemberState.SUSPECT, "c", MemberInfo("[2001:db8::1]:7400", "planner"))
 CLAIM_LISTS: tuple[list[MemberUpdate], ...] = (
     [],
     [SUSPECTED],
@@ -57,26 +55,26 @@
 )
 
 
-def messages() -> list[m.Any]:
+def messages() -> list[m.Message]:
     """Return messages of every type, with and without the fields that may be left out."""
-    found: list[m.Any] = [
+    found: list[m.Message] = [
         m.Ping(3, "a"),
         m.Ping(0, "host-1", [], 2**32 - 1),
         m.Ack(2**30),
-        m.Ask(3, "a", "h:1"),
+        m.PingRequest(3, "a", "h:1"),
         m.Nack(3),
         m.Updates(),
-        m.Hello(FULL),
-        m.Hello(PLAIN),
-        m.Welcome(),
-        m.Who(),
+        m.JoinRequest(FULL),
+        m.JoinRequest(PLAIN),
+        m.JoinResponse(),
+        m.IdentityRequest(),
         m.GossipDigest(b""),
         m.GossipDigest(b"\x94\x01\x00"),
         m.GossipDelta(b"d" * 40),
         m.GossipDelta(b""),
         m.ExchangePart(),
         m.ExchangePart(last=True),
-        m.ExchangePart(spread=b"some", whole=True),
+        m.ExchangePart(gossip_state=b"some", with_gossip_state=True),
         m.CollectorMessage(b""),
         m.CollectorMessage(bytes(range(64))),
     ]
@@ -84,17 +82,17 @@
         found += [
             m.Ping(7, "b", claims, 9),
             m.Ack(7, claims, 12345),
-            m.Ask(7, "b", "10.0.0.1:7400", claims),
+            m.PingRequest(7, "b", "10.0.0.1:7400", claims),
             m.Nack(7, claims),
             m.Updates(claims),
-            m.Welcome(claims),
+            m.JoinResponse(claims),
             m.ExchangePart(claims),
             m.ExchangePart(claims, b"\x00\x01", True, True),
         ]
     return found
 
 
-def envelopes() -> list[tuple[str, str, int, m.Any]]:
+def envelopes() -> list[tuple[str, str, int, m.Message]]:
     """Return the cluster, sender and life of a datagram, and its message."""
     found = [("c", "n", 7, body) for body in messages()]
     return found + [("cressrock", "edge-7.example", 1_700_000_000_123, body) for body in messages()[:12]]
@@ -108,12 +106,12 @@
         b"\x00",
         b"\xff" * 30,
         good[:-1],
-        m.encode("d", "n", 7, m.Who()),
+        m.encode("d", "n", 7, m.IdentityRequest()),
         b"\x95\x02" + good[2:],
-        m.encode("c", "not a name", 7, m.Who()),
+        m.encode("c", "not a name", 7, m.IdentityRequest()),
         m.encode("c", "n", 7, m.Ping(3, "")),
         m.encode("c", "n", 7, m.Updates([MemberUpdate("x" * 65, 1, 1, MemberState.ALIVE)])),
-        m.encode("c", "n", -1, m.Who()),
+        m.encode("c", "n", -1, m.IdentityRequest()),
         good + b"\x00" * 1200,
         bytes.fromhex("9501a163a16e079163"),
     ]
@@ -132,26 +130,26 @@
 
 DRIVEN = MembershipSettings(
     cluster=CLUSTER,
-    keep_ms=20_000.0,
+    dead_retention_ms=20_000.0,
     exchange_interval_ms=6000.0,
-    replies=12,
+    replies_per_period=12,
 )
 SMALL = MembershipSettings(
     cluster=CLUSTER,
     protocol_period_ms=500.0,
     probes_per_period=2,
-    helpers=2,
+    indirect_probes=2,
     gossip_interval_ms=150.0,
-    gossip_fan=2,
+    gossip_fanout=2,
     confirmations=1,
-    health_worst=4,
+    max_health_score=4,
     max_datagram_bytes=320,
     max_members=6,
-    keep_ms=4000.0,
+    dead_retention_ms=4000.0,
     exchange_interval_ms=3000.0,
-    exchange_size=3,
-    replies=3,
-    retry_worst_ms=2000.0,
+    exchange_reference_size=3,
+    replies_per_period=3,
+    max_join_retry_ms=2000.0,
 )
 
 
@@ -172,15 +170,15 @@
         members.live_names(),
         members.process_ids(),
         members.incarnation,
-        members.health,
+        members.health_score,
         members.fenced_by,
         members.joined,
         members.leaving,
-        members.lives_changed,
-        members.size(),
-        members.shortest_ms(),
+        members.process_ids_version,
+        members.cluster_size(),
+        members.min_suspicion_ms(),
         members.next_tick_ms(),
-        sorted(members.counts.items()),
+        sorted(members.counters.items()),
     )
 
 
@@ -274,10 +272,12 @@
         self.carry_out(receiver, process)
         self._wake(receiver, process)
 
-    def _exchange_call(self, address: str, process: _Process, exchange: Exchange) -> Callable[[], None]:
+    def _exchange_call(
+        self, address: str, process: _Process, exchange: ExchangeRequest
+    ) -> Callable[[], None]:
         return lambda: self._exchange(address, process, exchange)
 
-    def _exchange(self, address: str, process: _Process, exchange: Exchange) -> None:
+    def _exchange(self, address: str, process: _Process, exchange: ExchangeRequest) -> None:
         other = self.processes.get(exchange.address)
         if process.ended:
             return
@@ -315,8 +315,8 @@
         for address, process in self.processes.items():
             self.digest.add((self.now, address, _look(process.members, self.now)))
             if not process.ended:
-                self.digest.add((process.members.draw(2), process.members.address("n0")))
-                self.digest.add((process.members.address("nobody"), process.members.next_tick_ms()))
+                self.digest.add((process.members.draw_peers(2), process.members.address_of("n0")))
+                self.digest.add((process.members.address_of("nobody"), process.members.next_tick_ms()))
 
 
 def fleet_digest(seed: int) -> str:
@@ -394,13 +394,8 @@
             members.tick(now)
         elif draw.random() < 0.9:
             sender = draw.choice(["a", "b", "c", "d", "e", "f", "g", "h", "me"])
-            letter = m.Letter(
-                sender,
-                draw.choice([49, 50, 50, 50, 51])
-                if sender != "me" or step > 300
-                else draw.choice([48, 49, 50]),
-                _any_body(draw, sender),
-            )
+            letter = m.Packet(sender, draw.choice([49, 50, 50, 50, 51]) if sender != "me" or step > 300
+                              else draw.choice([48, 49, 50]), _any_body(draw, sender))  # fmt: skip
             members.receive(now, f"{sender}:{draw.choice([1, 1, 1, 2])}", letter)
         elif draw.random() < 0.8:
             claims = [_any_claim(draw) for _ in range(draw.randrange(4))]
@@ -420,14 +415,14 @@
 
 def _any_claim(draw: random.Random, *, own: bool = True) -> MemberUpdate:
     name = draw.choice(["a", "b", "c", "d", "e", "f", "g", "h", *(["me"] if own else [])])
-    about = About(f"{name}:{draw.choice([1, 1, 1, 1, 2])}", "edge", "z", "r")
+    about = MemberInfo(f"{name}:{draw.choice([1, 1, 1, 1, 2])}", "edge", "z", "r")
     if draw.random() < 0.4:
         about = None
     life = (
         draw.choice([49, 50, 50, 50, 50, 50, 51]) if name != "me" else draw.choice([49, 50, 50, 50, 50, 50])
     )
     if name == "me":
-        about = About(draw.choice(["me:1", "me:1", "me:0"]), "edge") if about is not None else None
+        about = MemberInfo(draw.choice(["me:1", "me:1", "me:0"]), "edge") if about is not None else None
     state = draw.choice(
         [
             MemberState.ALIVE,
@@ -445,7 +440,7 @@
     return MemberUpdate(name, life, draw.randrange(5), state, by, about)
 
 
-def _any_body(draw: random.Random, sender: str) -> m.Any:
+def _any_body(draw: random.Random, sender: str) -> m.Message:
     claims = [_any_claim(draw) for _ in range(draw.randrange(5))]
     number = draw.randrange(1 << 30)
     view = draw.choice([0, 0, 7])
@@ -455,14 +450,14 @@
         case 2:
             return m.Ack(number, claims, view)
         case 3:
-            return m.Ask(number, draw.choice(["a", "b", "z", "me"]), "t:1", claims)
+            return m.PingRequest(number, draw.choice(["a", "b", "z", "me"]), "t:1", claims)
         case 4:
             return m.Nack(number, claims)
         case 5 | 6 | 7:
             return m.Updates(claims)
         case 8:
-            own = MemberUpdate(sender, 50, 0, MemberState.ALIVE, "", About(f"{sender}:1", "edge"))
-            return m.Hello(draw.choice([own, own, _any_claim(draw, own=False)]))
+            own = MemberUpdate(sender, 50, 0, MemberState.ALIVE, "", MemberInfo(f"{sender}:1", "edge"))
+            return m.JoinRequest(draw.choice([own, own, _any_claim(draw, own=False)]))
         case 9:
-            return m.Welcome(claims)
-    return draw.choice([m.Who(), m.GossipDigest(b"x"), m.CollectorMessage(b"x")])
+            return m.JoinResponse(claims)
+    return draw.choice([m.IdentityRequest(), m.GossipDigest(b"x"), m.CollectorMessage(b"x")])
--- a/tests/compatibility/presence_cluster.py
+++ b/tests/compatibility/presence_cluster.py
@@ -19,11 +19,13 @@
 from cressrock.consensus.decisions import Decision
 from cressrock.errors.consensus import DecisionConflictError
 from cressrock.errors.presence import PresenceError
-from cressrock.gossip.store import GossipStore, GossipStoreSettings, full_state_parts
+from cressrock.gossip.settings import GossipStoreSettings
+from cressrock.gossip.store import GossipStore, full_state_parts
 from cressrock.http.channel import Stream
 from cressrock.lab.day import simulate
 from cressrock.lab.simnet import SimNet
-from cressrock.membership.membership import Member, MemberState
+from cressrock.membership.packets import MemberState
+from cressrock.membership.types import Member
 from cressrock.observe.logs import logger
 from cressrock.presence import rooms, service
 from tests.compatibility.canonical import canonical
--- a/tests/compatibility/record_membership.py
+++ b/tests/compatibility/record_membership.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from cressrock.membership import packets as m
-from cressrock.membership.membership import MembershipSettings
+from cressrock.membership.settings import MembershipSettings
 from tests.compatibility import membership_cases as cases
 from tests.compatibility.canonical import canonical, save
 
@@ -14,9 +14,9 @@
         "membership",
         {
             "datagrams": [m.encode(*envelope).hex() for envelope in cases.envelopes()],
-            "frame": m.frame(b"body" * 100).hex(),
-            "sizes": [m.size(claim) for claim in cases.CLAIM_LISTS[3]],
-            "room": m.room(1200, "cressrock", "edge-1"),
+            "frame": m.encode_frame(b"body" * 100).hex(),
+            "sizes": [m.encoded_size(claim) for claim in cases.CLAIM_LISTS[3]],
+            "room": m.updates_capacity(1200, "cressrock", "edge-1"),
             "refused": [[data.hex(), cases.refusal(data)] for data in cases.refused_bytes()],
             "settings": canonical(MembershipSettings()),
             "fleets": {str(seed): cases.fleet_digest(seed) for seed in cases.FLEET_SEEDS},
--- a/tests/compatibility/rollout_cases.py
+++ b/tests/compatibility/rollout_cases.py
@@ -21,7 +21,8 @@
 from cressrock.errors import CressrockError
 from cressrock.errors.consensus import DecisionConflictError, NoQuorumError
 from cressrock.errors.rollout import InvalidRulesError
-from cressrock.gossip.store import GossipStore, GossipStoreSettings
+from cressrock.gossip.settings import GossipStoreSettings
+from cressrock.gossip.store import GossipStore
 from cressrock.rollout import evidence, lifecycle, service, verdict
 from tests.compatibility.canonical import Digest, canonical
 
--- a/tests/compatibility/test_gossip.py
+++ b/tests/compatibility/test_gossip.py
@@ -5,7 +5,7 @@
 import pytest
 
 from cressrock.gossip.anti_entropy import AntiEntropySettings
-from cressrock.gossip.store import GossipStoreSettings
+from cressrock.gossip.settings import GossipStoreSettings
 from tests.compatibility import gossip_cases as cases
 from tests.compatibility.canonical import canonical, load
 
--- a/tests/compatibility/test_membership.py
+++ b/tests/compatibility/test_membership.py
@@ -5,7 +5,7 @@
 import pytest
 
 from cressrock.membership import packets as m
-from cressrock.membership.membership import MembershipSettings
+from cressrock.membership.settings import MembershipSettings
 from tests.compatibility import membership_cases as cases
 from tests.compatibility.canonical import canonical, load
 
@@ -17,13 +17,13 @@
     assert len(envelopes) == len(RECORDED["datagrams"])
     for (cluster, sender, life, body), recorded in zip(envelopes, RECORDED["datagrams"], strict=True):
         assert m.encode(cluster, sender, life, body).hex() == recorded
-        assert m.decode(bytes.fromhex(recorded), cluster) == m.Letter(sender, life, body)
+        assert m.decode(bytes.fromhex(recorded), cluster) == m.Packet(sender, life, body)
 
 
 def test_frames_and_sizes_are_as_recorded():
-    assert m.frame(b"body" * 100).hex() == RECORDED["frame"]
-    assert [m.size(claim) for claim in cases.CLAIM_LISTS[3]] == RECORDED["sizes"]
-    assert m.room(1200, "cressrock", "edge-1") == RECORDED["room"]
+    assert m.encode_frame(b"body" * 100).hex() == RECORDED["frame"]
+    assert [m.encoded_size(claim) for claim in cases.CLAIM_LISTS[3]] == RECORDED["sizes"]
+    assert m.updates_capacity(1200, "cressrock", "edge-1") == RECORDED["room"]
 
 
 def test_refused_bytes_have_their_recorded_reason():
--- a/tests/compatibility/zones_cluster.py
+++ b/tests/compatibility/zones_cluster.py
@@ -19,8 +19,8 @@
 from cressrock.failover.decision import FailoverSettings
 from cressrock.failover.routing import Route, ZoneRouter
 from cressrock.interface import Outcome
-from cressrock.membership.membership import Member
 from cressrock.membership.packets import MemberState as Life
+from cressrock.membership.types import Member
 from tests.compatibility import collect_virtual as virtual
 from tests.compatibility.canonical import Digest
 from tests.compatibility.collect_cases import NoLog
--- a/tests/test_capacity_small.py
+++ b/tests/test_capacity_small.py
@@ -8,11 +8,12 @@
 import pytest
 
 from cressrock.failover import carrier as zones_carrier
-from cressrock.gossip.store import GossipStore, GossipStoreSettings
+from cressrock.gossip.settings import GossipStoreSettings
+from cressrock.gossip.store import GossipStore
 from cressrock.lab import capacity, hollow_turns
 from cressrock.lab.capacity import Point
 from cressrock.lab.hollow import HEADERS, HollowFleet, Size
-from cressrock.membership.membership import MembershipSettings
+from cressrock.membership.settings import MembershipSettings
 
 SIZES = (64, 128, 256, 512)
 FEW = (32, 64, 128, 256)  # are enough to see something broken
@@ -36,10 +37,10 @@
             found[f"{kind}s a second"] = count / n / SPAN_MS * 1000
     found["datagrams a second"] = sum(count for _, count in fleet.by_kind.values()) / n / SPAN_MS * 1000
     found["bytes of the greatest datagram"] = max(host.greatest for host in fleet.members)
-    found["timers"] = max(len(host.members._timers) for host in fleet.members)
-    found["rumours waiting"] = max(len(host.members._queue.of) for host in fleet.members)
-    found["probes open"] = max(len(host.members._probes) for host in fleet.members)
-    found["words waiting"] = max(len(host.spread._told) for host in fleet.members)
+    found["timers"] = max(len(host.members.state.timers) for host in fleet.members)
+    found["rumours waiting"] = max(len(host.members.state.queue) for host in fleet.members)
+    found["probes open"] = max(len(host.members.prober) for host in fleet.members)
+    found["words waiting"] = max(len(host.spread.broadcasts) for host in fleet.members)
     return found
 
 
@@ -63,8 +64,8 @@
         fleet = HollowFleet(Size(n, 1, share=False))
         fleet.run(500)
         for host in fleet.members:
-            assert len(host.members._records) == len(host.members._live) == n - 1
-            assert len(host.spread._states) == 1 + (len(host.spread._states) > 1) * (n - 1)
+            assert len(host.members.state.table.records) == len(host.members.state.table.live) == n - 1
+            assert len(host.spread.table.states) == 1 + (len(host.spread.table.states) > 1) * (n - 1)
 
 
 def test_the_spread_is_told_who_is_admitted_when_that_changes_and_not_in_each_round():
@@ -82,7 +83,7 @@
     fleet.run(8000)
     assert set(calls) <= set(range(1, 13)) and 12 < len(calls) <= 12 + 11 + 12
     for host in fleet.members:
-        assert host.spread._lives["edge-0005"] == fleet.members[5].members.local.process_incarnation
+        assert host.spread.table.newest["edge-0005"] == fleet.members[5].members.local.process_incarnation
 
 
 def test_an_edge_that_hears_one_word_looks_at_nobody_elses():
@@ -99,11 +100,11 @@
 
     runtime = Runtime()
     heard = zones_carrier.EvidenceFeed(hollow_turns.zones_of(30), runtime, lambda: 0.0)
-    for origin in list(runtime.gossip._states)[:7]:
+    for origin in list(runtime.gossip.table.states)[:7]:
         heard.on_gossip_change(origin, hollow_turns.WORD)
         heard.on_gossip_change(origin, "decree/zones")
     assert len(heard.evidence.latest_intervals()) == 7
-    assert runtime.collected == [(o, hollow_turns.WORD) for o in list(runtime.gossip._states)[:7]]
+    assert runtime.collected == [(o, hollow_turns.WORD) for o in list(runtime.gossip.table.states)[:7]]
     runtime.gossip.merge(removed(runtime.gossip, "edge-0003"))
     heard.on_gossip_change(("edge-0003", hollow_turns.FIRST_LIFE + 3), hollow_turns.WORD)
     assert heard.evidence.reports(0.0)[("edge-0003", hollow_turns.FIRST_LIFE + 3)] == {}
@@ -111,7 +112,7 @@
 
 def removed(spread, name):
     """Return the bytes by which another removes its word."""
-    life = dict(spread._order)[name]
+    life = dict(spread.table.order)[name]
     other = GossipStore(name, life, spread.settings, random.Random(1))
     other.put(hollow_turns.WORD, b"x")
     other.remove(hollow_turns.WORD)
@@ -122,15 +123,15 @@
     """A digest that names everybody."""
 
     def digest(self, max_bytes):
-        self._lagging = 1
+        self.reconciliation.catch_up_digests = 1
         return super().digest(10**9)
 
 
 def test_a_digest_that_names_a_quarter_of_everybody_is_found():
     class Part(GossipStore):
         def digest(self, max_bytes):
-            self._lagging = 1
-            return super().digest(22 * len(self._order) // 4 + 120)
+            self.reconciliation.catch_up_digests = 1
+            return super().digest(22 * len(self.table.order) // 4 + 120)
 
     runs = [(n, run(n, make_spread=Part)) for n in FEW]
     assert growing(runs)["digest bytes a second"].startswith("n:")
--- a/tests/test_collect.py
+++ b/tests/test_collect.py
@@ -27,8 +27,8 @@
 from cressrock.failover.summary import ReportSummarizer, ReportView, SummaryView, ZoneMark, ZoneMember
 from cressrock.lab.collectsim import CollectSim, figures, turns
 from cressrock.lab.zonesim import Scene, ZoneSim
-from cressrock.membership.membership import Member
 from cressrock.membership.packets import MemberState as Life
+from cressrock.membership.types import Member
 from cressrock.rollout import evidence as re
 from cressrock.rollout import lifecycle as rs
 from cressrock.rollout import verdict as rv
--- a/tests/test_hollow.py
+++ b/tests/test_hollow.py
@@ -8,7 +8,7 @@
 from cressrock.lab import hollow_scenes as scenes
 from cressrock.lab import hollow_turns
 from cressrock.lab.hollow import ZONES, HollowFleet, Size
-from cressrock.membership.membership import MemberDead, MemberRestarted
+from cressrock.membership.events import MemberDead, MemberRestarted
 from cressrock.membership.packets import MemberState
 
 
@@ -85,7 +85,10 @@
 
 def test_nothing_that_is_shared_is_ever_changed():
     fleet = HollowFleet(Size(20, 1))
-    before = {name: (r.life, r.incarnation, r.state, len(r.accusers)) for name, r in fleet.common.items()}
+    before = {
+        name: (r.process_incarnation, r.incarnation, r.state, len(r.accusers))
+        for name, r in fleet.common.items()
+    }
     for host in fleet.members:
         host.spread.put("zones/0", b"x")
     fleet.settle()
@@ -95,7 +98,9 @@
     for host in fleet.members[5:]:
         host.spread.put("zones/0", b"y")
     fleet.run(5000)
-    assert {n: (r.life, r.incarnation, r.state, len(r.accusers)) for n, r in fleet.common.items()} == before
+    assert {
+        n: (r.process_incarnation, r.incarnation, r.state, len(r.accusers)) for n, r in fleet.common.items()
+    } == before
     assert all(
         (fleet.pool[key].known, fleet.pool[key].floor, dict(fleet.pool[key].entries)) == value
         for key, value in values.items()
@@ -123,9 +128,10 @@
     assert MemberRestarted in kinds and MemberDead not in kinds
     assert len(new.members.live_names()) == 29
     for host in fleet.members:
-        held = host.members._records.get(new.name)
+        held = host.members.state.table.records.get(new.name)
         assert host is new or (
-            held.state is MemberState.ALIVE and held.life == new.members.local.process_incarnation
+            held.state is MemberState.ALIVE
+            and held.process_incarnation == new.members.local.process_incarnation
         )
 
 
--- a/tests/test_presence.py
+++ b/tests/test_presence.py
@@ -15,12 +15,14 @@
     PresenceLimitError,
     SessionEndedError,
 )
-from cressrock.gossip.store import GossipStore, GossipStoreSettings, full_state_parts
+from cressrock.gossip.settings import GossipStoreSettings
+from cressrock.gossip.store import GossipStore, full_state_parts
 from cressrock.lab.day import simulate
 from cressrock.lab.presence_check import Act, Claimed, Told, Watched, check, check_names, converged, state
 from cressrock.lab.presencesim import PresenceNet
 from cressrock.lab.simnet import SimNet
-from cressrock.membership.membership import Member, MemberState
+from cressrock.membership.packets import MemberState
+from cressrock.membership.types import Member
 from cressrock.observe.logs import logger
 from cressrock.presence import agreed_names, liveness, service
 from cressrock.presence import rooms as r
