--- a/cressrock/aggregation/channel.py
+++ b/cressrock/aggregation/channel.py
@@ -36,8 +36,8 @@
 from cressrock.aggregation.timings import AggregationTimings
 from cressrock.errors import CressrockError
 from cressrock.errors.aggregation import AggregationError
-from cressrock.membership.membership import Member
 from cressrock.membership.packets import MemberState
+from cressrock.membership.types import Member
 
 MIN_WAIT_MS = 1.0  # between two rounds of `run`
 
--- a/cressrock/aggregation/member_watch.py
+++ b/cressrock/aggregation/member_watch.py
@@ -6,8 +6,8 @@
 
 from cressrock.aggregation.messages import CAPABILITY
 from cressrock.aggregation.ranking import CollectorId
-from cressrock.membership.membership import Member
 from cressrock.membership.packets import MemberState
+from cressrock.membership.types import Member
 
 PRESENT = (MemberState.ALIVE, MemberState.SUSPECT)
 MembersView = tuple[Member, ...]
--- a/cressrock/failover/evidence_feed.py
+++ b/cressrock/failover/evidence_feed.py
@@ -9,8 +9,8 @@
 from cressrock.failover.runtime import Runtime
 from cressrock.failover.settings import FailoverSettings
 from cressrock.failover.witnesses import ZoneMember
-from cressrock.membership.membership import Member
 from cressrock.membership.packets import MemberState
+from cressrock.membership.types import Member
 
 SUMMARY_NAME = "zones"  # under which collectors' summaries and broadcasts are found
 
--- a/cressrock/failover/fleet_evidence.py
+++ b/cressrock/failover/fleet_evidence.py
@@ -20,7 +20,7 @@
     decode_report_chunk,
 )
 from cressrock.failover.settings import FailoverSettings
-from cressrock.gossip.store import GossipStoreSettings
+from cressrock.gossip.settings import GossipStoreSettings
 
 MAX_KEY_LENGTH = len(REPORT_KEY_PREFIX) + 3
 LOAD_REPORTS = 3  # regular report intervals after which a silent edge's load counts no more
--- a/cressrock/failover/runtime.py
+++ b/cressrock/failover/runtime.py
@@ -8,7 +8,7 @@
 from cressrock.aggregation.channel import EvidenceChannel
 from cressrock.consensus.decisions import Decision, Expired
 from cressrock.failover.reports import Origin
-from cressrock.membership.membership import Member
+from cressrock.membership.types import Member
 
 
 class Gossip(Protocol):
--- a/cressrock/lab/collectsim.py
+++ b/cressrock/lab/collectsim.py
@@ -35,7 +35,8 @@
 from cressrock.failover.summarizer import ReportSummarizer
 from cressrock.failover.summary import SummaryView, decode_zone_loads
 from cressrock.failover.witnesses import ZoneMember
-from cressrock.gossip.store import GossipStore, GossipStoreSettings
+from cressrock.gossip.settings import GossipStoreSettings
+from cressrock.gossip.store import GossipStore
 from cressrock.lab.zonesim import PLACES, ROUND_MS, Edge, ZoneSim
 from cressrock.membership import packets as m
 
--- a/tests/aggregation/support.py
+++ b/tests/aggregation/support.py
@@ -9,8 +9,8 @@
 from cressrock.aggregation.messages import CAPABILITY, Report, ReportAck, ReportEntry, decode, encode
 from cressrock.aggregation.sender import ReportSender
 from cressrock.aggregation.timings import AggregationTimings
-from cressrock.membership.membership import Member
 from cressrock.membership.packets import MemberState
+from cressrock.membership.types import Member
 
 TIMINGS = AggregationTimings()
 
--- a/tests/aggregation/test_channel.py
+++ b/tests/aggregation/test_channel.py
@@ -5,8 +5,8 @@
 import pytest
 
 from cressrock.errors.gossip import OriginFullError
-from cressrock.membership.membership import Member
 from cressrock.membership.packets import MemberState
+from cressrock.membership.types import Member
 from tests.aggregation.support import ChannelNetwork
 
 ENTRY = {"zones/0": b"v"}
--- a/tests/compatibility/zones_cluster.py
+++ b/tests/compatibility/zones_cluster.py
@@ -21,8 +21,8 @@
 from cressrock.failover.routing import Route, ZoneRouter
 from cressrock.failover.settings import FailoverSettings
 from cressrock.interface import Outcome
-from cressrock.membership.membership import Member
 from cressrock.membership.packets import MemberState as Life
+from cressrock.membership.types import Member
 from tests.compatibility import collect_virtual as virtual
 from tests.compatibility.canonical import Digest
 from tests.compatibility.collect_cases import NoLog
