--- a/benchmarks/presence.py
+++ b/benchmarks/presence.py
@@ -15,7 +15,9 @@
 
 from cressrock.lab.presence_check import Act, check, converged, state
 from cressrock.lab.presencesim import PresenceNet
-from cressrock.presence.rooms import Rooms, RoomSettings
+from cressrock.presence.messages import Origin
+from cressrock.presence.rooms import Rooms
+from cressrock.presence.settings import RoomSettings
 
 
 def percentile(values, part):
@@ -78,7 +80,7 @@
         """Every client is there."""
         for at, life, session in self.present.values():
             if self.net.alive[at] and self.net.lives[at] == life:
-                session.contact_ms = self.net.now
+                session.last_contact_ms = self.net.now
 
     def phase(self, seconds, each=lambda second: None):
         """Run, and return bytes a second and gateway by kind."""
@@ -187,12 +189,12 @@
     gc.collect()
     tracemalloc.start()
     before = tracemalloc.get_traced_memory()[0]
-    core = Rooms(("edge-0001", 1_790_000_000_000), RoomSettings(), b"k" * 16)
+    core = Rooms(Origin("edge-0001", 1_790_000_000_000), RoomSettings(), b"k" * 16)
     began = time.perf_counter()
     for n in range(members):
         core.join(float(n), f"volume/project-{n % rooms}", b"sixteen bytes...")
     took = time.perf_counter() - began
-    core.publish_changes(0.0)
+    core.publish_changes()
     held = tracemalloc.get_traced_memory()[0] - before
     tracemalloc.stop()
     told = sum(len(key) + len(value or b"") for key, value in core.drain_directory_updates())
--- a/cressrock/lab/localcost_state.py
+++ b/cressrock/lab/localcost_state.py
@@ -23,7 +23,9 @@
 from cressrock.lab.localcost import EDGE, PLANNER, SEAT, Figure, cpu_ms, held_bytes, lines
 from cressrock.link import messages as link
 from cressrock.planner.planner import Planner, PlannerLimits
-from cressrock.presence.rooms import Rooms, RoomSettings
+from cressrock.presence.messages import Origin
+from cressrock.presence.rooms import Rooms
+from cressrock.presence.settings import RoomSettings
 from cressrock.replication import in_sync_set, transitions
 from cressrock.scheduler.scheduler import Scheduler
 
@@ -305,7 +307,7 @@
 
 
 def _room(n: int) -> Rooms:
-    rooms = Rooms(("d0", 1), RoomSettings(max_members=MOST, max_room=MOST), b"key")
+    rooms = Rooms(Origin("d0", 1), RoomSettings(max_members=MOST, max_room=MOST), b"key")
     for _ in range(n):
         rooms.join(0.0, "room", b"d" * 32)
     return rooms
--- a/cressrock/lab/presence_crowd.py
+++ b/cressrock/lab/presence_crowd.py
@@ -17,6 +17,7 @@
     NameHeldError,
     NameNotDecidedError,
     PresenceError,
+    SessionUnavailableError,
 )
 from cressrock.lab.presence_check import Act, Claimed, Told, Watched, state
 from cressrock.presence import Event, Presence, Room
@@ -208,11 +209,9 @@
                 self._count("resumed")
                 self.present[found.member] = (held.path, other)
                 return found, other
-            except (GatewayUnreachableError, TimeoutError):
+            except (GatewayUnreachableError, SessionUnavailableError, TimeoutError):
                 continue
             except PresenceError as wrong:
-                if type(wrong).__name__ == "SessionElsewhere":
-                    continue
                 return await self._lost(held, wrong)
         return await self._lost(held, None)
 
--- a/cressrock/lab/presencesim.py
+++ b/cressrock/lab/presencesim.py
@@ -18,16 +18,11 @@
 from typing import Any
 
 from cressrock.lab.presence_check import Told, Watched
-from cressrock.presence.rooms import (
-    ChangeBatch,
-    Heartbeat,
-    Origin,
-    Rooms,
-    RoomSettings,
-    RoomView,
-    Session,
-    encode_frame,
-)
+from cressrock.presence.messages import ChangeBatch, Heartbeat, Origin, encode_frame
+from cressrock.presence.rooms import Rooms
+from cressrock.presence.sessions import Session
+from cressrock.presence.settings import RoomSettings
+from cressrock.presence.view import RoomView
 
 BEAT = len(encode_frame(Heartbeat()))
 
@@ -89,7 +84,7 @@
 
     def _core(self, number: int) -> Rooms:
         key = self.source.randbytes(16)
-        return Rooms((f"g{number:03d}", self.lives[number]), self.settings, key)
+        return Rooms(Origin(f"g{number:03d}", self.lives[number]), self.settings, key)
 
     def at(self, after: float, act: Callable[[], None]) -> None:
         """Do something in so many ms."""
@@ -148,12 +143,12 @@
         del self._conns[(conn.one, conn.other)], self._from[conn.one][conn.other]
         self._by_number.pop(conn.number, None)
         if conn.up and self.alive[conn.one]:
-            self.cores[conn.one].source_disconnected(self.now, self._origin(conn))
+            self.cores[conn.one].source_disconnected(self._origin(conn))
         if conn.up and self.alive[conn.other] and self.lives[conn.other] == conn.life:
             self.cores[conn.other].subscriber_disconnected(conn.number)
 
     def _origin(self, conn: _Conn) -> Origin:
-        return (f"g{conn.other:03d}", conn.life)
+        return Origin(f"g{conn.other:03d}", conn.life)
 
     # --- carrying
 
@@ -221,11 +216,11 @@
                 members = len(self.cores)
                 self.bytes["spread"] += round(size * members * 2 * math.log2(members + 1))
             self._spread_from(number)
-        if core.changed_rooms:
+        if core.has_feed_changes:
             self._look(number)
 
     def _flush_soon(self, number: int) -> None:
-        if self._flushing[number] or not self.cores[number]._dirty:
+        if self._flushing[number] or not self.cores[number].has_unpublished_changes:
             return
         self._flushing[number] = True
         life = self.lives[number]
@@ -233,7 +228,7 @@
         def flush() -> None:
             self._flushing[number] = False
             if self.alive[number] and self.lives[number] == life:
-                self.cores[number].publish_changes(self.now)
+                self.cores[number].publish_changes()
                 self.pump(number)
 
         self.at(self.tell_ms, flush)
@@ -278,7 +273,7 @@
             if not self.reaches(one, other):
                 have.pop((one, key), None)
             elif have.get((one, key)) == (life, version):  # else a newer one is on its way
-                self.cores[other].receive_directory_entry(self.now, (f"g{one:03d}", life), key, value)
+                self.cores[other].receive_directory_entry(self.now, Origin(f"g{one:03d}", life), key, value)
         self.pump(other)
 
     # --- clients
@@ -306,22 +301,22 @@
 
     def _ask(self, number: int, view: RoomView, watched: Watched, cursor: list[int]) -> None:
         core = self.cores[number]
-        events = core.events_after(view, *cursor) if watched.told else None
+        events = view.feed.events_after(*cursor) if watched.told else None
         unheard = tuple(sorted(core.unsure_gateways(view, self.now)))
         if events is None:
-            members = {one.entry.id: "sure" if one.sure else "unsure" for one in core.members(view)}
+            members = {one.entry.id: "sure" if one.sure else "unsure" for one in view.members()}
             watched.told.append(Told(self.now, members, [], unheard, bool(watched.told), self.now))
         elif events:
             plain = [
-                dict(event=e.event, seq=e.seq, member=e.member, gateway=e.gateway, why=e.why or "left")
+                dict(event=e.event, seq=e.seq, member=e.member, gateway=e.gateway, why=e.reason or "left")
                 for e in events
             ]
             watched.told.append(Told(self.now, None, plain, unheard, False, self.now))
-        cursor[:] = [view.epoch, view.last_seq]
+        cursor[:] = view.feed.cursor
 
     def _look(self, number: int) -> None:
         core = self.cores[number]
-        news, core.changed_rooms = core.changed_rooms, set()
+        news = core.drain_changed_rooms()
         for at, watched, cursor in self.watched:
             if at == number and watched.room in news:
                 view = core.open_view(self.now, watched.room)
--- a/cressrock/presence/liveness.py
+++ b/cressrock/presence/liveness.py
@@ -1,4 +1,4 @@
-"""What may be said of gateways and members: never gone only because somebody is silent.  Pure.
+"""What may be said of gateways and their members: never gone only because somebody is silent.
 
 All times are the asking gateway's own, in milliseconds; no clock of two machines is compared.  A verdict here
 widens or narrows what is *told*; nothing that routes work looks at it.
@@ -8,140 +8,177 @@
 
 import enum
 import hashlib
-from collections.abc import Iterable
+from collections.abc import Collection, Iterable, Mapping
 from dataclasses import dataclass
+from typing import NamedTuple
 
+WEIGHT_BYTES = 8
 
-class Word(enum.Enum):
+
+class Certainty(enum.Enum):
     """How sure this gateway is of what another one said last."""
 
-    SURE = "sure"
-    UNSURE = "unsure"
-    GONE = "gone"
+    CONFIRMED = "sure"
+    SUSPECTED = "unsure"
+    DEAD = "gone"
 
 
 @dataclass(frozen=True, slots=True)
-class Said:
-    """A verdict, and since when it stands (ms on the own clock)."""
+class Verdict:
+    """How sure something is, and since when (ms on the own clock)."""
 
-    word: Word
+    certainty: Certainty
     since_ms: float
 
 
-def said(synced: bool, heard_ms: float, now_ms: float, silent_ms: float, gone_ms: float) -> Said:
-    """Return what may be said of a gateway's members.
+def assess(
+    known_until_ms: float, now_ms: float, *, synced: bool, suspect_after_ms: float, dead_after_ms: float
+) -> Verdict:
+    """Return how sure a gateway's members are.
 
-    `heard_ms` is when all that it said up to then was here; `synced`: all it says is here as it comes.
-    Within `silent_ms` a lost connection is no news.  Past it the members are unsure, since they were last
-    known. Only `gone_ms` later, the stated time, they are gone.
+    `known_until_ms` is when all that it said up to then was here; `synced`: all it says is here as it
+    comes. Within `suspect_after_ms` a lost connection is no news.  Past it the members are unsure, since
+    they were last known.  Only `dead_after_ms` later, the stated time, they are gone.
     """
-    quiet = now_ms - heard_ms
-    if quiet <= silent_ms:
-        return Said(Word.SURE, heard_ms) if synced else Said(Word.UNSURE, heard_ms)
-    if quiet <= gone_ms:
-        return Said(Word.UNSURE, heard_ms)
-    return Said(Word.GONE, heard_ms + gone_ms)
+    age_ms = now_ms - known_until_ms
+    if age_ms <= suspect_after_ms:
+        return Verdict(Certainty.CONFIRMED if synced else Certainty.SUSPECTED, known_until_ms)
+    if age_ms <= dead_after_ms:
+        return Verdict(Certainty.SUSPECTED, known_until_ms)
+    return Verdict(Certainty.DEAD, known_until_ms + dead_after_ms)
+
+
+class GatewayState(enum.Enum):
+    """What the fleet's membership says of a gateway, by the word that the admin port uses."""
+
+    ALIVE = "alive"
+    SUSPECT = "unsure"
+    LEFT = "left"
+    DEAD = "gone"
 
 
 @dataclass(frozen=True, slots=True)
-class Peer:
-    """A gateway as the fleet's view shows it; `state` is alive, unsure, left or gone, since `since_ms`."""
+class Gateway:
+    """Another gateway as the fleet's membership shows it."""
 
     name: str
-    life: int
+    incarnation: int
     region: str
-    state: str
-    since_ms: float
+    state: GatewayState
+    state_since_ms: float
 
 
-def majority(region: str, peers: Iterable[Peer]) -> tuple[int, int]:
-    """Return (how many have to have a join `near`, out of how many), this gateway counted.
+class Majority(NamedTuple):
+    """How many gateways of a region are needed, of how many."""
 
-    Counted are the region's gateways that are alive or unsure: an unsure one may be alive, so it raises what
-    is needed.  Gateways known as gone are not counted, so that each side of a long cut goes on for itself:
-    the answer tells both numbers, and who is not heard from.
+    needed: int
+    total: int
+
+
+def majority_of_region(region: str, others: Iterable[Gateway]) -> Majority:
+    """Return how many have to have a join `near`, this gateway counted.
+
+    Counted are the region's gateways that are alive or suspected: a suspected one may be alive, so it
+    raises what is needed.  Gateways known as dead are not counted, so that each side of a long cut goes on
+    for itself: the answer tells both numbers, and who is not heard from.
     """
-    of = 1 + sum(1 for p in peers if p.region == region and p.state in ("alive", "unsure"))
-    return of // 2 + 1, of
+    counted = (GatewayState.ALIVE, GatewayState.SUSPECT)
+    total = 1 + sum(1 for gateway in others if gateway.region == region and gateway.state in counted)
+    return Majority(total // 2 + 1, total)
 
 
-def keepers(room: str, region: str, peers: Iterable[Peer]) -> list[str]:
-    """Return the region's other live gateways in the order in which they are asked to keep a room.
+def replica_order(room: str, region: str, others: Iterable[Gateway]) -> list[str]:
+    """Return the region's other live gateways in the order in which they are asked to replicate a room.
 
     Highest random weight (Thaler and Ravishankar 1998): every gateway gets the same order, so a room's
-    keepers are the same few whoever joins, and who looks for a lost gateway's session knows whom to ask.
+    replicas are the same few whoever joins, and who looks for a lost gateway's session knows whom to ask.
     """
 
     def weight(name: str) -> bytes:
-        return hashlib.blake2b(f"{room}\0{name}".encode(), digest_size=8).digest()
+        """Return a gateway's weight for the room."""
+        return hashlib.blake2b(f"{room}\0{name}".encode(), digest_size=WEIGHT_BYTES).digest()
 
-    alive = [p.name for p in peers if p.region == region and p.state == "alive"]
+    alive = [one.name for one in others if one.region == region and one.state is GatewayState.ALIVE]
     return sorted(alive, key=weight, reverse=True)
 
 
 @dataclass(frozen=True, slots=True)
-class NotHeard:
-    """A gateway that this one cannot speak for; `since_ms` is -1 where it was never heard."""
+class UnreportedGateway:
+    """A gateway that this one cannot speak for; `since_ms` is NEVER where it never was."""
 
     name: str
-    why: str
+    reason: str
     since_ms: float
 
 
-def not_heard(
-    peers: Iterable[Peer], tells: Iterable[str], unsure: dict[str, float], waiting: Iterable[str]
-) -> list[NotHeard]:
+NEVER = -1.0
+SILENT = "silent"
+NOT_YET_LISTED = "not yet heard"
+PENDING = "asked"
+
+
+def unreported_gateways(
+    others: Iterable[Gateway],
+    listed: Collection[str],
+    suspect_since_ms: Mapping[str, float],
+    pending: Collection[str],
+) -> list[UnreportedGateway]:
     """Return the gateways that an answer does not speak for, by name.
 
-    `tells` are those whose list of rooms the spread has brought; `unsure` whose members of the room are
-    unsure, since when; `waiting` those that were asked and have not told everything yet.
+    `listed` are those whose list of rooms the gossip has brought; `suspect_since_ms` whose members of the
+    room are unsure, since when; `pending` those that were asked and have not told everything yet.
     """
-    known, asked = set(tells), set(waiting)
-    found: dict[str, NotHeard] = {}
-    for peer in peers:
-        if peer.name in unsure:
-            found[peer.name] = NotHeard(peer.name, "silent", unsure[peer.name])
-        elif peer.state != "alive":
-            found[peer.name] = NotHeard(peer.name, peer.state, peer.since_ms)
-        elif peer.name not in known:
-            found[peer.name] = NotHeard(peer.name, "not yet heard", -1.0)
-        elif peer.name in asked:
-            found[peer.name] = NotHeard(peer.name, "asked", -1.0)
-    for name, since in unsure.items():
-        found.setdefault(name, NotHeard(name, "silent", since))
-    return sorted(found.values(), key=lambda one: one.name)
-
-
-def gone_for_good(name: str, life: int, peers: Iterable[Peer], now_ms: float, gone_ms: float) -> bool:
-    """Whether a gateway's life is over for the stated time: gone or left so long, or replaced so long ago.
-
-    Of a name that the view does not hold nothing is known: not gone.
+    unreported: dict[str, UnreportedGateway] = {}
+    for gateway in others:
+        name = gateway.name
+        if name in suspect_since_ms:
+            unreported[name] = UnreportedGateway(name, SILENT, suspect_since_ms[name])
+        elif gateway.state is not GatewayState.ALIVE:
+            unreported[name] = UnreportedGateway(name, gateway.state.value, gateway.state_since_ms)
+        elif name not in listed:
+            unreported[name] = UnreportedGateway(name, NOT_YET_LISTED, NEVER)
+        elif name in pending:
+            unreported[name] = UnreportedGateway(name, PENDING, NEVER)
+    for name, since_ms in suspect_since_ms.items():
+        unreported.setdefault(name, UnreportedGateway(name, SILENT, since_ms))
+    return sorted(unreported.values(), key=lambda one: one.name)
+
+
+def is_dead_for_good(
+    name: str, incarnation: int, others: Iterable[Gateway], now_ms: float, dead_after_ms: float
+) -> bool:
+    """Whether a gateway's incarnation is over for the stated time: dead, left, or replaced so long ago.
+
+    Of a name that the membership does not hold nothing is known: not gone.
     """
-    for peer in peers:
-        if peer.name == name:
-            over = peer.life > life or peer.state in ("gone", "left")
-            return over and now_ms - peer.since_ms > gone_ms
+    for gateway in others:
+        if gateway.name == name:
+            over = gateway.incarnation > incarnation or gateway.state in (
+                GatewayState.DEAD,
+                GatewayState.LEFT,
+            )
+            return over and now_ms - gateway.state_since_ms > dead_after_ms
     return False
 
 
-class Awake:
+class AwakeClock:
     """A clock that leaves out how long its own process stood still.
 
     A process that was stopped for a minute has not heard its own clients and peers for a minute, and none of
-    them is to blame.  It is looked at again and again; between two looks what lies beyond
-    `most_ms` is left out.
+    them is to blame.  It is read again and again; of the time between two readings what lies beyond
+    `max_gap_ms` is left out.
     """
 
-    def __init__(self, now_ms: float, most_ms: float) -> None:
+    def __init__(self, now_ms: float, max_gap_ms: float) -> None:
         """Begin at a time of the process's monotonic clock."""
-        self.most_ms = most_ms
+        self.max_gap_ms = max_gap_ms
         self.slept_ms = 0.0
-        self._last = now_ms
-
-    def now(self, clock_ms: float) -> float:
-        """Return the time without what was slept, ms."""
-        gap = clock_ms - self._last
-        if gap > self.most_ms:
-            self.slept_ms += gap - self.most_ms
-        self._last = max(self._last, clock_ms)
+        self._last_ms = now_ms
+
+    def now_ms(self, clock_ms: float) -> float:
+        """Return the time without what was slept."""
+        gap_ms = clock_ms - self._last_ms
+        if gap_ms > self.max_gap_ms:
+            self.slept_ms += gap_ms - self.max_gap_ms
+        self._last_ms = max(self._last_ms, clock_ms)
         return clock_ms - self.slept_ms
--- /dev/null
+++ b/cressrock/presence/view_table.py
@@ -0,0 +1,222 @@
+"""The rooms that are followed here, and the streams to the gateways that have members in them.
+
+A room is followed while somebody here asks for it, or while another gateway wants its members replicated
+here.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Iterator
+from dataclasses import dataclass, field
+
+from cressrock.errors.presence import PresenceLimitError
+from cressrock.presence.directory import RoomDirectory, bucket_of
+from cressrock.presence.feed import EventKind, RoomEvent
+from cressrock.presence.local_rooms import LocalRooms
+from cressrock.presence.messages import Message, Origin, Subscribe, Unsubscribe
+from cressrock.presence.settings import RoomSettings
+from cressrock.presence.view import FeedRegistry, Replica, RoomView
+
+# To an origin by the stream to it, or to a subscriber by the number of the stream that it opened.
+Outgoing = list[tuple[Origin | int, Message]]
+
+
+@dataclass(slots=True)
+class SourceStream:
+    """A stream to an origin that is followed."""
+
+    connected: bool = False
+    last_contact_ms: float = 0.0
+    silent: bool = True
+    rooms: set[str] = field(default_factory=set)
+
+
+class ViewTable:
+    """Views by room, and which of their replicas come by which stream."""
+
+    def __init__(
+        self,
+        origin: Origin,
+        settings: RoomSettings,
+        directory: RoomDirectory,
+        local: LocalRooms,
+        feeds: FeedRegistry,
+        outgoing: Outgoing,
+    ) -> None:
+        """`outgoing` takes what origins are asked for."""
+        self.origin, self.settings = origin, settings
+        self.feeds = feeds
+        self.views: dict[str, RoomView] = {}
+        self.sources: dict[Origin, SourceStream] = {}
+        # Replicas that are not heard, or were unsure when last looked at; in the order of their doubt.
+        self.doubtful: dict[tuple[str, Origin], None] = {}
+        self.waiting: dict[str, None] = {}  # rooms with changes that wait for their causes
+        self._directory, self._local, self._outgoing = directory, local, outgoing
+        self._by_bucket: dict[int, set[str]] = {}
+
+    # --- views
+
+    def open(self, now_ms: float, room: str) -> RoomView:
+        """Follow a room for a while, for whoever asks here.  Raises PresenceLimitError."""
+        view = self.ensure(now_ms, room)
+        view.expires_at_ms = now_ms + self.settings.linger_ms
+        if not view.is_open:
+            view.is_open = True
+            view.resync()  # while nobody looked, nothing was put in order
+        for origin in self._directory.origins():
+            self._follow_if_listed(now_ms, view, origin)
+        return view
+
+    def ensure(self, now_ms: float, room: str) -> RoomView:
+        """Return the view of a room, which begins with its own members.  Raises PresenceLimitError."""
+        view = self.views.get(room)
+        if view is not None:
+            return view
+        if len(self.views) >= self.settings.max_views:
+            raise PresenceLimitError(f"{self.settings.max_views} rooms followed here (presence.max_views)")
+        view = self.views[room] = RoomView(room, now_ms, self.origin, self.feeds, self.settings.feed)
+        local = self._local.rooms.get(room)
+        own = view.replicas[self.origin] = Replica(synced=True, version=self._local.version)
+        for member_id, entry in (local.members if local else {}).items():
+            view.show_own(own, member_id, entry)
+        self._by_bucket.setdefault(bucket_of(room), set()).add(room)
+        return view
+
+    def close(self, view: RoomView) -> None:
+        """Nobody asks any more: follow only what a gateway asked to have replicated and still has members."""
+        view.is_open = False
+        for origin, replica in list(view.replicas.items()):
+            empty = replica.synced and not replica.members and not replica.delayed
+            if origin != self.origin and (not replica.requested or empty):
+                for member_id in list(replica.members):
+                    view.set_entry(origin, replica, member_id, None, "")
+                self.unfollow(view, origin)
+        if len(view.replicas) == 1:
+            self._drop(view)
+
+    def _drop(self, view: RoomView) -> None:
+        for origin in list(view.replicas):
+            if origin != self.origin:
+                self.unfollow(view, origin)
+        self.views.pop(view.room, None)
+        self.waiting.pop(view.room, None)
+        self._by_bucket[bucket_of(view.room)].discard(view.room)
+
+    # --- which origins a view follows
+
+    def on_directory_change(self, now_ms: float, origin: Origin, bucket: int) -> None:
+        """Follow an origin in the open rooms of a bucket in which it may have members now."""
+        for room in self._by_bucket.get(bucket, ()):
+            if self.views[room].is_open:
+                self._follow_if_listed(now_ms, self.views[room], origin)
+
+    def _follow_if_listed(self, now_ms: float, view: RoomView, origin: Origin) -> None:
+        if origin not in view.replicas and self._directory.may_have_members(origin, view.room):
+            self.follow(now_ms, view, origin)
+
+    def follow(self, now_ms: float, view: RoomView, origin: Origin) -> Replica:
+        """Have a view follow an origin, and return what it told so far."""
+        replica = view.replicas.get(origin)
+        if replica is None:
+            replica = view.replicas[origin] = Replica(synced_until_ms=now_ms)
+            self.doubtful[(view.room, origin)] = None
+            source = self.sources.setdefault(origin, SourceStream())
+            source.rooms.add(view.room)
+            if source.connected:
+                self._outgoing.append((origin, Subscribe(view.room, 0)))
+        return replica
+
+    def unfollow(self, view: RoomView, origin: Origin) -> None:
+        """Have a view follow an origin no longer; what it told is forgotten."""
+        view.replicas.pop(origin, None)
+        self.doubtful.pop((view.room, origin), None)
+        view.waiting.discard(origin)
+        view.debts.pop(origin, None)
+        view.shown_since_own_change.pop(origin, None)
+        source = self.sources.get(origin)
+        if source is not None and view.room in source.rooms:
+            source.rooms.discard(view.room)
+            if source.connected:
+                self._outgoing.append((origin, Unsubscribe(view.room)))
+            if not source.rooms and not source.connected:
+                del self.sources[origin]
+
+    def follow_moved(self, now_ms: float, view: RoomView) -> None:
+        """Follow the gateways to which sessions moved: otherwise their time could not run out."""
+        for member_id in sorted(view.moving):
+            for entry in view.holders[member_id].values():
+                target = entry.moved_to
+                if target is not None and target not in view.replicas and target not in view.lost_origins:
+                    self.follow(now_ms, view, target)
+
+    # --- the streams
+
+    def desired_sources(self) -> Iterator[Origin]:
+        """Yield the origins that a stream is wanted to."""
+        return (origin for origin, source in self.sources.items() if source.rooms)
+
+    def connected(self, now_ms: float, origin: Origin) -> None:
+        """A stream to an origin stands: ask for what is followed from where it stopped."""
+        source = self.sources.setdefault(origin, SourceStream())
+        source.connected, source.silent, source.last_contact_ms = True, False, now_ms
+        for room in sorted(source.rooms):
+            replica = self.views[room].replicas[origin]
+            replica.snapshot = None
+            self._outgoing.append((origin, Subscribe(room, replica.received)))
+
+    def disconnected(self, origin: Origin) -> None:
+        """The stream to an origin is over."""
+        source = self.sources.get(origin)
+        if source is None:
+            return
+        for room in source.rooms:
+            replica = self.views[room].replicas[origin]
+            if replica.synced:
+                replica.synced, replica.synced_until_ms = False, source.last_contact_ms
+                self.doubtful[(room, origin)] = None
+        source.connected, source.silent = False, True
+        if not source.rooms:
+            del self.sources[origin]
+
+    def record_contact(self, now_ms: float, origin: Origin) -> None:
+        """Something came from an origin."""
+        source = self.sources.get(origin)
+        if source is None:
+            return
+        source.last_contact_ms = now_ms
+        if source.silent and source.connected:
+            source.silent = False
+            for room in source.rooms:
+                self.confirm(self.views[room], origin)
+
+    def confirm(self, view: RoomView, origin: Origin) -> None:
+        """Call an origin's members sure again if it is in sync and heard."""
+        replica = view.replicas[origin]
+        if not replica.synced or replica.delayed or self.sources[origin].silent:
+            return  # with changes that wait, who has left might be called sure
+        self.doubtful.pop((view.room, origin), None)
+        if replica.suspected:
+            replica.suspected = False
+            if replica.members or view.moving:
+                self._emit_certainty(view, origin, EventKind.CONFIRMED)
+
+    def doubt(self, view: RoomView, origin: Origin) -> None:
+        """Call an origin's members unsure."""
+        replica = view.replicas[origin]
+        replica.suspected = True
+        if replica.members or view.moving:
+            self._emit_certainty(view, origin, EventKind.SUSPECTED)
+
+    @staticmethod
+    def _emit_certainty(view: RoomView, origin: Origin, kind: EventKind) -> None:
+        view.append_event(RoomEvent(event=kind, gateway=origin[0], incarnation=origin[1]))
+
+    def is_reachable(self, origin: Origin) -> bool:
+        """Whether the stream to an origin stands and is not silent."""
+        source = self.sources.get(origin)
+        return source is not None and source.connected and not source.silent
+
+    def is_idle(self, origin: Origin) -> bool:
+        """Whether nothing is followed at an origin."""
+        source = self.sources.get(origin)
+        return source is None or not source.rooms
--- a/cressrock/programs/gateway.py
+++ b/cressrock/programs/gateway.py
@@ -39,9 +39,10 @@
 from cressrock.observe import admin
 from cressrock.observe.metrics import Metrics
 from cressrock.planner.epochs import EpochStore, next_epoch
-from cressrock.presence import service as presence
-from cressrock.presence.rooms import RoomSettings
+from cressrock.presence.connection import MAGIC as PRESENCE_MAGIC
+from cressrock.presence.environment import PresenceEnvironment
 from cressrock.presence.service import PresenceService
+from cressrock.presence.settings import RoomSettings, ServiceSettings
 from cressrock.replication.reachability import ReachabilityTracker
 from cressrock.replication.service import (
     DeadlineShares,
@@ -108,9 +109,9 @@
 
     place = ground.identity
     found = PresenceService(
-        presence.ServiceSettings(**of(presence.ServiceSettings)),
+        ServiceSettings(**of(ServiceSettings)),
         RoomSettings(**of(RoomSettings)),
-        presence.PresenceEnvironment(
+        PresenceEnvironment(
             name=place.name,
             incarnation=place.incarnation,
             region=place.fleet.region,
@@ -127,7 +128,7 @@
             log=ground.log,
         ),
     )
-    ground.stream_handlers[presence.MAGIC] = found.serve
+    ground.stream_handlers[PRESENCE_MAGIC] = found.serve
     ground.on_gossip_change.append(found.on_gossip_change)
     ground.decision_cache.listeners.append(found.on_decision)
     return found
--- a/tests/compatibility/presence_cluster.py
+++ b/tests/compatibility/presence_cluster.py
@@ -25,12 +25,16 @@
 from cressrock.lab.simnet import SimNet
 from cressrock.membership.membership import Member, MemberState
 from cressrock.observe.logs import logger
-from cressrock.presence import rooms, service
+from cressrock.presence.client_connections import AdminRequest
+from cressrock.presence.connection import MAGIC
+from cressrock.presence.environment import PresenceEnvironment
+from cressrock.presence.service import PresenceService
+from cressrock.presence.settings import RoomSettings, ServiceSettings
 from tests.compatibility.canonical import canonical
 
 NAMES = ("a", "b", "c")
-SETTINGS = service.ServiceSettings(beat_ms=300.0, max_body_bytes=900, max_watchers=3, max_names=2)
-ROOM_SETTINGS = rooms.RoomSettings(silent_ms=1000.0, gone_ms=9000.0, grace_ms=9000.0, max_locks=2)
+SETTINGS = ServiceSettings(beat_ms=300.0, max_body_bytes=900, max_watchers=3, max_names=2)
+ROOM_SETTINGS = RoomSettings(silent_ms=1000.0, gone_ms=9000.0, grace_ms=9000.0, max_locks=2)
 AGES = (
     "as_of_ms_ago",
     "since_ms_ago",
@@ -94,7 +98,7 @@
         self.net = SimNet(tasks, 1)
         self.cut: set[str] = set()  # nobody reaches them, and the fleet knows
         self.silent: set[str] = set()  # nobody reaches them, and the fleet does not know yet
-        self.at: dict[str, service.PresenceService] = {}
+        self.at: dict[str, PresenceService] = {}
         self.council = OneCopyCouncil(self._publish) if council else None
         self.spreads = {
             name: GossipStore(name, 1, GossipStoreSettings(), random.Random(name)) for name in NAMES
@@ -109,7 +113,7 @@
         for presence in self.at.values():
             presence.on_decision(decree)
 
-    def _gateway(self, name: str) -> service.PresenceService:
+    def _gateway(self, name: str) -> PresenceService:
         def members() -> tuple[Member, ...]:
             return tuple(
                 Member(
@@ -134,7 +138,7 @@
         def decree(topic: str) -> Decision | None:
             return self.council.standing.get(topic) if self.council is not None else None
 
-        place = service.PresenceEnvironment(
+        place = PresenceEnvironment(
             name=name,
             incarnation=1,
             region="north",
@@ -150,11 +154,11 @@
             rng=random.Random(name),
             log=logger(),
         )
-        return service.PresenceService(SETTINGS, ROOM_SETTINGS, place)
+        return PresenceService(SETTINGS, ROOM_SETTINGS, place)
 
     async def _serve(self, name: str, stream: Stream) -> None:
         first = await stream.receive(4)
-        assert first == service.MAGIC
+        assert first == MAGIC
         await self.at[name].serve(stream, b"")
 
     async def run(self) -> None:
@@ -178,9 +182,7 @@
 
     def break_streams(self, name: str) -> None:
         """End a gateway's streams; they may come again at once."""
-        for outbox in list(self.at[name]._boxes.values()):
-            outbox.full = True
-            outbox.news.set()
+        self.at[name].streams.disconnect_all()
 
 
 class Exchange:
@@ -521,7 +523,7 @@
             add("carriers", await presence.carriers("docs"))
         async with library.Presence.connect("lost:1", "nonsense", dial=dial) as presence:
             await refused("unreachable", presence.room("docs"))
-            add("pending", await presence.ask("there:2", "GET", "/v1/presence/x", None, 0.0))
+            add("pending", await presence.request("there:2", AdminRequest("GET", "/v1/presence/x")))
 
     async def guarded() -> None:
         try:
--- a/tests/compatibility/record_presence.py
+++ b/tests/compatibility/record_presence.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from cressrock.presence import agreed_names, rooms
+from cressrock.presence import agreed_names, messages
 from tests.compatibility import presence_cases as cases
 from tests.compatibility import presence_cluster as cluster
 from tests.compatibility.canonical import save
@@ -16,8 +16,10 @@
     save(
         "presence_wire",
         {
-            "messages": {label: rooms.encode_frame(message).hex() for label, message in cases.messages()},
-            "holders": [agreed_names.write(holder).hex() for holder in cases.holders()],
+            "messages": {
+                label: messages.encode_frame(message).hex() for label, message in cases.example_messages()
+            },
+            "holders": [agreed_names.encode_holder(holder).hex() for holder in cases.holders()],
             "hashes": cases.hashes(),
             "errors": cases.errors(),
         },
--- a/tests/compatibility/test_presence.py
+++ b/tests/compatibility/test_presence.py
@@ -5,7 +5,7 @@
 import pytest
 
 from cressrock.errors.presence import PresenceFrameError
-from cressrock.presence import agreed_names, rooms
+from cressrock.presence import agreed_names, messages
 from tests.compatibility import presence_cases as cases
 from tests.compatibility import presence_cluster as cluster
 from tests.compatibility.canonical import load
@@ -16,42 +16,44 @@
 
 
 def test_every_message_is_recorded() -> None:
-    assert [label for label, _ in cases.messages()] == list(WIRE["messages"])
+    assert [label for label, _ in cases.example_messages()] == list(WIRE["messages"])
 
 
 @pytest.mark.parametrize(
-    ("label", "message"), cases.messages(), ids=lambda value: value if isinstance(value, str) else ""
+    ("label", "message"), cases.example_messages(), ids=lambda value: value if isinstance(value, str) else ""
 )
-def test_messages_between_gateways(label: str, message: rooms.Body) -> None:
+def test_messages_between_gateways(label: str, message: messages.Message) -> None:
     recorded = bytes.fromhex(WIRE["messages"][label])
-    assert rooms.encode_frame(message) == recorded
+    assert messages.encode_frame(message) == recorded
     received = bytearray(recorded + recorded[:3])
-    assert rooms.unframe(received) == message
+    assert messages.decode_frame(received) == message
     assert received == recorded[:3]
-    assert rooms.unframe(received) is None
+    assert messages.decode_frame(received) is None
 
 
 @pytest.mark.parametrize(("label", "body", "message"), cases.READ_ONLY)
-def test_messages_with_fields_left_out_or_added_are_read(label: str, body: str, message: rooms.Body) -> None:
+def test_messages_with_fields_left_out_or_added_are_read(
+    label: str, body: str, message: messages.Message
+) -> None:
     data = bytes.fromhex(body)
-    assert rooms.unframe(bytearray(len(data).to_bytes(4, "big") + data)) == message, label
+    assert messages.decode_frame(bytearray(len(data).to_bytes(4, "big") + data)) == message, label
 
 
 @pytest.mark.parametrize("frame", cases.refused_frames())
 def test_frames_that_are_refused(frame: str) -> None:
     with pytest.raises(PresenceFrameError):
-        rooms.unframe(bytearray.fromhex(frame))
+        messages.decode_frame(bytearray.fromhex(frame))
 
 
 def test_decrees_on_agreed_names() -> None:
-    assert [agreed_names.write(holder).hex() for holder in cases.holders()] == WIRE["holders"]
-    assert [agreed_names.read(bytes.fromhex(value)) for value in WIRE["holders"]] == cases.holders()
+    assert [agreed_names.encode_holder(holder).hex() for holder in cases.holders()] == WIRE["holders"]
+    assert [agreed_names.decode_holder(bytes.fromhex(value)) for value in WIRE["holders"]] == cases.holders()
 
 
 @pytest.mark.parametrize("value", ["", "9102", "c0", WIRE["holders"][0].replace("9601", "9602", 1)])
 def test_decrees_of_another_form_are_refused(value: str) -> None:
     with pytest.raises(PresenceFrameError):
-        agreed_names.read(bytes.fromhex(value))
+        agreed_names.decode_holder(bytes.fromhex(value))
 
 
 def test_hashes_and_constants() -> None:
--- a/tests/test_presence_drill.py
+++ b/tests/presence/test_drill.py
@@ -16,7 +16,7 @@
 from cressrock.lab.presence_crowd import Crowd
 from cressrock.presence import Presence
 
-ROOT = Path(__file__).parent.parent
+ROOT = Path(__file__).parents[2]
 ENV = {**os.environ, "PYTHONPATH": str(ROOT)}
 PRESENCE = {
     "grace_ms": 4000,
--- /dev/null
+++ b/tests/presence/test_liveness.py
@@ -0,0 +1,57 @@
+"""What may be said of a gateway, and whom a room is replicated to."""
+
+import pytest
+
+from cressrock.presence.liveness import (
+    Certainty,
+    Gateway,
+    GatewayState,
+    Verdict,
+    assess,
+    is_dead_for_good,
+    majority_of_region,
+    replica_order,
+    unreported_gateways,
+)
+
+LIMITS = {"suspect_after_ms": 3000, "dead_after_ms": 60000}
+
+
+@pytest.fixture
+def others():
+    return [
+        Gateway("b", 1, "r", GatewayState.ALIVE, 0),
+        Gateway("c", 1, "r", GatewayState.SUSPECT, 0),
+        Gateway("d", 1, "r", GatewayState.DEAD, 0),
+        Gateway("e", 1, "s", GatewayState.ALIVE, 0),
+    ]
+
+
+def test_a_gateway_is_gone_only_after_the_stated_time():
+    assert assess(0, 3000, synced=True, **LIMITS) == Verdict(Certainty.CONFIRMED, 0)
+    assert assess(0, 10, synced=False, **LIMITS).certainty is Certainty.SUSPECTED
+    assert assess(0, 3001, synced=True, **LIMITS) == Verdict(Certainty.SUSPECTED, 0)
+    assert assess(0, 60001, synced=True, **LIMITS) == Verdict(Certainty.DEAD, 60000)
+
+
+def test_a_majority_counts_the_regions_gateways_that_may_be_alive(others):
+    assert majority_of_region("r", others) == (2, 3)
+    assert replica_order("docs", "r", others) == ["b"]
+
+
+def test_gateways_that_an_answer_does_not_speak_for_are_named_with_the_reason(others):
+    unreported = unreported_gateways(others, ["b", "c"], {"b": 5.0}, [])
+    assert [(gateway.name, gateway.reason) for gateway in unreported] == [
+        ("b", "silent"),
+        ("c", "unsure"),
+        ("d", "gone"),
+        ("e", "not yet heard"),
+    ]
+
+
+def test_a_life_is_over_once_dead_or_replaced_for_the_stated_time(others):
+    assert not is_dead_for_good("d", 1, others, 100, 100)
+    assert is_dead_for_good("d", 1, others, 101, 100)
+    assert not is_dead_for_good("b", 1, others, 1e9, 100)
+    assert is_dead_for_good("b", 0, others, 1e9, 100)
+    assert not is_dead_for_good("x", 1, others, 1e9, 100)
--- /dev/null
+++ b/tests/presence/test_service.py
@@ -0,0 +1,130 @@
+"""Gateways' services in simulated time: near, watch, hand-over, take-over; and streams that are garbage."""
+
+import random
+
+import anyio
+import msgspec
+import pytest
+
+from cressrock.errors.presence import InvalidRoomError, NameNotDecidedError, SessionEndedError
+from cressrock.lab.day import simulate
+from cressrock.presence.messages import FindMember, Heartbeat, Hello, Subscribe, encode_frame
+from tests.compatibility.presence_cluster import Cluster
+
+
+def run_in_cluster(scene):
+    """Run a scene with three gateways that have found one another."""
+
+    async def program():
+        async with anyio.create_task_group() as tasks:
+            cluster = Cluster(tasks, council=False)
+            tasks.start_soon(cluster.run)
+            await anyio.sleep(1)
+            await scene(cluster)
+            tasks.cancel_scope.cancel()
+
+    simulate(program, 3)
+
+
+class Client:
+    """Asks the admin ports of a cluster's gateways; errors are raised."""
+
+    def __init__(self, cluster):
+        self.cluster = cluster
+
+    async def post(self, gateway, action, **body):
+        return await self.cluster.at[gateway].admin.post(action, msgspec.json.encode(body))
+
+    async def watch(self, gateway, query="room=docs"):
+        return await self.cluster.at[gateway].admin.get("GET", "/v1/presence/watch", query)
+
+    async def members(self, gateway):
+        """Return a room's members as (gateway, sure, locks), and who is not heard as (gateway, reason)."""
+        answer = await self.cluster.at[gateway].admin.get("GET", "/v1/presence/rooms/docs", "")
+        members = [(one.gateway, one.sure, one.locks) for one in answer["members"]]
+        return members, [(one.gateway, one.reason) for one in answer["not_heard"]]
+
+
+def test_services_in_simulated_time_join_near_watch_hand_over_and_take_over():
+    async def scene(cluster):
+        client = Client(cluster)
+        watching = await client.watch("c")
+        joined = await client.post("a", "join", room="docs", meaning="near")
+        assert joined["near"].need == 2 and len(joined["near"].have) >= 2
+        told = await client.watch("c", f"room=docs&after={watching['cursor']}&wait_ms=5000")
+        assert [(event.event, event.member) for event in told["events"]] == [("join", joined["member"])]
+        for lock, taken in (("urn:1", True), ("urn:2", True), ("urn:1", False)):
+            cluster.at["a"].record_lock(joined["token"], lock, taken)
+        cluster.at["a"].record_lock("no token", "urn:3", True)
+        await anyio.sleep(0.1)
+        members, _ = await client.members("c")
+        assert [locks for _, _, locks in members] == [["urn:2"]]
+        moved = await client.post("b", "resume", token=joined["token"])
+        assert moved["resumed"] == "handed over" and moved["member"] == joined["member"]
+        await anyio.sleep(1)
+        with pytest.raises(SessionEndedError):
+            await client.post("a", "touch", token=joined["token"])
+        # Its new gateway falls silent: unsure, then taken over by what `near` has put at another one.
+        cluster.cut_off("b")
+        await anyio.sleep(3)
+        members, not_heard = await client.members("c")
+        assert [(gateway, sure) for gateway, sure, _ in members] == [("b", False)]
+        assert not_heard == [("b", "silent")]
+        taken = await client.post("c", "resume", token=moved["token"])
+        assert (taken["resumed"], taken["member"]) == ("taken over", joined["member"])
+        cluster.cut.clear()
+        await anyio.sleep(3)
+        for name in "abc":
+            members, not_heard = await client.members(name)
+            assert [(gateway, sure) for gateway, sure, _ in members] == [("c", True)], name
+            assert not not_heard
+        with pytest.raises(InvalidRoomError):
+            await client.post("a", "join", room="elsewhere/x")
+        with pytest.raises(NameNotDecidedError):
+            await client.post("a", "join", room="docs", meaning="agreed", name="editor")
+        members, _ = await client.members("a")
+        assert len(members) == 1  # nobody joined by it
+
+    run_in_cluster(scene)
+
+
+class BytesStream:
+    """A stream that brings some bytes, and then ends."""
+
+    def __init__(self, data):
+        self.data = data
+
+    async def receive(self, max_bytes=65536):
+        if not self.data:
+            raise anyio.EndOfStream
+        data, self.data = self.data, b""
+        return data
+
+    async def send(self, item):
+        pass
+
+    async def aclose(self):
+        pass
+
+
+def test_garbage_on_a_stream_is_parted_with_and_changes_nothing():
+    async def program():
+        async with anyio.create_task_group() as tasks:
+            service = Cluster(tasks, council=False).at["a"]
+            source = random.Random(4)
+            messages = Hello(1, "cluster", "b", 1), Subscribe("docs", 0), FindMember(1, "docs", "b.1.1")
+            frames = b"".join(map(encode_frame, messages))
+            for _ in range(300):
+                data = bytearray(frames)
+                for _ in range(source.randrange(1, 4)):
+                    data[source.randrange(len(data))] = source.randrange(256)
+                await service.serve(BytesStream(bytes(data)), b"")
+            for wrong in (Hello(2, "cluster", "b", 1), Hello(1, "other", "b", 1), Heartbeat()):
+                before = service.streams.rejected
+                await service.serve(BytesStream(encode_frame(wrong)), b"")
+                assert service.streams.rejected == before + 1
+            assert service.streams.is_empty()
+            assert not service.rooms.subscriber_streams() and not service.rooms.views
+            tasks.cancel_scope.cancel()
+
+    simulate(program, 3)
