--- a/cressrock/presence/client.py
+++ b/cressrock/presence/client.py
@@ -10,7 +10,7 @@
 import msgspec
 
 from cressrock import net
-from cressrock.errors.presence import GatewayUnreachableError, PresenceError, SessionEndedError
+from cressrock.errors.presence import GatewayUnreachableError, SessionEndedError
 from cressrock.presence.client_connections import AdminRequest, Connect, GatewayConnections
 
 
@@ -256,14 +256,13 @@
         return Room(self, response.address, _read(response.data))
 
     async def _request_first(self, request: AdminRequest) -> _Response:
-        last_error: PresenceError | None = None
-        for address in self.addresses:
+        *others, last = self.addresses
+        for address in others:
             try:
                 return _Response(address, await self._connections.request(address, request))
-            except GatewayUnreachableError as error:
-                last_error = error
-        assert last_error is not None
-        raise last_error
+            except GatewayUnreachableError:
+                continue  # the next one may answer
+        return _Response(last, await self._connections.request(last, request))
 
     async def request(self, address: str, request: AdminRequest) -> _Answer:
         """Ask one gateway.  Raises PresenceError by its words, GatewayUnreachableError."""
--- a/cressrock/presence/connection.py
+++ b/cressrock/presence/connection.py
@@ -25,7 +25,7 @@
         self.frames: list[bytes] = []
         self.size = 0
         self.overflowed = False
-        self._feeds = anyio.Event()
+        self._filled = anyio.Event()
 
     def enqueue(self, message: Message) -> None:
         """Add a message, or find that too much waits."""
@@ -33,22 +33,22 @@
         self.size += len(data)
         self.overflowed = self.overflowed or self.size > self.max_bytes
         self.frames.append(data)
-        self._feeds.set()
+        self._filled.set()
 
     def disconnect(self) -> None:
         """Have the stream end as if too much waited."""
         self.overflowed = True
-        self._feeds.set()
+        self._filled.set()
 
     async def write_to(self, stream: Stream, heartbeat_ms: float) -> None:
         """Send what comes, and heartbeats, until the stream breaks or too much waits."""
         while not self.overflowed:
             if not self.frames:
                 with anyio.move_on_after(heartbeat_ms / 1000) as waiting:
-                    await self._feeds.wait()
+                    await self._filled.wait()
                 if waiting.cancelled_caught:
                     self.enqueue(Heartbeat())
-            self._feeds = anyio.Event()
+            self._filled = anyio.Event()
             frames, self.frames = self.frames, []
             data = b"".join(frames)
             await stream.send(data)
--- a/cressrock/presence/rooms.py
+++ b/cressrock/presence/rooms.py
@@ -30,7 +30,7 @@
 from cressrock.presence.settings import RoomSettings
 from cressrock.presence.subscribers import Subscribers
 from cressrock.presence.suspicion import SuspicionMonitor
-from cressrock.presence.view import FeedRegistry, KnownMember, RoomView
+from cressrock.presence.view import FeedIndex, KnownMember, RoomView
 from cressrock.presence.view_table import Outgoing, ViewTable
 
 
@@ -41,11 +41,13 @@
         """`key` makes the sessions' secrets; it is this process's own and random."""
         self.origin, self.settings = origin, settings
         numbers = itertools.count(1)  # of members and of feeds' epochs
-        self._feeds = FeedRegistry(numbers)
+        self._feed_index = FeedIndex(numbers)
         self._outgoing: Outgoing = []
         self._directory = RoomDirectory()
         self._local = LocalRooms(settings, self._directory)
-        self._table = ViewTable(origin, settings, self._directory, self._local, self._feeds, self._outgoing)
+        self._table = ViewTable(
+            origin, settings, self._directory, self._local, self._feed_index, self._outgoing
+        )
         self._delivery = CausalDelivery(self._table, self._directory, settings)
         self._suspicion = SuspicionMonitor(self._table, self._delivery, settings)
         self._sessions = Sessions(settings, key, numbers, self._local, self._table, self._delivery)
@@ -135,11 +137,11 @@
     @property
     def has_feed_changes(self) -> bool:
         """Whether a room's feed has news since `drain_changed_rooms`."""
-        return bool(self._feeds.changed_rooms)
+        return bool(self._feed_index.changed_rooms)
 
     def drain_changed_rooms(self) -> set[str]:
         """Return the rooms whose feed has news since the last call."""
-        changed, self._feeds.changed_rooms = self._feeds.changed_rooms, set()
+        changed, self._feed_index.changed_rooms = self._feed_index.changed_rooms, set()
         return changed
 
     def last_known(self, room: str, member_id: str) -> KnownMember | None:
@@ -249,7 +251,7 @@
     @property
     def resyncs(self) -> int:
         """How often watchers were told to take a new snapshot."""
-        return self._feeds.resyncs
+        return self._feed_index.resyncs
 
     def counters(self) -> dict[str, int]:
         """Return counts by the names of the admin port."""
--- a/cressrock/presence/service.py
+++ b/cressrock/presence/service.py
@@ -11,6 +11,7 @@
 from cressrock.consensus.decisions import Decision
 from cressrock.errors.presence import PresenceError
 from cressrock.gossip.store import EVERYTHING_CHANGED
+from cressrock.gossip.store import Origin as GossipOrigin
 from cressrock.http.channel import Stream
 from cressrock.http.server import Exchange
 from cressrock.presence.admin_port import AdminPort
@@ -118,7 +119,7 @@
 
     # --- what the process tells
 
-    def on_gossip_change(self, origin: tuple[str, int], key: str) -> None:
+    def on_gossip_change(self, origin: GossipOrigin, key: str) -> None:
         """Read an entry of the gossip that changed."""
         if (origin, key) == EVERYTHING_CHANGED:
             self._read_directory()
--- a/cressrock/presence/sessions.py
+++ b/cressrock/presence/sessions.py
@@ -162,7 +162,7 @@
             # A gateway it came from may still hold it: nothing older may come up again.
             ended_by = ENDED_BY_CLIENT if reason == Reason.LEFT else ENDED_BY_GATEWAY
             marker = msgspec.structs.replace(entry, data=b"", locks=[], moved=VersionStamp("", 0, ended_by))
-            self._leave_marker(now_ms, session.room, MemberEdit(entry.id, marker, reason))
+            self._leave_marker(now_ms, session.room, marker, reason)
         else:
             self._record(now_ms, session.room, MemberEdit(entry.id, None, reason))
 
@@ -209,7 +209,7 @@
         del self.by_member[done.member_id]
         stamp = VersionStamp(*new_origin, done.version)
         marker = msgspec.structs.replace(session.entry, moved=stamp)
-        self._leave_marker(now_ms, done.room, MemberEdit(marker.id, marker, Reason.MOVED, (stamp,)))
+        self._leave_marker(now_ms, done.room, marker, Reason.MOVED, (stamp,))
 
     def adopt(self, now_ms: float, room: str, entry: MemberEntry) -> Session:
         """Go on here with a session that another gateway had.  Raises PresenceLimitError."""
@@ -237,12 +237,19 @@
         view.shown_since_own_change.clear()
         self._delivery.apply_own(now_ms, view, change)
 
-    def _leave_marker(self, now_ms: float, room: str, edit: MemberEdit) -> None:
-        assert edit.entry is not None
-        self._record(now_ms, room, edit)
+    def _leave_marker(
+        self,
+        now_ms: float,
+        room: str,
+        marker: MemberEntry,
+        reason: Reason,
+        causes: tuple[VersionStamp, ...] = (),
+    ) -> None:
+        self._record(now_ms, room, MemberEdit(marker.id, marker, reason, causes))
+        # No gateway holds an older entry for longer than the grace and two stated times.
         expires_at_ms = now_ms + self._settings.grace_ms + 2 * self._settings.gone_ms
-        heapq.heappush(self._expiries, _Expiry(expires_at_ms, edit.member_id, edit.entry.hop, True))
-        self._marker_rooms[edit.member_id] = room
+        heapq.heappush(self._expiries, _Expiry(expires_at_ms, marker.id, marker.hop, True))
+        self._marker_rooms[marker.id] = room
 
     def _schedule_expiry(self, session: Session, expires_at_ms: float) -> None:
         expiry = _Expiry(expires_at_ms, session.entry.id, session.entry.hop, False)
--- a/cressrock/presence/view.py
+++ b/cressrock/presence/view.py
@@ -57,7 +57,7 @@
 
 
 @dataclass(slots=True)
-class FeedRegistry:
+class FeedIndex:
     """What the views of one gateway share: which feeds changed, and the numbers of their epochs."""
 
     numbers: Iterator[int]
@@ -76,7 +76,7 @@
         "is_open",
         "lost_origins",
         "moving",
-        "feeds",
+        "feed_index",
         "origin",
         "replicas",
         "room",
@@ -86,13 +86,13 @@
     )
 
     def __init__(
-        self, room: str, now_ms: float, origin: Origin, feeds: FeedRegistry, max_events: int
+        self, room: str, now_ms: float, origin: Origin, feed_index: FeedIndex, max_events: int
     ) -> None:
         """`origin` is this gateway, whose own members are shown as sure."""
-        self.room, self.origin, self.feeds = room, origin, feeds
+        self.room, self.origin, self.feed_index = room, origin, feed_index
         self.expires_at_ms = now_ms
         # The feed's epochs do not begin anew: an old cursor must not fit a later view by chance.
-        self.feed = EventFeed(next(feeds.numbers), max_events)
+        self.feed = EventFeed(next(feed_index.numbers), max_events)
         self.replicas: dict[Origin, Replica] = {}
         self.holders: dict[str, dict[Origin, MemberEntry]] = {}  # of each member's id
         self.moving: set[str] = set()  # ids of which a marker is held
@@ -208,13 +208,13 @@
     def append_event(self, event: RoomEvent) -> None:
         """Put an event into the feed."""
         self.feed.append(event)
-        self.feeds.changed_rooms.add(self.room)
+        self.feed_index.changed_rooms.add(self.room)
 
     def resync(self) -> None:
         """Have every watcher take a new snapshot."""
-        self.feeds.resyncs += 1
-        self.feed.restart(next(self.feeds.numbers))
-        self.feeds.changed_rooms.add(self.room)
+        self.feed_index.resyncs += 1
+        self.feed.restart(next(self.feed_index.numbers))
+        self.feed_index.changed_rooms.add(self.room)
 
     # --- events
 
@@ -280,13 +280,15 @@
 
 
 class _Precedence(NamedTuple):
+    """Of the entries of one member the greatest is shown."""
+
     hop: int
     rank: int
 
 
 def _precedence(entry: MemberEntry) -> _Precedence:
     """Of one id the greatest hop counts; among equals the client's own end, then who has it, then silence."""
-    if not entry.has_ended:
+    moved = entry.moved
+    if moved is None or moved.gateway:
         return _Precedence(entry.hop, 1)
-    assert entry.moved is not None
-    return _Precedence(entry.hop, 2 if entry.moved.version == ENDED_BY_CLIENT else 0)
+    return _Precedence(entry.hop, 2 if moved.version == ENDED_BY_CLIENT else 0)
--- a/cressrock/presence/view_table.py
+++ b/cressrock/presence/view_table.py
@@ -15,7 +15,7 @@
 from cressrock.presence.local_rooms import LocalRooms
 from cressrock.presence.messages import Message, Origin, Subscribe, Unsubscribe
 from cressrock.presence.settings import RoomSettings
-from cressrock.presence.view import FeedRegistry, Replica, RoomView
+from cressrock.presence.view import FeedIndex, Replica, RoomView
 
 # To an origin by the stream to it, or to a subscriber by the number of the stream that it opened.
 Outgoing = list[tuple[Origin | int, Message]]
@@ -40,12 +40,12 @@
         settings: RoomSettings,
         directory: RoomDirectory,
         local: LocalRooms,
-        feeds: FeedRegistry,
+        feed_index: FeedIndex,
         outgoing: Outgoing,
     ) -> None:
         """`outgoing` takes what origins are asked for."""
         self.origin, self.settings = origin, settings
-        self.feeds = feeds
+        self.feed_index = feed_index
         self.views: dict[str, RoomView] = {}
         self.sources: dict[Origin, SourceStream] = {}
         # Replicas that are not heard, or were unsure when last looked at; in the order of their doubt.
@@ -74,7 +74,7 @@
             return view
         if len(self.views) >= self.settings.max_views:
             raise PresenceLimitError(f"{self.settings.max_views} rooms followed here (presence.max_views)")
-        view = self.views[room] = RoomView(room, now_ms, self.origin, self.feeds, self.settings.feed)
+        view = self.views[room] = RoomView(room, now_ms, self.origin, self.feed_index, self.settings.feed)
         local = self._local.rooms.get(room)
         own = view.replicas[self.origin] = Replica(synced=True, version=self._local.version)
         for member_id, entry in (local.members if local else {}).items():
