--- a/cressrock/runtime.py
+++ b/cressrock/runtime.py
@@ -18,22 +18,18 @@
 from cressrock.aggregation import messages
 from cressrock.aggregation.channel import EvidenceChannel
 from cressrock.consensus import decisions as d
+from cressrock.consensus.client import ConsensusClient, DecisionCache
 from cressrock.consensus.decision_gossip import (
     DECISION_PREFIX,
     RENEWAL_PREFIX,
     DecisionPublisher,
     DecisionSubscriber,
 )
-from cressrock.consensus.raft.node import RaftSettings, Role
-from cressrock.consensus.replica import (
-    ConsensusClient,
-    ConsensusReplica,
-    DecisionCache,
-    ReplicaSettings,
-    run_in_thread,
-    run_inline,
-)
+from cressrock.consensus.raft.core import Role
+from cressrock.consensus.raft.progress import RaftSettings
+from cressrock.consensus.replica import ConsensusReplica, ReplicaSettings
 from cressrock.consensus.transport import Environment as CouncilWorld
+from cressrock.consensus.transport import run_in_thread, run_inline
 from cressrock.errors import CressrockError
 from cressrock.errors.consensus import InvalidDecisionError, NoQuorumError
 from cressrock.gossip.anti_entropy import AntiEntropySettings
--- a/tests/compatibility/rollout_cases.py
+++ b/tests/compatibility/rollout_cases.py
@@ -14,8 +14,9 @@
 import trio.testing
 
 from cressrock.aggregation.channel import EvidenceChannel
-from cressrock.aggregation.collector import MergedSummaries, ReportCollector
-from cressrock.aggregation.sender import AggregationTimings
+from cressrock.aggregation.collector import ReportCollector
+from cressrock.aggregation.summaries import MergedSummaries
+from cressrock.aggregation.timings import AggregationTimings
 from cressrock.consensus import decisions as d
 from cressrock.consensus.client import DecisionCache
 from cressrock.errors import CressrockError
--- a/tests/test_council_carrier.py
+++ b/tests/test_council_carrier.py
@@ -9,20 +9,13 @@
 
 from cressrock.consensus import decisions as d
 from cressrock.consensus import wire as w
-from cressrock.consensus.raft.node import RaftSettings, Role
+from cressrock.consensus.client import ClientSettings, ConsensusClient, DecisionCache
+from cressrock.consensus.raft.core import Role
+from cressrock.consensus.raft.progress import RaftSettings
 from cressrock.consensus.recover import main as recover_main
 from cressrock.consensus.recover import recover
-from cressrock.consensus.replica import (
-    ClientSettings,
-    ConsensusClient,
-    ConsensusReplica,
-    DecisionCache,
-    Environment,
-    ReplicaSettings,
-    check_lease,
-    check_replica_set,
-    run_inline,
-)
+from cressrock.consensus.replica import ConsensusReplica, ReplicaSettings, check_lease, check_replica_set
+from cressrock.consensus.transport import Environment, run_inline
 from cressrock.errors import consensus as e
 from cressrock.lab.day import simulate
 from cressrock.lab.simnet import SimNet
--- a/tests/test_raft.py
+++ b/tests/test_raft.py
@@ -5,17 +5,11 @@
 import pytest
 
 from cressrock.consensus.raft import messages as m
-from cressrock.consensus.raft.node import (
-    ConfirmedRead,
-    HardState,
-    LogEntry,
-    RaftNode,
-    RaftSettings,
-    Role,
-    StoredState,
-    force_single_voter,
-    initial_state,
-)
+from cressrock.consensus.raft.core import Role
+from cressrock.consensus.raft.log import HardState, StoredState, force_single_voter, initial_state
+from cressrock.consensus.raft.messages import LogEntry
+from cressrock.consensus.raft.node import RaftNode
+from cressrock.consensus.raft.progress import ConfirmedRead, RaftSettings
 from cressrock.errors.consensus import (
     ConsensusBusyError,
     InvalidMessageError,
--- a/tests/test_rollout_parts.py
+++ b/tests/test_rollout_parts.py
@@ -7,7 +7,7 @@
 import pytest
 
 from cressrock import interface as i
-from cressrock.edge.decisions import Decider
+from cressrock.edge.operations import Decider
 from cressrock.lab import rolloutsim as sim
 from cressrock.link import messages as m
 from cressrock.link.protocol import RULE_VERSIONS, Link, Role
