--- a/examples/presence/agreed.py
+++ b/examples/presence/agreed.py
@@ -5,7 +5,7 @@
 import anyio
 
 from cressrock.errors.presence import NameHeldError
-from cressrock.presence import Presence
+from cressrock.presence.client import Presence
 
 
 async def main(room: str, name: str, addresses: list[str]) -> None:
