--- a/examples/presence/join.py
+++ b/examples/presence/join.py
@@ -4,7 +4,7 @@
 
 import anyio
 
-from cressrock.presence.client import Presence
+from cressrock.presence import Presence
 
 
 async def main(room: str, addresses: list[str], meaning: str) -> None:
--- a/examples/presence/resume.py
+++ b/examples/presence/resume.py
@@ -4,7 +4,7 @@
 
 import anyio
 
-from cressrock.presence.client import Presence
+from cressrock.presence import Presence
 
 
 async def main(room: str, first: str, second: str) -> None:
