--- a/benchmarks/rollout.py
+++ b/benchmarks/rollout.py
@@ -16,9 +16,12 @@
 sys.path.insert(0, str(Path(__file__).parent.parent))
 
 from cressrock.lab import rolloutsim as r  # noqa: E402
-from cressrock.rollout import evidence as e  # noqa: E402
-from cressrock.rollout import lifecycle as s  # noqa: E402
-from cressrock.rollout import verdict as v  # noqa: E402
+from cressrock.rollout import evidence  # noqa: E402
+from cressrock.rollout.counts import LocalCounts  # noqa: E402
+from cressrock.rollout.evidence import CountsEntry, OutcomeCounts, RequestOutcome  # noqa: E402
+from cressrock.rollout.plan import Thresholds  # noqa: E402
+from cressrock.rollout.selection import eligible_stage  # noqa: E402
+from cressrock.rollout.verdict import accusations_from_counts, local_accusation  # noqa: E402
 
 LONG = r.course(least_s=1800)  # stays in the 5 % stage for half an hour
 ONE = (0.01, 0.002, 0.002, 0.02, 0.08)
@@ -46,7 +49,7 @@
 
 def same(seed):
     """No difference at all, and nothing tolerated: the error level by itself."""
-    return played(r.Fleet(r.Shape(), r.course(s.Thresholds(tolerated_odds_ratio=1.0)), seed), seed)
+    return played(r.Fleet(r.Shape(), r.course(Thresholds(tolerated_odds_ratio=1.0)), seed), seed)
 
 
 def without_the_coin(seed):
@@ -155,17 +158,17 @@
     for now in range(20):
         fleet._second(now)
     heard = fleet.heard(fleet.marks, fleet.trials)
-    own = e.LocalCounts("00" * 12)
+    own = LocalCounts("00" * 12)
     state, plan = fleet.state, r.course()
     rows = [
-        ("judge, 230 processes x 5 classes x 1 stage", 20, lambda: v.accusations_from_counts(heard, plan, 5)),
-        ("far_worse, one process", 200, lambda: v.local_accusation(own, plan, 5)),
-        ("count a trial", 20000, lambda: own.record(0, 0, True, e.RequestOutcome.SERVED, 10.0, 300.0)),
-        ("eligible, 5 % of the volumes", 20000, lambda: s.eligible_stage(state, plan, "v17", "z0")),
+        ("judge, 230 processes x 5 classes x 1 stage", 20, lambda: accusations_from_counts(heard, plan, 5)),
+        ("far_worse, one process", 200, lambda: local_accusation(own, plan, 5)),
+        ("count a trial", 20000, lambda: own.record(0, 0, True, RequestOutcome.SERVED, 10.0, 300.0)),
+        ("eligible, 5 % of the volumes", 20000, lambda: eligible_stage(state, plan, "v17", "z0")),
         (
             "told, one class",
             2000,
-            lambda: (own.record(0, 0, True, e.RequestOutcome.SERVED, 1.0, 3.0), own.drain_changes()),
+            lambda: (own.record(0, 0, True, RequestOutcome.SERVED, 1.0, 3.0), own.drain_changes()),
         ),
     ]
     print("\n| pure part | us a call |")
@@ -175,10 +178,9 @@
         for _ in range(count):
             call()
         print(f"| {name} | {(time.perf_counter() - begin) / count * 1e6:,.1f} |")
-    tally = e.OutcomeCounts([10**6, 10**6], [[10**5, 10**5]] * 5)
-    print(
-        f"\nOne entry in the spread: {len(e.encode(e.CountsEntry(bytes(12), tally)))} bytes at a million trials."
-    )
+    tally = OutcomeCounts([10**6, 10**6], [[10**5, 10**5]] * 5)
+    size = len(evidence.encode(CountsEntry(bytes(12), tally)))
+    print(f"\nOne entry in the spread: {size} bytes at a million trials.")
 
 
 def main():
--- a/cressrock/lab/hollow_turns.py
+++ b/cressrock/lab/hollow_turns.py
@@ -19,7 +19,9 @@
 from cressrock.lab.hollow_shared import acquaint, fill
 from cressrock.membership import packets as m
 from cressrock.membership.membership import Identity, Membership, MembershipSettings
-from cressrock.rollout import evidence as rollout
+from cressrock.rollout import evidence
+from cressrock.rollout.counts import FleetCounts
+from cressrock.rollout.evidence import FAULT_KINDS, CountsEntry, OutcomeCounts, counts_key
 
 Timer = Callable[[], float]  # seconds of processor time
 WORD = "zones/0"
@@ -59,8 +61,8 @@
 
 def counted() -> bytes:
     """Return a process's counts of one class in one stage."""
-    tally = rollout.OutcomeCounts([900, 950], [[3, 2] for _ in rollout.FAULT_KINDS])
-    return rollout.encode(rollout.CountsEntry(bytes.fromhex(DIGEST), tally))
+    tally = OutcomeCounts([900, 950], [[3, 2] for _ in FAULT_KINDS])
+    return evidence.encode(CountsEntry(bytes.fromhex(DIGEST), tally))
 
 
 def zones_of(n: int) -> FailoverSettings:
@@ -94,11 +96,11 @@
     return found
 
 
-def counts_of(n: int) -> rollout.FleetCounts:
+def counts_of(n: int) -> FleetCounts:
     """Return what one process heard of everybody's counts."""
-    found = rollout.FleetCounts(DIGEST)
+    found = FleetCounts(DIGEST)
     for number in range(n):
-        found.merge((name(number), FIRST_LIFE + number), rollout.counts_key(0, 0), counted())
+        found.merge((name(number), FIRST_LIFE + number), counts_key(0, 0), counted())
     return found
 
 
--- a/cressrock/lab/rolloutsim.py
+++ b/cressrock/lab/rolloutsim.py
@@ -19,11 +19,18 @@
 import numpy as np
 
 from cressrock.consensus import decisions as d
-from cressrock.rollout import evidence as e
-from cressrock.rollout import lifecycle as s
-from cressrock.rollout import verdict as v
-
-REFUSED, FAILED, LEFT, LATE, SLOW = range(len(e.FAULT_KINDS))
+from cressrock.rollout import evidence, lifecycle
+from cressrock.rollout.betting import ODDS_RATIOS, accusation_threshold, log_wealths
+from cressrock.rollout.counts import FleetCounts
+from cressrock.rollout.evidence import FAULT_KINDS, CountsEntry, OutcomeCounts, counts_key
+from cressrock.rollout.lifecycle import ROLLOUT_TOPIC, RolloutStatus, end_rollout, start_rollout
+from cressrock.rollout.pacing import LeaderFindings, StagePacer
+from cressrock.rollout.plan import RolloutPlan, Stage, Thresholds
+from cressrock.rollout.read_lease import ReadLease
+from cressrock.rollout.selection import eligible_stage, selects_volume
+from cressrock.rollout.verdict import accusations_from_counts
+
+REFUSED, FAILED, LEFT, LATE, SLOW = range(len(FAULT_KINDS))
 LOST_S = (20, 90)  # how long a zone is lost
 SICK_S = (20, 200)
 BURST_S = (1, 4)
@@ -43,23 +50,23 @@
     tell_s: int = 2  # counts come to the leader so often; a second more on the way
 
 
-def course(levels: s.Thresholds | None = None, *, least_s: float = 60.0) -> s.RolloutPlan:
+def course(levels: Thresholds | None = None, *, least_s: float = 60.0) -> RolloutPlan:
     """Return the stages of the benchmark: 5 % of the volumes, one zone, all."""
-    return s.RolloutPlan(
+    return RolloutPlan(
         stages=[
-            s.Stage(
+            Stage(
                 volume_fraction=0.05, control_fraction=0.5, min_duration_ms=least_s * 1000, min_answers=2000
             ),
-            s.Stage(
+            Stage(
                 volume_fraction=0.3,
                 zones=["z0"],
                 control_fraction=0.5,
                 min_duration_ms=least_s * 1000,
                 min_answers=2000,
             ),
-            s.Stage(control_fraction=0.1, min_duration_ms=least_s * 1000, min_answers=2000),
+            Stage(control_fraction=0.1, min_duration_ms=least_s * 1000, min_answers=2000),
         ],
-        thresholds=levels or s.Thresholds(),
+        thresholds=levels or Thresholds(),
     )
 
 
@@ -82,7 +89,7 @@
     def __init__(
         self,
         shape: Shape,
-        plan: s.RolloutPlan,
+        plan: RolloutPlan,
         seed: int,
         *,
         worse: dict[int, float] | None = None,
@@ -98,13 +105,13 @@
         self.shape, self.plan = shape, plan
         self.rng = np.random.default_rng(seed)
         self.draw = random.Random(seed)
-        self.state = s.start_rollout(None, b"candidate %d" % seed)
+        self.state = start_rollout(None, b"candidate %d" % seed)
         self.worse = worse or {}
         self.base = base or shape.base
         p, c = shape.processes, len(shape.classes)
         self.zone = np.arange(p) % shape.zones
         # [stage, process, class, kind, side]; side 0 is the candidate's.
-        self.marks = np.zeros((len(plan.stages), p, c, len(e.FAULT_KINDS), 2))
+        self.marks = np.zeros((len(plan.stages), p, c, len(FAULT_KINDS), 2))
         self.trials = np.zeros((len(plan.stages), p, c, 2))
         # Some volumes are always refused a part of what they ask: over their limit, for good.
         weights = np.exp(self.rng.normal(0, 1.0, shape.volumes))
@@ -142,7 +149,7 @@
         """Draw a second's trials and their ends."""
         shape, stage, index = self.shape, self.plan.stages[self.state.stage], self.state.stage
         if index not in self.inside:
-            drawn = [s.selects_volume(self.state.digest, name, stage.volume_fraction) for name in self.names]
+            drawn = [selects_volume(self.state.digest, name, stage.volume_fraction) for name in self.names]
             self.inside[index] = np.array(drawn)
         inside = self.inside[index]
         part = float(self.weights[inside].sum())
@@ -154,7 +161,7 @@
         mean = shape.rate * part * np.outer(here, np.array(shape.classes))
         came = self.rng.poisson(mean)
         tried = self.rng.binomial(came, 1 - stage.control_fraction)
-        chance = np.zeros((shape.processes, len(e.FAULT_KINDS))) + np.array(self.base)
+        chance = np.zeros((shape.processes, len(FAULT_KINDS))) + np.array(self.base)
         chance[:, REFUSED] += chronic
         for _, begin, end, which, added in self.faults:
             if begin <= now < end:
@@ -173,24 +180,24 @@
                     mine[:, kind] = odds * mine[:, kind] / (odds * mine[:, kind] + 1 - mine[:, kind])
                 mine[:, FAILED] = np.maximum(mine[:, FAILED], self.by_it)
             self.trials[index, :, :, side] += count
-            for kind in range(len(e.FAULT_KINDS)):
+            for kind in range(len(FAULT_KINDS)):
                 self.marks[index, :, :, kind, side] += self.rng.binomial(count, mine[:, kind : kind + 1])
 
     def _chronic(self, inside: Any, side: int) -> float:
         """Return the part that is always refused of those volumes that have one side's version."""
         name_of = self.state.digest + "half"
-        half = np.array([s.selects_volume(name_of, name, 0.5) == (side == 0) for name in self.names])
+        half = np.array([selects_volume(name_of, name, 0.5) == (side == 0) for name in self.names])
         weights = self.weights * (inside & half)
         return float((weights * self.chronic).sum() / max(weights.sum(), 1e-12))
 
     def judged(self, marks: Any) -> list[tuple[int, int]]:
         """Return (class, kind) of what the candidate is accused of: `verdict.judge` on arrays."""
         levels, classes = self.plan.thresholds, len(self.shape.classes)
-        wanted = v.accusation_threshold(levels, classes)
-        logs = np.zeros((*marks.shape[1:4], len(v.ODDS_RATIOS)))
+        wanted = accusation_threshold(levels, classes)
+        logs = np.zeros((*marks.shape[1:4], len(ODDS_RATIOS)))
         for index, stage in enumerate(self.plan.stages[: self.state.stage + 1]):
-            one = v.log_wealths(_unit(0), 0, stage.control_fraction, levels.tolerated_odds_ratio)
-            other = v.log_wealths(_unit(1), 0, stage.control_fraction, levels.tolerated_odds_ratio)
+            one = log_wealths(_unit(0), 0, stage.control_fraction, levels.tolerated_odds_ratio)
+            other = log_wealths(_unit(1), 0, stage.control_fraction, levels.tolerated_odds_ratio)
             logs += marks[index, ..., 0:1] * np.array(one) + marks[index, ..., 1:2] * np.array(other)
         greatest = np.sort(np.maximum(logs, 0), axis=0)[len(logs) - levels.min_accusers + 1 :]
         wealth = logs.sum(axis=0) - greatest.sum(axis=0)  # [class, kind, odds]
@@ -201,32 +208,32 @@
     def _far_worse(self) -> None:
         """Let processes go back alone, by `verdict.far_worse` on arrays."""
         levels, classes = self.plan.thresholds, len(self.shape.classes)
-        logs = np.zeros((*self.marks.shape[1:4], len(v.ODDS_RATIOS)))
+        logs = np.zeros((*self.marks.shape[1:4], len(ODDS_RATIOS)))
         far = max(levels.rollback_odds_ratio, levels.tolerated_odds_ratio)
         for index, stage in enumerate(self.plan.stages[: self.state.stage + 1]):
-            one, other = (v.log_wealths(_unit(side), 0, stage.control_fraction, far) for side in (0, 1))
+            one, other = (log_wealths(_unit(side), 0, stage.control_fraction, far) for side in (0, 1))
             logs += self.marks[index, ..., 0:1] * np.array(one)
             logs += self.marks[index, ..., 1:2] * np.array(other)
         high = logs.max(axis=-1)
         mixed = high + np.log(np.exp(logs - high[..., None]).mean(axis=-1))
-        self.back |= (mixed >= v.accusation_threshold(levels, classes)).any(axis=(1, 2))
+        self.back |= (mixed >= accusation_threshold(levels, classes)).any(axis=(1, 2))
 
-    def heard(self, marks: Any, trials: Any) -> e.FleetCounts:
+    def heard(self, marks: Any, trials: Any) -> FleetCounts:
         """Return the arrays as what a leader would have heard."""
-        heard, digest = e.FleetCounts(self.state.digest), bytes.fromhex(self.state.digest)
+        heard, digest = FleetCounts(self.state.digest), bytes.fromhex(self.state.digest)
         for index, p, cls in np.argwhere(trials.sum(axis=-1) > 0):
-            tally = e.OutcomeCounts(
+            tally = OutcomeCounts(
                 [int(n) for n in trials[index, p, cls]],
                 [[int(n) for n in kind] for kind in marks[index, p, cls]],
             )
             heard.merge(
-                (f"e{p}", 1), e.counts_key(int(cls), int(index)), e.encode(e.CountsEntry(digest, tally))
+                (f"e{p}", 1), counts_key(int(cls), int(index)), evidence.encode(CountsEntry(digest, tally))
             )
         return heard
 
     def play(self, most_s: int = 3600, *, check: bool = False) -> Played:
         """Play to the rollout's end.  Raises AssertionError where the arrays and the pure test differ."""
-        pace, number = s.StagePacer(), 1
+        pace, number = StagePacer(), 1
         marks, trials = self.marks.copy(), self.trials.copy()
         for now in range(most_s):
             self._second(now)
@@ -237,18 +244,16 @@
             figures: dict[str, float] = {}
             answered = int(trials[self.state.stage, ..., 0].sum())
             names = [f"c{c}" for c in range(len(self.shape.classes))]
-            why = f"{names[accused[0][0]]}: {e.FAULT_KINDS[accused[0][1]]}" if accused else ""
-            found = s.LeaderFindings(answered, why, int(self.back.sum()), figures)
+            why = f"{names[accused[0][0]]}: {FAULT_KINDS[accused[0][1]]}" if accused else ""
+            found = LeaderFindings(answered, why, int(self.back.sum()), figures)
             wanted = pace.next_state(now * 1000.0, number, self.state, self.plan, found)
             if wanted is not None:
                 self.state, number = wanted, number + 1
                 if not self.state.running:
                     break
         if check:
-            pure = v.accusations_from_counts(self.heard(marks, trials), self.plan, len(self.shape.classes))
-            assert sorted((a.request_class, e.FAULT_KINDS.index(a.fault_kind)) for a in pure) == sorted(
-                accused
-            )
+            pure = accusations_from_counts(self.heard(marks, trials), self.plan, len(self.shape.classes))
+            assert sorted((a.request_class, FAULT_KINDS.index(a.fault_kind)) for a in pure) == sorted(accused)
         return Played(
             self.state.status,
             self.state.reason,
@@ -260,9 +265,9 @@
         )
 
 
-def _unit(side: int) -> e.OutcomeCounts:
+def _unit(side: int) -> OutcomeCounts:
     """Return counts with one mark of the first kind on one side."""
-    tally = e.OutcomeCounts.empty()
+    tally = OutcomeCounts.empty()
     tally.faults[0][side] = 1
     return tally
 
@@ -289,10 +294,10 @@
     reads (`stages.Sure`); without, on what is told alone.  Clocks run apart by up to a thousandth.
     """
     draw = random.Random(seed)
-    state = s.start_rollout(None, b"bad")
-    plan = s.RolloutPlan(stages=[s.Stage()])
+    state = start_rollout(None, b"bad")
+    plan = RolloutPlan(stages=[Stage()])
     readers = [d.DecisionReader() for _ in range(processes)]
-    sure = [s.ReadLease() for _ in range(processes)]
+    sure = [ReadLease() for _ in range(processes)]
     drift = [draw.uniform(0.999, 1.001) for _ in range(processes)]
     halt_at = draw.uniform(8000, 20000)
     cut_at = halt_at - draw.uniform(0, 5000)
@@ -313,8 +318,8 @@
     while now < end:
         beat += 1
         over = now >= halt_at
-        value = s.encode(s.end_rollout(state, "halted", "worse", {}) if over else state)
-        decree = d.Decision(s.ROLLOUT_TOPIC, 2 if over else 1, value, hold_ms, "", beat)
+        value = lifecycle.encode(end_rollout(state, RolloutStatus.HALTED, "worse", {}) if over else state)
+        decree = d.Decision(ROLLOUT_TOPIC, 2 if over else 1, value, hold_ms, "", beat)
         for who in range(processes):
             when = now + draw.uniform(1, 1500)
             at(heal_at + draw.uniform(0, 2000) if cut(who, when) else when, who, decree)
@@ -339,10 +344,10 @@
                 sure[who].record_read(2 if what >= halt_at else 1, what * drift[who], hold_ms)
         for who, reader in enumerate(readers):
             mine = now * drift[who]
-            found = reader.get(s.ROLLOUT_TOPIC, mine)
+            found = reader.get(ROLLOUT_TOPIC, mine)
             if not isinstance(found, d.Decision) or (reads and not sure[who].is_valid(found.version, mine)):
                 continue
-            if s.eligible_stage(s.decode(found.value), plan, "v", "") is not None:
+            if eligible_stage(lifecycle.decode(found.value), plan, "v", "") is not None:
                 chosen += 1
                 after = max(after, now - halt_at)
         now += 100.0
--- a/cressrock/rollout/evidence.py
+++ b/cressrock/rollout/evidence.py
@@ -1,24 +1,23 @@
-"""What is known of a candidate's answers: each process's own counts, and those of all, merged.  Pure.
+"""What processes publish of a candidate's answers: the entries, their keys and their encoding.  Pure.
 
 Counts are of *trials*: requests of a stage's volumes for which a coin chose between candidate and good
-version as they came (`stages.Stage.beside`).  Nothing else is counted.  So every trial is a stratum of its
-own: the same process, zone, volume and moment gave it either version by the coin alone, whatever fails beside
-it (`verdict`).
-
-A client's request is one trial, however many storage operations it takes, and has at most one bad mark of
-each kind.  What "late" and "slow" mean is measured by the *good* version's aim for both, or a candidate could
-pass by promising less.
-
-Counts travel as one entry for each class and stage, of at most 640 bytes, and only grow within an origin's
-life.  Merging takes the greater of each count: order, loss and repetition change nothing.  Of many processes
-they go to the zone's collector, which sends on a `Row` for each class: sums, and beside them what the test
-leaves out, the greatest factors of single processes.
+version as they came (`plan.Stage.control_fraction`).  Nothing else is counted.  So every trial is a stratum
+of its own: the same process, zone, volume and moment gave it either version by the coin alone, whatever fails
+beside it (`verdict`).
+
+A client's request is one trial, however many storage operations it takes, and has at most one fault of each
+kind.  What "late" and "slow" mean is measured by the *good* version's latency objective for both, or a
+candidate could pass by promising less.
+
+Counts travel as one entry for each class and stage, of at most 640 bytes, and only grow within one
+incarnation of a process.  Merging takes the greater of each count: order, loss and repetition change nothing.
+Those of many processes go to the zone's collector, which sends on a `ZoneSummary` for each class: sums, and
+beside them what the test leaves out, the greatest factors of single processes.
 """
 
 from __future__ import annotations
 
-from collections.abc import Callable
-from dataclasses import dataclass
+from collections.abc import Mapping
 from enum import Enum
 from typing import Annotated, TypeVar
 
@@ -26,20 +25,32 @@
 from msgspec import Meta, Struct
 
 from cressrock.errors.rollout import InvalidRulesError, UnknownRulesVersionError
-from cressrock.rollout.lifecycle import DIGEST_BYTES, MAX_STAGES
-
-VERSION = 1
-SEEN, ROLLBACK_KEY = "rollout/seen/", "rollout/back"  # keys in the spread: SEEN + "CLASS/STAGE", and a report
-FAULT_KINDS = ("refused", "failed", "left", "late", "slow")  # kinds of bad answers, each tested by itself
-SLOW = 0.5  # of the aim: half of it is where a rise shows before clients feel it
-SUMS, GONE = "rollout/sum/", "rollout/gone"  # keys of a zone's sums: SUMS + "CLASS", and of reports
-MAX_TOP_FACTORS, MOST_WHY = 4, 4  # told of one zone
+from cressrock.rollout.plan import DIGEST_BYTES, MAX_STAGES
+
+FORMAT_VERSION = 1
+COUNTS_KEY_PREFIX, ROLLBACK_KEY = (
+    "rollout/seen/",
+    "rollout/back",
+)  # of processes; counts: prefix + "CLASS/STAGE"
+SUMMARY_KEY_PREFIX, ZONE_ROLLBACKS_KEY = (
+    "rollout/sum/",
+    "rollout/gone",
+)  # of zones; summaries: prefix + "CLASS"
+FAULT_KINDS = ("refused", "failed", "left", "late", "slow")  # each is tested by itself
+MAX_FAULT_KINDS = 16  # that an entry may have; a later release may count more kinds
+SLOW_FRACTION = 0.5  # of the latency objective: half of it is where a rise shows before clients feel it
+MAX_TOP_FACTORS, MAX_REASONS = 4, 4  # published of one zone
+MAX_REASON_CHARS = 200
 MAX_CLASSES = 64
-MAX_ORIGINS = 16384  # lives: three of each of 4,806 processes in one rollout, and some; 1.2 KB each
+MAX_ORIGINS = 16384  # incarnations: three of each of 4,806 processes in one rollout, and some; 1.2 KB each
+CANDIDATE, CONTROL = 0, 1  # the two sides of each count: trials by the candidate, and by the good version
 
-Origin = tuple[str, int]
+Origin = tuple[str, int]  # a process's name and incarnation
+ClassStage = tuple[int, int]  # class and stage that counts are of
+Entry = tuple[str, bytes]  # a key and its value
 _T = TypeVar("_T")
 Count = Annotated[int, Meta(ge=0, le=2**53)]
+Digest = Annotated[bytes, Meta(min_length=DIGEST_BYTES, max_length=DIGEST_BYTES)]
 
 
 class RequestOutcome(Enum):
@@ -52,245 +63,153 @@
 
 
 class OutcomeCounts(Struct, array_like=True):
-    """Counts of one class in one stage: [candidate, good] of trials, and of each kind of mark."""
+    """Counts of one class in one stage, [candidate, control] each: of trials, and of faults by kind."""
 
     trials: Annotated[list[Count], Meta(min_length=2, max_length=2)]
     faults: Annotated[
         list[Annotated[list[Count], Meta(min_length=2, max_length=2)]],
-        Meta(min_length=len(FAULT_KINDS), max_length=16),
+        Meta(min_length=len(FAULT_KINDS), max_length=MAX_FAULT_KINDS),
     ]
 
     @classmethod
     def empty(cls) -> OutcomeCounts:
-        """Return one without a count."""
+        """Return counts of nothing."""
         return cls([0, 0], [[0, 0] for _ in FAULT_KINDS])
 
     def add(self, other: OutcomeCounts) -> None:
         """Add another's counts."""
-        for side in (0, 1):
+        for side in (CANDIDATE, CONTROL):
             self.trials[side] += other.trials[side]
-            for mine, its in zip(self.faults, other.faults, strict=False):
-                mine[side] += its[side]
+            for count, added in zip(self.faults, other.faults, strict=False):
+                count[side] += added[side]
 
     def raise_to(self, other: OutcomeCounts, total: OutcomeCounts) -> bool:
-        """Take the greater of each count, add what it grew by to a total; returns whether any grew."""
+        """Take the greater of each count, add what it grew by to a total; return whether any grew."""
         grown = False
-        whole = [total.trials, *total.faults]
-        given = [other.trials, *other.faults]
-        for mine, its, all_ in zip([self.trials, *self.faults], given, whole, strict=False):
-            for side in (0, 1):
-                if (more := its[side] - mine[side]) > 0:
-                    mine[side], grown = its[side], True
-                    all_[side] += more
+        rows = zip(
+            [self.trials, *self.faults],
+            [other.trials, *other.faults],
+            [total.trials, *total.faults],
+            strict=False,
+        )
+        for count, reported, sum_ in rows:
+            for side in (CANDIDATE, CONTROL):
+                if (growth := reported[side] - count[side]) > 0:
+                    count[side], grown = reported[side], True
+                    sum_[side] += growth
         return grown
 
 
-class CountsEntry(Struct, frozen=True, array_like=True, tag=VERSION):
-    """One entry in the spread.  Later versions may add fields at the end."""
+class CountsEntry(Struct, frozen=True, array_like=True, tag=FORMAT_VERSION):
+    """A process's counts of one class in one stage.  Later formats may add fields at the end."""
 
-    digest: Annotated[bytes, Meta(min_length=DIGEST_BYTES, max_length=DIGEST_BYTES)]
+    digest: Digest
     counts: OutcomeCounts
 
 
-class LocalRollback(Struct, frozen=True, array_like=True, tag=VERSION):
-    """A process's report that it went back alone from a candidate."""
+class LocalRollback(Struct, frozen=True, array_like=True, tag=FORMAT_VERSION):
+    """A process's report that it rolled back from a candidate by itself."""
 
-    digest: Annotated[bytes, Meta(min_length=DIGEST_BYTES, max_length=DIGEST_BYTES)]
-    reason: Annotated[str, Meta(max_length=200)]
+    digest: Digest
+    reason: Annotated[str, Meta(max_length=MAX_REASON_CHARS)]
 
 
-class ZoneSummary(Struct, frozen=True, array_like=True, tag=VERSION):
+class ZoneSummary(Struct, frozen=True, array_like=True, tag=FORMAT_VERSION):
     """What the processes of one zone counted of one class.
 
-    `tops`: for each kind of mark and each of the test's odds, the greatest logs of single processes' wealth,
-    as little-endian 32-bit floats, at most `MOST_TOPS` of each, greatest first.
+    `top_factors`: for each kind of fault and each of the test's odds ratios, the greatest logs of single
+    processes' wealth, as little-endian 32-bit floats, at most `MAX_TOP_FACTORS` of each, greatest first.
     """
 
-    digest: Annotated[bytes, Meta(min_length=DIGEST_BYTES, max_length=DIGEST_BYTES)]
+    digest: Digest
     stages: Annotated[
         list[tuple[Annotated[int, Meta(ge=0, lt=MAX_STAGES)], OutcomeCounts]], Meta(max_length=MAX_STAGES)
     ]
-    tops: Annotated[list[list[bytes]], Meta(max_length=16)]
+    top_factors: Annotated[list[list[bytes]], Meta(max_length=MAX_FAULT_KINDS)]
 
 
-class ZoneRollbacks(Struct, frozen=True, array_like=True, tag=VERSION):
-    """How many processes of one zone tell, how many of them went back alone, and why some did."""
+class ZoneRollbacks(Struct, frozen=True, array_like=True, tag=FORMAT_VERSION):
+    """How many processes of one zone report, how many of them rolled back by themselves, and why some did."""
 
-    digest: Annotated[bytes, Meta(min_length=DIGEST_BYTES, max_length=DIGEST_BYTES)]
+    digest: Digest
     processes: Count
-    backs: Count
-    why: Annotated[dict[str, str], Meta(max_length=MOST_WHY)]
+    rollbacks: Count
+    reasons: Annotated[dict[str, str], Meta(max_length=MAX_REASONS)]  # by process
 
 
-_decoder = msgspec.msgpack.Decoder(CountsEntry)
-_row = msgspec.msgpack.Decoder(ZoneSummary)
-_gone = msgspec.msgpack.Decoder(ZoneRollbacks)
-_back = msgspec.msgpack.Decoder(LocalRollback)
+_counts_decoder = msgspec.msgpack.Decoder(CountsEntry)
+_rollback_decoder = msgspec.msgpack.Decoder(LocalRollback)
+_summary_decoder = msgspec.msgpack.Decoder(ZoneSummary)
+_zone_rollbacks_decoder = msgspec.msgpack.Decoder(ZoneRollbacks)
 
 
-def encode(message: CountsEntry | LocalRollback | ZoneSummary | ZoneRollbacks) -> bytes:
+def encode(entry: CountsEntry | LocalRollback | ZoneSummary | ZoneRollbacks) -> bytes:
     """Return an entry's value."""
-    return msgspec.msgpack.encode(message)
+    return msgspec.msgpack.encode(entry)
 
 
-def read_piece(value: bytes) -> CountsEntry:
-    """Read counts.  Raises RulesWrong, RulesNewer."""
-    return _read(_decoder, value, "counts")
+def decode_counts(value: bytes) -> CountsEntry:
+    """Read counts.  Raises InvalidRulesError, UnknownRulesVersionError."""
+    return _decode(_counts_decoder, value, "counts")
 
 
-def read_back(value: bytes) -> LocalRollback:
-    """Read a report.  Raises RulesWrong, RulesNewer."""
-    return _read(_back, value, "a report")
+def decode_rollback(value: bytes) -> LocalRollback:
+    """Read a report.  Raises InvalidRulesError, UnknownRulesVersionError."""
+    return _decode(_rollback_decoder, value, "a report")
 
 
-def read_row(value: bytes) -> ZoneSummary:
-    """Read a class's sums.  Raises RulesWrong, RulesNewer."""
-    return _read(_row, value, "sums of counts")
+def decode_summary(value: bytes) -> ZoneSummary:
+    """Read a class's sums.  Raises InvalidRulesError, UnknownRulesVersionError."""
+    return _decode(_summary_decoder, value, "sums of counts")
 
 
-def read_gone(value: bytes) -> ZoneRollbacks:
-    """Read how many went back.  Raises RulesWrong, RulesNewer."""
-    return _read(_gone, value, "a sum of reports")
+def decode_zone_rollbacks(value: bytes) -> ZoneRollbacks:
+    """Read how many rolled back.  Raises InvalidRulesError, UnknownRulesVersionError."""
+    return _decode(_zone_rollbacks_decoder, value, "a sum of reports")
 
 
-def _read(decoder: msgspec.msgpack.Decoder[_T], value: bytes, what: str) -> _T:
+def _decode(decoder: msgspec.msgpack.Decoder[_T], value: bytes, subject: str) -> _T:
     try:
         return decoder.decode(value)
-    except (msgspec.DecodeError, RecursionError) as wrong:
-        # Both structs begin with their version, a small positive integer.
-        if len(value) > 1 and value[0] & 0xF0 == 0x90 and VERSION < value[1] < 128:
+    except (msgspec.DecodeError, RecursionError) as error:
+        # All entries begin with their format's version, a small positive integer.
+        if len(value) > 1 and value[0] & 0xF0 == 0x90 and FORMAT_VERSION < value[1] < 128:
             raise UnknownRulesVersionError(
-                f"{what} of version {value[1]}; version {VERSION} is known"
+                f"{subject} of version {value[1]}; version {FORMAT_VERSION} is known"
             ) from None
-        raise InvalidRulesError(f"{what} that cannot be read: {str(wrong)[:200]}") from None
+        raise InvalidRulesError(f"{subject} that cannot be read: {str(error)[:200]}") from None
 
 
-def counts_key(cls: int, stage: int) -> str:
-    """Return the spread's key of a class's counts in a stage."""
-    return f"{SEEN}{cls}/{stage}"
+def counts_key(request_class: int, stage: int) -> str:
+    """Return the key of a class's counts in a stage."""
+    return f"{COUNTS_KEY_PREFIX}{request_class}/{stage}"
 
 
-def place_of(key: str) -> tuple[int, int] | None:
-    """Return class and stage of a key; None for any other key."""
-    if not key.startswith(SEEN):
+def parse_counts_key(key: str) -> ClassStage | None:
+    """Return class and stage of a key of counts; None for any other key."""
+    if not key.startswith(COUNTS_KEY_PREFIX):
         return None
-    cls, _, stage = key[len(SEEN) :].partition("/")
-    if not (cls.isdecimal() and stage.isdecimal() and len(key) < len(SEEN) + 8):
+    request_class, _, stage = key[len(COUNTS_KEY_PREFIX) :].partition("/")
+    if not (request_class.isdecimal() and stage.isdecimal() and len(key) < len(COUNTS_KEY_PREFIX) + 8):
         return None
-    found = int(cls), int(stage)
-    return found if found[0] < MAX_CLASSES and found[1] < MAX_STAGES else None
-
-
-def by_class(tallies: dict[tuple[int, int], OutcomeCounts]) -> dict[int, OutcomeCounts]:
-    """Return the sums over stages."""
-    found: dict[int, OutcomeCounts] = {}
-    for (cls, _), tally in tallies.items():
-        found.setdefault(cls, OutcomeCounts.empty()).add(tally)
-    return found
-
-
-class LocalCounts:
-    """This process's own counts under one candidate."""
-
-    def __init__(self, digest: str) -> None:
-        """Start with nothing counted."""
-        self.digest = digest
-        self.counts: dict[tuple[int, int], OutcomeCounts] = {}
-        self._changed: dict[tuple[int, int], None] = {}
-
-    def record(
-        self, cls: int, stage: int, candidate: bool, ended: RequestOutcome, ms: float, aim_ms: float
-    ) -> None:
-        """Count a trial's end: `ms` from its coming to its answer, `aim_ms` the good version's aim."""
-        tally = self.counts.setdefault((cls, stage), OutcomeCounts.empty())
-        side = 0 if candidate else 1
-        tally.trials[side] += 1
-        served = ended is RequestOutcome.SERVED
-        bad = (
-            ended is RequestOutcome.REJECTED,
-            ended is RequestOutcome.FAILED,
-            ended is RequestOutcome.CLIENT_LEFT,
-            served and ms > aim_ms,
-            served and ms > SLOW * aim_ms,
-        )
-        for mark, is_so in zip(tally.faults, bad, strict=True):
-            mark[side] += is_so
-        self._changed[cls, stage] = None
+    result = int(request_class), int(stage)
+    return result if result[0] < MAX_CLASSES and result[1] < MAX_STAGES else None
 
-    def drain_changes(self) -> list[tuple[str, bytes]]:
-        """Return the entries that changed since the last call, to be put into the spread."""
-        changed, self._changed = list(self._changed), {}
-        digest = bytes.fromhex(self.digest)
-        return [(counts_key(*place), encode(CountsEntry(digest, self.counts[place]))) for place in changed]
 
-    def keys(self) -> list[str]:
-        """Return all keys of these counts, to be removed once they are of no use."""
-        return [counts_key(*place) for place in self.counts]
+def is_evidence_key(key: str) -> bool:
+    """Whether a key is one under which a process publishes evidence of a rollout."""
+    return key.startswith(COUNTS_KEY_PREFIX) or key == ROLLBACK_KEY
 
 
-@dataclass(slots=True)
-class _Life:
-    tallies: dict[tuple[int, int], OutcomeCounts]
+def parse_summary_key(key: str) -> int | None:
+    """Return the class of a zone summary's key; None for any other key."""
+    suffix = key[len(SUMMARY_KEY_PREFIX) :]
+    return int(suffix) if key.startswith(SUMMARY_KEY_PREFIX) and suffix.isdecimal() else None
 
 
-class FleetCounts:
-    """What all processes counted under one candidate.
-
-    What a life that is gone has told is kept: it was seen.  Bounded by `MAX_ORIGINS` lives; of further ones
-    nothing is taken, which can only delay a verdict.
-    """
-
-    def __init__(self, digest: str) -> None:
-        """Start with nothing heard."""
-        self.digest = digest
-        self._bytes = bytes.fromhex(digest)
-        self.lives: dict[Origin, _Life] = {}
-        self.totals: dict[tuple[int, int], OutcomeCounts] = {}  # over all lives
-        self.rollback_reasons: dict[str, str] = {}  # by process, whatever its life: why it went back alone
-
-    def merge(self, origin: Origin, key: str, value: bytes) -> bool:
-        """Merge an entry of the spread; returns whether it was news.  Raises RulesWrong, RulesNewer."""
-        if key == ROLLBACK_KEY:
-            back = read_back(value)
-            news = back.digest == self._bytes and origin[0] not in self.rollback_reasons
-            if news and len(self.rollback_reasons) < MAX_ORIGINS:
-                self.rollback_reasons[origin[0]] = back.reason
-            return news
-        place = place_of(key)
-        if place is None:
-            return False
-        piece = read_piece(value)
-        if piece.digest != self._bytes:
-            return False
-        life = self.lives.get(origin)
-        if life is None:
-            if len(self.lives) >= MAX_ORIGINS:
-                return False
-            life = self.lives[origin] = _Life({})
-        total = self.totals.setdefault(place, OutcomeCounts.empty())
-        return life.tallies.setdefault(place, OutcomeCounts.empty()).raise_to(piece.counts, total)
-
-    def candidate_trials(self, stage: int) -> int:
-        """Return the trials under the candidate in a stage."""
-        return sum(tally.trials[0] for (_, at), tally in self.totals.items() if at == stage)
-
-    def totals_by_class(self) -> dict[int, OutcomeCounts]:
-        """Return the sums by class."""
-        return by_class(self.totals)
-
-    def rollback_count(self) -> int:
-        """Return how many processes went back alone."""
-        return len(self.rollback_reasons)
-
-    def process_count(self) -> int:
-        """Return of how many processes something was heard."""
-        return len({name for name, _ in self.lives})
-
-    def totals_by_group(self, group: Callable[[str], str]) -> dict[str, dict[int, OutcomeCounts]]:
-        """Return the sums by class of groups of processes: by zone, say."""
-        found: dict[str, dict[int, OutcomeCounts]] = {}
-        for (name, _), life in self.lives.items():
-            mine = found.setdefault(group(name), {})
-            for (cls, _), tally in life.tallies.items():
-                mine.setdefault(cls, OutcomeCounts.empty()).add(tally)
-        return found
+def totals_by_class(counts: Mapping[ClassStage, OutcomeCounts]) -> dict[int, OutcomeCounts]:
+    """Return the sums over stages."""
+    totals: dict[int, OutcomeCounts] = {}
+    for (request_class, _), stage_counts in counts.items():
+        totals.setdefault(request_class, OutcomeCounts.empty()).add(stage_counts)
+    return totals
--- a/cressrock/settings/rules.py
+++ b/cressrock/settings/rules.py
@@ -20,7 +20,7 @@
 
 from cressrock import interface
 from cressrock.errors.rollout import IncompatibleRulesError, InvalidRulesError, UnknownRulesVersionError
-from cressrock.rollout.lifecycle import MAX_DOCUMENT_BYTES, RolloutPlan, document_digest
+from cressrock.rollout.plan import MAX_DOCUMENT_BYTES, RolloutPlan, document_digest
 from cressrock.settings.types import METHODS, Gateway, Positive, interface_settings
 
 VERSION = 1
--- a/tests/compatibility/rollout_cases.py
+++ b/tests/compatibility/rollout_cases.py
@@ -22,7 +22,20 @@
 from cressrock.errors.consensus import DecisionConflictError, NoQuorumError
 from cressrock.errors.rollout import InvalidRulesError
 from cressrock.gossip.store import GossipStore, GossipStoreSettings
-from cressrock.rollout import evidence, lifecycle, service, verdict
+from cressrock.rollout import (
+    counts,
+    crash_record,
+    evidence,
+    lifecycle,
+    pacing,
+    persisted_state,
+    plan,
+    read_lease,
+    selection,
+    service,
+    summaries,
+    verdict,
+)
 from tests.compatibility.canonical import Digest, canonical
 
 # --- wire
@@ -64,7 +77,7 @@
         ("withdrawn", state(3, "withdrawn", TWO, 1, 0, "", 0, "by an operator", {}, [TWO[:12]])),
         ("expired", state(70000, "expired", TWO, 1, 8, ONE, 0, "stage 8: 0 answers")),
         ("done", state(4, "done", ONE, 0, 1, ONE, 0, "all stages over", {"refused": 0.0})),
-        ("empty", lifecycle.EMPTY),
+        ("empty", lifecycle.NO_ROLLOUT),
     ]
     pieces = [
         ("empty counts", evidence.CountsEntry(bytes(12), evidence.OutcomeCounts.empty())),
@@ -93,31 +106,33 @@
         ("reports of a zone", evidence.ZoneRollbacks(bytes.fromhex(ONE), 400, 2, {"p1": "why", "p2": ""})),
         ("no reports of a zone", evidence.ZoneRollbacks(bytes(12), 0, 0, {})),
     ]
+    started = crash_record.CrashRecord(1, TWO, True, [1e12, 1e12 + 0.5], "")
+    rolled_back = crash_record.CrashRecord(1, TWO, False, [], "went back")
     kept = [
-        ("nothing kept", service.Keep()),
-        ("a start", service.Keep(lifecycle.Starts(1, TWO, True, [1e12, 1e12 + 0.5], ""), "", b"")),
-        ("all kept", service.Keep(lifecycle.Starts(1, TWO, False, [], "went back"), ONE, b'{"a":1}')),
+        ("nothing kept", persisted_state.PersistedState()),
+        ("a start", persisted_state.PersistedState(started, "", b"")),
+        ("all kept", persisted_state.PersistedState(rolled_back, ONE, b'{"a":1}')),
     ]
-    keep_decoder = msgspec.msgpack.Decoder(service.Keep)
+    keep_decoder = msgspec.msgpack.Decoder(persisted_state.PersistedState)
     return [
         *(WireCase(f"decree {name}", value, lifecycle.encode, lifecycle.decode) for name, value in states),
-        *(WireCase(name, value, evidence.encode, evidence.read_piece) for name, value in pieces),
-        *(WireCase(name, value, evidence.encode, evidence.read_back) for name, value in backs),
-        *(WireCase(name, value, evidence.encode, evidence.read_row) for name, value in rows),
-        *(WireCase(name, value, evidence.encode, evidence.read_gone) for name, value in gone),
+        *(WireCase(name, value, evidence.encode, evidence.decode_counts) for name, value in pieces),
+        *(WireCase(name, value, evidence.encode, evidence.decode_rollback) for name, value in backs),
+        *(WireCase(name, value, evidence.encode, evidence.decode_summary) for name, value in rows),
+        *(WireCase(name, value, evidence.encode, evidence.decode_zone_rollbacks) for name, value in gone),
         *(WireCase(name, value, msgspec.msgpack.encode, keep_decoder.decode) for name, value in kept),
         *(WireCase(name, value, msgspec.json.encode, read_course) for name, value in courses()),
     ]
 
 
-def read_course(data: bytes) -> lifecycle.RolloutPlan:
+def read_course(data: bytes) -> plan.RolloutPlan:
     """Read a plan as a document holds it."""
-    return msgspec.json.decode(data, type=lifecycle.RolloutPlan)
+    return msgspec.json.decode(data, type=plan.RolloutPlan)
 
 
-def courses() -> list[tuple[str, lifecycle.RolloutPlan]]:
+def courses() -> list[tuple[str, plan.RolloutPlan]]:
     """Return plans as documents hold them."""
-    levels = lifecycle.Thresholds(
+    levels = plan.Thresholds(
         false_halt_probability=0.05,
         tolerated_odds_ratio=1.5,
         rollback_odds_ratio=3.0,
@@ -126,19 +141,19 @@
         stage_timeout_ms=9000.0,
     )
     steps = [
-        lifecycle.Stage(
+        plan.Stage(
             volume_fraction=0.05,
             zones=["z1", "z2"],
             control_fraction=0.25,
             min_duration_ms=100.0,
             min_answers=10,
         ),
-        lifecycle.Stage(volume_fraction=0.5, control_fraction=0.1, min_duration_ms=200.0, min_answers=0),
-        lifecycle.Stage(),
+        plan.Stage(volume_fraction=0.5, control_fraction=0.1, min_duration_ms=200.0, min_answers=0),
+        plan.Stage(),
     ]
     return [
-        ("plan of one stage", lifecycle.RolloutPlan(stages=[lifecycle.Stage()])),
-        ("plan of three stages", lifecycle.RolloutPlan(stages=steps, thresholds=levels)),
+        ("plan of one stage", plan.RolloutPlan(stages=[plan.Stage()])),
+        ("plan of three stages", plan.RolloutPlan(stages=steps, thresholds=levels)),
     ]
 
 
@@ -146,12 +161,14 @@
     """Return bytes of older, newer and broken entries."""
     pack, plain = msgspec.msgpack.encode, msgspec.json.encode
     tally = [[1, 2], [[0, 1]] * 5]
+    counts_, rollback = evidence.decode_counts, evidence.decode_rollback
+    summary, zone_rollbacks = evidence.decode_summary, evidence.decode_zone_rollbacks
     readers = [
         lifecycle.decode,
-        evidence.read_piece,
-        evidence.read_back,
-        evidence.read_row,
-        evidence.read_gone,
+        counts_,
+        rollback,
+        summary,
+        zone_rollbacks,
     ]
     broken = [
         b"",
@@ -174,22 +191,20 @@
         ),
         ReadCase("decree of an unknown state", pack([1, 1, "paused", ONE, 0, 0]), lifecycle.decode),
         ReadCase("decree of a later stage", pack([1, 1, "running", ONE, 0, 9]), lifecycle.decode),
+        ReadCase("counts with a further field", pack([1, bytes(12), [*tally, 1], "new"]), counts_),
+        ReadCase("counts of too few kinds", pack([1, bytes(12), [[1, 2], [[0, 1]] * 4]]), counts_),
+        ReadCase("counts below zero", pack([1, bytes(12), [[-1, 2], [[0, 1]] * 5]]), counts_),
+        ReadCase("counts of a short digest", pack([1, bytes(11), tally]), counts_),
+        ReadCase("report with a further field", pack([1, bytes(12), "why", 1]), rollback),
+        ReadCase("report that is too long", pack([1, bytes(12), "w" * 201]), rollback),
+        ReadCase("sums of a ninth stage", pack([1, bytes(12), [[8, tally]], []]), summary),
+        ReadCase("sums with a further field", pack([1, bytes(12), [[7, tally]], [], 0]), summary),
         ReadCase(
-            "counts with a further field", pack([1, bytes(12), [*tally, 1], "new"]), evidence.read_piece
+            "too many reasons",
+            pack([1, bytes(12), 9, 9, dict.fromkeys("abcde", "")]),
+            zone_rollbacks,
         ),
-        ReadCase(
-            "counts of too few kinds", pack([1, bytes(12), [[1, 2], [[0, 1]] * 4]]), evidence.read_piece
-        ),
-        ReadCase("counts below zero", pack([1, bytes(12), [[-1, 2], [[0, 1]] * 5]]), evidence.read_piece),
-        ReadCase("counts of a short digest", pack([1, bytes(11), tally]), evidence.read_piece),
-        ReadCase("report with a further field", pack([1, bytes(12), "why", 1]), evidence.read_back),
-        ReadCase("report that is too long", pack([1, bytes(12), "w" * 201]), evidence.read_back),
-        ReadCase("sums of a ninth stage", pack([1, bytes(12), [[8, tally]], []]), evidence.read_row),
-        ReadCase("sums with a further field", pack([1, bytes(12), [[7, tally]], [], 0]), evidence.read_row),
-        ReadCase(
-            "too many reasons", pack([1, bytes(12), 9, 9, dict.fromkeys("abcde", "")]), evidence.read_gone
-        ),
-        ReadCase("reports with a further field", pack([1, bytes(12), 9, 9, {}, 1]), evidence.read_gone),
+        ReadCase("reports with a further field", pack([1, bytes(12), 9, 9, {}, 1]), zone_rollbacks),
         ReadCase("kept, of an older program", pack({"good": ONE}), _read_keep),
         ReadCase("kept, of a newer program", pack({"starts": {"version": 2, "more": 1}, "x": 2}), _read_keep),
         ReadCase("plan, shortest", plain({"stages": [{}]}), read_course),
@@ -210,8 +225,8 @@
     return cases
 
 
-def _read_keep(data: bytes) -> service.Keep:
-    return msgspec.msgpack.decode(data, type=service.Keep)
+def _read_keep(data: bytes) -> persisted_state.PersistedState:
+    return msgspec.msgpack.decode(data, type=persisted_state.PersistedState)
 
 
 def outcome(call: Callable[..., Any], *args: Any) -> Any:
@@ -240,10 +255,16 @@
     ]
     return {
         "topics": [lifecycle.ROLLOUT_TOPIC, *lifecycle.DOCUMENT_TOPICS],
-        "keys": [*keys, evidence.SEEN, evidence.ROLLBACK_KEY, evidence.SUMS, evidence.GONE],
-        "places": [canonical(evidence.place_of(key)) for key in [*keys, *odd]],
+        "keys": [
+            *keys,
+            evidence.COUNTS_KEY_PREFIX,
+            evidence.ROLLBACK_KEY,
+            evidence.SUMMARY_KEY_PREFIX,
+            evidence.ZONE_ROLLBACKS_KEY,
+        ],
+        "places": [canonical(evidence.parse_counts_key(key)) for key in [*keys, *odd]],
         "marks": list(evidence.FAULT_KINDS),
-        "digests": [lifecycle.document_digest(data) for data in (b"", b"{}", b"x" * 5000)],
+        "digests": [plan.document_digest(data) for data in (b"", b"{}", b"x" * 5000)],
     }
 
 
@@ -255,12 +276,12 @@
     return None if value is None else [label, canonical(value)]
 
 
-def draw_course(draw: random.Random) -> lifecycle.RolloutPlan:
+def draw_course(draw: random.Random) -> plan.RolloutPlan:
     """Draw a plan."""
     count = draw.randrange(1, 6)
     parts = sorted(draw.choice((0.05, 0.2, 0.5, 0.9, 1.0)) for _ in range(count - 1))
     steps = [
-        lifecycle.Stage(
+        plan.Stage(
             volume_fraction=part,
             zones=draw.choice((None, ["z0"], ["z0", "z1"])),
             control_fraction=draw.choice((0.02, 0.1, 0.5, 0.95)),
@@ -269,10 +290,10 @@
         )
         for part in parts
     ]
-    last = lifecycle.Stage(
+    last = plan.Stage(
         control_fraction=draw.choice((0.1, 0.5)), min_duration_ms=100.0, min_answers=draw.choice((0, 20))
     )
-    levels = lifecycle.Thresholds(
+    levels = plan.Thresholds(
         false_halt_probability=draw.choice((0.01, 0.2)),
         tolerated_odds_ratio=draw.choice((1.0, 1.1, 2.0)),
         rollback_odds_ratio=draw.choice((1.0, 2.0, 4.0)),
@@ -280,14 +301,14 @@
         rollbacks_to_halt=draw.choice((1, 2, 3)),
         stage_timeout_ms=draw.choice((1000.0, 3000.0)),
     )
-    return lifecycle.RolloutPlan(stages=[*steps, last], thresholds=levels)
+    return plan.RolloutPlan(stages=[*steps, last], thresholds=levels)
 
 
 def stages_digest(seed: int) -> str:
     """Drive a leader's steps and operators' orders over several rollouts."""
     draw, digest = random.Random(f"stages/{seed}"), Digest()
-    course, state, pace = draw_course(draw), None, lifecycle.StagePacer()
-    sure, now, number = lifecycle.ReadLease(), 0.0, 5
+    course, state, pace = draw_course(draw), None, pacing.StagePacer()
+    sure, now, number = read_lease.ReadLease(), 0.0, 5
     for _ in range(300):
         now += draw.choice((0.0, 10.0, 50.0, 150.0, 700.0))
         act = draw.random()
@@ -305,7 +326,7 @@
             sure.record_read(number - draw.choice((0, 0, 1)), now - draw.choice((0.0, 90.0)), 500.0)
             result = None
         else:
-            findings = lifecycle.LeaderFindings(
+            findings = pacing.LeaderFindings(
                 draw.choice((0, 4, 5, 60)),
                 "class a: late" if draw.random() < 0.01 else "",
                 draw.choice((0, 0, 0, 0, 0, 1, 2)),
@@ -316,11 +337,11 @@
             state, number = result, number + draw.choice((1, 3))
         digest.add(canonical(result))
         volume, zone = f"v{draw.randrange(40)}", draw.choice(("z0", "z1", "z2"))
-        digest.add(canonical(lifecycle.eligible_stage(state, course, volume, zone)))
-        digest.add(lifecycle.selects_volume(f"{seed:024x}", volume, draw.choice((0.01, 0.5, 0.99, 1.0))))
+        digest.add(canonical(selection.eligible_stage(state, course, volume, zone)))
+        digest.add(selection.selects_volume(f"{seed:024x}", volume, draw.choice((0.01, 0.5, 0.99, 1.0))))
         digest.add(sure.is_valid(number, now))
-    digest.add(canonical(lifecycle.eligible_stage(None, course, "v", "z0")))
-    digest.add(canonical(lifecycle.eligible_stage(state, None, "v", "z0")))
+    digest.add(canonical(selection.eligible_stage(None, course, "v", "z0")))
+    digest.add(canonical(selection.eligible_stage(state, None, "v", "z0")))
     return digest.hex()
 
 
@@ -335,14 +356,16 @@
 def starts_digest(seed: int) -> str:
     """Drive what a process keeps of its starts under candidates."""
     draw, digest = random.Random(f"starts/{seed}"), Digest()
-    kept, wall = lifecycle.Starts(), 1e12
+    kept, wall = crash_record.CrashRecord(), 1e12
     for _ in range(120):
         wall += draw.choice((10.0, 1000.0, 40000.0, -500.0))
         name = draw.choice((ONE, ONE, ONE, TWO)) if draw.random() < 0.3 else kept.digest or ONE
-        kept = lifecycle.began(kept, name, wall, most=draw.choice((1, 3, 20)), within_ms=60000.0)
+        kept = crash_record.record_start(
+            kept, name, wall, max_starts=draw.choice((1, 3, 20)), window_ms=60000.0
+        )
         digest.add(canonical(kept))
         if draw.random() < 0.4:
-            kept = msgspec.structs.replace(kept, open=False)
+            kept = msgspec.structs.replace(kept, running=False)
     return digest.hex()
 
 
@@ -383,7 +406,7 @@
     return [[canonical(place), [sorted(odds) for odds in tops[place]]] for place in sorted(tops)]
 
 
-def _trial(draw: random.Random, own: evidence.LocalCounts, worse: float, classes: int) -> None:
+def _trial(draw: random.Random, own: counts.LocalCounts, worse: float, classes: int) -> None:
     candidate = draw.random() < 0.5
     chance = 0.05 * (worse if candidate else 1.0)
     ended = evidence.RequestOutcome.SERVED
@@ -406,8 +429,8 @@
     worse = draw.choice((1.0, 1.0, 3.0, 8.0))
     sick = draw.choice((0, 0, 1))  # processes that alone fare badly
     lives = [(f"p{n % 6}", 1 + n // 6) for n in range(8)]
-    owns = {origin: evidence.LocalCounts(ONE) for origin in lives}
-    heard, sums, late = evidence.FleetCounts(ONE), verdict.ZoneSummarizer(), verdict.ZoneSummarizer()
+    owns = {origin: counts.LocalCounts(ONE) for origin in lives}
+    heard, sums, late = counts.FleetCounts(ONE), summaries.ZoneSummarizer(), summaries.ZoneSummarizer()
     sums.follow(ONE, course, classes)
     rows: dict[str, dict[str, bytes]] = {}
     entries: list[tuple[tuple[str, int], str, bytes]] = []
@@ -444,7 +467,7 @@
             [[zone, tallies(c)] for zone, c in sorted(heard.totals_by_group(lambda n: n[-1:]).items())]
         )
         digest.add(evidence_rows(draw, digest, sums, lives, rows, course, classes))
-        digest.add([sums.refused, late.refused, canonical(sums.broadcast(rows, 0.0))])
+        digest.add([sums.rejected, late.rejected, canonical(sums.broadcast(rows, 0.0))])
     late.follow("", None, 0)
     digest.add(sorted(late.summarize("z0", lives, 0.0).items()))
     digest.add([own_key for origin in lives for own_key in owns[origin].keys()])
@@ -458,10 +481,10 @@
 def evidence_rows(
     draw: random.Random,
     digest: Digest,
-    sums: verdict.ZoneSummarizer,
+    sums: summaries.ZoneSummarizer,
     lives: list[tuple[str, int]],
     rows: dict[str, dict[str, bytes]],
-    course: lifecycle.RolloutPlan,
+    course: plan.RolloutPlan,
     classes: int,
 ) -> Any:
     """Return what a leader makes of collectors' sums; `rows` are the fullest so far."""
@@ -473,15 +496,15 @@
         parts["z1"] = {}
     if draw.random() < 0.2:
         parts["z2"] = {"rollout/sum/0": b"broken", "rollout/gone": b"broken", "rollout/sum/x": b"", "y": b""}
-    verdict.keep_fullest(rows, parts, ONE)
-    summed = verdict.FleetSummary(ONE, {**rows, "broken": {"rollout/sum/0": b"broken"}})
-    foreign = verdict.FleetSummary(TWO, rows)
+    summaries.keep_fullest(rows, parts, ONE)
+    summed = summaries.FleetSummary(ONE, {**rows, "broken": {"rollout/sum/0": b"broken"}})
+    foreign = summaries.FleetSummary(TWO, rows)
     tops = odds_of(summed.top_factors(course, classes, course.thresholds.min_accusers - 1))
     return [
         [[zone, list(kept.items())] for zone, kept in sorted(rows.items())],
         view_values(summed),
         view_values(foreign),
-        summed.refused,
+        summed.rejected,
         tops,
         [[zone, tallies(counts)] for zone, counts in sorted(summed.zones.items())],
         [accusation(a) for a in verdict.accusations(summed, course, classes)],
@@ -536,17 +559,17 @@
     def get(self, digest: str) -> str | None:
         return self.own if not digest else digest if digest in self.documents else None
 
-    def check(self, data: bytes, good: str) -> tuple[bytes, lifecycle.RolloutPlan]:
+    def check(self, data: bytes, good: str) -> tuple[bytes, plan.RolloutPlan]:
         return data, self._read(data)
 
-    def course(self, data: bytes) -> lifecycle.RolloutPlan:
-        if lifecycle.document_digest(data).endswith(("1", "9")):
+    def course(self, data: bytes) -> plan.RolloutPlan:
+        if plan.document_digest(data).endswith(("1", "9")):
             raise InvalidRulesError("not read")
         return self._read(data)
 
-    def _read(self, data: bytes) -> lifecycle.RolloutPlan:
+    def _read(self, data: bytes) -> plan.RolloutPlan:
         try:
-            return msgspec.json.decode(data, type=lifecycle.RolloutPlan)
+            return msgspec.json.decode(data, type=plan.RolloutPlan)
         except msgspec.DecodeError as error:
             raise InvalidRulesError(str(error)) from None
 
@@ -754,7 +777,7 @@
                 draw.choice(
                     (
                         msgspec.structs.replace(state, stage=min(state.stage + 1, len(plan.stages) - 1)),
-                        lifecycle.end_rollout(state, "halted", "by another", {}),
+                        lifecycle.end_rollout(state, lifecycle.RolloutStatus.HALTED, "by another", {}),
                         msgspec.structs.replace(
                             state, status="done", good_digest=state.digest, good_slot=state.document_slot
                         ),
@@ -830,7 +853,7 @@
         if state is None or not isinstance(collect, _Collect) or not isinstance(collect.summaries, _Merged):
             return
         data = self.ground.consensus.stands[lifecycle.DOCUMENT_TOPICS[state.document_slot]].value
-        sums = verdict.ZoneSummarizer()
+        sums = summaries.ZoneSummarizer()
         sums.follow(state.digest, read_course(data), 2)
         for origin, key, value in self.told:
             sums.receive(origin, key, value, 0.0)
--- a/tests/test_collect.py
+++ b/tests/test_collect.py
@@ -29,9 +29,12 @@
 from cressrock.lab.zonesim import Scene, ZoneSim
 from cressrock.membership.membership import Member
 from cressrock.membership.packets import MemberState as Life
-from cressrock.rollout import evidence as re
-from cressrock.rollout import lifecycle as rs
-from cressrock.rollout import verdict as rv
+from cressrock.rollout import evidence
+from cressrock.rollout.counts import FleetCounts, LocalCounts
+from cressrock.rollout.evidence import MAX_TOP_FACTORS, ROLLBACK_KEY, LocalRollback, RequestOutcome
+from cressrock.rollout.plan import DIGEST_BYTES, RolloutPlan, Stage, Thresholds
+from cressrock.rollout.summaries import FleetSummary, ZoneSummarizer, keep_fullest
+from cressrock.rollout.verdict import accusations, accusations_from_counts
 
 TIMES = te.AggregationTimings()
 
@@ -557,9 +560,9 @@
 
 
 def document(accusers):
-    return rs.RolloutPlan(
-        stages=[rs.Stage(volume_fraction=0.5, control_fraction=0.5), rs.Stage(control_fraction=0.2)],
-        thresholds=rs.Thresholds(min_accusers=accusers),
+    return RolloutPlan(
+        stages=[Stage(volume_fraction=0.5, control_fraction=0.5), Stage(control_fraction=0.2)],
+        thresholds=Thresholds(min_accusers=accusers),
     )
 
 
@@ -568,12 +571,12 @@
     found = {}
     for n in range(processes):
         for life in range(1, source.choice([2, 2, 3])):
-            own = re.LocalCounts(digest)
+            own = LocalCounts(digest)
             chance = source.choice([0.02, 0.05, 0.5])
             for _ in range(source.randint(0, 60)):
                 candidate = source.random() < 0.5
                 bad = source.random() < (chance if candidate else 0.05)
-                ended = re.RequestOutcome.REJECTED if bad else re.RequestOutcome.SERVED
+                ended = RequestOutcome.REJECTED if bad else RequestOutcome.SERVED
                 own.record(source.randrange(2), source.randrange(2), candidate, ended, 10.0, 100.0)
             found[f"e{n}", life] = own.drain_changes()
     return found
@@ -583,8 +586,8 @@
 @given(st.integers(0, 2**32), st.sampled_from([1, 2, 3, 5, 8]))
 def test_rollouts_sums_by_zone_accuse_as_all_counts_do_and_never_more(seed, accusers):
     source = random.Random(seed)
-    digest, course = "ab" * (rs.DIGEST_BYTES), document(accusers)
-    heard, zones = re.FleetCounts(digest), {z: rv.ZoneSummarizer() for z in "abc"}
+    digest, course = "ab" * (DIGEST_BYTES), document(accusers)
+    heard, zones = FleetCounts(digest), {z: ZoneSummarizer() for z in "abc"}
     for one in zones.values():
         one.follow(digest, course, 2)
     lives = counted(source, source.randint(1, 20), digest)
@@ -597,13 +600,13 @@
         z: one.summarize(z, [o for o in lives if "abc"[int(o[0][1:]) % 3] == z], 0.0)
         for z, one in zones.items()
     }
-    view = rv.FleetSummary(digest, parts)
+    view = FleetSummary(digest, parts)
     assert view.totals == {p: t for p, t in heard.totals.items()}
     assert view.process_count() == heard.process_count() and view.candidate_trials(
         1
     ) == heard.candidate_trials(1)
-    one, other = rv.accusations_from_counts(heard, course, 2), rv.accusations(view, course, 2)
-    if accusers - 1 <= re.MAX_TOP_FACTORS:
+    one, other = accusations_from_counts(heard, course, 2), accusations(view, course, 2)
+    if accusers - 1 <= MAX_TOP_FACTORS:
         assert [(a.request_class, a.fault_kind, a.candidate) for a in one] == [
             (a.request_class, a.fault_kind, a.candidate) for a in other
         ]
@@ -614,37 +617,37 @@
         assert all(b.log_wealth <= sure.get((b.request_class, b.fault_kind), -1.0) + 1e-3 for b in other)
     # What a life that is gone has told counts on, and a collector with less replaces nothing.
     held = {}
-    rv.keep_fullest(held, parts, digest)
-    fewer = rv.ZoneSummarizer()
+    keep_fullest(held, parts, digest)
+    fewer = ZoneSummarizer()
     fewer.follow(digest, course, 2)
     for origin, told in list(lives.items())[:1]:
         for key, value in told:
             fewer.receive(origin, key, value, 0.0)
-    rv.keep_fullest(held, {"a": fewer.summarize("a", list(lives)[:1], 0.0)}, digest)
-    rv.keep_fullest(held, {"a": {"rollout/sum/0": b"\x01", "x": b"y"}}, digest)
-    assert rv.FleetSummary(digest, held).totals == view.totals
-    rv.keep_fullest(held, parts, "cd" * rs.DIGEST_BYTES)
-    assert rv.FleetSummary("cd" * rs.DIGEST_BYTES, held).totals == {}
+    keep_fullest(held, {"a": fewer.summarize("a", list(lives)[:1], 0.0)}, digest)
+    keep_fullest(held, {"a": {"rollout/sum/0": b"\x01", "x": b"y"}}, digest)
+    assert FleetSummary(digest, held).totals == view.totals
+    keep_fullest(held, parts, "cd" * DIGEST_BYTES)
+    assert FleetSummary("cd" * DIGEST_BYTES, held).totals == {}
 
 
 def test_sums_of_a_candidate_that_is_heard_of_late_count_what_was_told_before():
-    digest, sums = "ab" * rs.DIGEST_BYTES, rv.ZoneSummarizer()
-    own = re.LocalCounts(digest)
-    own.record(0, 0, True, re.RequestOutcome.SERVED, 1.0, 10.0)
+    digest, sums = "ab" * DIGEST_BYTES, ZoneSummarizer()
+    own = LocalCounts(digest)
+    own.record(0, 0, True, RequestOutcome.SERVED, 1.0, 10.0)
     for key, value in own.drain_changes():
         sums.receive(("e1", 1), key, value, 0.0)
-    back = re.encode(re.LocalRollback(bytes.fromhex(digest), "too slow"))
-    sums.receive(("e1", 1), re.ROLLBACK_KEY, back, 0.0)
+    back = evidence.encode(LocalRollback(bytes.fromhex(digest), "too slow"))
+    sums.receive(("e1", 1), ROLLBACK_KEY, back, 0.0)
     assert sums.summarize("a", [("e1", 1)], 0.0) == {}
     sums.follow(digest, document(2), 2)
-    view = rv.FleetSummary(digest, {"a": sums.summarize("a", [("e1", 1)], 0.0)})
+    view = FleetSummary(digest, {"a": sums.summarize("a", [("e1", 1)], 0.0)})
     assert (
         view.candidate_trials(0) == 1
         and view.rollback_count() == 1
         and view.rollback_reasons == {"e1": "too slow"}
     )
     sums.forget(("e1", 1))
-    assert rv.FleetSummary(digest, {"a": sums.summarize("a", [], 0.0)}).candidate_trials(0) == 1
+    assert FleetSummary(digest, {"a": sums.summarize("a", [], 0.0)}).candidate_trials(0) == 1
 
 
 # --- the carrier, without a network
--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -16,9 +16,32 @@
     RolloutNotFoundError,
     UnknownRulesVersionError,
 )
-from cressrock.rollout import evidence as e
-from cressrock.rollout import lifecycle as s
-from cressrock.rollout import verdict as v
+from cressrock.rollout import evidence, lifecycle
+from cressrock.rollout.betting import log_wealths
+from cressrock.rollout.counts import FleetCounts, LocalCounts
+from cressrock.rollout.crash_record import CrashRecord, record_start
+from cressrock.rollout.evidence import (
+    FAULT_KINDS,
+    CountsEntry,
+    LocalRollback,
+    OutcomeCounts,
+    RequestOutcome,
+    counts_key,
+    decode_counts,
+    decode_rollback,
+)
+from cressrock.rollout.lifecycle import (
+    MAX_ENDED_DIGESTS,
+    RolloutState,
+    RolloutStatus,
+    advance,
+    end_rollout,
+    start_rollout,
+)
+from cressrock.rollout.pacing import LeaderFindings, StagePacer
+from cressrock.rollout.plan import RolloutPlan, Stage, document_digest
+from cressrock.rollout.selection import eligible_stage, selects_volume
+from cressrock.rollout.verdict import accusations_from_counts, local_accusation
 from cressrock.settings import rules as r
 from cressrock.settings.load import convert
 from cressrock.settings.types import METHODS, interface_settings
@@ -50,11 +73,11 @@
     "volumes": {"vol": {"shards": [0, 1], "plan": "a"}},
     "node_list": {"address": "127.0.0.1:1"},
 }
-COURSE = s.RolloutPlan(
+COURSE = RolloutPlan(
     stages=[
-        s.Stage(volume_fraction=0.05, min_duration_ms=100, min_answers=10),
-        s.Stage(zones=["z"], min_duration_ms=100, min_answers=10),
-        s.Stage(control_fraction=0.1, min_duration_ms=100, min_answers=10),
+        Stage(volume_fraction=0.05, min_duration_ms=100, min_answers=10),
+        Stage(zones=["z"], min_duration_ms=100, min_answers=10),
+        Stage(control_fraction=0.1, min_duration_ms=100, min_answers=10),
     ]
 )
 
@@ -87,7 +110,7 @@
         rules=r.Rules(
             classes=[r.ClassRules(name="c", methods=["GET"], aim_ms=1.0, deadline_ms=2.0)], plans={}
         ),
-        course=s.RolloutPlan(stages=[s.Stage()]),
+        course=RolloutPlan(stages=[Stage()]),
     )
     assert r.digest(small) == "e20b276750e81c92bd234cd5"
 
@@ -163,39 +186,43 @@
 
 
 def test_golden_samples():
-    state = s.RolloutState(3, "running", "ab" * 12, 1, 2, "cd" * 12, 0, "why", {"x": 1.0}, ["ef" * 12])
-    assert s.encode(state).hex() == (
+    state = RolloutState(3, "running", "ab" * 12, 1, 2, "cd" * 12, 0, "why", {"x": 1.0}, ["ef" * 12])
+    assert lifecycle.encode(state).hex() == (
         "9b0103a772756e6e696e67b86162616261626162616261626162616261626162616261620102b8636463646364636463"
         "64636463646364636463646364636400a377687981a178cb3ff000000000000091b86566656665666566656665666566"
         "65666566656665666566"
     )
-    assert s.decode(s.encode(state)) == state
-    piece = e.CountsEntry(bytes(12), e.OutcomeCounts([1, 2], [[0, 1]] * 5))
-    assert e.encode(piece).hex() == "9301c40c0000000000000000000000009292010295920001920001920001920001920001"
-    back = e.LocalRollback(bytes(12), "w")
-    assert e.encode(back).hex() == "9301c40c000000000000000000000000a177"
+    assert lifecycle.decode(lifecycle.encode(state)) == state
+    piece = CountsEntry(bytes(12), OutcomeCounts([1, 2], [[0, 1]] * 5))
+    assert (
+        evidence.encode(piece).hex()
+        == "9301c40c0000000000000000000000009292010295920001920001920001920001920001"
+    )
+    back = LocalRollback(bytes(12), "w")
+    assert evidence.encode(back).hex() == "9301c40c000000000000000000000000a177"
     # A later version's further fields are passed over; another version is told apart from damage.
-    wider = msgspec.msgpack.encode([*msgspec.msgpack.decode(s.encode(state)), "more"])
-    assert s.decode(wider) == state
+    wider = msgspec.msgpack.encode([*msgspec.msgpack.decode(lifecycle.encode(state)), "more"])
+    assert lifecycle.decode(wider) == state
     with pytest.raises(UnknownRulesVersionError):
-        s.decode(msgspec.msgpack.encode([2, "anything"]))
+        lifecycle.decode(msgspec.msgpack.encode([2, "anything"]))
     with pytest.raises(UnknownRulesVersionError):
-        e.read_piece(msgspec.msgpack.encode([2, "anything"]))
+        decode_counts(msgspec.msgpack.encode([2, "anything"]))
     assert (
-        len(e.encode(e.CountsEntry(bytes(12), e.OutcomeCounts([2**53, 2**53], [[2**53, 2**53]] * 5)))) <= 640
+        len(evidence.encode(CountsEntry(bytes(12), OutcomeCounts([2**53, 2**53], [[2**53, 2**53]] * 5))))
+        <= 640
     )
     full = msgspec.structs.replace(
         state,
         reason="w" * 120,
         statistics={f"marks {n:02}": 1e300 for n in range(12)},
-        ended_digests=["0" * 12] * s.SPENT,
+        ended_digests=["0" * 12] * MAX_ENDED_DIGESTS,
     )
-    assert len(s.encode(full)) <= 600  # it goes by the spread itself, and needs no seat to be asked
+    assert len(lifecycle.encode(full)) <= 600  # it goes by the spread itself, and needs no seat to be asked
 
 
 @given(st.binary(max_size=64))
 def test_whatever_bytes_come_are_read_or_refused_by_type(data):
-    for read in (s.decode, e.read_piece, e.read_back, r.read):
+    for read in (lifecycle.decode, decode_counts, decode_rollback, r.read):
         try:
             read(data)
         except (InvalidRulesError, UnknownRulesVersionError):
@@ -203,36 +230,36 @@
 
 
 def test_a_rollout_goes_through_its_stages_and_never_begins_again_unchanged():
-    state = s.start_rollout(None, b"one")
+    state = start_rollout(None, b"one")
     with pytest.raises(RolloutInProgressError):
-        s.start_rollout(state, b"two")
+        start_rollout(state, b"two")
     for stage in (1, 2):
-        state = s.advance(state, COURSE, {})
+        state = advance(state, COURSE, {})
         assert (state.stage, state.running) == (stage, True)
-    state = s.advance(state, COURSE, {"answers": 5.0})
-    assert (state.status, state.good_digest, state.good_slot) == ("done", s.document_digest(b"one"), 0)
+    state = advance(state, COURSE, {"answers": 5.0})
+    assert (state.status, state.good_digest, state.good_slot) == ("done", document_digest(b"one"), 0)
     with pytest.raises(RolloutAlreadyEndedError):
-        s.start_rollout(state, b"one")  # it is the good one
+        start_rollout(state, b"one")  # it is the good one
     with pytest.raises(RolloutNotFoundError):
-        s.end_rollout(state, "withdrawn", "", {})
-    state = s.start_rollout(state, b"two")
+        end_rollout(state, RolloutStatus.WITHDRAWN, "", {})
+    state = start_rollout(state, b"two")
     assert (state.document_slot, state.good_slot) == (1, 0)  # never over the good one's document
-    state = s.end_rollout(state, "halted", "worse", {})
-    assert (state.good_digest, state.running) == (s.document_digest(b"one"), False)
+    state = end_rollout(state, RolloutStatus.HALTED, "worse", {})
+    assert (state.good_digest, state.running) == (document_digest(b"one"), False)
     with pytest.raises(RolloutAlreadyEndedError):
-        s.start_rollout(state, b"two")
+        start_rollout(state, b"two")
     for number in range(40):
-        state = s.end_rollout(s.start_rollout(state, b"x%d" % number), "expired", "", {})
-    assert len(state.ended_digests) == s.SPENT
+        state = end_rollout(start_rollout(state, b"x%d" % number), RolloutStatus.EXPIRED, "", {})
+    assert len(state.ended_digests) == MAX_ENDED_DIGESTS
 
 
 def test_a_stage_takes_its_time_and_evidence_on_one_leaders_clock_and_never_steps_without():
-    pace, state = s.StagePacer(), s.start_rollout(None, b"one")
-    enough = s.LeaderFindings(10)
+    pace, state = StagePacer(), start_rollout(None, b"one")
+    enough = LeaderFindings(10)
     assert pace.next_state(0, 7, state, COURSE, enough) is None
     assert pace.next_state(99, 7, state, COURSE, enough) is None
-    assert pace.next_state(100, 7, state, COURSE, s.LeaderFindings(9)) is None
-    new = s.StagePacer()  # another leader: the time begins anew
+    assert pace.next_state(100, 7, state, COURSE, LeaderFindings(9)) is None
+    new = StagePacer()  # another leader: the time begins anew
     assert new.next_state(100, 7, state, COURSE, enough) is None
     assert new.next_state(199, 7, state, COURSE, enough) is None
     after = new.next_state(200, 7, state, COURSE, enough)
@@ -241,45 +268,47 @@
     assert new.next_state(201, 8, after, COURSE, enough) is None
     assert new.next_state(300, 8, after, COURSE, enough) is None
     assert new.next_state(301, 8, after, COURSE, enough).stage == 2
-    halted = new.next_state(301, 8, after, COURSE, s.LeaderFindings(10, "worse"))
+    halted = new.next_state(301, 8, after, COURSE, LeaderFindings(10, "worse"))
     assert (halted.status, halted.reason, halted.ended_digests) == ("halted", "worse", [state.digest[:12]])
-    assert new.next_state(301, 8, after, COURSE, s.LeaderFindings(0, rollback_count=2)).status == "halted"
-    assert new.next_state(201 + 3.6e6, 8, after, COURSE, s.LeaderFindings(0)).status == "expired"
+    assert new.next_state(301, 8, after, COURSE, LeaderFindings(0, rollback_count=2)).status == "halted"
+    assert new.next_state(201 + 3.6e6, 8, after, COURSE, LeaderFindings(0)).status == "expired"
     assert new.next_state(9e9, 9, halted, COURSE, enough) is None
 
 
 def test_parts_grow_and_another_document_draws_anew():
     volumes = [f"v{n}" for n in range(2000)]
-    one, two = s.document_digest(b"1"), s.document_digest(b"2")
-    small = {x for x in volumes if s.selects_volume(one, x, 0.05)}
-    assert small <= {x for x in volumes if s.selects_volume(one, x, 0.3)}
+    one, two = document_digest(b"1"), document_digest(b"2")
+    small = {x for x in volumes if selects_volume(one, x, 0.05)}
+    assert small <= {x for x in volumes if selects_volume(one, x, 0.3)}
     assert 60 < len(small) < 140
-    assert len(small & {x for x in volumes if s.selects_volume(two, x, 0.05)}) < 25
-    state = s.start_rollout(None, b"1")
+    assert len(small & {x for x in volumes if selects_volume(two, x, 0.05)}) < 25
+    state = start_rollout(None, b"1")
     inside = next(iter(small))
-    assert s.eligible_stage(state, COURSE, inside, "z") == COURSE.stages[0]
-    second = s.advance(state, COURSE, {})
-    assert s.eligible_stage(second, COURSE, "any", "y") is None
-    assert s.eligible_stage(second, COURSE, "any", "z") is not None
-    assert s.eligible_stage(s.end_rollout(state, "halted", "", {}), COURSE, inside, "z") is None
+    assert eligible_stage(state, COURSE, inside, "z") == COURSE.stages[0]
+    second = advance(state, COURSE, {})
+    assert eligible_stage(second, COURSE, "any", "y") is None
+    assert eligible_stage(second, COURSE, "any", "z") is not None
+    assert eligible_stage(end_rollout(state, RolloutStatus.HALTED, "", {}), COURSE, inside, "z") is None
 
 
 def test_a_process_that_a_candidate_kills_three_times_goes_back_and_one_that_ends_in_order_does_not():
-    kept = s.Starts()
+    kept = CrashRecord()
     backs = []
     for wall in (0, 1000, 2000, 3000, 4000):
-        kept = s.began(kept, "aa", wall, most=3, within_ms=60000)
-        backs.append(kept.back != "")
+        kept = record_start(kept, "aa", wall, max_starts=3, window_ms=60000)
+        backs.append(kept.rollback_reason != "")
     assert backs == [False, False, False, True, True]  # the fourth start finds three without an end
-    kept = s.Starts()
+    kept = CrashRecord()
     for wall in range(0, 10000, 1000):
-        kept = msgspec.structs.replace(s.began(kept, "aa", wall, most=3, within_ms=60000), open=False)
-    assert not kept.back
-    slow = s.Starts()
+        kept = msgspec.structs.replace(
+            record_start(kept, "aa", wall, max_starts=3, window_ms=60000), running=False
+        )
+    assert not kept.rollback_reason
+    slow = CrashRecord()
     for wall in range(0, 10**6, 50000):  # seldom enough
-        slow = s.began(slow, "aa", wall, most=3, within_ms=60000)
-    assert not slow.back
-    assert s.began(kept, "bb", 0, most=3, within_ms=1) == s.Starts(digest="bb", open=True)
+        slow = record_start(slow, "aa", wall, max_starts=3, window_ms=60000)
+    assert not slow.rollback_reason
+    assert record_start(kept, "bb", 0, max_starts=3, window_ms=1) == CrashRecord(digest="bb", running=True)
 
 
 # --- counts that merge
@@ -288,7 +317,7 @@
     st.integers(0, 2),
     st.integers(0, 1),
     st.booleans(),
-    st.sampled_from(list(e.RequestOutcome)),
+    st.sampled_from(list(RequestOutcome)),
     st.floats(0, 500),
 )
 
@@ -299,13 +328,13 @@
     digest = "00" * 12
     entries, last = [], {}
     for number, ends in enumerate(processes):
-        own = e.LocalCounts(digest)
+        own = LocalCounts(digest)
         for cls, stage, candidate, ended, ms in ends:
             own.record(cls, stage, candidate, ended, ms, 200.0)
             entries += [((f"p{number}", 1), key, value) for key, value in own.drain_changes()]
     for origin, key, value in entries:
         last[origin, key] = value
-    heard, shuffled = e.FleetCounts(digest), e.FleetCounts(digest)
+    heard, shuffled = FleetCounts(digest), FleetCounts(digest)
     for (origin, key), value in last.items():
         heard.merge(origin, key, value)
     many = entries * 2
@@ -317,18 +346,18 @@
         map(len, processes)
     )
     assert not any(heard.merge(*entry) for entry in entries)
-    assert not e.FleetCounts("11" * 12).merge(*(entries or [(("p", 1), "x", b"")])[0])
+    assert not FleetCounts("11" * 12).merge(*(entries or [(("p", 1), "x", b"")])[0])
 
 
 def test_marks_are_measured_by_the_good_versions_aim():
-    own = e.LocalCounts("00" * 12)
+    own = LocalCounts("00" * 12)
     for ended, ms in (
-        (e.RequestOutcome.SERVED, 90),
-        (e.RequestOutcome.SERVED, 120),
-        (e.RequestOutcome.SERVED, 250),
-        (e.RequestOutcome.REJECTED, 900),
-        (e.RequestOutcome.FAILED, 1),
-        (e.RequestOutcome.CLIENT_LEFT, 1),
+        (RequestOutcome.SERVED, 90),
+        (RequestOutcome.SERVED, 120),
+        (RequestOutcome.SERVED, 250),
+        (RequestOutcome.REJECTED, 900),
+        (RequestOutcome.FAILED, 1),
+        (RequestOutcome.CLIENT_LEFT, 1),
     ):
         own.record(0, 0, True, ended, ms, 200.0)
     assert own.counts[0, 0].trials == [6, 0]
@@ -340,10 +369,10 @@
 
 def heard_of(processes):
     """Return counts as of processes' (candidate bad, candidate trials, good bad, good trials) refusals."""
-    heard = e.FleetCounts("00" * 12)
+    heard = FleetCounts("00" * 12)
     for number, (bad, trials, other, others) in enumerate(processes):
-        tally = e.OutcomeCounts([trials, others], [[bad, other], *[[0, 0] for _ in e.FAULT_KINDS[1:]]])
-        heard.merge((f"p{number}", 1), e.counts_key(0, 0), e.encode(e.CountsEntry(bytes(12), tally)))
+        tally = OutcomeCounts([trials, others], [[bad, other], *[[0, 0] for _ in FAULT_KINDS[1:]]])
+        heard.merge((f"p{number}", 1), counts_key(0, 0), evidence.encode(CountsEntry(bytes(12), tally)))
     return heard
 
 
@@ -352,8 +381,8 @@
     for share in (0.1, 0.5, 0.9):
         for tolerate in (1.0, 1.3):
             null = tolerate * (1 - share) / (tolerate * (1 - share) + share)
-            bad = v.log_wealths(e.OutcomeCounts([0, 0], [[1, 0]] * 5), 0, share, tolerate)
-            good = v.log_wealths(e.OutcomeCounts([0, 0], [[0, 1]] * 5), 0, share, tolerate)
+            bad = log_wealths(OutcomeCounts([0, 0], [[1, 0]] * 5), 0, share, tolerate)
+            good = log_wealths(OutcomeCounts([0, 0], [[0, 1]] * 5), 0, share, tolerate)
             for one, other in zip(bad, good, strict=True):
                 won, lost = math.exp(one), math.exp(other)
                 assert null * won + (1 - null) * lost == pytest.approx(1.0)
@@ -361,31 +390,29 @@
 
 
 def test_many_processes_accuse_and_one_alone_does_not():
-    assert not v.accusations_from_counts(
-        heard_of([(300, 400, 5, 400)]), COURSE, 5
-    )  # one process, however sure
-    found = v.accusations_from_counts(heard_of([(40, 400, 10, 400)] * 4), COURSE, 5)
+    assert not accusations_from_counts(heard_of([(300, 400, 5, 400)]), COURSE, 5)  # one process, however sure
+    found = accusations_from_counts(heard_of([(40, 400, 10, 400)] * 4), COURSE, 5)
     assert found and found[0].fault_kind == "refused" and found[0].candidate == (160, 1600)
     assert "refused 160 of 1600" in found[0].describe(["reads", "x", "y", "z", "w"])
     # What fails both alike accuses nothing, however much it is.
-    assert not v.accusations_from_counts(heard_of([(390, 400, 385, 400)] * 50), COURSE, 5)
-    assert not v.accusations_from_counts(heard_of([(10, 400, 40, 400)] * 50), COURSE, 5)
+    assert not accusations_from_counts(heard_of([(390, 400, 385, 400)] * 50), COURSE, 5)
+    assert not accusations_from_counts(heard_of([(10, 400, 40, 400)] * 50), COURSE, 5)
 
 
 def test_a_process_far_worse_goes_back_alone():
-    own = e.LocalCounts("00" * 12)
+    own = LocalCounts("00" * 12)
     draw = random.Random(1)
     ends = {True: 0.5, False: 0.02}
     for _ in range(400):
         candidate = draw.random() < 0.5
-        ended = e.RequestOutcome.FAILED if draw.random() < ends[candidate] else e.RequestOutcome.SERVED
+        ended = RequestOutcome.FAILED if draw.random() < ends[candidate] else RequestOutcome.SERVED
         own.record(1, 0, candidate, ended, 10.0, 200.0)
-    found = v.local_accusation(own, COURSE, 5)
+    found = local_accusation(own, COURSE, 5)
     assert found is not None and (found.request_class, found.fault_kind) == (1, "failed")
     ends[True] = 0.04
-    own = e.LocalCounts("00" * 12)
+    own = LocalCounts("00" * 12)
     for _ in range(4000):
         candidate = draw.random() < 0.5
-        ended = e.RequestOutcome.FAILED if draw.random() < ends[candidate] else e.RequestOutcome.SERVED
+        ended = RequestOutcome.FAILED if draw.random() < ends[candidate] else RequestOutcome.SERVED
         own.record(1, 0, candidate, ended, 10.0, 200.0)
-    assert v.local_accusation(own, COURSE, 5) is None  # worse, but that is for all to judge
+    assert local_accusation(own, COURSE, 5) is None  # worse, but that is for all to judge
--- a/tests/test_rollout_parts.py
+++ b/tests/test_rollout_parts.py
@@ -12,7 +12,7 @@
 from cressrock.link import messages as m
 from cressrock.link.protocol import RULE_VERSIONS, Link, Role
 from cressrock.planner.planner import Planner, PlannerLimits
-from cressrock.rollout import lifecycle as s
+from cressrock.rollout.read_lease import ReadLease
 from cressrock.scheduler.scheduler import Scheduler
 from cressrock.settings.load import convert
 from tests.test_edge import CLASSES, PLANS, World
@@ -221,7 +221,7 @@
 
 
 def test_a_read_counts_from_its_beginning_and_for_one_number():
-    sure = s.ReadLease()
+    sure = ReadLease()
     assert not sure.is_valid(1, 0.0)
     sure.record_read(1, 100.0, 1000.0)
     assert sure.is_valid(1, 1099.0) and not sure.is_valid(1, 1100.0) and not sure.is_valid(2, 200.0)
