--- a/cressrock/lab/copysim.py
+++ b/cressrock/lab/copysim.py
@@ -16,11 +16,26 @@
 from cressrock.lab.copystore import CopyStore
 from cressrock.lab.histories import Operation, Verdict, judge
 from cressrock.lab.rack import Done, Rack, Task
-from cressrock.replication import in_sync_set as m
-from cressrock.replication import repair as rp
 from cressrock.replication import transitions
-from cressrock.replication import write as w
-from cressrock.replication.in_sync_set import InSyncSet, ReplicaState
+from cressrock.replication.headers import Rejection
+from cressrock.replication.in_sync_set import InSyncSet, Replica, ReplicaState
+from cressrock.replication.operations import (
+    Disposition,
+    EvictReplicas,
+    FetchRecord,
+    MarkCommitted,
+    OperationKind,
+    OperationOutcome,
+    PerformOperations,
+    RefreshSet,
+    ReplicaOperation,
+    ReplicaResult,
+    SafetyRules,
+)
+from cressrock.replication.read import read_replicated
+from cressrock.replication.records import Record, decode_page, parse_version
+from cressrock.replication.repair import InspectStore, ListMissing, ProposeSet, RepairReport, repair_replica
+from cressrock.replication.write import write_replicated
 from cressrock.webdav.paths import parse
 
 
@@ -100,7 +115,7 @@
             self.racks[zone] = self._rack(index, f"{zone}0")
         self.down: set[str] = set()
         lives = {z: r.copies.life for z, r in self.racks.items()}
-        copies = tuple(m.Replica(z, ReplicaState.IN_SYNC, lives[z]) for z in plan.zones)
+        copies = tuple(Replica(z, ReplicaState.IN_SYNC, lives[z]) for z in plan.zones)
         self.sync = InSyncSet(1, plan.zones[0], copies)
         self.known = [self.sync] * plan.edges
         self.cut: set[tuple[int, str]] = set()  # (edge, zone): cannot reach
@@ -157,23 +172,23 @@
     def do(
         self,
         who: int,
-        op: w.ReplicaOperation,
+        op: ReplicaOperation,
         path: str,
         method: str,
-        then: Callable[[w.ReplicaResult], None],
+        then: Callable[[ReplicaResult], None],
     ) -> None:
         """Send one operation; it may be lost on its way there, or its answer on its way back."""
         draw = self.random
         answered = [False]
 
-        def answer(got: w.ReplicaResult) -> None:
+        def answer(got: ReplicaResult) -> None:
             if not answered[0]:
                 answered[0] = True
                 then(got)
 
         def arrive() -> None:
             if op.zone in self.down or (who, op.zone) in self.cut:
-                self.at(self.some(), lambda: answer(w.ReplicaResult(unreachable=True)))
+                self.at(self.some(), lambda: answer(ReplicaResult(unreachable=True)))
                 return
             got = self.execute(op, path, method)
             if not self.mended and draw.random() < self.plan.lost:
@@ -186,15 +201,15 @@
                 self.at(self.some() + 200.0, arrive)
         else:
             self.at(self.some(), arrive)
-        self.at(150.0, lambda: answer(w.ReplicaResult(may_have_run=True)))
+        self.at(150.0, lambda: answer(ReplicaResult(may_have_run=True)))
 
-    def execute(self, op: w.ReplicaOperation, path: str, method: str) -> w.ReplicaResult:
+    def execute(self, op: ReplicaOperation, path: str, method: str) -> ReplicaResult:
         """Run an operation at the rack, by the headers of docs/copies.md."""
         record = op.record
         life = op.store_id if self.plan.store_fence else ""
         headers = {"x-cressrock-epoch": str(op.epoch), "x-cressrock-copy": f"{op.role};{life}"}
         body: Any = None
-        if op.kind is w.OperationKind.APPLY:
+        if op.kind is OperationKind.APPLY:
             assert record is not None
             path = record.path
             method = {"file": "PUT", "collection": "MKCOL"}.get(record.kind, "DELETE")
@@ -203,7 +218,7 @@
             if record.committed:
                 headers["x-cressrock-sure"] = str(record.version)
             body = op.payload
-        elif op.kind is w.OperationKind.INSPECT:
+        elif op.kind is OperationKind.INSPECT:
             method, path = "HEAD", record.path if record is not None else "/v"
         elif method == "PUT":
             body = op.payload
@@ -232,29 +247,29 @@
     def ask(self, edge: int, asked: Any, path: str, method: str, go: Callable[[Any], None]) -> None:
         """Do what a machine asks for."""
         match asked:
-            case w.PerformOperations(ops):
-                gots: list[w.ReplicaResult | None] = [None] * len(ops)
+            case PerformOperations(ops):
+                gots: list[ReplicaResult | None] = [None] * len(ops)
 
-                def one(index: int, got: w.ReplicaResult) -> None:
+                def one(index: int, got: ReplicaResult) -> None:
                     gots[index] = got
                     if all(g is not None for g in gots):
                         go(list(gots))
 
                 for index, op in enumerate(ops):
                     self.do(edge, op, path, method, lambda got, i=index: one(i, got))  # type: ignore[misc]
-            case w.FetchRecord(op):
+            case FetchRecord(op):
                 assert op.record is not None
 
-                def fetched(got: w.ReplicaResult) -> None:
+                def fetched(got: ReplicaResult) -> None:
                     if got.reply is None or got.reply.status != 200 or got.record is None:
                         go(None)
                     else:
                         go((got.record, got.reply.payload[0].body))
 
                 self.do(edge, op, op.record.path, "GET", fetched)
-            case w.EvictReplicas(zones, old):
+            case EvictReplicas(zones, old):
                 self.at(self.some(20.0), lambda: go(self.put_out(edge, zones, old)))
-            case w.RefreshSet(epoch):
+            case RefreshSet(epoch):
 
                 def refresh() -> None:
                     if self.sync.epoch > self.known[edge].epoch and self.random.random() < 0.8:
@@ -263,7 +278,7 @@
                     go(found if found.epoch >= epoch else None)
 
                 self.at(self.some(20.0), refresh)
-            case w.MarkCommitted(_, at):
+            case MarkCommitted(_, at):
                 for rack in self.racks.values():
                     if self.random.random() < 0.5:
                         fence = rack.copies.fences.get("v")
@@ -273,14 +288,14 @@
                             if copy is not None and copy.store_id == rack.copies.life:
                                 rack.copies._sure(fence, at, asked.in_sync_set.epoch)
                 go(None)
-            case rp.InspectStore(op):
+            case InspectStore(op):
 
                 def look() -> None:
                     lost = op.zone in self.down
                     go(None if lost else self.racks[op.zone].copies.life)
 
                 self.at(self.some(), look)
-            case rp.ListMissing(op, since, after):
+            case ListMissing(op, since, after):
 
                 def listed() -> None:
                     if op.zone in self.down:
@@ -293,10 +308,10 @@
                         "x-cressrock-after": after.encode().hex(),
                     }
                     done = self.racks[op.zone].execute(Task("GET", parse("/v"), headers, None, b"", 0.0))
-                    go(m.decode_page(done.content) if done.status == 200 else None)
+                    go(decode_page(done.content) if done.status == 200 else None)
 
                 self.at(self.some(), listed)
-            case rp.ProposeSet(old, new):
+            case ProposeSet(old, new):
                 self.at(self.some(20.0), lambda: go(self.decide(old, new)))
 
     def _zone(self, rack: Rack) -> str:
@@ -328,11 +343,11 @@
         value = f"{number}.{left}"
         kind = "read" if draw.random() < 0.5 else "write"
         gone = kind == "write" and draw.random() < self.plan.deletes
-        rules = w.SafetyRules(self.plan.decree_first, self.plan.settle)
+        rules = SafetyRules(self.plan.decree_first, self.plan.settle)
 
-        def over(outcome: w.OperationOutcome) -> None:
+        def over(outcome: OperationOutcome) -> None:
             self._say(f"{kind} {outcome.disposition.value}")
-            done = outcome.disposition is w.Disposition.ANSWER
+            done = outcome.disposition is Disposition.ANSWER
             status = outcome.result.reply.status if done and outcome.result is not None else 0
             if kind == "read":
                 if status in (200, 404):
@@ -348,7 +363,7 @@
                 assert outcome.result is not None
                 since = self.behind.get(id(outcome.result.reply), (None, called))[1]
                 self.note(path, "read", min(called, since), result=None)
-            elif outcome.disposition is not w.Disposition.REJECTED:
+            elif outcome.disposition is not Disposition.REJECTED:
                 known = status in (201, 204)
                 self.history.append(
                     Operation(
@@ -361,11 +376,11 @@
         if kind == "read":
             order = list(sync.read_zones)
             draw.shuffle(order)
-            self.run(edge, w.read_replicated(sync, order, rules=rules), path, "GET", over)
+            self.run(edge, read_replicated(sync, order, rules=rules), path, "GET", over)
         else:
             method = "DELETE" if gone else "PUT"
             body = None if gone else Text(value)
-            self.run(edge, w.write_replicated(sync, body, rules), path, method, over)
+            self.run(edge, write_replicated(sync, body, rules), path, method, over)
 
     def note(self, key: str, kind: str, called: float, result: object) -> None:
         """Enter a read."""
@@ -432,7 +447,7 @@
         """Move the first copy where it is lost, bring back what is owed; one thing at a time."""
         sync = self.sync
 
-        def again(report: rp.RepairReport | None = None) -> None:
+        def again(report: RepairReport | None = None) -> None:
             if report is not None and report.rejoined:
                 self._say("back")
             self.at(self.some(40.0), self.planner)
@@ -470,7 +485,7 @@
                 again()
                 return
             if copy.state is not ReplicaState.IN_SYNC and copy.zone not in self.down:
-                plan = rp.repair_replica(sync, copy.zone, skip_last_pass=not self.plan.last_pass)
+                plan = repair_replica(sync, copy.zone, skip_last_pass=not self.plan.last_pass)
                 self.run(-1, plan, "/v", "GET", again)
                 return
         again()
@@ -504,15 +519,15 @@
                 for edge in range(self.plan.edges):
                     self.known[edge] = self.sync
                 called = self.now = self.now + 1
-                found: list[w.OperationOutcome] = []
-                rules = w.SafetyRules(self.plan.decree_first, self.plan.settle)
-                self.run(0, w.read_replicated(self.sync, [zone], rules=rules), path, "GET", found.append)
+                found: list[OperationOutcome] = []
+                rules = SafetyRules(self.plan.decree_first, self.plan.settle)
+                self.run(0, read_replicated(self.sync, [zone], rules=rules), path, "GET", found.append)
                 while self.queue and not found:
                     self.queue.sort(key=lambda q: q[:2])
                     self.now, _, act = self.queue.pop(0)
                     act()
                 (outcome,) = found
-                if outcome.disposition is w.Disposition.ANSWER and outcome.result is not None:
+                if outcome.disposition is Disposition.ANSWER and outcome.result is not None:
                     payload = outcome.result.reply.payload
                     value = payload[0].body.value if payload is not None else None
                     self.now += 1
@@ -527,24 +542,24 @@
         return {k: (r.at, r.kind) for k, r in records.items() if k in self.plan.paths}
 
 
-def got_of(done: Done, path: str) -> w.ReplicaResult:
+def got_of(done: Done, path: str) -> ReplicaResult:
     """Read a rack's answer as machines see it."""
     fields = {k.decode(): v.decode() for k, v in done.headers}
     refused = fields.get("x-cressrock-refused")
     record = None
     if "x-cressrock-version" in fields:
         key = fields.get("x-cressrock-path")
-        record = w.Record(
+        record = Record(
             bytes.fromhex(key).decode() if key else path,
-            m.parse_version(fields["x-cressrock-version"]),
+            parse_version(fields["x-cressrock-version"]),
             fields.get("x-cressrock-kind", "gone"),
-            m.parse_version(fields.get("x-cressrock-cleared", "0.0")),
+            parse_version(fields.get("x-cressrock-cleared", "0.0")),
             fields.get("x-cressrock-sure") == "yes",
         )
-    return w.ReplicaResult(
+    return ReplicaResult(
         done,
         failed=done.status >= 500,
-        rejection=m.Rejection(refused) if refused else None,
+        rejection=Rejection(refused) if refused else None,
         epoch=int(fields.get("x-cressrock-epoch", "0")),
         record=record,
     )
--- a/cressrock/lab/copystore.py
+++ b/cressrock/lab/copystore.py
@@ -13,8 +13,30 @@
 
 from cressrock.errors.replication import InvalidSetError
 from cressrock.http.channel import Headers
-from cressrock.replication import in_sync_set as m
-from cressrock.replication.in_sync_set import NO_VERSION, Rejection, ReplicaState, Version
+from cressrock.replication.headers import (
+    AFTER_HEADER,
+    CLEARED_HEADER,
+    COMMITTED_HEADER,
+    EPOCH_HEADER,
+    KIND_HEADER,
+    MISSING_SINCE_HEADER,
+    PATH_HEADER,
+    REJECTED_HEADER,
+    REPLICA_HEADER,
+    STORE_HEADER,
+    TIMES_HEADER,
+    VERSION_HEADER,
+    Rejection,
+)
+from cressrock.replication.in_sync_set import ReplicaState
+from cressrock.replication.records import (
+    NO_VERSION,
+    RecordEntry,
+    RecordPage,
+    Version,
+    encode_page,
+    parse_version,
+)
 from cressrock.webdav.paths import Path
 
 if TYPE_CHECKING:
@@ -73,20 +95,20 @@
 
         fence = self.fences.setdefault(task.path.volume, Fence())
         try:
-            epoch = int(task.headers[m.EPOCH_HEADER.decode()])
-            role, _, life = task.headers.get(m.REPLICA_HEADER.decode(), "").partition(";")
-            wanted = task.headers.get(m.VERSION_HEADER.decode())
-            at = m.parse_version(wanted) if wanted else None
-            marks = [m.parse_version(v) for v in task.headers.get(m.COMMITTED_HEADER.decode(), "").split()]
+            epoch = int(task.headers[EPOCH_HEADER.decode()])
+            role, _, life = task.headers.get(REPLICA_HEADER.decode(), "").partition(";")
+            wanted = task.headers.get(VERSION_HEADER.decode())
+            at = parse_version(wanted) if wanted else None
+            marks = [parse_version(v) for v in task.headers.get(COMMITTED_HEADER.decode(), "").split()]
         except (ValueError, InvalidSetError) as wrong:
             return Done(400, content=str(wrong).encode())
         reads = (
-            task.method in ("GET", "HEAD", "PROPFIND") and m.MISSING_SINCE_HEADER.decode() not in task.headers
+            task.method in ("GET", "HEAD", "PROPFIND") and MISSING_SINCE_HEADER.decode() not in task.headers
         )
         refusal = self._fence(fence, epoch, role, life, reads)
         if refusal is not None:
-            return Done(409, [(m.REJECTED_HEADER, refusal.encode()), *self._told(fence)])
-        if m.MISSING_SINCE_HEADER.decode() in task.headers:
+            return Done(409, [(REJECTED_HEADER, refusal.encode()), *self._told(fence)])
+        if MISSING_SINCE_HEADER.decode() in task.headers:
             done = self._list(fence, task)
         elif reads:
             done = self._read(fence, task)
@@ -101,7 +123,7 @@
         return replace(done, headers=[*done.headers, *self._told(fence)])
 
     def _told(self, fence: Fence) -> Headers:
-        return [(m.EPOCH_HEADER, str(fence.epoch).encode()), (m.STORE_HEADER, self.life.encode())]
+        return [(EPOCH_HEADER, str(fence.epoch).encode()), (STORE_HEADER, self.life.encode())]
 
     def _fence(self, fence: Fence, epoch: int, role: str, life: str, reads: bool) -> Rejection | None:
         if life and life != self.life:
@@ -144,23 +166,23 @@
 
     def _of(self, key: str, record: Record) -> Headers:
         found: Headers = [
-            (m.PATH_HEADER, key.encode().hex().encode()),
-            (m.VERSION_HEADER, str(record.at).encode()),
-            (m.KIND_HEADER, record.kind.encode()),
-            (m.CLEARED_HEADER, str(record.cleared).encode()),
-            (m.COMMITTED_HEADER, b"yes" if record.sure else b"no"),
+            (PATH_HEADER, key.encode().hex().encode()),
+            (VERSION_HEADER, str(record.at).encode()),
+            (KIND_HEADER, record.kind.encode()),
+            (CLEARED_HEADER, str(record.cleared).encode()),
+            (COMMITTED_HEADER, b"yes" if record.sure else b"no"),
         ]
         resource = self.rack.resources.get(key)
         if resource is not None:
-            found.append((m.TIMES_HEADER, f"{resource.created_ms:.0f} {resource.modified_ms:.0f}".encode()))
+            found.append((TIMES_HEADER, f"{resource.created_ms:.0f} {resource.modified_ms:.0f}".encode()))
         return found
 
     def _list(self, fence: Fence, task: Task) -> Done:
         """List what a copy may lack that had everything of epoch `since`, by path."""
         from cressrock.lab.rack import Done
 
-        since = int(task.headers[m.MISSING_SINCE_HEADER.decode()])
-        after = task.headers.get(m.AFTER_HEADER.decode(), "")
+        since = int(task.headers[MISSING_SINCE_HEADER.decode()])
+        after = task.headers.get(AFTER_HEADER.decode(), "")
         after = bytes.fromhex(after).decode() if after else ""
         keys = sorted(
             key
@@ -170,9 +192,9 @@
         entries = []
         for key in keys[:PAGE]:
             r = fence.records[key]
-            entries.append(m.RecordEntry(key, str(r.at), r.kind, str(r.cleared), r.sure))
-        page = m.RecordPage(tuple(entries), len(keys) > PAGE)
-        return Done(200, [(b"content-type", b"application/vnd.msgpack")], m.encode_page(page))
+            entries.append(RecordEntry(key, str(r.at), r.kind, str(r.cleared), r.sure))
+        page = RecordPage(tuple(entries), len(keys) > PAGE)
+        return Done(200, [(b"content-type", b"application/vnd.msgpack")], encode_page(page))
 
     # --- writing
 
@@ -200,15 +222,13 @@
         key = task.path.key
         kind = _KINDS.get(task.method, "gone")
         cleared = (
-            at
-            if kind != "collection"
-            else m.parse_version(task.headers.get(m.CLEARED_HEADER.decode(), "0.0"))
+            at if kind != "collection" else parse_version(task.headers.get(CLEARED_HEADER.decode(), "0.0"))
         )
         fence.last = max(fence.last, at)
         record = fence.records.get(key)
         if any((r := fence.records.get(a)) is not None and r.cleared > at for a in _above(task.path)):
             return Done(
-                204, [(m.VERSION_HEADER, str(at).encode())]
+                204, [(VERSION_HEADER, str(at).encode())]
             )  # a newer deletion above has taken it with it
         if record is None or record.at < at:
             self._replace(task, kind, at)
@@ -218,7 +238,7 @@
     def _replace(self, task: Task, kind: str, at: Version) -> None:
         rack, key = self.rack, task.path.key
         there = rack.resources.get(key)
-        times = task.headers.get(m.TIMES_HEADER.decode(), "").split()
+        times = task.headers.get(TIMES_HEADER.decode(), "").split()
         created, modified = (float(t) for t in times) if len(times) == 2 else (task.now_ms, task.now_ms)
         if kind == "collection":
             if there is not None and not there.collection:
--- a/cressrock/lab/node.py
+++ b/cressrock/lab/node.py
@@ -22,7 +22,7 @@
 from cressrock.lab.model import Meter, Performance
 from cressrock.lab.rack import Done, Rack, Shared, Task, hold
 from cressrock.lab.trace import Row
-from cressrock.replication.in_sync_set import REJECTED_HEADER
+from cressrock.replication.headers import REJECTED_HEADER
 from cressrock.webdav.paths import InvalidPathError, parse
 
 WRITES = frozenset({"PUT", "DELETE", "MKCOL", "COPY", "MOVE", "PROPPATCH", "LOCK", "UNLOCK"})
--- a/cressrock/programs/gateway.py
+++ b/cressrock/programs/gateway.py
@@ -42,13 +42,11 @@
 from cressrock.presence import service as presence
 from cressrock.presence.rooms import RoomSettings
 from cressrock.presence.service import PresenceService
+from cressrock.replication.known_set import ReplicaPlacement
+from cressrock.replication.publisher import ReachabilityPublisher
 from cressrock.replication.reachability import ReachabilityTracker
-from cressrock.replication.service import (
-    DeadlineShares,
-    ReachabilityPublisher,
-    ReplicaPlacement,
-    ReplicatedVolumes,
-)
+from cressrock.replication.service import ReplicatedVolumes
+from cressrock.replication.shard_request import DeadlineShares
 from cressrock.rollout.service import ProcessSettings as RolloutParts
 from cressrock.rollout.service import RolloutService
 from cressrock.runtime import ClusterRuntime, NodeIdentity, Sockets, SystemSockets
--- a/cressrock/replication/node_protocol.py
+++ b/cressrock/replication/node_protocol.py
@@ -1,4 +1,4 @@
-"""How operations of copies look on the wire: headers out, answers in.  Pure; `docs/copies.md` lists them."""
+"""How operations at replicas look on the wire: headers out, answers in (`docs/copies.md`).  Pure."""
 
 from __future__ import annotations
 
@@ -8,85 +8,102 @@
 
 from cressrock.errors.replication import InvalidSetError
 from cressrock.http.channel import Headers, header
-from cressrock.replication import in_sync_set as m
-from cressrock.replication.write import PRIMARY_ROLE, OperationKind, Record, ReplicaOperation, ReplicaResult
-
-MOST_SURE = 16  # versions told along with one operation
-_METHODS = {"file": b"PUT", "collection": b"MKCOL"}
+from cressrock.replication.headers import (
+    CLEARED_HEADER,
+    COMMITTED_HEADER,
+    EPOCH_HEADER,
+    KIND_HEADER,
+    PATH_HEADER,
+    REJECTED_HEADER,
+    REPLICA_HEADER,
+    STORE_HEADER,
+    TIMES_HEADER,
+    VERSION_HEADER,
+    Rejection,
+)
+from cressrock.replication.operations import OperationKind, ReplicaOperation, ReplicaResult
+from cressrock.replication.records import Record, Version, parse_version
+
+MAX_COMMITTED_VERSIONS = 16  # told along with one operation
+_METHODS = {"file": b"PUT", "collection": b"MKCOL"}  # by a record's kind; others: DELETE
 
 
 @dataclass(frozen=True, slots=True)
 class Payload:
-    """What a record holds: its body, and the media type."""
+    """What a record holds: its body (`dispatch.operation.Body`), and the media type."""
 
     body: Any
     media: bytes = b""
 
 
-def fence(op: ReplicaOperation) -> Headers:
+def set_headers(operation: ReplicaOperation) -> Headers:
     """Return the fields by which a node judges under which set it is asked."""
-    return [(m.EPOCH_HEADER, str(op.epoch).encode()), (m.REPLICA_HEADER, f"{op.role};{op.store_id}".encode())]
-
-
-def fields(op: ReplicaOperation, sure: Iterable[m.Version] = ()) -> Headers:
-    """Return an operation's fields; `sure` are versions known to be on every copy."""
-    found = fence(op)
-    marks = list(sure)
-    record = op.record
-    if op.kind is OperationKind.APPLY and record is not None:
-        found.append((m.VERSION_HEADER, str(record.version).encode()))
-        found.append((m.CLEARED_HEADER, str(record.cleared_version).encode()))
+    replica = f"{operation.role};{operation.store_id}"
+    return [(EPOCH_HEADER, str(operation.epoch).encode()), (REPLICA_HEADER, replica.encode())]
+
+
+def operation_headers(operation: ReplicaOperation, committed: Iterable[Version] = ()) -> Headers:
+    """Return an operation's fields; `committed` are versions known to be on every replica."""
+    headers = set_headers(operation)
+    committed = list(committed)
+    record = operation.record
+    if operation.kind is OperationKind.APPLY and record is not None:
+        headers.append((VERSION_HEADER, str(record.version).encode()))
+        headers.append((CLEARED_HEADER, str(record.cleared_version).encode()))
         if record.timestamps:
-            found.append((m.TIMES_HEADER, record.timestamps.encode()))
+            headers.append((TIMES_HEADER, record.timestamps.encode()))
         if record.committed:
-            marks.append(record.version)
-        if isinstance(op.payload, Payload) and op.payload.media:
-            found.append((b"content-type", op.payload.media))
-    if marks:
-        found.append((m.COMMITTED_HEADER, " ".join(str(v) for v in marks).encode()))
-    return found
+            committed.append(record.version)
+        if isinstance(operation.payload, Payload) and operation.payload.media:
+            headers.append((b"content-type", operation.payload.media))
+    if committed:
+        headers.append((COMMITTED_HEADER, " ".join(str(version) for version in committed).encode()))
+    return headers
 
 
-def method(op: ReplicaOperation) -> bytes:
-    """Return the method by which a copy takes a record over, or tells it."""
-    if op.kind is OperationKind.INSPECT:
+def operation_method(operation: ReplicaOperation) -> bytes:
+    """Return the method by which a replica applies a record, or returns it."""
+    if operation.kind is OperationKind.INSPECT:
         return b"HEAD"
-    return _METHODS.get(op.record.kind, b"DELETE") if op.record is not None else b"GET"
+    return _METHODS.get(operation.record.kind, b"DELETE") if operation.record is not None else b"GET"
 
 
-def read_record(headers: Headers, key: str) -> Record | None:
-    """Return the record that an answer rests on; None where there is none.  Raises BadSet."""
-    at = header(headers, m.VERSION_HEADER)
-    if at is None:
+def parse_record(headers: Headers, key: str) -> Record | None:
+    """Return the record that an answer rests on; None where there is none.  Raises InvalidSetError."""
+    version = header(headers, VERSION_HEADER)
+    if version is None:
         return None
-    path = header(headers, m.PATH_HEADER)
+    path = header(headers, PATH_HEADER)
     try:
-        known = bytes.fromhex(path.decode()).decode() if path is not None else key
+        record_path = bytes.fromhex(path.decode()).decode() if path is not None else key
     except ValueError:
         raise InvalidSetError("a path that cannot be read") from None
     return Record(
-        known,
-        m.parse_version(at.decode("latin-1")),
-        (header(headers, m.KIND_HEADER) or b"gone").decode("latin-1"),
-        m.parse_version((header(headers, m.CLEARED_HEADER) or b"0.0").decode("latin-1")),
-        header(headers, m.COMMITTED_HEADER) == b"yes",
-        (header(headers, m.TIMES_HEADER) or b"").decode("latin-1"),
+        record_path,
+        parse_version(version.decode("latin-1")),
+        (header(headers, KIND_HEADER) or b"gone").decode("latin-1"),
+        parse_version((header(headers, CLEARED_HEADER) or b"0.0").decode("latin-1")),
+        header(headers, COMMITTED_HEADER) == b"yes",
+        (header(headers, TIMES_HEADER) or b"").decode("latin-1"),
     )
 
 
-def got(reply: Any, status: int, headers: Headers, key: str) -> ReplicaResult:
-    """Read a node's answer.  One that cannot be read counts as a failure of that copy."""
-    refused = header(headers, m.REJECTED_HEADER)
-    epoch = header(headers, m.EPOCH_HEADER) or b"0"
+def parse_result(reply: Any, status: int, headers: Headers, key: str) -> ReplicaResult:
+    """Read a node's answer.  One that cannot be read counts as a failure of that replica."""
+    rejected = header(headers, REJECTED_HEADER)
+    epoch_field = header(headers, EPOCH_HEADER)
     try:
-        reason = m.Rejection(refused.decode("latin-1")) if refused is not None else None
-        record = read_record(headers, key)
-        known = int(epoch)
+        rejection = Rejection(rejected.decode("latin-1")) if rejected is not None else None
+        record = parse_record(headers, key)
+        epoch = int(epoch_field or b"0")
     except (InvalidSetError, ValueError):
         return ReplicaResult(reply, may_have_run=True, failed=True)
-    # A node that heeds no epochs keeps no copies: nothing it says may count as held.
-    failed = status >= 500 or (header(headers, m.EPOCH_HEADER) is None and status < 400)
-    return ReplicaResult(reply, failed=failed, rejection=reason, epoch=known, record=record)
+    # A node that heeds no epochs keeps no replicas: nothing it says may count as stored.
+    failed = status >= 500 or (epoch_field is None and status < 400)
+    return ReplicaResult(reply, failed=failed, rejection=rejection, epoch=epoch, record=record)
 
 
-__all__ = ["PRIMARY_ROLE", "MOST_SURE", "Payload", "fence", "fields", "got", "method", "read_record"]
+def parse_store_id(headers: Headers) -> str | None:
+    """Return the id of the store that answered; None where the node told none."""
+    store_id = header(headers, STORE_HEADER)
+    return store_id.decode("latin-1") if store_id is not None else None
--- a/cressrock/replication/repair.py
+++ b/cressrock/replication/repair.py
@@ -1,14 +1,14 @@
-"""How a copy that is out comes back: a pure plan, carried out by the planner whose seat leads.
+"""How a replica that was evicted comes back: a pure plan, carried out by the planner that leads.
 
-1. Look at the copy's store.  2. While it is out: take over what the first copy lists as owed.  3. A decree
-lets it join: from this epoch on every write needs it too.  4. Under that epoch the first copy's list is read
+1. Inspect the replica's store.  2. While it is out: copy what the primary lists as missing.  3. A decision
+lets it join: from this epoch on every write needs it too.  4. Under that epoch the primary's list is read
 once more, from its beginning.  The node heeds the epoch from the first page on, so no write of an older set
-can be ordered after it: what is not on the list goes to the joining copy by itself.  5. A decree takes it in,
-with the proof that the list was read under the epoch that stands.
+can be ordered after it: what is not on the list goes to the joining replica by itself.  5. A decision
+readmits it, with the proof that the list was read under the epoch that stands.
 
-What is owed is kept by the first copy, with its data: each record knows the newest epoch under which it was
-written or became sure.  A copy that had everything of epoch `since` owes the records touched in it or later,
-and all that are not sure.  A store that is not the one that was put out owes everything.
+What is missing is kept by the primary, with its data: each record knows the newest epoch under which it was
+written or committed.  A replica that had everything of an epoch lacks the records touched in it or later, and
+all that are not committed.  A store that is not the one that was evicted lacks everything.
 
 Any step that fails ends the plan; a later one begins from the set as it then stands, so a new leader goes on
 where the former one died.
@@ -17,29 +17,30 @@
 from __future__ import annotations
 
 from collections.abc import Generator
-from dataclasses import dataclass
+from dataclasses import dataclass, field
 from typing import Any
 
 from cressrock.errors.replication import InvalidSetError, TransitionNotAllowedError
 from cressrock.replication import transitions
-from cressrock.replication.in_sync_set import InSyncSet, RecordEntry, ReplicaState, Version, parse_version
-from cressrock.replication.write import (
+from cressrock.replication.in_sync_set import InSyncSet, ReplicaState
+from cressrock.replication.operations import (
     FetchRecord,
     OperationKind,
     PerformOperations,
-    Record,
     ReplicaOperation,
+    ReplicaResult,
     operation_at,
 )
+from cressrock.replication.records import FILE_KIND, Record, RecordEntry, RecordPage
 
-ENOUGH = 64  # so few records are left to the last pass, under the epoch of joining
-MOST_PASSES = 16
-MOST_HELD = 100_000  # records that a plan remembers as taken over; of further ones it looks
+MAX_LAST_PASS_RECORDS = 64  # so few are left to the last pass, under the epoch of joining
+MAX_PASSES = 16
+MAX_REMEMBERED_RECORDS = 100_000  # that a plan remembers as copied; further ones are inspected
 
 
 @dataclass(frozen=True, slots=True)
 class ListMissing:
-    """Have the next page of a first copy's list read; answered by a Page, or None."""
+    """Have the next page of a primary's list read; answered by a RecordPage, or None."""
 
     operation: ReplicaOperation
     complete_epoch: int
@@ -48,7 +49,7 @@
 
 @dataclass(frozen=True, slots=True)
 class InspectStore:
-    """Have a copy's store told; answered by its life, or None."""
+    """Have the id of a replica's store read; answered by it, or None."""
 
     operation: ReplicaOperation
 
@@ -70,159 +71,128 @@
     reason: str = ""
 
 
-Step = ListMissing | InspectStore | ProposeSet | PerformOperations | FetchRecord
-Plan = Generator[Step, Any, RepairReport]
+RepairAction = ListMissing | InspectStore | ProposeSet | PerformOperations | FetchRecord
+RepairPlan = Generator[RepairAction, Any, RepairReport]
 
 
-def repair_replica(sync: InSyncSet, zone: str, *, skip_last_pass: bool = False) -> Plan:
-    """Bring one copy back.  `early` skips the last pass, for a test that shows what it is for."""
-    moved = 0
-    held: dict[str, Record] = {}
-    copy = sync.replica(zone)
-    if copy is None or copy.state is ReplicaState.IN_SYNC:
+def repair_replica(in_sync_set: InSyncSet, zone: str, *, skip_last_pass: bool = False) -> RepairPlan:
+    """Bring one replica back.  `skip_last_pass` is for a test that shows what that pass is for."""
+    replica = in_sync_set.replica(zone)
+    if replica is None or replica.state is ReplicaState.IN_SYNC:
         return RepairReport(False, 0, "nothing owed")
-    life = yield InspectStore(operation_at(sync, zone, OperationKind.INSPECT))
-    if not life:
+    store_id = yield InspectStore(operation_at(in_sync_set, zone, OperationKind.INSPECT))
+    if not store_id:
         return RepairReport(False, 0, "not reached")
-    if copy.state is ReplicaState.OUT_OF_SYNC:
-        since = copy.complete_epoch if copy.store_id == life else 0
-        for _ in range(MOST_PASSES):
-            count = yield from _pass(sync, zone, life, since, held)
+    catch_up = _CatchUp(zone, store_id)
+    if replica.state is ReplicaState.OUT_OF_SYNC:
+        complete_epoch = replica.complete_epoch if replica.store_id == store_id else 0
+        for _ in range(MAX_PASSES):
+            count = yield from catch_up.run_pass(in_sync_set, complete_epoch)
             if count is None:
-                return RepairReport(False, moved, "interrupted")
-            moved += count
-            if count <= ENOUGH:
+                return RepairReport(False, catch_up.records_copied, "interrupted")
+            if count <= MAX_LAST_PASS_RECORDS:
                 break
-        following = transitions.begin_joining(sync, zone, life)
-        if not (yield ProposeSet(sync, following)):
-            return RepairReport(False, moved, "another set stands")
-        sync = following
-    elif copy.store_id != life:
-        return RepairReport(False, moved, "its store changed while it joined")
-    copy = sync.replica(zone)
-    assert copy is not None
+        joining = transitions.begin_joining(in_sync_set, zone, store_id)
+        if not (yield ProposeSet(in_sync_set, joining)):
+            return RepairReport(False, catch_up.records_copied, "another set stands")
+        in_sync_set = joining
+    elif replica.store_id != store_id:
+        return RepairReport(False, 0, "its store changed while it joined")
     if not skip_last_pass:
-        count = yield from _pass(sync, zone, life, copy.complete_epoch, held)
-        if count is None:
-            return RepairReport(False, moved, "interrupted")
-        moved += count
+        replica = in_sync_set.replica(zone)
+        assert replica is not None
+        if (yield from catch_up.run_pass(in_sync_set, replica.complete_epoch)) is None:
+            return RepairReport(False, catch_up.records_copied, "interrupted")
     try:
-        following = transitions.readmit(sync, transitions.CatchUpProof(zone, sync.epoch, life))
-    except TransitionNotAllowedError as wrong:
-        return RepairReport(False, moved, wrong.text)
-    back = yield ProposeSet(sync, following)
-    return RepairReport(bool(back), moved, "" if back else "another set stands")
-
-
-def _pass(
-    sync: InSyncSet, zone: str, life: str, since: int, held: dict[str, Record]
-) -> Generator[Step, Any, int | None]:
-    """Take the list over once; returns the number of records moved, or None where it broke off.
-
-    `held` are records that an earlier pass has taken over.
-    """
-    moved, after = 0, ""
-    while True:
-        page = yield ListMissing(operation_at(sync, sync.primary, OperationKind.INSPECT), since, after)
-        if page is None:
+        proof = transitions.CatchUpProof(zone, in_sync_set.epoch, store_id)
+        readmitted = transitions.readmit(in_sync_set, proof)
+    except TransitionNotAllowedError as error:
+        return RepairReport(False, catch_up.records_copied, error.text)
+    decided = yield ProposeSet(in_sync_set, readmitted)
+    return RepairReport(bool(decided), catch_up.records_copied, "" if decided else "another set stands")
+
+
+@dataclass(slots=True)
+class _CatchUp:
+    """Copies records to one replica, in passes over the primary's list."""
+
+    zone: str
+    store_id: str
+    records_copied: int = 0
+    _copied: dict[str, Record] = field(default_factory=dict)  # by path, of earlier passes too
+
+    def run_pass(
+        self, in_sync_set: InSyncSet, complete_epoch: int
+    ) -> Generator[RepairAction, Any, int | None]:
+        """Go over the list once; return the number of records copied, or None where it broke off."""
+        count, after = 0, ""
+        while True:
+            listing = operation_at(in_sync_set, in_sync_set.primary, OperationKind.INSPECT)
+            page: RecordPage | None = yield ListMissing(listing, complete_epoch, after)
+            if page is None:
+                return None
+            for entry in page.entries:
+                after = entry.key
+                copied = yield from self._copy_entry(in_sync_set, complete_epoch, entry)
+                if copied is None:
+                    return None
+                count += copied
+            if not page.more or not page.entries:
+                self.records_copied += count
+                return count
+
+    def _copy_entry(
+        self, in_sync_set: InSyncSet, complete_epoch: int, entry: RecordEntry
+    ) -> Generator[RepairAction, Any, bool | None]:
+        """Copy a record unless an earlier pass did; return whether it was copied, None where that failed."""
+        try:
+            record = entry.record()
+        except InvalidSetError:
+            return None  # a list that cannot be read breaks the plan off; a later one begins anew
+        known = self._copied.get(entry.key)
+        if known is not None and _covers(known, record):
+            return False
+        # What it lacks since an epoch it mostly lacks; of everything it may have most.
+        is_full = len(self._copied) >= MAX_REMEMBERED_RECORDS
+        copied = yield from self._copy(in_sync_set, record, inspect=not complete_epoch or is_full)
+        if copied is None:
             return None
-        for entry in page.entries:
-            try:
-                record = _record(entry)
-            except InvalidSetError:
+        if len(self._copied) < MAX_REMEMBERED_RECORDS:
+            self._copied[entry.key] = copied
+        return True
+
+    def _operation(
+        self, in_sync_set: InSyncSet, kind: OperationKind, record: Record, payload: Any = None
+    ) -> ReplicaOperation:
+        role = operation_at(in_sync_set, self.zone, kind).role
+        return ReplicaOperation(self.zone, role, in_sync_set.epoch, self.store_id, kind, record, payload)
+
+    def _copy(
+        self, in_sync_set: InSyncSet, record: Record, *, inspect: bool
+    ) -> Generator[RepairAction, Any, Record | None]:
+        """Copy one record; return what the replica has then, or None where that failed."""
+        result: ReplicaResult
+        if inspect:
+            inspection = self._operation(in_sync_set, OperationKind.INSPECT, record)
+            (result,) = yield PerformOperations((inspection,))
+            if result.rejection is not None:
                 return None
-            after = entry.key
-            known = held.get(entry.key)
-            if known is not None and _newer(known, record):
-                continue
-            # What is owed since an epoch it mostly lacks; of everything it may have most.
-            look = not since or len(held) >= MOST_HELD
-            taken = yield from _move(sync, zone, life, record, look)
-            if taken is None:
+            if result.record is not None and result.record.path == record.path:
+                if _covers(result.record, record):
+                    return result.record
+        payload = None
+        if record.kind == FILE_KIND:
+            source = operation_at(in_sync_set, in_sync_set.primary, OperationKind.CLIENT, record)
+            fetched = yield FetchRecord(source)
+            if fetched is None:
                 return None
-            if len(held) < MOST_HELD:
-                held[entry.key] = taken
-            moved += 1
-        if not page.more or not page.entries:
-            return moved
-
-
-def _record(entry: RecordEntry) -> Record:
-    return Record(
-        entry.key,
-        parse_version(entry.version),
-        entry.kind,
-        parse_version(entry.cleared_version),
-        entry.committed,
-    )
-
-
-def _newer(there: Record, record: Record) -> bool:
-    return there.version >= record.version and there.cleared_version >= record.cleared_version
-
-
-def _move(
-    sync: InSyncSet, zone: str, life: str, record: Record, look: bool
-) -> Generator[Step, Any, Record | None]:
-    """Take one record over; returns what the copy holds then, or None where that failed."""
-    role = operation_at(sync, zone, OperationKind.APPLY).role
-    if look:
-        (there,) = yield PerformOperations(
-            (ReplicaOperation(zone, role, sync.epoch, life, OperationKind.INSPECT, record),)
-        )
-        if there.rejection is not None:
-            return None
-        if there.record is not None and there.record.path == record.path and _newer(there.record, record):
-            found: Record = there.record
-            return found
-    payload = None
-    if record.kind == "file":
-        fetched = yield FetchRecord(operation_at(sync, sync.primary, OperationKind.CLIENT, record))
-        if fetched is None:
+            record, payload = fetched
+        application = self._operation(in_sync_set, OperationKind.APPLY, record, payload)
+        (result,) = yield PerformOperations((application,))
+        if result.rejection is not None or result.record is None or result.record.version < record.version:
             return None
-        record, payload = fetched
-    (got,) = yield PerformOperations(
-        (ReplicaOperation(zone, role, sync.epoch, life, OperationKind.APPLY, record, payload),)
-    )
-    taken: Record | None = got.record
-    if got.rejection is not None or taken is None or taken.version < record.version:
-        return None
-    return record
-
-
-class RepairPacer:
-    """How fast repair may go: below live work, at a small share.  Pure; times in ms.
-
-    `share` of the time is spent in operations at most, `rate` begin each second at most, and while a node
-    says that live work waits (it refuses, or is busier than `busy`) nothing goes for `pause_ms`.
-    """
-
-    def __init__(
-        self, *, share: float = 0.5, rate: float = 200.0, busy: float = 0.8, pause_ms: float = 250.0
-    ) -> None:
-        """See the settings for what the figures are for."""
-        self.share, self.rate, self.busy, self.pause_ms = share, rate, busy, pause_ms
-        self.next_ms = 0.0
-
-    def record_operation(self, now_ms: float, took_ms: float, *, refused: bool, load: float) -> None:
-        """Enter an operation that ended now."""
-        rest = max(took_ms * (1 / self.share - 1), 1000 / self.rate)
-        if refused or load > self.busy:
-            rest = max(rest, self.pause_ms)
-        self.next_ms = now_ms + rest
-
-    def wait_ms(self, now_ms: float) -> float:
-        """Return how long the next operation has to wait."""
-        return max(0.0, self.next_ms - now_ms)
-
-
-__all__ = [
-    "ProposeSet",
-    "ListMissing",
-    "InspectStore",
-    "RepairPacer",
-    "Plan",
-    "RepairReport",
-    "Version",
-    "repair_replica",
-]
+        return record
+
+
+def _covers(record: Record, other: Record) -> bool:
+    return record.version >= other.version and record.cleared_version >= other.cleared_version
--- /dev/null
+++ b/cressrock/replication/shard_request.py
@@ -0,0 +1,310 @@
+"""Carries out what one client's request asks for at replicas, by storage operations and decisions.
+
+It takes no decision: what is sent where comes from the machines, what stands from the council, how long a
+step may take from the settings.
+"""
+
+from __future__ import annotations
+
+from collections import deque
+from collections.abc import Callable, Sequence
+from dataclasses import dataclass, field
+from typing import Any, Protocol
+
+import anyio
+
+from cressrock.consensus.client import ConsensusClient, DecisionCache
+from cressrock.dispatch.ledger import Verdict
+from cressrock.dispatch.operation import Reply, Result
+from cressrock.dispatch.transport import Denial
+from cressrock.errors.consensus import (
+    DecisionConflictError,
+    DecisionTooLargeError,
+    InvalidDecisionError,
+    NoQuorumError,
+    RequestForgottenError,
+)
+from cressrock.errors.replication import TransitionNotAllowedError
+from cressrock.http.channel import Headers, header
+from cressrock.replication import node_protocol, transitions
+from cressrock.replication.headers import Rejection
+from cressrock.replication.in_sync_set import InSyncSet, encode_set
+from cressrock.replication.known_set import ReplicatedShard, known_set
+from cressrock.replication.operations import (
+    Action,
+    EvictReplicas,
+    FetchRecord,
+    MarkCommitted,
+    OperationKind,
+    OperationOutcome,
+    PerformOperations,
+    RefreshSet,
+    ReplicaOperation,
+    ReplicaResult,
+    RequestSteps,
+)
+from cressrock.replication.reachability import ReachabilityTracker
+from cressrock.replication.records import Record, Version
+
+READ_METHODS = frozenset({"GET", "HEAD", "PROPFIND"})
+WRITE_METHODS = frozenset({"PUT", "DELETE", "MKCOL"})
+MAX_PENDING_COMMITS = (
+    64  # of one replica: committed versions that wait for an operation to be told along with
+)
+MAX_REFRESH_PAUSE_MS = 50.0  # between two reads of a decision that another process makes just now
+
+FetchedRecord = tuple[Record, node_protocol.Payload]
+
+
+class ClusterRuntime(Protocol):
+    """One process's decisions and consensus client (`cressrock.runtime`)."""
+
+    @property
+    def decision_cache(self) -> DecisionCache:
+        """What a process has cached of decisions."""
+
+    @property
+    def consensus(self) -> ConsensusClient | None:
+        """The council as any process asks it."""
+
+
+@dataclass(frozen=True, slots=True)
+class DeadlineShares:
+    """How a request's time is divided; see the settings.  Times in ms."""
+
+    first: float
+    follow: float
+    told_ms: float
+    ask_ms: float
+    hold_ms: float
+
+
+class Send(Protocol):
+    """Has one storage operation performed: an ordinary one, with its own attempts and budget."""
+
+    async def __call__(
+        self,
+        shard: int,
+        method: bytes | None,
+        key: str | None,
+        headers: Headers,
+        body: Any,
+        deadline: float,
+        *,
+        collect: bool = False,
+    ) -> Result:
+        """`method`, `key` None: the client's own, with its fields.  `deadline` on the driver's clock."""
+
+
+@dataclass(slots=True)
+class RequestEnvironment:
+    """What all requests of one process share."""
+
+    runtime: ClusterRuntime
+    shares: DeadlineShares
+    reachability: ReachabilityTracker
+    clock: Callable[[], float]
+    log: Any
+    counts: dict[str, int] = field(default_factory=dict)  # by what happened, for the admin port
+    # By topic and zone: versions that all replicas have, which they are not told yet.
+    pending_commits: dict[tuple[str, str], deque[Version]] = field(default_factory=dict)
+
+    def count(self, event: str) -> None:
+        """Count something that happened."""
+        self.counts[event] = self.counts.get(event, 0) + 1
+
+    def add_commit(self, topic: str, zone: str, version: Version) -> None:
+        """Enter a version that a replica is to be told of; past the bound the oldest are forgotten."""
+        pending = self.pending_commits.setdefault((topic, zone), deque(maxlen=MAX_PENDING_COMMITS))
+        pending.append(version)
+
+    def take_commits(self, topic: str, zone: str) -> list[Version]:
+        """Return some versions that a replica is to be told of, each once."""
+        pending = self.pending_commits.get((topic, zone))
+        if not pending:
+            return []
+        count = min(len(pending), node_protocol.MAX_COMMITTED_VERSIONS)
+        return [pending.popleft() for _ in range(count)]
+
+
+@dataclass(slots=True)
+class ShardRequest:
+    """One client's request at the replicas of one shard."""
+
+    environment: RequestEnvironment
+    shard: ReplicatedShard
+    key: str
+    method: str
+    send: Send
+    deadline_ms: float
+    is_first_step: bool = True
+    replies: list[Reply] = field(default_factory=list)  # with streams, of which one is answered
+
+    async def run(self, steps: RequestSteps) -> OperationOutcome:
+        """Run a machine to its end."""
+        value: Any = None
+        while True:
+            try:
+                action = steps.send(value)
+            except StopIteration as stop:
+                outcome: OperationOutcome = stop.value
+                return outcome
+            value = await self._execute(action)
+
+    async def _execute(self, action: Action) -> Any:
+        match action:
+            case PerformOperations(operations):
+                return await self._perform(operations)
+            case FetchRecord(operation):
+                return await self._fetch(operation)
+            case EvictReplicas(zones, in_sync_set):
+                return await self._evict(zones, in_sync_set)
+            case RefreshSet(min_epoch):
+                return await self._refresh(min_epoch)
+            case MarkCommitted(in_sync_set, version):
+                for zone in in_sync_set.write_zones:
+                    self.environment.add_commit(self.shard.topic, zone, version)
+        return None
+
+    # --- operations
+
+    def _step_deadline_ms(self, operations: Sequence[ReplicaOperation]) -> float:
+        """Return until when operations may take: the time left is divided among the steps to come."""
+        now_ms = self.environment.clock()
+        is_read = self.method in READ_METHODS and operations[0].kind is OperationKind.CLIENT
+        if is_read and not self.is_first_step:
+            return self.deadline_ms
+        shares = self.environment.shares
+        share = shares.first if self.is_first_step else shares.follow
+        self.is_first_step = False
+        return now_ms + (self.deadline_ms - now_ms) * share
+
+    async def _perform(self, operations: Sequence[ReplicaOperation]) -> list[ReplicaResult]:
+        deadline_ms = self._step_deadline_ms(operations)
+        if len(operations) == 1:
+            return [await self._perform_one(operations[0], deadline_ms)]
+        results: dict[int, ReplicaResult] = {}
+
+        async def perform(index: int, operation: ReplicaOperation) -> None:
+            results[index] = await self._perform_one(operation, deadline_ms)
+
+        async with anyio.create_task_group() as tasks:
+            for index, operation in enumerate(operations):
+                tasks.start_soon(perform, index, operation)
+        return [results[index] for index in range(len(operations))]
+
+    async def _perform_one(self, operation: ReplicaOperation, deadline_ms: float) -> ReplicaResult:
+        environment = self.environment
+        shard = self.shard.node_shard(operation.zone)
+        is_client = operation.kind is OperationKind.CLIENT
+        key = None if is_client or operation.record is None else operation.record.path
+        payload = operation.payload
+        body = payload.body if isinstance(payload, node_protocol.Payload) else None
+        method = None if is_client else node_protocol.operation_method(operation)
+        commits = environment.take_commits(self.shard.topic, operation.zone)
+        headers = node_protocol.operation_headers(operation, commits)
+        reply = await self.send(shard, method, key, headers, body, deadline_ms)
+        if isinstance(reply, Denial):
+            # A busy replica gives no turn in time; only one that attempts do not reach is unreachable.
+            return ReplicaResult(
+                may_have_run=reply.verdict is not Verdict.REJECTED,
+                unreachable=environment.reachability.is_unreachable(shard, environment.clock()),
+                denial=reply,
+            )
+        if reply.stream is not None:
+            self.replies.append(reply)
+        result = node_protocol.parse_result(reply, reply.status, reply.headers, key or self.key)
+        environment.reachability.record_store(shard, other=result.rejection is Rejection.OTHER_STORE)
+        if result.rejection is not None:
+            environment.count(f"refused {result.rejection.value}")
+        return result
+
+    async def _fetch(self, operation: ReplicaOperation) -> FetchedRecord | None:
+        """Read a record's payload as a whole."""
+        assert operation.record is not None
+        path = operation.record.path
+        deadline_ms = self._step_deadline_ms((operation,))
+        shard = self.shard.node_shard(operation.zone)
+        headers = node_protocol.set_headers(operation)
+        reply = await self.send(shard, b"GET", path, headers, None, deadline_ms, collect=True)
+        if not isinstance(reply, Reply) or reply.status != 200:
+            return None
+        result = node_protocol.parse_result(reply, reply.status, reply.headers, path)
+        if result.record is None or result.rejection is not None or result.record.path != path:
+            return None
+        body = reply.payload if reply.payload is not None else reply.body
+        media = header(reply.headers, b"content-type") or b""
+        return result.record, node_protocol.Payload(body, media)
+
+    # --- the council
+
+    def _cached_set(self, min_epoch: int) -> InSyncSet | None:
+        known = known_set(self.environment.runtime.decision_cache, self.shard.topic)
+        in_sync_set = known.in_sync_set
+        if in_sync_set is not None and known.is_current and in_sync_set.epoch >= min_epoch:
+            return in_sync_set
+        return None
+
+    def _consensus_timeout_ms(self) -> float:
+        environment = self.environment
+        return min(environment.shares.ask_ms, self.deadline_ms - environment.clock())
+
+    async def _refresh(self, min_epoch: int) -> InSyncSet | None:
+        """Return a set of at least this epoch, by asking where it is not known yet."""
+        environment = self.environment
+        expires_at_ms = environment.clock() + self._consensus_timeout_ms()
+        while (in_sync_set := self._cached_set(min_epoch)) is None:
+            left_ms = expires_at_ms - environment.clock()
+            if left_ms <= 0 or environment.runtime.consensus is None:
+                return None
+            try:
+                await environment.runtime.consensus.read(self.shard.topic, timeout_ms=left_ms)
+            except (NoQuorumError, InvalidDecisionError):
+                # Without the council the set cannot be had in time; the machine says what that means.
+                return None
+            if (in_sync_set := self._cached_set(min_epoch)) is not None:
+                return in_sync_set
+            await anyio.sleep(min(MAX_REFRESH_PAUSE_MS, max(1.0, left_ms)) / 1000)
+        return in_sync_set
+
+    async def _evict(self, zones: tuple[str, ...], in_sync_set: InSyncSet) -> InSyncSet | None:
+        """Have replicas evicted; return the set that stands then, or None if none came to stand in time."""
+        environment, topic = self.environment, self.shard.topic
+        known = known_set(environment.runtime.decision_cache, topic)
+        if known.in_sync_set is None or known.in_sync_set.epoch != in_sync_set.epoch:
+            return self._cached_set(in_sync_set.epoch + 1)
+        new = in_sync_set
+        try:
+            for zone in zones:
+                new = transitions.evict(new, zone)
+        except TransitionNotAllowedError:
+            # Another process has changed the set meanwhile.
+            return await self._refresh(in_sync_set.epoch + 1)
+        consensus = environment.runtime.consensus
+        if consensus is None:
+            return None
+        began_ms = environment.clock()
+        try:
+            await consensus.decide(
+                topic,
+                encode_set(new),
+                environment.shares.hold_ms,
+                known.version,
+                timeout_ms=self._consensus_timeout_ms(),
+            )
+        except DecisionConflictError:
+            return await self._refresh(in_sync_set.epoch + 1)
+        except (NoQuorumError, RequestForgottenError, DecisionTooLargeError, InvalidDecisionError) as error:
+            environment.log.warning(
+                "replication.replica_not_evicted", topic=topic, zones=zones, **error.fields()
+            )
+            return None
+        environment.count("put out")
+        duration_ms = round(environment.clock() - began_ms, 1)
+        environment.log.warning(
+            "replication.replica_evicted", topic=topic, zones=zones, epoch=new.epoch, duration_ms=duration_ms
+        )
+        # Others may still read there: what they are told after this acknowledgement should be it.
+        pause_ms = min(environment.shares.told_ms, self.deadline_ms - environment.clock())
+        await anyio.sleep(max(0.0, pause_ms) / 1000)
+        return new
--- a/cressrock/rollout/evidence_exchange.py
+++ b/cressrock/rollout/evidence_exchange.py
@@ -62,11 +62,7 @@
 
     def merge_all(self, participation: Participation) -> None:
         """Merge all counts and rollbacks that gossip holds."""
-        class_stages = [
-            (request_class, stage)
-            for request_class in range(self._class_count)
-            for stage in range(MAX_STAGES)
-        ]
+        class_stages = product(range(self._class_count), range(MAX_STAGES))
         for key in [ROLLBACK_KEY, *(counts_key(*class_stage) for class_stage in class_stages)]:
             for origin, value in self._runtime.gossip.values(key).items():
                 self._runtime.evidence.receive_gossip(origin, key, value)
--- a/cressrock/webdav/front.py
+++ b/cressrock/webdav/front.py
@@ -25,7 +25,8 @@
 from cressrock.http.channel import ConnectionLostError, Headers, header
 from cressrock.http.server import Exchange
 from cressrock.observe.metrics import Metrics
-from cressrock.replication.service import READ_METHODS, WRITE_METHODS, ReplicatedVolumes
+from cressrock.replication.service import ReplicatedVolumes
+from cressrock.replication.shard_request import READ_METHODS, WRITE_METHODS
 from cressrock.rollout.evidence import RequestOutcome
 from cressrock.rollout.service import VersionChoice
 from cressrock.settings.rules import Version
--- a/tests/compatibility/copies_cases.py
+++ b/tests/compatibility/copies_cases.py
@@ -29,12 +29,20 @@
 from cressrock.membership.membership import Member
 from cressrock.membership.packets import MemberState
 from cressrock.replication import (
+    headers,
     in_sync_set,
+    known_set,
     manager,
     node_protocol,
+    operations,
+    publisher,
     reachability,
+    read,
+    records,
     repair,
+    repair_pacer,
     service,
+    shard_request,
     transitions,
     write,
 )
@@ -86,7 +94,7 @@
         copy("c", state.OUT_OF_SYNC, "", 0, 9),
     )
     lost = (in_sync_set.AcceptedLoss("a", 0, 4), in_sync_set.AcceptedLoss("b", 7, 2**62))
-    entry = in_sync_set.RecordEntry
+    entry = records.RecordEntry
     entries = (
         entry("/v/x", "1.2", "file", "1.2", True),
         entry("/v/größe/z", "3.1", "collection", "0.0", False),
@@ -103,13 +111,13 @@
         ),
     ]
     pages = [
-        ("empty page", in_sync_set.RecordPage(())),
-        ("page", in_sync_set.RecordPage(entries, True)),
-        ("last page", in_sync_set.RecordPage(entries[:1], False)),
+        ("empty page", records.RecordPage(())),
+        ("page", records.RecordPage(entries, True)),
+        ("last page", records.RecordPage(entries[:1], False)),
     ]
     return [
         *(WireCase(name, value, in_sync_set.encode_set, in_sync_set.decode_set) for name, value in sync),
-        *(WireCase(name, value, in_sync_set.encode_page, in_sync_set.decode_page) for name, value in pages),
+        *(WireCase(name, value, records.encode_page, records.decode_page) for name, value in pages),
     ]
 
 
@@ -143,35 +151,36 @@
     ]
     return [
         *(ReadCase(f"set: {name}", b"\x01" + pack(value), in_sync_set.decode_set) for name, value in values),
-        *(ReadCase(f"page: {name}", b"\x01" + pack(value), in_sync_set.decode_page) for name, value in pages),
+        *(ReadCase(f"page: {name}", b"\x01" + pack(value), records.decode_page) for name, value in pages),
         *(
             ReadCase(f"broken {index} for reader {n}", data, reader)
             for index, data in enumerate((b"", b"\x00", b"\x01", b"\x02", b"\x02x", b"\x01\xc1", b"\xff" * 9))
-            for n, reader in enumerate((in_sync_set.decode_set, in_sync_set.decode_page))
+            for n, reader in enumerate((in_sync_set.decode_set, records.decode_page))
         ),
     ]
 
 
-def operations() -> list[write.ReplicaOperation]:
+def sample_operations() -> list[operations.ReplicaOperation]:
     """Return operations of every kind, with and without what they may carry."""
-    kind, version = write.OperationKind, in_sync_set.Version
-    record = write.Record("/v/x", version(3, 4))
-    full = write.Record("/v/x", version(3, 4), "file", version(2, 1), True, "1000 2000")
-    folder = write.Record("/v/d", version(5, 1), "collection", in_sync_set.NO_VERSION, False)
-    gone = write.Record("/v/g", version(5, 2), "gone", version(5, 2))
-    other = write.Record("/v/o", version(5, 2), "unknown")
+    operation = operations.ReplicaOperation
+    kind, version = operations.OperationKind, records.Version
+    record = records.Record("/v/x", version(3, 4))
+    full = records.Record("/v/x", version(3, 4), "file", version(2, 1), True, "1000 2000")
+    folder = records.Record("/v/d", version(5, 1), "collection", records.NO_VERSION, False)
+    gone = records.Record("/v/g", version(5, 2), "gone", version(5, 2))
+    other = records.Record("/v/o", version(5, 2), "unknown")
     payload = node_protocol.Payload(Text("abc"), b"text/plain")
     return [
-        write.ReplicaOperation("a", "first", 7, "a0", kind.CLIENT),
-        write.ReplicaOperation("a", "in", 7, "", kind.CLIENT, record),
-        write.ReplicaOperation("b", "joining", 2**60, "life", kind.APPLY, record),
-        write.ReplicaOperation("b", "joining", 8, "life", kind.APPLY, full, payload),
-        write.ReplicaOperation("b", "in", 8, "life", kind.APPLY, full, node_protocol.Payload(Text(""), b"")),
-        write.ReplicaOperation("b", "in", 8, "life", kind.APPLY, folder),
-        write.ReplicaOperation("b", "in", 8, "life", kind.APPLY, gone),
-        write.ReplicaOperation("b", "in", 8, "life", kind.APPLY, other),
-        write.ReplicaOperation("c", "owed", 0, "", kind.INSPECT),
-        write.ReplicaOperation("c", "owed", 1, "x", kind.INSPECT, full),
+        operation("a", "first", 7, "a0", kind.CLIENT),
+        operation("a", "in", 7, "", kind.CLIENT, record),
+        operation("b", "joining", 2**60, "life", kind.APPLY, record),
+        operation("b", "joining", 8, "life", kind.APPLY, full, payload),
+        operation("b", "in", 8, "life", kind.APPLY, full, node_protocol.Payload(Text(""), b"")),
+        operation("b", "in", 8, "life", kind.APPLY, folder),
+        operation("b", "in", 8, "life", kind.APPLY, gone),
+        operation("b", "in", 8, "life", kind.APPLY, other),
+        operation("c", "owed", 0, "", kind.INSPECT),
+        operation("c", "owed", 1, "x", kind.INSPECT, full),
     ]
 
 
@@ -210,7 +219,7 @@
     ]
 
 
-def answer_values(got: write.ReplicaResult) -> Any:
+def answer_values(got: operations.ReplicaResult) -> Any:
     """Return what was read of an answer."""
     return [
         got.may_have_run,
@@ -232,27 +241,27 @@
                 reachability.UNREACHABLE,
                 reachability.OTHER_STORE,
                 reachability.REACHABLE,
-                service.REACHABILITY_KEY_PREFIX,
+                reachability.REACHABILITY_KEY_PREFIX,
             ]
         ),
-        "refusals": [refusal.value for refusal in in_sync_set.Rejection],
+        "refusals": [refusal.value for refusal in headers.Rejection],
         "states": [state.value for state in in_sync_set.ReplicaState],
-        "versions": [str(in_sync_set.NO_VERSION), str(in_sync_set.Version(3, 2**40))],
+        "versions": [str(records.NO_VERSION), str(records.Version(3, 2**40))],
         "read versions": [
-            outcome(in_sync_set.parse_version, text)
-            for text in ("0.0", " 1.2 ", "1", "a.b", "1.2.3", "", "1.-2")
+            outcome(records.parse_version, text) for text in ("0.0", " 1.2 ", "1", "a.b", "1.2.3", "", "1.-2")
         ],
         "headers": [
             [
-                canonical(node_protocol.fields(op)),
-                canonical(node_protocol.fields(op, [in_sync_set.Version(1, 1), in_sync_set.NO_VERSION])),
-                canonical(node_protocol.fence(op)),
-                canonical(node_protocol.method(op)),
+                canonical(node_protocol.operation_headers(op)),
+                canonical(node_protocol.operation_headers(op, [records.Version(1, 1), records.NO_VERSION])),
+                canonical(node_protocol.set_headers(op)),
+                canonical(node_protocol.operation_method(op)),
             ]
-            for op in operations()
+            for op in sample_operations()
         ],
         "answers": [
-            answer_values(node_protocol.got(None, status, headers, key)) for status, headers, key in answers()
+            answer_values(node_protocol.parse_result(None, status, headers, key))
+            for status, headers, key in answers()
         ],
         "nearest": [
             canonical(in_sync_set.by_distance("dcba", own, regions)) for own in ("a", "b", "c", "d", "x")
@@ -264,7 +273,7 @@
 def stored() -> list[Any]:
     """Have a stand-in node keep some records; return what it answers, and its list of what it keeps."""
     rack, found = Rack(0, window_ms=0.0, life="s0"), []
-    op, kind = write.ReplicaOperation, write.OperationKind
+    op, kind = operations.ReplicaOperation, operations.OperationKind
     first = [
         ("MKCOL", "/v/d", None),
         ("PUT", "/v/d/x", "1"),
@@ -275,18 +284,18 @@
         ("GET", "/v/none", None),
     ]
     for number, (method, key, text) in enumerate(first):
-        fields = node_protocol.fields(op("a", "first", 1 + number // 3, "s0", kind.CLIENT))
+        fields = node_protocol.operation_headers(op("a", "first", 1 + number // 3, "s0", kind.CLIENT))
         found.append(_executed(rack, method, key, fields, text))
-    for asked in operations():
+    for asked in sample_operations():
         key = asked.record.path if asked.record is not None else "/v"
         text = "abc" if asked.record is not None and asked.record.kind == "file" else None
-        fields = node_protocol.fields(asked, [in_sync_set.Version(1, 1)])
-        found.append(_executed(rack, node_protocol.method(asked).decode(), key, fields, text))
+        fields = node_protocol.operation_headers(asked, [records.Version(1, 1)])
+        found.append(_executed(rack, node_protocol.operation_method(asked).decode(), key, fields, text))
     for since, after in (("0", ""), ("2", ""), ("0", "/v/d")):
-        fields = node_protocol.fields(op("a", "first", 2**60, "", kind.INSPECT))
+        fields = node_protocol.operation_headers(op("a", "first", 2**60, "", kind.INSPECT))
         fields += [
-            (in_sync_set.MISSING_SINCE_HEADER, since.encode()),
-            (in_sync_set.AFTER_HEADER, after.encode().hex().encode()),
+            (headers.MISSING_SINCE_HEADER, since.encode()),
+            (headers.AFTER_HEADER, after.encode().hex().encode()),
         ]
         found.append(_executed(rack, "GET", "/v", fields, None))
     return found
@@ -364,15 +373,15 @@
 def _asked(value: Any) -> Any:
     """Return what a machine asks for as plain values, behind the name under which it was recorded."""
     match value:
-        case write.PerformOperations(ops):
+        case operations.PerformOperations(ops):
             return ["do", [canonical(op) for op in ops]]
-        case write.FetchRecord(op):
+        case operations.FetchRecord(op):
             return ["fetch", canonical(op)]
-        case write.EvictReplicas(zones, sync):
+        case operations.EvictReplicas(zones, sync):
             return ["put out", list(zones), canonical(sync)]
-        case write.RefreshSet(epoch):
+        case operations.RefreshSet(epoch):
             return ["refresh", epoch]
-        case write.MarkCommitted(sync, at):
+        case operations.MarkCommitted(sync, at):
             return ["sure", canonical(sync), canonical(at)]
         case repair.ListMissing(op, since, after):
             return ["list", canonical(op), since, after]
@@ -391,44 +400,46 @@
 
 
 def _draw_record(
-    draw: random.Random, op: write.ReplicaOperation, sync: in_sync_set.InSyncSet
-) -> write.Record | None:
+    draw: random.Random, op: operations.ReplicaOperation, sync: in_sync_set.InSyncSet
+) -> records.Record | None:
     if draw.random() < 0.1:
         return None
     if op.record is not None and draw.random() < 0.7:
         if draw.random() < 0.8:
             return op.record
         return _beside(op.record, draw)
-    at = in_sync_set.Version(draw.randrange(1, sync.epoch + 2), draw.randrange(5))
-    cleared = in_sync_set.Version(draw.randrange(2), draw.randrange(3))
+    at = records.Version(draw.randrange(1, sync.epoch + 2), draw.randrange(5))
+    cleared = records.Version(draw.randrange(2), draw.randrange(3))
     path, kind = draw.choice(("/v/x", "/v/x", "/v")), draw.choice(("file", "file", "collection", "gone"))
-    return write.Record(path, at, kind, cleared, draw.random() < 0.3, draw.choice(("", "1 2")))
+    return records.Record(path, at, kind, cleared, draw.random() < 0.3, draw.choice(("", "1 2")))
 
 
-def _beside(record: write.Record, draw: random.Random) -> write.Record:
+def _beside(record: records.Record, draw: random.Random) -> records.Record:
     """Return a record that stands a little before or after another."""
-    at = in_sync_set.Version(record.version.epoch, max(0, record.version.number + draw.choice((-1, 1))))
-    return write.Record(
+    at = records.Version(record.version.epoch, max(0, record.version.number + draw.choice((-1, 1))))
+    return records.Record(
         record.path, at, record.kind, record.cleared_version, draw.random() < 0.5, record.timestamps
     )
 
 
 def _draw_got(
-    draw: random.Random, op: write.ReplicaOperation, sync: in_sync_set.InSyncSet, trouble: float
-) -> write.ReplicaResult:
+    draw: random.Random, op: operations.ReplicaOperation, sync: in_sync_set.InSyncSet, trouble: float
+) -> operations.ReplicaResult:
     if draw.random() < trouble:
         chance = draw.random()
         if chance < 0.3:
-            refusal = draw.choice(tuple(in_sync_set.Rejection))
-            return write.ReplicaResult(_Status(409), rejection=refusal, epoch=sync.epoch + draw.randrange(3))
+            refusal = draw.choice(tuple(headers.Rejection))
+            return operations.ReplicaResult(
+                _Status(409), rejection=refusal, epoch=sync.epoch + draw.randrange(3)
+            )
         if chance < 0.6:
-            return write.ReplicaResult(may_have_run=draw.random() < 0.5, unreachable=draw.random() < 0.5)
+            return operations.ReplicaResult(may_have_run=draw.random() < 0.5, unreachable=draw.random() < 0.5)
         if chance < 0.8:
-            return write.ReplicaResult(_Status(500), may_have_run=True, failed=True, epoch=sync.epoch)
-        return write.ReplicaResult()
+            return operations.ReplicaResult(_Status(500), may_have_run=True, failed=True, epoch=sync.epoch)
+        return operations.ReplicaResult()
     status = draw.choice((201, 204, 204, 200, 404, 412))
     epoch = sync.epoch + (draw.random() < 0.1)
-    return write.ReplicaResult(_Status(status), epoch=epoch, record=_draw_record(draw, op, sync))
+    return operations.ReplicaResult(_Status(status), epoch=epoch, record=_draw_record(draw, op, sync))
 
 
 def _later(draw: random.Random, sync: in_sync_set.InSyncSet) -> in_sync_set.InSyncSet:
@@ -453,19 +464,19 @@
 ) -> tuple[Any, in_sync_set.InSyncSet]:
     """Return an answer to what a machine asked, and the set that stands then."""
     match asked:
-        case write.PerformOperations(ops):
+        case operations.PerformOperations(ops):
             return [_draw_got(draw, op, sync, trouble) for op in ops], sync
-        case write.FetchRecord(op):
+        case operations.FetchRecord(op):
             record = op.record if draw.random() < 0.8 else _draw_record(draw, op, sync)
             return (None if record is None or draw.random() < trouble else (record, "payload")), sync
-        case write.EvictReplicas(zones, _):
+        case operations.EvictReplicas(zones, _):
             try:
                 for zone in zones:
                     sync = transitions.evict(sync, zone)
             except TransitionNotAllowedError:
                 return None, sync
             return (None if draw.random() < trouble else sync), sync
-        case write.RefreshSet():
+        case operations.RefreshSet():
             sync = _later(draw, sync)
             return (None if draw.random() < trouble else sync), sync
         case repair.ListMissing():
@@ -473,7 +484,7 @@
                 return None, sync
             count, first = draw.choice((0, 1, 3, 70)), draw.randrange(4)
             entries = tuple(_entry(draw, first + n) for n in range(count))
-            return in_sync_set.RecordPage(entries, draw.random() < 0.3), sync
+            return records.RecordPage(entries, draw.random() < 0.3), sync
         case repair.InspectStore():
             return (None if draw.random() < trouble else f"{asked.operation.zone}{draw.randrange(2)}"), sync
         case repair.ProposeSet():
@@ -481,10 +492,10 @@
     return None, sync
 
 
-def _entry(draw: random.Random, number: int) -> in_sync_set.RecordEntry:
+def _entry(draw: random.Random, number: int) -> records.RecordEntry:
     at = draw.choice(("1.1", "2.3", "5.1", "5.1", "5.1")) if draw.random() < 0.995 else "broken"
     kind, cleared = draw.choice(("file", "collection", "gone")), draw.choice(("0.0", "0.0", "1.1"))
-    return in_sync_set.RecordEntry(f"/v/{number:03}", at, kind, cleared, draw.random() < 0.5)
+    return records.RecordEntry(f"/v/{number:03}", at, kind, cleared, draw.random() < 0.5)
 
 
 def _drive(
@@ -507,9 +518,9 @@
     for _ in range(120):
         sync, trouble = draw_set(draw), draw.choice((0.0, 0.1, 0.3, 0.6))
         rules = (
-            write.DEFAULT_SAFETY_RULES
+            operations.DEFAULT_SAFETY_RULES
             if draw.random() < 0.9
-            else write.SafetyRules(draw.random() < 0.5, draw.random() < 0.5)
+            else operations.SafetyRules(draw.random() < 0.5, draw.random() < 0.5)
         )
         if draw.random() < 0.5:
             payload = draw.choice((None, "payload"))
@@ -518,8 +529,8 @@
             steps = write.write_replicated(stands, payload, rules, gone)
         else:
             order = draw.sample("abcd", draw.randrange(5))
-            steps = write.read_replicated(sync, order, lease_valid=draw.random() < 0.9, rules=rules)
-        result: write.OperationOutcome = _drive(draw, digest, steps, sync, trouble)
+            steps = read.read_replicated(sync, order, lease_valid=draw.random() < 0.9, rules=rules)
+        result: operations.OperationOutcome = _drive(draw, digest, steps, sync, trouble)
         got = None
         if result.result is not None:
             got = [getattr(result.result.reply, "status", None), *answer_values(result.result)]
@@ -530,7 +541,7 @@
 def repair_digest(seed: int) -> str:
     """Drive plans that bring a copy back, and their pace."""
     draw, digest = random.Random(f"repair/{seed}"), Digest()
-    pace = repair.RepairPacer(share=draw.choice((0.1, 0.5, 1.0)), rate=draw.choice((10.0, 200.0)))
+    pace = repair_pacer.RepairPacer(share=draw.choice((0.1, 0.5, 1.0)), rate=draw.choice((10.0, 200.0)))
     now = 0.0
     for _ in range(25):
         sync, zone = draw_set(draw), draw.choice("abcd")
@@ -586,8 +597,8 @@
 
 
 PLACED = {
-    "v": service.ReplicaPlacement((0, 1), {"a": (0, 1), "b": (2, 3), "c": (4, 5)}),
-    "w": service.ReplicaPlacement((3,), {"a": (1,), "b": (3,)}),
+    "v": known_set.ReplicaPlacement((0, 1), {"a": (0, 1), "b": (2, 3), "c": (4, 5)}),
+    "w": known_set.ReplicaPlacement((3,), {"a": (1,), "b": (3,)}),
 }
 ZONES, REGIONS = ("a", "b", "c"), {"a": "r0", "b": "r0", "c": "r1"}
 
@@ -732,7 +743,7 @@
         self.council = _Council(self)
         self.grounds = [_Ground(self, name) for name in ("e0", "e1", "planner")]
         self.reach = [reachability.ReachabilityTracker(), reachability.ReachabilityTracker()]
-        shares = service.DeadlineShares(first=0.5, follow=0.6, told_ms=5.0, ask_ms=100.0, hold_ms=400.0)
+        shares = shard_request.DeadlineShares(first=0.5, follow=0.6, told_ms=5.0, ask_ms=100.0, hold_ms=400.0)
         self.gateways = [
             service.ReplicatedVolumes(
                 PLACED,
@@ -797,7 +808,7 @@
         )
         return Reply(done.status, done.headers, content)
 
-    def _send(self, gateway: int, method: str, key: str) -> service.Send:
+    def _send(self, gateway: int, method: str, key: str) -> shard_request.Send:
         """Return what performs one client's storage operations."""
 
         async def send(
@@ -944,7 +955,7 @@
             tasks.start_soon(self.news)
             tasks.start_soon(self.trouble)
             for gateway, ground in zip(self.gateways, self.grounds, strict=False):
-                tasks.start_soon(service.ReachabilityPublisher(gateway, ground.gossip, 20.0).run)
+                tasks.start_soon(publisher.ReachabilityPublisher(gateway, ground.gossip, 20.0).run)
             await anyio.sleep(0.1)
             async with anyio.create_task_group() as clients:
                 for _ in range(3):
--- a/tests/test_copies.py
+++ b/tests/test_copies.py
@@ -16,11 +16,20 @@
 from cressrock.lab.copysim import Plan, Sim, Text, got_of
 from cressrock.lab.histories import Verdict
 from cressrock.lab.rack import Rack, Task
-from cressrock.replication import in_sync_set as m
 from cressrock.replication import reachability, transitions
-from cressrock.replication import repair as rp
-from cressrock.replication import write as w
-from cressrock.replication.in_sync_set import InSyncSet, Replica, ReplicaState
+from cressrock.replication.headers import Rejection
+from cressrock.replication.in_sync_set import (
+    AcceptedLoss,
+    InSyncSet,
+    Replica,
+    ReplicaState,
+    decode_set,
+    encode_set,
+)
+from cressrock.replication.operations import Disposition, EvictReplicas, ReplicaResult
+from cressrock.replication.records import Record, RecordEntry, RecordPage, Version, decode_page, encode_page
+from cressrock.replication.repair_pacer import RepairPacer
+from cressrock.replication.write import write_replicated
 from cressrock.settings.load import SettingsError, convert
 from cressrock.webdav.paths import parse
 
@@ -37,23 +46,23 @@
 
 
 def test_a_set_has_a_golden_form_and_foreign_ones_are_told_apart():
-    assert m.encode_set(SYNC).hex() == GOLDEN and m.decode_set(bytes.fromhex(GOLDEN)) == SYNC
-    later = bytes((1,)) + msgspec.msgpack.encode([*msgspec.msgpack.decode(m.encode_set(SYNC)[1:]), "new"])
-    assert m.decode_set(later) == SYNC
+    assert encode_set(SYNC).hex() == GOLDEN and decode_set(bytes.fromhex(GOLDEN)) == SYNC
+    later = bytes((1,)) + msgspec.msgpack.encode([*msgspec.msgpack.decode(encode_set(SYNC)[1:]), "new"])
+    assert decode_set(later) == SYNC
     with pytest.raises(UnknownSetVersionError):
-        m.decode_set(b"\x02" + m.encode_set(SYNC)[1:])
+        decode_set(b"\x02" + encode_set(SYNC)[1:])
     draw = random.Random(1)
     for _ in range(2000):
-        data = bytearray(m.encode_set(SYNC))
+        data = bytearray(encode_set(SYNC))
         for _ in range(draw.randrange(1, 4)):
             data[draw.randrange(len(data))] = draw.randrange(256)
         try:
-            m.decode_set(bytes(data))
+            decode_set(bytes(data))
         except (InvalidSetError, UnknownSetVersionError):
             pass
-    page = m.RecordPage((m.RecordEntry("/v/x", "1.2", "file", "1.2", True),), True)
-    assert m.encode_page(page).hex() == "01929195a42f762f78a3312e32a466696c65a3312e32c3c3"
-    assert m.decode_page(m.encode_page(page)) == page
+    page = RecordPage((RecordEntry("/v/x", "1.2", "file", "1.2", True),), True)
+    assert encode_page(page).hex() == "01929195a42f762f78a3312e32a466696c65a3312e32c3c3"
+    assert decode_page(encode_page(page)) == page
 
 
 def test_sets_change_only_where_nothing_acknowledged_is_lost():
@@ -86,7 +95,7 @@
     assert transitions.begin_joining(out, "b", "b1").replica("b").complete_epoch == 0
     assert transitions.evict(joining, "b").replica("b").complete_epoch == 3
     taken = transitions.force_primary(out, "b", "b0")
-    assert taken.read_zones == ("b",) and taken.accepted_losses == (m.AcceptedLoss("a", 3, 4),)
+    assert taken.read_zones == ("b",) and taken.accepted_losses == (AcceptedLoss("a", 3, 4),)
     with pytest.raises(TransitionNotAllowedError):
         transitions.initial_set("a", {"a": "a0", "b": "b0"}, [0, 7])
     assert [transitions.rejoin_delay_ms(n, 1000, 5000) for n in (0, 1, 2, 3, 9)] == [
@@ -111,12 +120,12 @@
     assert ask(rack, "PUT", "/v/x", 1, "first", value="1").record.version == (1, 1)
     assert ask(rack, "PUT", "/v/x", 2, "first", value="2").record.version == (2, 1)
     late = ask(rack, "PUT", "/v/x", 1, "first", value="3")
-    assert late.reply.status == 409 and late.rejection is m.Rejection.OLDER_EPOCH and late.epoch == 2
-    assert ask(rack, "PUT", "/v/x", 1, at="1.9", value="3").rejection is m.Rejection.OLDER_EPOCH
+    assert late.reply.status == 409 and late.rejection is Rejection.OLDER_EPOCH and late.epoch == 2
+    assert ask(rack, "PUT", "/v/x", 1, at="1.9", value="3").rejection is Rejection.OLDER_EPOCH
     assert ask(rack, "GET", "/v/x", 1).rejection is None  # still in its set: older readers see newer data
-    assert ask(rack, "GET", "/v/x", 2, life="t").rejection is m.Rejection.OTHER_STORE
+    assert ask(rack, "GET", "/v/x", 2, life="t").rejection is Rejection.OTHER_STORE
     assert ask(rack, "PUT", "/v/x", 3, "joining", at="3.1", value="4").record.version == (3, 1)
-    assert ask(rack, "GET", "/v/x", 2).rejection is m.Rejection.NOT_IN_SYNC
+    assert ask(rack, "GET", "/v/x", 2).rejection is Rejection.NOT_IN_SYNC
     got = ask(rack, "GET", "/v/x", 3, "joining", sure="3.1")
     assert not got.record.committed and ask(rack, "GET", "/v/x", 3, "joining").record.committed
 
@@ -158,31 +167,31 @@
 
 
 def test_a_write_that_may_have_run_is_never_refused_and_waits_for_the_decree():
-    put = w.Record("/v/x", m.Version(3, 1))
-    done = w.ReplicaResult(type("R", (), {"status": 201})(), record=put, epoch=3)
-    steps = w.write_replicated(SYNC, "body")
+    put = Record("/v/x", Version(3, 1))
+    done = ReplicaResult(type("R", (), {"status": 201})(), record=put, epoch=3)
+    steps = write_replicated(SYNC, "body")
     assert [o.zone for o in next(steps).operations] == ["a"]
     assert [o.zone for o in steps.send([done]).operations] == ["b"]
-    assert steps.send([w.ReplicaResult(may_have_run=True)]) == w.EvictReplicas(("b",), SYNC)
+    assert steps.send([ReplicaResult(may_have_run=True)]) == EvictReplicas(("b",), SYNC)
     with pytest.raises(StopIteration) as stop:
         steps.send(None)  # no decree came to stand
-    assert stop.value.value.disposition is w.Disposition.FAILED
+    assert stop.value.value.disposition is Disposition.FAILED
     # A copy that is only busy is not put out for it; one known as gone is, before anything is sent.
-    steps = w.write_replicated(SYNC, "body")
+    steps = write_replicated(SYNC, "body")
     next(steps)
     steps.send([done])
     with pytest.raises(StopIteration) as stop:
-        steps.send([w.ReplicaResult()])
-    assert stop.value.value.disposition is w.Disposition.FAILED
-    steps = w.write_replicated(SYNC, "body", gone=["b"])
-    assert next(steps) == w.EvictReplicas(("b",), SYNC)
+        steps.send([ReplicaResult()])
+    assert stop.value.value.disposition is Disposition.FAILED
+    steps = write_replicated(SYNC, "body", unreachable=["b"])
+    assert next(steps) == EvictReplicas(("b",), SYNC)
     with pytest.raises(StopIteration) as stop:
         steps.send(None)
-    assert stop.value.value.disposition is w.Disposition.REJECTED
-    for steps in (w.write_replicated(SYNC, "body", gone=["a", "b"]), w.write_replicated(None, "body")):
+    assert stop.value.value.disposition is Disposition.REJECTED
+    for steps in (write_replicated(SYNC, "body", unreachable=["a", "b"]), write_replicated(None, "body")):
         with pytest.raises(StopIteration) as stop:
             next(steps)  # one that reaches nobody puts nobody out
-    assert stop.value.value.disposition is w.Disposition.REJECTED
+    assert stop.value.value.disposition is Disposition.REJECTED
 
 
 def test_one_processs_bad_network_moves_no_first_copy():
@@ -214,7 +223,7 @@
 
 
 def test_repair_stays_below_live_work():
-    pace = rp.RepairPacer(share=0.25, rate=1000.0, busy=0.8, pause_ms=250.0)
+    pace = RepairPacer(share=0.25, rate=1000.0, busy=0.8, pause_ms=250.0)
     pace.record_operation(100.0, 10.0, refused=False, load=0.5)
     assert pace.wait_ms(100.0) == 30.0
     pace.record_operation(200.0, 10.0, refused=False, load=0.9)
