--- a/benchmarks/capacity_local.py
+++ b/benchmarks/capacity_local.py
@@ -21,6 +21,7 @@
 from cressrock.lab import localcost_requests as requests
 from cressrock.lab import localcost_sockets as sockets
 from cressrock.lab import localcost_state as state
+from cressrock.lab.drill import EDGE, PLANNER
 
 HERE = Path(__file__).parent
 SERVERS = (500, 1000, 2500, 5000, 10000)
@@ -38,7 +39,7 @@
 # group: (probe, what n counts, role, scene, sizes)
 GROUPS = {
     "lists": [(lists.list_probe, "servers", lc.DISPATCHER, "birth", SERVERS)],
-    "edge_lists": [(lists.edge_list_probe, "servers", lc.EDGE, "calm", SERVERS)],
+    "edge_lists": [(lists.edge_list_probe, "servers", EDGE, "calm", SERVERS)],
     "discovery": [
         (sockets.measured(sockets.discovery_calm), "servers", lc.DISPATCHER, "calm", SERVERS[::2] + (5000,))
     ],
@@ -51,13 +52,13 @@
     ],
     "state": [
         (state.ledger_probe, "waiting requests", lc.DISPATCHER, "calm", OPEN),
-        (state.keys_probe, "keys", lc.EDGE, "calm", KEYS),
-        (state.lending_probe, "volumes", lc.EDGE, "calm", VOLUMES),
-        (state.grants_probe, "edges of a planner", lc.PLANNER, "calm", EDGES),
+        (state.keys_probe, "keys", EDGE, "calm", KEYS),
+        (state.lending_probe, "volumes", EDGE, "calm", VOLUMES),
+        (state.grants_probe, "edges of a planner", PLANNER, "calm", EDGES),
         (state.seat_probe, "decrees", lc.SEAT, "calm", DECREES),
-        (state.reader_probe, "decrees", lc.EDGE, "calm", DECREES),
+        (state.reader_probe, "decrees", EDGE, "calm", DECREES),
         (state.log_probe, "log entries", lc.SEAT, "calm", ENTRIES),
-        (state.room_probe, "connections", lc.EDGE, "calm", CONNECTIONS),
+        (state.room_probe, "connections", EDGE, "calm", CONNECTIONS),
     ],
     "pool": [(requests.pool_probe, "connections", lc.DISPATCHER, "busy", CONNECTIONS)],
     "turns": [(sockets.measured(sockets.list_turns), "servers", lc.DISPATCHER, "birth", SERVERS)],
@@ -65,15 +66,15 @@
         (sockets.measured(sockets.platform_connections), "connections", lc.DISPATCHER, "calm", CONNECTIONS),
     ],
     "edge_connections": [
-        (sockets.measured(sockets.edge_connections), "connections", lc.EDGE, "calm", CONNECTIONS)
+        (sockets.measured(sockets.edge_connections), "connections", EDGE, "calm", CONNECTIONS)
     ],
     "served": [(sockets.measured(sockets.requests_served), "servers", lc.DISPATCHER, "calm", SERVERS)],
     "crowded": [(sockets.measured(sockets.requests_crowded), "servers", lc.DISPATCHER, "calm", SERVERS)],
     "hanging": [(sockets.measured(sockets.requests_hanging), "servers", lc.DISPATCHER, "calm", SERVERS)],
-    "real": [(fleet.calm_probe, "dispatchers", lc.EDGE, "calm", REAL)],
-    "hollow": [(fleet.hollow_probe, "dispatchers", lc.EDGE, "calm", REAL)],
-    "real_relays": [(fleet.relays_probe, "dispatchers", lc.EDGE, "calm", REAL[:1])],
-    "real_zones": [(fleet.zones_probe, "dispatchers", lc.EDGE, "calm", REAL)],
+    "real": [(fleet.calm_probe, "dispatchers", EDGE, "calm", REAL)],
+    "hollow": [(fleet.hollow_probe, "dispatchers", EDGE, "calm", REAL)],
+    "real_relays": [(fleet.relays_probe, "dispatchers", EDGE, "calm", REAL[:1])],
+    "real_zones": [(fleet.zones_probe, "dispatchers", EDGE, "calm", REAL)],
     "calls": [(sockets.measured(sockets.system_calls), "servers", lc.DISPATCHER, "calm", SERVERS)],
 }
 
--- a/cressrock/programs/gateway.py
+++ b/cressrock/programs/gateway.py
@@ -45,13 +45,11 @@
 from cressrock.presence.environment import PresenceEnvironment
 from cressrock.presence.service import PresenceService
 from cressrock.presence.settings import RoomSettings, ServiceSettings
+from cressrock.replication.known_set import ReplicaPlacement
+from cressrock.replication.publisher import ReachabilityPublisher
 from cressrock.replication.reachability import ReachabilityTracker
-from cressrock.replication.service import (
-    DeadlineShares,
-    ReachabilityPublisher,
-    ReplicaPlacement,
-    ReplicatedVolumes,
-)
+from cressrock.replication.service import ReplicatedVolumes
+from cressrock.replication.shard_request import DeadlineShares
 from cressrock.rollout.service import ProcessSettings as RolloutParts
 from cressrock.rollout.service import RolloutService
 from cressrock.runtime import ClusterRuntime, NodeIdentity, Sockets, SystemSockets
--- a/tests/aggregation/test_rollout_summaries.py
+++ b/tests/aggregation/test_rollout_summaries.py
@@ -6,27 +6,30 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from cressrock.rollout import evidence, lifecycle, verdict
+from cressrock.rollout import evidence, verdict
+from cressrock.rollout.counts import FleetCounts, LocalCounts
+from cressrock.rollout.plan import DIGEST_BYTES, RolloutPlan, Stage, Thresholds
+from cressrock.rollout.summaries import FleetSummary, ZoneSummarizer, keep_fullest
 
-DIGEST = "ab" * lifecycle.DIGEST_BYTES
-ANOTHER_DIGEST = "cd" * lifecycle.DIGEST_BYTES
+DIGEST = "ab" * DIGEST_BYTES
+ANOTHER_DIGEST = "cd" * DIGEST_BYTES
 ZONES = "abc"
 CLASSES = 2
 
 
 def plan(min_accusers):
-    return lifecycle.RolloutPlan(
+    return RolloutPlan(
         stages=[
-            lifecycle.Stage(volume_fraction=0.5, control_fraction=0.5),
-            lifecycle.Stage(control_fraction=0.2),
+            Stage(volume_fraction=0.5, control_fraction=0.5),
+            Stage(control_fraction=0.2),
         ],
-        thresholds=lifecycle.Thresholds(min_accusers=min_accusers),
+        thresholds=Thresholds(min_accusers=min_accusers),
     )
 
 
 def summarizer(min_accusers):
     """Return a summarizer that follows the rollout."""
-    following = verdict.ZoneSummarizer()
+    following = ZoneSummarizer()
     following.follow(DIGEST, plan(min_accusers), CLASSES)
     return following
 
@@ -41,7 +44,7 @@
     counts = {}
     for number in range(processes):
         for incarnation in range(1, source.choice([2, 2, 3])):
-            own = evidence.LocalCounts(DIGEST)
+            own = LocalCounts(DIGEST)
             chance = source.choice([0.02, 0.05, 0.5])
             for _ in range(source.randint(0, 60)):
                 candidate = source.random() < 0.5
@@ -56,7 +59,7 @@
 @given(st.integers(0, 2**32), st.sampled_from([1, 2, 3, 5, 8]))
 def test_rollouts_sums_by_zone_accuse_as_all_counts_do_and_never_more(seed, accusers):
     source = random.Random(seed)
-    everything, summarizers = evidence.FleetCounts(DIGEST), {zone: summarizer(accusers) for zone in ZONES}
+    everything, summarizers = FleetCounts(DIGEST), {zone: summarizer(accusers) for zone in ZONES}
     counts = drawn_counts(source, source.randint(1, 20))
     entries = [(origin, key, value) for origin, changes in counts.items() for key, value in changes]
     repeated = source.choices(entries, k=9) if entries else []  # of few processes none may have counted any
@@ -67,7 +70,7 @@
         zone: one.summarize(zone, [origin for origin in counts if zone_of(origin) == zone], 0.0)
         for zone, one in summarizers.items()
     }
-    summary = verdict.FleetSummary(DIGEST, sums)
+    summary = FleetSummary(DIGEST, sums)
     assert summary.totals == dict(everything.totals)
     assert summary.process_count() == everything.process_count()
     assert summary.candidate_trials(1) == everything.candidate_trials(1)
@@ -84,21 +87,21 @@
         assert all(a.log_wealth <= sure.get((a.request_class, a.fault_kind), -1.0) + 1e-3 for a in by_sums)
     # What a dead incarnation has reported counts on, and a collector with less replaces nothing.
     kept = {}
-    verdict.keep_fullest(kept, sums, DIGEST)
+    keep_fullest(kept, sums, DIGEST)
     fewer = summarizer(accusers)
     first = list(counts)[:1]
     for origin in first:
         for key, value in counts[origin]:
             fewer.receive(origin, key, value, 0.0)
-    verdict.keep_fullest(kept, {"a": fewer.summarize("a", first, 0.0)}, DIGEST)
-    verdict.keep_fullest(kept, {"a": {"rollout/sum/0": b"\x01", "x": b"y"}}, DIGEST)
-    assert verdict.FleetSummary(DIGEST, kept).totals == summary.totals
-    verdict.keep_fullest(kept, sums, ANOTHER_DIGEST)
-    assert verdict.FleetSummary(ANOTHER_DIGEST, kept).totals == {}
+    keep_fullest(kept, {"a": fewer.summarize("a", first, 0.0)}, DIGEST)
+    keep_fullest(kept, {"a": {"rollout/sum/0": b"\x01", "x": b"y"}}, DIGEST)
+    assert FleetSummary(DIGEST, kept).totals == summary.totals
+    keep_fullest(kept, sums, ANOTHER_DIGEST)
+    assert FleetSummary(ANOTHER_DIGEST, kept).totals == {}
 
 
 def test_sums_of_a_candidate_that_is_heard_of_late_count_what_was_reported_before():
-    sums, own = verdict.ZoneSummarizer(), evidence.LocalCounts(DIGEST)
+    sums, own = ZoneSummarizer(), LocalCounts(DIGEST)
     own.record(0, 0, True, evidence.RequestOutcome.SERVED, 1.0, 10.0)
     for key, value in own.drain_changes():
         sums.receive(("e1", 1), key, value, 0.0)
@@ -106,8 +109,8 @@
     sums.receive(("e1", 1), evidence.ROLLBACK_KEY, rollback, 0.0)
     assert sums.summarize("a", [("e1", 1)], 0.0) == {}
     sums.follow(DIGEST, plan(2), CLASSES)
-    summary = verdict.FleetSummary(DIGEST, {"a": sums.summarize("a", [("e1", 1)], 0.0)})
+    summary = FleetSummary(DIGEST, {"a": sums.summarize("a", [("e1", 1)], 0.0)})
     assert summary.candidate_trials(0) == 1 and summary.rollback_count() == 1
     assert summary.rollback_reasons == {"e1": "too slow"}
     sums.forget(("e1", 1))
-    assert verdict.FleetSummary(DIGEST, {"a": sums.summarize("a", [], 0.0)}).candidate_trials(0) == 1
+    assert FleetSummary(DIGEST, {"a": sums.summarize("a", [], 0.0)}).candidate_trials(0) == 1
--- a/tests/test_capacity_local.py
+++ b/tests/test_capacity_local.py
@@ -25,6 +25,7 @@
 from cressrock.lab import localcost_state as state
 from cressrock.lab.capacity import SIZES as AT_SIZE
 from cressrock.lab.capacity import Measurement
+from cressrock.lab.localcost import lines
 from cressrock.platform.serverlist import ServerList
 from cressrock.resp import codec
 from cressrock.resp.front import Front, FrontBounds
@@ -93,7 +94,7 @@
     if waiting:
         requests.waiting(core, waiting, 1)
     core.now += 0.01
-    return requests.lines(lambda: requests.further(core, n - 1))
+    return lines(lambda: requests.further(core, n - 1))
 
 
 def test_a_request_runs_as_many_lines_whatever_the_servers_listed():
@@ -113,7 +114,7 @@
 
     def steps(n):
         core = Slow(n, 1)
-        return requests.lines(lambda: requests.further(core, n - 1))
+        return lines(lambda: requests.further(core, n - 1))
 
     with pytest.raises(AssertionError, match="grows with size"):
         flat(steps)
