--- a/cressrock/programs/gateway.py
+++ b/cressrock/programs/gateway.py
@@ -27,10 +27,12 @@
 from cressrock.dispatch.spool import PayloadStore
 from cressrock.dispatch.task_driver import TaskDriver
 from cressrock.edge.decisions import EdgeDecisions
-from cressrock.edge.disposition import DisconnectedPolicy, ReconnectBackoff
+from cressrock.edge.disposition import DisconnectedPolicy
 from cressrock.edge.ordering import KeyOrdering
 from cressrock.edge.planner_link import PlannerLink
-from cressrock.failover.carrier import EdgeFailover, FailoverAdmin
+from cressrock.edge.reconnect import ReconnectBackoff
+from cressrock.failover.admin import FailoverAdmin
+from cressrock.failover.edge import EdgeFailover
 from cressrock.failover.routing import ZoneRouter
 from cressrock.http.channel import Stream
 from cressrock.http.server import Exchange, Server
@@ -39,16 +41,15 @@
 from cressrock.observe import admin
 from cressrock.observe.metrics import Metrics
 from cressrock.planner.epochs import EpochStore, next_epoch
-from cressrock.presence import service as presence
-from cressrock.presence.rooms import RoomSettings
+from cressrock.presence.connection import MAGIC as PRESENCE_MAGIC
+from cressrock.presence.environment import PresenceEnvironment
 from cressrock.presence.service import PresenceService
+from cressrock.presence.settings import RoomSettings, ServiceSettings
+from cressrock.replication.known_set import ReplicaPlacement
+from cressrock.replication.publisher import ReachabilityPublisher
 from cressrock.replication.reachability import ReachabilityTracker
-from cressrock.replication.service import (
-    DeadlineShares,
-    ReachabilityPublisher,
-    ReplicaPlacement,
-    ReplicatedVolumes,
-)
+from cressrock.replication.service import ReplicatedVolumes
+from cressrock.replication.shard_request import DeadlineShares
 from cressrock.rollout.service import ProcessSettings as RolloutParts
 from cressrock.rollout.service import RolloutService
 from cressrock.runtime import ClusterRuntime, NodeIdentity, Sockets, SystemSockets
@@ -108,9 +109,9 @@
 
     place = runtime.identity
     found = PresenceService(
-        presence.ServiceSettings(**of(presence.ServiceSettings)),
+        ServiceSettings(**of(ServiceSettings)),
         RoomSettings(**of(RoomSettings)),
-        presence.PresenceEnvironment(
+        PresenceEnvironment(
             name=place.name,
             incarnation=place.incarnation,
             region=place.fleet.region,
@@ -127,7 +128,7 @@
             log=runtime.log,
         ),
     )
-    runtime.stream_handlers[presence.MAGIC] = found.serve
+    runtime.stream_handlers[PRESENCE_MAGIC] = found.serve
     runtime.on_gossip_change.append(found.on_gossip_change)
     runtime.decision_cache.listeners.append(found.on_decision)
     return found
@@ -136,7 +137,7 @@
 def set_rule_versions(decisions: DecisionModule | None, tables: Tables) -> None:
     """Have a decision module hold all versions of the rules that the tables have."""
     if isinstance(decisions, Scheduler):
-        decisions.widen(tables.rows(decisions.set))
+        decisions.widen(tables.rows(decisions.settings))
 
 
 def create_rollout(
@@ -420,7 +421,7 @@
         assert settings is not None and fleet is not None
         lots = random.Random(source.getrandbits(62))
         choice = ZoneRouter(fleet.zone, settings.regions(), settings, driver.clock(), lots)
-        zones = EdgeFailover(choice, ground, driver.clock, self._zone_of, self.environment.log)
+        zones = EdgeFailover(choice, ground, driver.clock, self._zone_of)
         zones.watch(driver)
         hold_ms = council.hold_ms if council is not None else 0.0
         self.admin_routes[b"/v1/zones/"] = FailoverAdmin(settings, ground, hold_ms, zones.status).handle
@@ -567,10 +568,10 @@
     def _measure_decisions(self, decisions: DecisionModule) -> None:
         """Show the scheduler's queues and D, where the module is the one that has them."""
         if isinstance(decisions, Scheduler):
-            for name, node in decisions.nodes.items():
-                self.metrics.depth.labels(name).set(node.depth)
-            for shard, lane in decisions.lanes.items():
-                self.metrics.waiting.labels(str(shard)).set(lane.waiting)
+            for name, endpoint in decisions.endpoints.by_name.items():
+                self.metrics.depth.labels(name).set(endpoint.limit.window)
+            for shard, queue in decisions.queues.items():
+                self.metrics.waiting.labels(str(shard)).set(queue.waiting_count)
 
     async def admin(self, exchange: Exchange) -> None:
         """Serve /healthz, /readyz, /metrics and /v1/status."""
--- a/cressrock/runtime.py
+++ b/cressrock/runtime.py
@@ -18,26 +18,24 @@
 from cressrock.aggregation import messages
 from cressrock.aggregation.channel import EvidenceChannel
 from cressrock.consensus import decisions as d
+from cressrock.consensus.client import ConsensusClient, DecisionCache
 from cressrock.consensus.decision_gossip import (
     DECISION_PREFIX,
     RENEWAL_PREFIX,
     DecisionPublisher,
     DecisionSubscriber,
 )
-from cressrock.consensus.raft.node import RaftSettings, Role
-from cressrock.consensus.replica import (
-    ConsensusClient,
-    ConsensusReplica,
-    DecisionCache,
-    ReplicaSettings,
-    run_in_thread,
-    run_inline,
-)
+from cressrock.consensus.raft.core import Role
+from cressrock.consensus.raft.progress import RaftSettings
+from cressrock.consensus.replica import ConsensusReplica, ReplicaSettings
 from cressrock.consensus.transport import Environment as ConsensusEnvironment
+from cressrock.consensus.transport import run_in_thread, run_inline
 from cressrock.errors import CressrockError
 from cressrock.errors.consensus import InvalidDecisionError, NoQuorumError
 from cressrock.gossip.anti_entropy import AntiEntropySettings
-from cressrock.gossip.store import GossipStore, GossipStoreSettings, Origin
+from cressrock.gossip.messages import Origin
+from cressrock.gossip.settings import GossipStoreSettings
+from cressrock.gossip.store import GossipStore
 from cressrock.gossip.transport import (
     ClusterTransport,
     ClusterTransportSettings,
@@ -45,7 +43,8 @@
     TransportEnvironment,
 )
 from cressrock.http.channel import BROKEN, Stream
-from cressrock.membership.membership import Identity, Member, MembershipSettings
+from cressrock.membership.settings import MembershipSettings
+from cressrock.membership.types import Identity, Member
 from cressrock.membership.view_cache import ViewCache
 from cressrock.settings.types import CouncilSettings
 from cressrock.settings.types import Fleet as FleetPart
@@ -418,7 +417,7 @@
                     "zone": m.zone,
                     "region": m.region,
                     "address": m.address,
-                    "state": {"SUSPECT": "unsure", "DEAD": "gone"}.get(m.state.name, m.state.name.lower()),
+                    "state": m.state.status_name,
                     "since_ms_ago": round(now - m.state_since_ms),
                 }
                 for m in self.members()
