--- a/benchmarks/bad_day.py
+++ b/benchmarks/bad_day.py
@@ -13,7 +13,7 @@
 from cressrock.lab.day import Script, play
 from cressrock.lab.judge import RULES, judge
 from cressrock.lab.service import serve
-from cressrock.programs.gateway import Components
+from cressrock.programs.composition import Components
 
 sys.path.insert(0, str(Path(__file__).parent))
 from sites import other  # noqa: E402
--- a/benchmarks/fences.py
+++ b/benchmarks/fences.py
@@ -14,7 +14,7 @@
 from cressrock.edge.decisions import EdgeDecisions
 from cressrock.lab.day import Script, play
 from cressrock.lab.judge import judge
-from cressrock.programs.gateway import Components
+from cressrock.programs.composition import Components
 from cressrock.scheduler.scheduler import Scheduler
 from cressrock.settings.types import interface_settings
 
--- a/benchmarks/sites.py
+++ b/benchmarks/sites.py
@@ -20,7 +20,7 @@
 from cressrock.lab.judge import judge
 from cressrock.lab.service import Hindrance, serve
 from cressrock.lab.site import load_site
-from cressrock.programs.gateway import Components
+from cressrock.programs.composition import Components
 from cressrock.settings.types import interface_settings
 
 WHO = {"3 hosts": (3, 0), "50 hosts": (50, 0), "1 planner": (3, 1), "8 planners": (8, 8)}
--- a/cressrock/cli/main.py
+++ b/cressrock/cli/main.py
@@ -24,7 +24,8 @@
 from cressrock.errors.listening import AddressUnavailableError
 from cressrock.http.server import Server
 from cressrock.observe import logs
-from cressrock.programs.gateway import Environment, Gateway
+from cressrock.programs.composition import Environment
+from cressrock.programs.gateway import Gateway
 from cressrock.settings import SettingsError, evaluate, load
 from cressrock.settings.load import convert
 
@@ -154,7 +155,7 @@
         address, close = await net.listen(
             settings.pair.listen, program.serve, tasks, setting="pair.listen", log=log
         )
-        admin = await _admin(settings, program.admin, tasks, log)
+        admin = await _admin(settings, program.admin.handle, tasks, log)
         bound = program.runtime.addresses if program.runtime is not None else {}
         log.info("planning", address=address, admin=admin, epoch=program.epoch, version=_version(), **bound)
         with anyio.open_signal_receiver(signal.SIGTERM, signal.SIGINT) as signals:
@@ -195,7 +196,7 @@
         address, close = await net.listen(
             settings.front.listen, gateway.serve, tasks, setting="front.listen", log=log
         )
-        admin = await _admin(settings, gateway.admin, tasks, log)
+        admin = await _admin(settings, gateway.admin.handle, tasks, log)
         bound = gateway.runtime.addresses if gateway.runtime is not None else {}
         log.info("serving", address=address, admin=admin, version=_version(), **bound)
         await _signals(gateway, path, variables, log)
--- a/cressrock/errors/gossip.py
+++ b/cressrock/errors/gossip.py
@@ -19,7 +19,7 @@
 
     code: ClassVar[str] = "spread-too-large"
     remedy: ClassVar[str] = (
-        "keep less in one entry, or raise max_key_bytes or max_value_bytes in all processes alike"
+        "keep less in one entry, or raise max_key or max_value in all processes alike"
     )
 
 
--- a/cressrock/errors/membership.py
+++ b/cressrock/errors/membership.py
@@ -37,7 +37,7 @@
     """A datagram or a frame is larger than is taken."""
 
     code = "fleet-too-large"
-    remedy = "use one max_datagram_bytes on all processes, below what the path carries without fragments"
+    remedy = "use one max_datagram on all processes, below what the path carries without fragments"
 
 
 class StateExchangeError(CressrockError):
--- a/cressrock/lab/day.py
+++ b/cressrock/lab/day.py
@@ -30,7 +30,8 @@
 from cressrock.lab.simnet import SimNet, SimSockets
 from cressrock.lab.site import Site, usual
 from cressrock.lab.trace import Row, Trace
-from cressrock.programs.gateway import Components, Environment, Gateway
+from cressrock.programs.composition import Components, Environment
+from cressrock.programs.gateway import Gateway
 from cressrock.programs.planner import PlannerProgram
 from cressrock.settings.load import convert
 from cressrock.settings.types import Class
--- a/cressrock/lab/fuzz.py
+++ b/cressrock/lab/fuzz.py
@@ -25,7 +25,8 @@
 from cressrock.lab.node import Rates
 from cressrock.lab.serve import lab_settings
 from cressrock.lab.simnet import SimNet
-from cressrock.programs.gateway import Environment, Gateway
+from cressrock.programs.composition import Environment
+from cressrock.programs.gateway import Gateway
 from cressrock.settings.load import convert
 from cressrock.webdav import conditions, xml
 from cressrock.webdav.paths import InvalidPathError, parse, parse_url
--- a/cressrock/lab/serve.py
+++ b/cressrock/lab/serve.py
@@ -15,7 +15,8 @@
 from cressrock.lab.listing import Listing
 from cressrock.lab.model import Machine, Meter
 from cressrock.lab.node import Rates
-from cressrock.programs.gateway import Environment, Gateway
+from cressrock.programs.composition import Environment
+from cressrock.programs.gateway import Gateway
 from cressrock.settings.load import convert, evaluate_text
 
 SETTINGS = """
@@ -71,7 +72,9 @@
         gateway = Gateway(checked, Environment(net.connect, net.wall_ms, seed, log))
         await tasks.start(gateway.run)
         address, _ = await net.listen(listen, gateway.serve, tasks, setting="--listen", log=log)
-        admin_server = Server(gateway.admin, checked.front.bounds, max_connections=64, failed=_failed(log))
+        admin_server = Server(
+            gateway.admin.handle, checked.front.bounds, max_connections=64, failed=_failed(log)
+        )
         admin_address, _ = await net.listen(admin, admin_server.serve, tasks, setting="--admin", log=log)
         while gateway.not_ready_reasons():
             await anyio.sleep(0.01)
--- a/cressrock/observe/admin.py
+++ b/cressrock/observe/admin.py
@@ -1,4 +1,4 @@
-"""What an admin port answers: the routes of cluster features first, then the program's own read-only pages."""
+"""What an admin port answers: routes of cluster features first, then the program's own read-only pages."""
 
 from __future__ import annotations
 
@@ -71,9 +71,7 @@
             await exchange.respond(405, [*text, (b"allow", b"GET, HEAD")], b"only GET and HEAD\n")
         elif path in self.pages:
             response = self.pages[path]()
-            await exchange.respond(
-                response.status, [(b"content-type", response.content_type)], response.body
-            )
+            await exchange.respond(response.status, [(b"content-type", response.content_type)], response.body)
         else:
             *paths, last = self.pages
             await exchange.respond(404, text, b", ".join(paths) + b" or " + last + b"\n")
--- a/cressrock/observe/metrics.py
+++ b/cressrock/observe/metrics.py
@@ -79,7 +79,7 @@
         self._children: dict[tuple[Any, ...], Any] = {}
 
     def child(self, metric: Any, *labels: str) -> Any:
-        """Return a metric's child; cached, since looking one up by its labels is expensive on the ordinary path."""
+        """Return a metric's child; cached, since looking one up by its labels is expensive."""
         key = (id(metric), *labels)
         found = self._children.get(key)
         if found is None:
--- /dev/null
+++ b/cressrock/programs/composition.py
@@ -0,0 +1,220 @@
+"""What both programs are composed of, built from the settings in one place.
+
+Streams, clock, wall time and randomness come from outside, so that the very same programs run over loopback
+sockets and in simulated time.
+"""
+
+from __future__ import annotations
+
+import random
+from collections.abc import Callable, Iterable
+from dataclasses import dataclass, field
+from typing import Any
+
+import msgspec
+
+from cressrock import net
+from cressrock.dispatch.driver import DecisionModule
+from cressrock.dispatch.ledger import Ledger
+from cressrock.dispatch.node_client import Connect, NodeClient
+from cressrock.dispatch.node_list import NodeListState
+from cressrock.dispatch.node_list_watch import NodeListSource, NodeListWatch
+from cressrock.dispatch.task_driver import TaskDriver
+from cressrock.edge.decisions import EdgeDecisions
+from cressrock.interface import NodeList
+from cressrock.planner.epochs import EpochStore, next_epoch
+from cressrock.presence.connection import MAGIC as PRESENCE_MAGIC
+from cressrock.presence.environment import PresenceEnvironment
+from cressrock.presence.service import PresenceService
+from cressrock.presence.settings import RoomSettings, ServiceSettings
+from cressrock.replication.known_set import ReplicaPlacement
+from cressrock.rollout.service import ProcessSettings as RolloutProcessSettings
+from cressrock.rollout.service import RolloutService
+from cressrock.runtime import ClusterRuntime, NodeIdentity, Sockets, SystemSockets
+from cressrock.scheduler.scheduler import Scheduler
+from cressrock.settings.rules import Tables, Version
+from cressrock.settings.types import Gateway as Settings
+from cressrock.settings.types import interface_settings
+
+SEED_BITS = 62
+
+
+@dataclass(frozen=True, slots=True)
+class Environment:
+    """What a program needs from outside.  Times in milliseconds."""
+
+    connect: Connect
+    wall_ms: Callable[[], float]
+    seed: int
+    log: Any
+    sockets: Sockets = field(default_factory=SystemSockets)
+    allow_threads: bool = True  # what blocks may leave the event loop; not in simulated time
+
+
+def create_scheduler(settings: Settings, seed: int, now_ms: float) -> DecisionModule:
+    """Return the decision module, started."""
+    return Scheduler(interface_settings(settings), seed, now_ms)
+
+
+@dataclass(frozen=True, slots=True)
+class Components:
+    """What a dispatcher is made of; the laboratory puts in components that are broken on purpose."""
+
+    decisions: Callable[[Settings, int, float], DecisionModule] = create_scheduler
+    ledger: type[Ledger] = Ledger
+    driver: type[TaskDriver] = TaskDriver
+    edge: type[EdgeDecisions] = EdgeDecisions
+
+
+@dataclass(frozen=True, slots=True)
+class RolloutHooks:
+    """How a program takes part in rollouts."""
+
+    on_versions_changed: Callable[[tuple[str, ...]], None]
+    planner_has_version: Callable[[str], bool] = lambda digest: True
+    may_lead: bool = False
+
+
+def child_rng(rng: random.Random) -> random.Random:
+    """Return a random source of its own; the order of these calls is part of what one seed gives."""
+    return random.Random(rng.getrandbits(SEED_BITS))
+
+
+def create_node_client(settings: Settings, environment: Environment) -> NodeClient:
+    """Return the connections to the storage nodes."""
+    return NodeClient(environment.connect, settings.nodes, user_agent=f"cressrock/{settings.name}")
+
+
+def create_node_list_watch(
+    settings: Settings,
+    environment: Environment,
+    node_client: NodeClient,
+    on_report: Callable[[NodeList], None],
+) -> NodeListWatch:
+    """Return what follows the node list by a program's settings."""
+    node_list = settings.node_list
+    return NodeListWatch(
+        NodeListState(node_list.cluster, max_nodes=node_list.max_nodes),
+        node_client,
+        NodeListSource(
+            node_list.address, settings.name, node_list.poll_ms, node_list.timeout_ms, cache=node_list.cache
+        ),
+        on_report=on_report,
+        wall_ms=environment.wall_ms,
+        log=environment.log,
+    )
+
+
+def create_runtime(
+    settings: Settings, environment: Environment, role: str, rng: random.Random
+) -> ClusterRuntime | None:
+    """Return a process's part in the cluster; None where its settings have none.  Raises OSError."""
+    if settings.fleet is None:
+        return None
+    store = EpochStore(settings.fleet.life_file)
+    incarnation = next_epoch(store.read(), environment.wall_ms())
+    store.write(incarnation)
+    reads_evidence = settings.zones is not None or settings.rollout is not None
+    return ClusterRuntime(
+        NodeIdentity(settings.name, incarnation, role, settings.fleet, settings.council),
+        environment.sockets,
+        clock=net.clock(),
+        wall_ms=environment.wall_ms,
+        rng=child_rng(rng),
+        log=environment.log,
+        allow_threads=environment.allow_threads,
+        is_collector=role == "planner" and reads_evidence,
+    )
+
+
+def create_presence(
+    settings: Settings, runtime: ClusterRuntime, volumes: Callable[[], Iterable[str]]
+) -> PresenceService:
+    """Return a gateway's presence service, connected to its process's runtime."""
+    values = msgspec.structs.asdict(settings.presence) if settings.presence is not None else {}
+
+    def values_of(kind: type[msgspec.Struct]) -> dict[str, Any]:
+        return {name: values[name] for name in kind.__struct_fields__ if name in values}
+
+    identity = runtime.identity
+    service = PresenceService(
+        ServiceSettings(**values_of(ServiceSettings)),
+        RoomSettings(**values_of(RoomSettings)),
+        PresenceEnvironment(
+            name=identity.name,
+            incarnation=identity.incarnation,
+            region=identity.fleet.region,
+            cluster=identity.fleet.cluster,
+            routes=identity.fleet.routes,
+            gossip=runtime.gossip,
+            members=runtime.members,
+            connect=runtime.sockets.connect,
+            consensus=lambda: runtime.consensus,
+            cached_decision=runtime.decision_cache.get,
+            volumes=volumes,
+            clock_ms=runtime.clock,
+            rng=child_rng(runtime.rng),
+            log=runtime.log,
+        ),
+    )
+    runtime.stream_handlers[PRESENCE_MAGIC] = service.serve
+    runtime.on_gossip_change.append(service.on_gossip_change)
+    runtime.decision_cache.listeners.append(service.on_decision)
+    return service
+
+
+def create_rollout(
+    settings: Settings,
+    environment: Environment,
+    runtime: ClusterRuntime,
+    tables: Tables,
+    rng: random.Random,
+    hooks: RolloutHooks,
+) -> RolloutService[Version]:
+    """Return a process's part in rollouts."""
+    own, council = settings.rollout, settings.council
+    assert own is not None and council is not None and settings.fleet is not None
+    process = RolloutProcessSettings(
+        settings.name,
+        settings.fleet.zone,
+        [request_class.name for request_class in settings.classes],
+        council.hold_ms,
+        own.keep_file,
+        own.look_ms,
+        own.tell_ms,
+        own.starts,
+        own.starts_within_ms,
+    )
+    # Danger: with one seed in all settings every process would draw the same numbers, and a burst that all
+    # see would go to one version as a whole.
+    seed = f"{rng.getrandbits(SEED_BITS)}/{settings.name}/{runtime.identity.incarnation}"
+    return RolloutService(
+        runtime,
+        tables,
+        process,
+        clock=net.clock(),
+        wall_ms=environment.wall_ms,
+        rng=random.Random(seed),
+        log=environment.log,
+        on_versions_changed=hooks.on_versions_changed,
+        planner_has_version=hooks.planner_has_version,
+        may_lead=hooks.may_lead,
+        zone_of=lambda name: next((m.zone for m in runtime.members() if m.name == name), ""),
+    )
+
+
+def set_rule_versions(decisions: DecisionModule | None, tables: Tables) -> None:
+    """Have a decision module know all versions of the rules that the tables have."""
+    if isinstance(decisions, Scheduler):
+        decisions.widen(tables.rows(decisions.settings))
+
+
+def replica_placements(settings: Settings) -> dict[str, ReplicaPlacement]:
+    """Return where the replicas of the volumes lie that have some."""
+    return {
+        name: ReplicaPlacement(
+            tuple(volume.shards), {zone: tuple(shards) for zone, shards in volume.copies.items()}
+        )
+        for name, volume in settings.volumes.items()
+        if volume.copies
+    }
--- /dev/null
+++ b/cressrock/programs/gauges.py
@@ -0,0 +1,26 @@
+"""Gauges of a gateway, read where its metrics are asked for."""
+
+from __future__ import annotations
+
+from cressrock.dispatch.driver import DecisionModule
+from cressrock.dispatch.ledger import Ledger
+from cressrock.interface import NodeState
+from cressrock.observe.metrics import Metrics
+from cressrock.scheduler.scheduler import Scheduler
+
+
+def set_ledger_gauges(metrics: Metrics, ledger: Ledger) -> None:
+    """Show the open operations, and the nodes by state."""
+    metrics.open_requests.set(len(ledger.entries))
+    for state in NodeState:
+        count = sum(node.state is state for node in ledger.nodes.values())
+        metrics.nodes.labels(state.value).set(count)
+
+
+def set_scheduler_gauges(metrics: Metrics, decisions: DecisionModule) -> None:
+    """Show the scheduler's queues and concurrency limits, where the module is the one that has them."""
+    if isinstance(decisions, Scheduler):
+        for name, endpoint in decisions.endpoints.by_name.items():
+            metrics.depth.labels(name).set(endpoint.limit.window)
+        for shard, queue in decisions.queues.items():
+            metrics.waiting.labels(str(shard)).set(queue.waiting_count)
--- a/cressrock/programs/planner.py
+++ b/cressrock/programs/planner.py
@@ -3,29 +3,29 @@
 from __future__ import annotations
 
 import random
-from collections.abc import Awaitable, Callable
 from contextlib import AsyncExitStack
 from typing import Any
 
 import anyio
 import msgspec
-from anyio.abc import TaskStatus
+from anyio.abc import TaskGroup, TaskStatus
 
 from cressrock import net
 from cressrock.dispatch.node_client import NodeClient
 from cressrock.failover.admin import FailoverAdmin
 from cressrock.failover.leader import FailoverLeader
 from cressrock.http.channel import Stream
-from cressrock.http.server import Exchange
 from cressrock.interface import NodeList
-from cressrock.link.protocol import LinkLimits as LinkBounds
+from cressrock.link.protocol import LinkLimits
 from cressrock.observe import admin
 from cressrock.planner.epochs import EpochStore, next_epoch
 from cressrock.planner.planner import Planner, PlannerLimits
 from cressrock.planner.server import PlannerServer
-from cressrock.programs.gateway import (
+from cressrock.programs.composition import (
     Components,
     Environment,
+    RolloutHooks,
+    create_node_client,
     create_node_list_watch,
     create_rollout,
     create_runtime,
@@ -47,7 +47,7 @@
         self, settings: Settings, environment: Environment, *, components: Components | None = None
     ) -> None:
         """Take an epoch and keep it before anything is done under it.  Raises OSError."""
-        # What a former epoch's planner tried again nobody can prove: it counts as spent.
+        # Nobody can prove what an earlier epoch's planner retried: its retry budget counts as spent.
         scheduler = msgspec.structs.replace(
             settings.scheduler, budget_begins_spent=True, limits_lent=settings.pair.edges > 0
         )
@@ -57,139 +57,148 @@
         store = EpochStore(settings.pair.epoch_file)
         self.epoch = next_epoch(store.read(), environment.wall_ms())
         store.write(self.epoch)
+        self.node_client = create_node_client(settings, environment)
+        self.admin = admin.AdminServer(
+            {b"/healthz": admin.health_page, b"/v1/status": lambda: admin.status_page(self.status())}
+        )
+        # Made by `run`; the cluster features only where the settings have them.
         self.server: PlannerServer | None = None
         self.runtime: ClusterRuntime | None = None
         self.rollout: RolloutService[Version] | None = None
         self.failover: FailoverLeader | None = None
         self.replica_manager: ReplicaManager | None = None
-        self.admin_routes: dict[
-            bytes, Callable[[Exchange], Awaitable[None]]
-        ] = {}  # of rooms, by path's beginning
-        self.node_client = NodeClient(
-            environment.connect, settings.nodes, user_agent=f"cressrock/{settings.name}"
-        )
 
     async def run(self, *, task_status: TaskStatus[None] = anyio.TASK_STATUS_IGNORED) -> None:
         """Serve until cancelled; reports started once edges can join."""
-        settings, pair, world = self.settings, self.settings.pair, self.environment
-        clock = net.clock()
-        planner = Planner(
-            self.components.decisions(settings, world.seed, clock()),
-            interface_settings(settings).classes,
-            self.epoch,
-            PlannerLimits(
-                pair.grant_ms, pair.max_inside, pair.max_edges, lease_ms=pair.lend_ms if pair.edges else 0.0
-            ),
-            interface_settings(settings).plans,
-        )
+        settings, environment = self.settings, self.environment
+        planner = self._create_planner()
         async with AsyncExitStack() as stack:
-            nodes = await stack.enter_async_context(self.node_client)
+            node_client = await stack.enter_async_context(self.node_client)
             tasks = await stack.enter_async_context(anyio.create_task_group())
-            bounds = LinkBounds(ping_ms=pair.ping_ms, silent_ms=pair.silent_ms)
+            limits = LinkLimits(ping_ms=settings.pair.ping_ms, silent_ms=settings.pair.silent_ms)
             server = self.server = PlannerServer(
-                planner, settings.name, clock=clock, limits=bounds, log=world.log
+                planner, settings.name, clock=net.clock(), limits=limits, log=environment.log
+            )
+            runtime = self.runtime = create_runtime(
+                settings, environment, "planner", random.Random(environment.seed)
             )
-            self.runtime = create_runtime(settings, world, "planner", random.Random(world.seed))
-            if self.runtime is not None:
-                self.replica_manager = self._keeper(self.runtime, nodes)
+            if runtime is not None:
+                self.replica_manager = self._create_replica_manager(runtime, node_client)
             if self.replica_manager is not None:
-                self.admin_routes[b"/v1/copies"] = self.replica_manager.handle
-            watch = create_node_list_watch(settings, world, nodes, self._listed)
+                self.admin.routes[b"/v1/copies"] = self.replica_manager.handle
+            watch = create_node_list_watch(settings, environment, node_client, self._on_node_list)
             server.subscribe_to_node_list = watch.subscribe
             server.knows_versions = settings.rollout is not None
             watch.load_cache()
             watch.subscribe()
             tasks.start_soon(watch.run)
             tasks.start_soon(server.run)
-            if self.runtime is not None:
-                await tasks.start(self.runtime.run)
-                if settings.rollout is not None:
-                    self.rollout = self._rollout(self.runtime, planner, server)
-                    self.admin_routes[b"/v1/rollout"] = self.rollout.serve
-                    tasks.start_soon(self.rollout.run)
-                if settings.zones is not None and settings.council is not None:
-                    hold_ms = settings.council.hold_ms
-                    zones = self.failover = FailoverLeader(
-                        settings.zones, self.runtime, hold_ms, clock, world.log
-                    )
-                    self.admin_routes[b"/v1/zones/"] = FailoverAdmin(
-                        settings.zones, self.runtime, hold_ms, zones.status
-                    ).handle
-                    tasks.start_soon(zones.run)
+            if runtime is not None:
+                await tasks.start(runtime.run)
+                self._start_cluster_features(runtime, planner, server, tasks)
             if self.replica_manager is not None:
                 tasks.start_soon(self.replica_manager.run)
             task_status.started()
             await anyio.sleep_forever()
 
-    def _rollout(
-        self, ground: ClusterRuntime, planner: Planner, server: PlannerServer
+    def _create_planner(self) -> Planner:
+        settings, pair = self.settings, self.settings.pair
+        lease_ms = pair.lend_ms if pair.edges else 0.0
+        return Planner(
+            self.components.decisions(settings, self.environment.seed, net.clock()()),
+            interface_settings(settings).classes,
+            self.epoch,
+            PlannerLimits(pair.grant_ms, pair.max_inside, pair.max_edges, lease_ms=lease_ms),
+            interface_settings(settings).plans,
+        )
+
+    # --- cluster features
+
+    def _start_cluster_features(
+        self, runtime: ClusterRuntime, planner: Planner, server: PlannerServer, tasks: TaskGroup
+    ) -> None:
+        zones, council = self.settings.zones, self.settings.council
+        if self.settings.rollout is not None:
+            self.rollout = self._create_rollout(runtime, planner, server)
+            self.admin.routes[b"/v1/rollout"] = self.rollout.serve
+            tasks.start_soon(self.rollout.run)
+        if zones is not None and council is not None:
+            failover = self.failover = FailoverLeader(
+                zones, runtime, council.hold_ms, net.clock(), self.environment.log
+            )
+            self.admin.routes[b"/v1/zones/"] = FailoverAdmin(
+                zones, runtime, council.hold_ms, failover.status
+            ).handle
+            tasks.start_soon(failover.run)
+
+    def _create_rollout(
+        self, runtime: ClusterRuntime, planner: Planner, server: PlannerServer
     ) -> RolloutService[Version]:
         tables = Tables(self.settings)
 
-        def widened(live: tuple[str, ...]) -> None:
+        def on_versions_changed(live: tuple[str, ...]) -> None:
             rows = tables.rows(interface_settings(self.settings))
             planner.set_rule_versions(rows.classes, rows.plans, tables.places())
             set_rule_versions(planner.decisions, tables)
             server.announce_rule_versions(live)  # only now: what edges offer under a version is decided by it
 
-        source = random.Random(self.environment.seed + 1)  # beside the ground's, which is drawn from the seed
-        return create_rollout(self.settings, self.environment, ground, tables, widened, source, judges=True)
-
-    def _listed(self, report: NodeList) -> None:
-        assert self.server is not None
-        self.server.receive_node_list(report)
-        if self.replica_manager is not None:
-            self.replica_manager.on_node_list(report)
-
-    def _keeper(self, ground: ClusterRuntime, nodes: NodeClient) -> ReplicaManager | None:
-        """Return what keeps the copies in sync; None where no volume has any, or this holds no seat."""
-        found, part, council = replica_placements(self.settings), self.settings.copies, self.settings.council
-        if not found or council is None or council.store is None:
+        # Beside the runtime's source, which is drawn from the seed itself.
+        rng = random.Random(self.environment.seed + 1)
+        hooks = RolloutHooks(on_versions_changed, may_lead=True)
+        return create_rollout(self.settings, self.environment, runtime, tables, rng, hooks)
+
+    def _create_replica_manager(
+        self, runtime: ClusterRuntime, node_client: NodeClient
+    ) -> ReplicaManager | None:
+        """Return what keeps the replicas in sync; None where no volume has any, or this process no vote."""
+        placements, settings = replica_placements(self.settings), self.settings.copies
+        council = self.settings.council
+        if not placements or council is None or council.store is None:
             return None
-        figures = ManagerSettings(
-            part.look_ms,
-            part.witnesses,
-            part.back_least_ms,
-            part.back_most_ms,
-            part.forget_ms,
-            council.hold_ms,
-            part.repair_share,
-            part.repair_rate,
-            part.repair_busy,
-            part.repair_pause_ms,
-        )
         return ReplicaManager(
-            found,
-            ground,
-            nodes,
-            figures,
-            regions=part.regions,
+            placements,
+            runtime,
+            node_client,
+            ManagerSettings(
+                settings.look_ms,
+                settings.witnesses,
+                settings.back_least_ms,
+                settings.back_most_ms,
+                settings.forget_ms,
+                council.hold_ms,
+                settings.repair_share,
+                settings.repair_rate,
+                settings.repair_busy,
+                settings.repair_pause_ms,
+            ),
+            regions=settings.regions,
             clock=net.clock(),
             log=self.environment.log,
             incarnation=f"{self.settings.name}-{self.epoch}",
         )
 
+    # --- what happens while it runs
+
+    def _on_node_list(self, report: NodeList) -> None:
+        assert self.server is not None
+        self.server.receive_node_list(report)
+        if self.replica_manager is not None:
+            self.replica_manager.on_node_list(report)
+
+    async def serve(self, stream: Stream) -> None:
+        """Serve one edge's connection."""
+        assert self.server is not None
+        await self.server.serve(stream)
+
     def status(self) -> dict[str, Any]:
         """Return what this process knows of itself and of the others, as plain values."""
-        edges = sorted(self.server.sessions) if self.server is not None else []
-        return {
+        status: dict[str, Any] = {
             "name": self.settings.name,
             "epoch": self.epoch,
-            "edges": edges,
+            "edges": sorted(self.server.sessions) if self.server is not None else [],
             "fleet": self.runtime.status() if self.runtime is not None else None,
             "zones": self.failover.status() if self.failover is not None else None,
-            **({"copies": self.replica_manager.status()} if self.replica_manager is not None else {}),
         }
-
-    async def admin(self, exchange: Exchange) -> None:
-        """Serve /healthz and /v1/status."""
-        pages: dict[bytes, admin.Page] = {
-            b"/healthz": admin.healthz,
-            b"/v1/status": lambda: admin.status(self.status()),
-        }
-        await admin.serve(exchange, self.admin_routes, pages)
-
-    async def serve(self, stream: Stream) -> None:
-        """Serve one edge's connection."""
-        assert self.server is not None
-        await self.server.serve(stream)
+        if self.replica_manager is not None:
+            status["copies"] = self.replica_manager.status()
+        return status
--- a/tests/edge/test_with_planners.py
+++ b/tests/edge/test_with_planners.py
@@ -5,7 +5,7 @@
 from cressrock.edge.decisions import EdgeDecisions
 from cressrock.lab.day import Day, Script, simulate
 from cressrock.lab.judge import judge
-from cressrock.programs.gateway import Components
+from cressrock.programs.composition import Components
 
 
 def play(components=None, **changes):
--- a/tests/rig.py
+++ b/tests/rig.py
@@ -11,7 +11,8 @@
 from cressrock.lab.node import Rates
 from cressrock.lab.serve import lab_settings
 from cressrock.lab.simnet import SimNet
-from cressrock.programs.gateway import Environment, Gateway
+from cressrock.programs.composition import Environment
+from cressrock.programs.gateway import Gateway
 from cressrock.settings.load import convert
 
 
--- a/tests/test_admin.py
+++ b/tests/test_admin.py
@@ -6,9 +6,12 @@
 import anyio
 import pytest
 
+from cressrock.lab.serve import lab_settings
 from cressrock.observe import admin
+from cressrock.programs.composition import Environment
 from cressrock.programs.gateway import Gateway
 from cressrock.programs.planner import PlannerProgram
+from cressrock.settings.load import convert
 
 
 class Asked:
@@ -23,16 +26,15 @@
         self.answer = status, dict(headers), body
 
 
-def program(kind, routes=None, why=()):
-    """Return what a program's `admin` reads of it, and its `admin`."""
-    parts = SimpleNamespace(
-        admin_routes=routes or {},
-        not_ready_reasons=lambda: list(why),
-        render_metrics=lambda: b"metrics",
-        status=lambda: {"name": "x"},
-    )
-    parts._readyz = lambda: Gateway._readyz(parts)
-    return lambda exchange: kind.admin(parts, exchange)
+def program(kind, routes=None, reasons=()):
+    """Return the handler of a program's admin port; the program does not run."""
+    settings = convert("admin", lab_settings("127.0.0.1:1", "127.0.0.1:0", 1))
+    made = kind(settings, Environment(connect=None, wall_ms=lambda: 0.0, seed=1, log=None))
+    made.not_ready_reasons = lambda: list(reasons)
+    made.render_metrics = lambda: b"metrics"
+    made.status = lambda: {"name": "x"}
+    made.admin.routes |= routes or {}
+    return made.admin.handle
 
 
 def ask(serve, target, method=b"GET"):
@@ -66,7 +68,7 @@
 
 def test_pages_that_a_gateway_alone_has():
     assert ask(program(Gateway), b"/readyz") == (200, {b"content-type": admin.TEXT}, b"ready\n")
-    assert ask(program(Gateway, why=("a", "b")), b"/readyz")[::2] == (503, b"a; b\n")
+    assert ask(program(Gateway, reasons=("a", "b")), b"/readyz")[::2] == (503, b"a; b\n")
     assert ask(program(Gateway), b"/metrics") == (200, {b"content-type": admin.METRICS}, b"metrics")
     assert ask(program(PlannerProgram), b"/metrics")[0] == 404
 
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -273,7 +273,7 @@
         await stream.send(b"GET /demo/a HTTP/1.1\r\nhost: gw\r\n\r\n")
         await anyio.sleep(5)
         decisions = rig.gateway.driver.decisions
-        assert not any(node.out for node in decisions.nodes.values())
+        assert not any(endpoint.in_flight for endpoint in decisions.endpoints.by_name.values())
         await anyio.sleep(40)  # the front gives up on a reader that reads nothing
         assert not rig.gateway.driver.ledger.entries and rig.gateway.node_client.connections() < 4
         await stream.aclose()
@@ -378,7 +378,8 @@
 
     async def program(rig):
         from cressrock.lab.day import _Silent
-        from cressrock.programs.gateway import Environment, Gateway
+        from cressrock.programs.composition import Environment
+        from cressrock.programs.gateway import Gateway
 
         async def write():
             await rig.ask("PUT", "/demo/a", b"x", idempotency_key="k1", leave_after_ms=150)
--- a/tests/test_judge.py
+++ b/tests/test_judge.py
@@ -14,7 +14,7 @@
 from cressrock.lab.day import Script, play
 from cressrock.lab.judge import judge
 from cressrock.lab.trace import load
-from cressrock.programs.gateway import Components
+from cressrock.programs.composition import Components
 from cressrock.scheduler.dispatch import Dispatch
 from cressrock.scheduler.placement import Placement
 from cressrock.scheduler.scheduler import Scheduler
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -17,7 +17,7 @@
 from cressrock.lab.service import Hindrance, complement, intersect, merged, serve
 from cressrock.lab.site import convert_site, load_site, usual
 from cressrock.lab.trace import Row, Trace
-from cressrock.programs.gateway import Components
+from cressrock.programs.composition import Components
 from cressrock.scheduler.scheduler import Scheduler
 from cressrock.settings import SettingsError
 from cressrock.settings.types import interface_settings
