--- a/cressrock/lab/simnet.py
+++ b/cressrock/lab/simnet.py
@@ -239,7 +239,7 @@
 
 
 class SimSockets:
-    """The net's sockets as a program's common ground takes them (`cressrock.runtime.Sockets`)."""
+    """The net's sockets as a program's runtime takes them (`cressrock.runtime.sockets.Sockets`)."""
 
     def __init__(self, net: SimNet) -> None:
         """Open them at one net."""
--- a/cressrock/programs/composition.py
+++ b/cressrock/programs/composition.py
@@ -30,7 +30,8 @@
 from cressrock.replication.known_set import ReplicaPlacement
 from cressrock.rollout.service import ProcessSettings as RolloutProcessSettings
 from cressrock.rollout.service import RolloutService
-from cressrock.runtime import ClusterRuntime, NodeIdentity, Sockets, SystemSockets
+from cressrock.runtime.cluster import ClusterRuntime, NodeIdentity
+from cressrock.runtime.sockets import Sockets, SystemSockets
 from cressrock.scheduler.scheduler import Scheduler
 from cressrock.settings.rules import Tables, Version
 from cressrock.settings.types import Gateway as Settings
--- a/cressrock/programs/gateway.py
+++ b/cressrock/programs/gateway.py
@@ -50,7 +50,7 @@
 from cressrock.replication.service import ReplicatedVolumes
 from cressrock.replication.shard_request import DeadlineShares
 from cressrock.rollout.service import RolloutService
-from cressrock.runtime import ClusterRuntime
+from cressrock.runtime.cluster import ClusterRuntime
 from cressrock.settings.rules import Tables, Version
 from cressrock.settings.types import Gateway as Settings
 from cressrock.settings.types import interface_settings
--- a/cressrock/programs/planner.py
+++ b/cressrock/programs/planner.py
@@ -34,7 +34,7 @@
 )
 from cressrock.replication.manager import ManagerSettings, ReplicaManager
 from cressrock.rollout.service import RolloutService
-from cressrock.runtime import ClusterRuntime
+from cressrock.runtime.cluster import ClusterRuntime
 from cressrock.settings.rules import Tables, Version
 from cressrock.settings.types import Gateway as Settings
 from cressrock.settings.types import interface_settings
--- /dev/null
+++ b/cressrock/runtime/__init__.py
@@ -0,0 +1,1 @@
+"""One process's part in the cluster: membership, gossip, consensus, and the sockets they use."""
--- a/tests/compatibility/interfaces_cases.py
+++ b/tests/compatibility/interfaces_cases.py
@@ -24,8 +24,10 @@
 
 import msgspec
 from msgspec import inspect as shapes
+from rich.console import Console
 
 from cressrock import errors
+from cressrock.cli.main import app
 from cressrock.cli.start import main
 from cressrock.dispatch.ledger import Verdict
 from cressrock.dispatch.reasons import Fence, Reason
@@ -183,15 +185,13 @@
 
 def help_of(command: str) -> dict[str, Any]:
     """Return a command's usage, and its commands and options with type and default; no descriptions."""
-    width = os.environ.get("COLUMNS")
-    os.environ["COLUMNS"] = "400"
+    # With a console of its own: the application keeps the one of its first command, and that one's width.
+    out, code = io.StringIO(), 0
     try:
-        code, text, _ = run_command(*command.split(), "--help")
-    finally:
-        if width is None:
-            del os.environ["COLUMNS"]
-        else:
-            os.environ["COLUMNS"] = width
+        app([*command.split(), "--help"], console=Console(file=out, width=400))
+    except SystemExit as end:
+        code = end.code or 0
+    text = out.getvalue()
     lines = [line.strip() for line in text.splitlines()]
     rows = []
     for line in lines:
