--- a/tests/test_program.py
+++ b/tests/programs/test_command_line.py
@@ -12,7 +12,7 @@
 import pytest
 from webdav4.client import Client, ResourceAlreadyExists
 
-ROOT = Path(__file__).parent.parent
+ROOT = Path(__file__).parents[2]
 
 
 def cressrock(*args, timeout=120):
--- a/tests/test_ground.py
+++ b/tests/runtime/test_cluster.py
@@ -1,7 +1,8 @@
-"""Common ground by processes: members and decrees under cuts, and rules that need neither."""
+"""The cluster runtime by processes: members and decisions under cuts, and rules that need neither."""
 
 import subprocess
 import sys
+from importlib.util import find_spec
 
 from cressrock.lab import steps as st
 from cressrock.lab.common import Common, Told
@@ -9,6 +10,11 @@
 from cressrock.lab.drill import rehearse
 from cressrock.lab.judge import judge
 
+CLUSTER_PACKAGES = (
+    "aggregation", "consensus", "errors", "failover", "gossip", "membership", "presence", "programs",
+    "replication", "rollout", "runtime",
+)  # fmt: skip
+
 
 def play(story, *, edges=2, planners=3, seats=True, seed=1, rate=20.0, **more):
     common = Common(seats=[f"p{i}" for i in range(planners)] if seats else (), **more)
@@ -78,19 +84,21 @@
     assert report.found.figures["served"] > 0.5 * report.found.figures["requests"]
 
 
-def test_the_platforms_process_loads_none_of_it():
+def test_the_platforms_process_loads_nothing_of_the_cluster():
     """Its brief forbids dispatchers to talk."""
+    for package in CLUSTER_PACKAGES:
+        assert find_spec(f"cressrock.{package}"), f"{package} was renamed: this test would look for nothing"
     code = (
         "import sys, cressrock.cli.start, cressrock.platform.program\n"
-        "rooms = ('fleet', 'council', 'ground', 'zones', 'rollout', 'presence', 'copies', 'errors')\n"
-        "loaded = [m for m in sys.modules if m.startswith(tuple(f'cressrock.{r}' for r in rooms))]\n"
+        f"packages = {CLUSTER_PACKAGES}\n"
+        "loaded = [m for m in sys.modules if m.startswith(tuple(f'cressrock.{p}' for p in packages))]\n"
         "print(loaded, 'msgspec' in sys.modules, 'sqlite3' in sys.modules)"
     )
     found = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True, check=True)
     assert found.stdout.strip() == "[] False False"
 
 
-def test_on_common_ground_in_simulated_time_one_seed_gives_one_bad_day_and_the_rules_hold():
+def test_in_simulated_time_one_seed_gives_one_bad_day_of_a_cluster_and_the_rules_hold():
     def day():
         script = Script(seed=3, dispatchers=4, planners=3, length_ms=12000, ground=True, rate=20.0)
         day = Day(script)
--- a/tests/test_pages.py
+++ b/tests/test_pages.py
@@ -27,7 +27,7 @@
 ADDRESS = re.compile(r"\b(?:\d{1,3}\.){3}\d{1,3}:\d{1,5}\b")
 BOUND_S = 900  # against a hang alone: no verdict hangs on how long anything takes
 
-INSTALLS = "sets up a venv and installs from the registry; days are played by tests/test_program.py"
+INSTALLS = "sets up a venv and installs from the registry; days are played by tests/programs/test_command_line.py"
 KIT = "needs the operators' kit beside the repository, which is not part of it"
 DRAWING = "a drawing"
 NOT_RUN = {
