--- a/cressrock/cli/main.py
+++ b/cressrock/cli/main.py
@@ -22,10 +22,8 @@
 from cressrock import net
 from cressrock.errors import CressrockError
 from cressrock.errors.listening import AddressUnavailableError
-from cressrock.http.server import Server
 from cressrock.observe import logs
-from cressrock.programs.composition import Environment
-from cressrock.programs.gateway import Gateway
+from cressrock.programs import process
 from cressrock.settings import SettingsError, evaluate, load
 from cressrock.settings.load import convert
 
@@ -103,7 +101,7 @@
         _stop(BROKEN, str(wrong))
         return
     logs.configure(found.observe.level)
-    _run(_serve, str(settings), variables, found)
+    _run(process.serve_gateway, str(settings), variables, found, _version())
 
 
 @app.command
@@ -124,7 +122,7 @@
     if not found.pair.planners:
         _stop(BROKEN, f"{settings}: pair.planners: an edge needs at least one")
     logs.configure(found.observe.level)
-    _run(_serve, str(settings), variables, found)
+    _run(process.serve_gateway, str(settings), variables, found, _version())
 
 
 @app.command
@@ -142,30 +140,7 @@
         _stop(BROKEN, str(wrong))
         return
     logs.configure(found.observe.level)
-    _run(_plan, found)
-
-
-async def _plan(settings: Any) -> None:
-    from cressrock.programs.planner import PlannerProgram
-
-    log = logs.logger(planner=settings.name)
-    program = PlannerProgram(settings, Environment(net.connect, net.wall_ms, settings.seed or _seed(), log))
-    async with anyio.create_task_group() as tasks:
-        await tasks.start(program.run)
-        address, close = await net.listen(
-            settings.pair.listen, program.serve, tasks, setting="pair.listen", log=log
-        )
-        admin = await _admin(settings, program.admin.handle, tasks, log)
-        bound = program.runtime.addresses if program.runtime is not None else {}
-        log.info("planning", address=address, admin=admin, epoch=program.epoch, version=_version(), **bound)
-        with anyio.open_signal_receiver(signal.SIGTERM, signal.SIGINT) as signals:
-            async for _ in signals:
-                break
-        await close()
-        if program.runtime is not None:
-            await program.runtime.leave()
-        log.info("stopped")
-        tasks.cancel_scope.cancel()
+    _run(process.serve_planner, found, _version())
 
 
 def _run(program: Any, *args: Any) -> None:
@@ -188,66 +163,6 @@
         pass
 
 
-async def _serve(path: str, variables: dict[str, str], settings: Any) -> None:
-    log = logs.logger(dispatcher=settings.name)
-    gateway = Gateway(settings, Environment(net.connect, net.wall_ms, settings.seed or _seed(), log))
-    async with anyio.create_task_group() as tasks:
-        await tasks.start(gateway.run)
-        address, close = await net.listen(
-            settings.front.listen, gateway.serve, tasks, setting="front.listen", log=log
-        )
-        admin = await _admin(settings, gateway.admin.handle, tasks, log)
-        bound = gateway.runtime.addresses if gateway.runtime is not None else {}
-        log.info("serving", address=address, admin=admin, version=_version(), **bound)
-        await _signals(gateway, path, variables, log)
-        log.info("stopping", owed=len(gateway.driver.ledger.entries) if gateway.driver else 0)
-        await close()
-        done = await gateway.stop(settings.stop_after_ms)
-        log.info("stopped", all_answered=done)
-        tasks.cancel_scope.cancel()
-
-
-async def _admin(settings: Any, handle: Any, tasks: TaskGroup, log: Any) -> str | None:
-    """Serve the admin port, if the settings name one; returns where."""
-    if settings.observe.admin is None:
-        return None
-    admin = Server(
-        handle,
-        settings.front.bounds,
-        max_connections=64,
-        failed=lambda error: log.error("defect", error=repr(error), exc_info=error),
-    )
-    address, _ = await net.listen(
-        settings.observe.admin, admin.serve, tasks, setting="observe.admin", log=log
-    )
-    tasks.start_soon(admin.watch)
-    return address
-
-
-def _seed() -> int:
-    """Draw a seed of this life: keys and lock tokens must differ from every other life's."""
-    import secrets
-
-    return secrets.randbits(62)
-
-
-async def _signals(gateway: Gateway, path: str, variables: dict[str, str], log: Any) -> None:
-    """Reload on SIGHUP; return on SIGTERM or SIGINT."""
-    with anyio.open_signal_receiver(signal.SIGTERM, signal.SIGINT, signal.SIGHUP) as signals:
-        async for number in signals:
-            if number != signal.SIGHUP:
-                return
-            try:
-                fixed = gateway.reload(load(path, variables))
-            except SettingsError as wrong:
-                log.error("settings not reloaded", error=str(wrong))
-                continue
-            if fixed:
-                log.error("settings not reloaded", error=f"a restart is needed for {', '.join(fixed)}")
-            else:
-                log.info("settings reloaded", file=path)
-
-
 @lab.command(name="serve")
 def lab_serve(
     *,
--- a/cressrock/programs/composition.py
+++ b/cressrock/programs/composition.py
@@ -28,6 +28,9 @@
 from cressrock.presence.service import PresenceService
 from cressrock.presence.settings import RoomSettings, ServiceSettings
 from cressrock.replication.known_set import ReplicaPlacement
+from cressrock.replication.reachability import ReachabilityTracker
+from cressrock.replication.service import ReplicatedVolumes
+from cressrock.replication.shard_request import DeadlineShares
 from cressrock.rollout.service import ProcessSettings as RolloutProcessSettings
 from cressrock.rollout.service import RolloutService
 from cressrock.runtime.cluster import ClusterRuntime, NodeIdentity
@@ -219,3 +222,35 @@
         for name, volume in settings.volumes.items()
         if volume.copies
     }
+
+
+def create_replicated_volumes(
+    settings: Settings,
+    runtime: ClusterRuntime,
+    reachability: ReachabilityTracker,
+    clock: Callable[[], float],
+    log: Any,
+) -> ReplicatedVolumes | None:
+    """Return what serves the volumes that have replicas; None where there are none."""
+    placements, replication = replica_placements(settings), settings.copies
+    fleet, council = settings.fleet, settings.council
+    if not placements or council is None:
+        return None
+    shares = DeadlineShares(
+        replication.first_share,
+        replication.follow_share,
+        replication.told_ms,
+        replication.ask_ms,
+        council.hold_ms,
+    )
+    return ReplicatedVolumes(
+        placements,
+        runtime,
+        shares,
+        reachability,
+        zone=fleet.zone if fleet is not None else "",
+        regions=replication.regions,
+        clock=clock,
+        log=log,
+        retry_after_ms=settings.front.retry_after_ms,
+    )
--- a/cressrock/programs/gateway.py
+++ b/cressrock/programs/gateway.py
@@ -38,6 +38,7 @@
     create_node_client,
     create_node_list_watch,
     create_presence,
+    create_replicated_volumes,
     create_rollout,
     create_runtime,
     replica_placements,
@@ -48,7 +49,6 @@
 from cressrock.replication.publisher import ReachabilityPublisher
 from cressrock.replication.reachability import ReachabilityTracker
 from cressrock.replication.service import ReplicatedVolumes
-from cressrock.replication.shard_request import DeadlineShares
 from cressrock.rollout.service import RolloutService
 from cressrock.runtime.cluster import ClusterRuntime
 from cressrock.settings.rules import Tables, Version
@@ -248,33 +248,17 @@
         self, runtime: ClusterRuntime, front: Front, driver: TaskDriver, tasks: TaskGroup
     ) -> None:
         """Serve the volumes that have replicas, if there are any."""
-        placements, settings = replica_placements(self.settings), self.settings.copies
-        fleet, council = self.settings.fleet, self.settings.council
-        if not placements or council is None:
-            return
         reachability = ReachabilityTracker()
-        shares = DeadlineShares(
-            settings.first_share,
-            settings.follow_share,
-            settings.told_ms,
-            settings.ask_ms,
-            council.hold_ms,
-        )
-        volumes = self.replicated_volumes = front.copies = ReplicatedVolumes(
-            placements,
-            runtime,
-            shares,
-            reachability,
-            zone=fleet.zone if fleet is not None else "",
-            regions=settings.regions,
-            clock=driver.clock,
-            log=self.environment.log,
-            retry_after_ms=self.settings.front.retry_after_ms,
+        volumes = self.replicated_volumes = front.copies = create_replicated_volumes(
+            self.settings, runtime, reachability, driver.clock, self.environment.log
         )
+        if volumes is None:
+            return
         self.metrics.attempt_listeners.append(
             lambda shard, outcome: reachability.record_outcome(shard, outcome, driver.clock())
         )
-        tasks.start_soon(ReachabilityPublisher(volumes, runtime.gossip, settings.look_ms).run)
+        publisher = ReachabilityPublisher(volumes, runtime.gossip, self.settings.copies.look_ms)
+        tasks.start_soon(publisher.run)
 
     def _zone_of(self, node: Node) -> str:
         """Return the name of a listed node's zone."""
