--- a/tests/dispatch/test_quota.py
+++ b/tests/dispatch/test_quota.py
@@ -1,4 +1,4 @@
-"""Limits whose parts are lent: whatever is lost, late or alone, the store behind keeps to its slack."""
+"""Limits whose quotas are lent: whatever is lost, late or alone, the bucket behind keeps to its slack."""
 
 import random
 
@@ -26,8 +26,8 @@
 PLAN = Plan(limit_rate=24.0, limit_burst=48.0, limit_slack=8.0)
 
 
-class Store:
-    """The limit's store, as the judge keeps it."""
+class TokenBucket:
+    """The limit's token bucket, as the judge keeps it."""
 
     def __init__(self):
         self.level, self.at, self.lowest = PLAN.limit_burst, 0.0, 0.0
@@ -37,19 +37,21 @@
         self.at, self.lowest = now, min(self.lowest, self.level)
 
 
-def test_a_part_begins_empty_fills_by_its_share_and_is_held_down_by_what_is_out():
-    part = EdgeQuota((PLAN,), lambda volume: 2, 1000.0, 0.0)
-    assert part.lease("v", 0, 5.0, 0.0) == 0.0
-    assert part.lease("v", 0, 5.0, 250.0) == pytest.approx(3.0)  # 24 a second, half of it here
-    assert part.lease("v", 0, 3.0, 260.0) == 0.0  # as much as waits has been lent
-    part.record_sent("v", 0, 3.0, 270.0)
-    full = part.lease("v", 0, 1000.0, 1e6)
-    assert full == pytest.approx(28 * 0.999 - 12 - 3)  # less a loan's life of filling, less what is out
-    part.record_outcome("v", 0, 3.0, 1e6)
-    assert part.lease("v", 0, 1000.0, 1e6 + 1000) == pytest.approx(12.0)
+def test_a_share_begins_empty_refills_and_is_reduced_by_units_in_flight():
+    quota = EdgeQuota((PLAN,), lambda volume: 2, 1000.0, 0.0)
+    assert quota.lease("v", 0, 5.0, 0.0) == 0.0
+    assert quota.lease("v", 0, 5.0, 250.0) == pytest.approx(3.0)  # 24 a second, half of it here
+    assert quota.lease("v", 0, 3.0, 260.0) == 0.0  # as much as waits is leased already
+    quota.record_sent("v", 0, 3.0, 270.0)
+    full = quota.lease("v", 0, 1000.0, 1e6)
+    assert full == pytest.approx(
+        28 * 0.999 - 12 - 3
+    )  # less the refill of one lease's duration, less the units in flight
+    quota.record_outcome("v", 0, 3.0, 1e6)
+    assert quota.lease("v", 0, 1000.0, 1e6 + 1000) == pytest.approx(12.0)
 
 
-def test_a_small_burst_shortens_the_life_of_a_loan():
+def test_a_small_burst_shortens_a_lease():
     assert lease_duration_ms(PLAN, 1000.0) == 1000.0
     assert lease_duration_ms(Plan(limit_rate=100.0, limit_burst=10.0), 1000.0) == 50.0
     assert lease_duration_ms(Plan(), 1000.0) == 1000.0
@@ -57,31 +59,31 @@
 
 @settings(max_examples=150, deadline=None)
 @given(st.integers(0, 10**6), st.integers(1, 5))
-def test_however_loans_are_lost_late_and_spent_the_limit_holds(seed, edges):
+def test_however_leases_are_lost_late_and_spent_the_limit_holds(seed, edges):
     """Edges that lend to deciders which come, go, keep what they have to the end and spend all at once."""
     draw = random.Random(seed)
-    parts = [EdgeQuota((PLAN,), lambda volume: edges, 1000.0, 0.0) for _ in range(edges)]
-    life, store, now = lease_duration_ms(PLAN, 1000.0), Store(), 0.0
-    loans, flying = [], []
+    quotas = [EdgeQuota((PLAN,), lambda volume: edges, 1000.0, 0.0) for _ in range(edges)]
+    life, bucket, now = lease_duration_ms(PLAN, 1000.0), TokenBucket(), 0.0
+    leases, in_flight = [], []
     for _ in range(400):
         now += draw.choice((0.0, 1.0, 30.0, 400.0, 3000.0)) * draw.random()
-        for arrival in sorted(f for f in flying if f[0] <= now):
-            store.take(arrival[0], arrival[2])
-            parts[arrival[1]].record_outcome("v", 0, arrival[2], arrival[0])
-        flying = [f for f in flying if f[0] > now]
-        loans = [(until, units) for until, units in loans if until > now]
+        for arrival in sorted(f for f in in_flight if f[0] <= now):
+            bucket.take(arrival[0], arrival[2])
+            quotas[arrival[1]].record_outcome("v", 0, arrival[2], arrival[0])
+        in_flight = [f for f in in_flight if f[0] > now]
+        leases = [(until, units) for until, units in leases if until > now]
         who = draw.randrange(edges)
         if draw.random() < 0.6:
-            units = parts[who].lease("v", 0, draw.choice((1.0, 8.0, 100.0)), now)
+            units = quotas[who].lease("v", 0, draw.choice((1.0, 8.0, 100.0)), now)
             if units and draw.random() < 0.9:
                 # The decider counts it from a stamp, which is before the loan.
-                loans.append((now + life * draw.random() ** 0.2, units))
-        elif loans and not flying:
-            _, units = loans.pop(draw.randrange(len(loans)))
+                leases.append((now + life * draw.random() ** 0.2, units))
+        elif leases and not in_flight:
+            _, units = leases.pop(draw.randrange(len(leases)))
             # By any edge: it is out for a while, and may arrive after the loan's time.
-            parts[who].record_sent("v", 0, units, now)
-            flying.append((now + draw.choice((0.0, 5.0, 800.0)), who, units))
-    assert store.lowest >= -PLAN.limit_slack - 1e-6, (seed, store.lowest)
+            quotas[who].record_sent("v", 0, units, now)
+            in_flight.append((now + draw.choice((0.0, 5.0, 800.0)), who, units))
+    assert bucket.lowest >= -PLAN.limit_slack - 1e-6, (seed, bucket.lowest)
 
 
 def test_the_module_spends_what_is_lent_in_time_and_makes_nothing_itself():
