--- a/cressrock/edge/attempts.py
+++ b/cressrock/edge/attempts.py
@@ -20,7 +20,7 @@
         quota: EdgeQuota | None,
     ) -> None:
         """Without `ordering` no key is ordered here; without `quota` no limit is kept here."""
-        self._custody = table
+        self._table = table
         self._session = session
         self._ordering = ordering
         self._quota = quota
@@ -32,10 +32,10 @@
     def start(self, pending: PendingOperation, now: float) -> None:
         """Enter that an attempt leaves, which the operation's decider ordered."""
         arrival = pending.arrival
-        self._custody.ordered[arrival.request] = OrderedAttempt(
+        self._table.ordered[arrival.request] = OrderedAttempt(
             pending.decider, pending.number_offset, arrival.volume, arrival.plan, arrival.units
         )
-        entry = self._custody.ledger.entries.get(arrival.request)
+        entry = self._table.ledger.entries.get(arrival.request)
         if entry is not None and entry.attempts:
             self._enter_retry(pending.decider, now)
         if self._quota is not None and self._quota.is_limited(arrival.plan):
@@ -53,7 +53,7 @@
         """Enter an attempt's outcome and return who ordered it; None where nobody did."""
         if self._ordering is not None:
             self._ordering.attempt_ended(event.request, event.outcome, now)
-        attempt = self._custody.ordered.pop(event.request, None)
+        attempt = self._table.ordered.pop(event.request, None)
         if attempt is not None and self._quota is not None and self._quota.is_limited(attempt.plan):
             self._quota.record_outcome(attempt.volume, attempt.plan, attempt.units, now)
         return attempt
--- a/cressrock/edge/decisions.py
+++ b/cressrock/edge/decisions.py
@@ -213,15 +213,15 @@
             elif attempt.decider is Decider.PLANNER and self.session.is_open:
                 self.session.report(
                     messages.AttemptEnded(
-                        0,
-                        now,
-                        name,
-                        number,
-                        event.outcome.value,
-                        event.settled,
-                        event.latency_ms,
-                        event.reported_usage,
-                        event.units_elsewhere,
+                        sequence=0,
+                        at_ms=now,
+                        operation=name,
+                        attempt=number,
+                        outcome=event.outcome.value,
+                        settled=event.settled,
+                        latency_ms=event.latency_ms,
+                        reported_usage=event.reported_usage,
+                        units_elsewhere=event.units_elsewhere,
                     ),
                     now,
                 )
@@ -280,28 +280,28 @@
             leased_units = self._leases.lease_by_stamp(demand, self.session.stamped_at_ms, now)
         version, request_class, plan = self.version_of(arrival)
         if version and version not in (self.session.versions or ()):
-            # Its planner changed to one that lacks the version: it goes by the settings' own, its time as
-            # given.
+            # Its planner changed to one that lacks the version: the settings' own rules decide it.
             version = ""
             self.version_fallbacks += 1
+        waited_ms = arrival.waited_ms
         request = messages.Request(
-            0,
-            now,
-            name,
-            arrival.volume,
-            arrival.key[:512],
-            arrival.units,
-            max(0.0, pending.deadline_ms - self.policy.answer_margin_ms),
-            plan,
-            request_class,
-            arrival.shard,
-            arrival.sharing_hosts,
-            arrival.waited_ms if arrival.waited_ms < 0 else arrival.waited_ms + now - pending.accepted_at_ms,
-            attempts,
-            pending.counted_in_budget,
-            leased_units,
-            self.session.stamp,
-            version,
+            sequence=0,
+            at_ms=now,
+            operation=name,
+            volume=arrival.volume,
+            key=arrival.key[: messages.MAX_TEXT],
+            units=arrival.units,
+            deadline_ms=max(0.0, pending.deadline_ms - self.policy.answer_margin_ms),
+            plan=plan,
+            request_class=request_class,
+            shard=arrival.shard,
+            sharing_hosts=arrival.sharing_hosts,
+            waited_ms=waited_ms if waited_ms < 0 else waited_ms + now - pending.accepted_at_ms,
+            earlier_attempts=attempts,
+            counted_in_budget=pending.counted_in_budget,
+            leased_units=leased_units,
+            stamp=self.session.stamp,
+            rule_version=version,
         )
         self.session.report(request, now)
 
--- a/cressrock/edge/limit_leases.py
+++ b/cressrock/edge/limit_leases.py
@@ -29,12 +29,12 @@
     def __init__(self, quota: EdgeQuota, table: OperationTable) -> None:
         """Lease from `quota` for what `table` holds."""
         self.quota = quota
-        self._custody = table
+        self._table = table
 
     def demands(self, decider: Decider) -> Iterable[Demand]:
         """Return what waits with a decider, one for each limited volume."""
         demands: dict[str, Demand] = {}
-        for arrival in self._custody.waits_with(decider):
+        for arrival in self._table.waits_with(decider):
             if self.quota.is_limited(arrival.plan):
                 before = demands.get(arrival.volume)
                 units = arrival.units + (before.units if before is not None else 0.0)
@@ -43,7 +43,7 @@
 
     def demand_at_planner(self, volume: str, plan: int) -> Demand:
         """Return what waits of one volume with the planner."""
-        waiting = self._custody.waits_with(Decider.PLANNER)
+        waiting = self._table.waits_with(Decider.PLANNER)
         return Demand(volume, plan, sum(arrival.units for arrival in waiting if arrival.volume == volume))
 
     def lease(self, demand: Demand, now: float) -> float:
--- a/cressrock/edge/local_orders.py
+++ b/cressrock/edge/local_orders.py
@@ -35,7 +35,7 @@
     ) -> None:
         """Check orders against what `table` holds."""
         self._scheduler = scheduler
-        self._custody = table
+        self._table = table
         self._attempts = attempts
         self._events: list[Event] = []
 
@@ -50,7 +50,7 @@
 
     def take_over(self, pending: PendingOperation, entry: Entry, now: float) -> None:
         """Make the scheduler the decider of an operation, with the time that is truly left."""
-        self._custody.assign(pending, Decider.LOCAL)
+        self._table.assign(pending, Decider.LOCAL)
         arrival = pending.arrival
         waited_ms = arrival.waited_ms
         self._events.append(
@@ -76,13 +76,13 @@
             case Send(request):
                 return self._send(request, order, now)
             case Reject(request) | Fail(request):
-                pending = self._custody.operations.get(request)
+                pending = self._table.operations.get(request)
                 if pending is None or pending.decider is not Decider.LOCAL:
                     return None
-                del self._custody.operations[request]
+                del self._table.operations[request]
                 return order
             case Cancel(request, number):
-                attempt = self._custody.ordered.get(request)
+                attempt = self._table.ordered.get(request)
                 if attempt is None or attempt.decider is not Decider.LOCAL:
                     return None
                 return Cancel(request, number - attempt.number_offset)
@@ -91,10 +91,10 @@
         return order
 
     def _send(self, request: str, order: Send, now: float) -> Send | None:
-        entry = self._custody.ledger.entries.get(request)
+        entry = self._table.ledger.entries.get(request)
         if entry is None:
             return None
-        pending = self._custody.operations.get(request)
+        pending = self._table.operations.get(request)
         if (
             pending is not None
             and pending.decider is Decider.LOCAL
--- a/cressrock/edge/planner_orders.py
+++ b/cressrock/edge/planner_orders.py
@@ -15,40 +15,45 @@
 
     def __init__(self, table: OperationTable, session: PlannerSession, attempts: AttemptTracker) -> None:
         """Check orders against what `table` holds and report to `session` what was not carried out."""
-        self._custody = table
+        self._table = table
         self._session = session
         self._attempts = attempts
 
-    def execute(
-        self, order: messages.Grant | messages.FinalAnswer | messages.CancelAttempt, now: float
-    ) -> Action | None:
+    def execute(self, order: messages.OperationOrder, now: float) -> Action | None:
         """Return the action that an order stands for; None where it is no longer valid."""
-        pending = self._custody.operations.get(order.operation)
+        pending = self._table.operations.get(order.operation)
         match order:
             case messages.Grant():
                 return self._use_grant(order, pending, now)
             case messages.FinalAnswer(_, operation, rejected, retry_after_ms):
                 if pending is None or pending.decider is not Decider.PLANNER:
                     return None
-                del self._custody.operations[operation]
+                del self._table.operations[operation]
                 return Reject(operation, retry_after_ms) if rejected else Fail(operation)
             case messages.CancelAttempt(_, operation, number):
-                attempt = self._custody.ordered.get(operation)
+                attempt = self._table.ordered.get(operation)
                 if attempt is None or attempt.decider is not Decider.PLANNER:
                     return None
                 return Cancel(operation, number - attempt.number_offset)
 
     def _use_grant(self, grant: messages.Grant, pending: PendingOperation | None, now: float) -> Send | None:
+        """Return the sending that a valid grant permits; report one that is not valid to the planner."""
         rejected = self._check(grant, pending, now)
         if rejected is None and pending is not None:
             self._attempts.start(pending, now)
             return Send(grant.operation, grant.node, grant.timeout_ms)
         # The planner counts this attempt as in flight: it must hear that it never ran.
-        abandoned = Outcome.ABANDONED.value
-        self._session.report(
-            messages.AttemptEnded(0, now, grant.operation, grant.attempt, abandoned, False, 0.0), now
+        abandoned = messages.AttemptEnded(
+            sequence=0,
+            at_ms=now,
+            operation=grant.operation,
+            attempt=grant.attempt,
+            outcome=Outcome.ABANDONED.value,
+            settled=False,
+            latency_ms=0.0,
         )
-        entry = self._custody.ledger.entries.get(grant.operation)
+        self._session.report(abandoned, now)
+        entry = self._table.ledger.entries.get(grant.operation)
         if pending is not None and entry is not None:
             pending.number_offset = grant.attempt + 1 - len(entry.attempts)
         if rejected is not None and rejected.reason is GrantRejection.DRAINING:
--- a/cressrock/edge/planner_session.py
+++ b/cressrock/edge/planner_session.py
@@ -77,9 +77,7 @@
         """Keep an order until the next batch; it is carried out if it is still valid then."""
         self._orders.append((planner, order))
 
-    def next_order(
-        self, now: float
-    ) -> messages.Grant | messages.FinalAnswer | messages.CancelAttempt | messages.ClockStamp | None:
+    def next_order(self, now: float) -> messages.OperationOrder | messages.ClockStamp | None:
         """Return the next order of this session, after all that concerns the session alone; None: no more."""
         while self._orders:
             planner, order = self._orders.popleft()
--- a/cressrock/link/messages.py
+++ b/cressrock/link/messages.py
@@ -12,8 +12,10 @@
 import msgspec
 from msgspec import Meta, Struct, field
 
+MAX_TEXT = 512  # characters
+
 Name = Annotated[str, Meta(min_length=1, max_length=128)]
-Text = Annotated[str, Meta(max_length=512)]
+Text = Annotated[str, Meta(max_length=MAX_TEXT)]
 Count = Annotated[int, Meta(ge=0, le=2**53)]
 Version = Annotated[int, Meta(ge=1, le=65535)]
 TimeMs = Annotated[float, Meta(ge=0, le=1e15)]
@@ -195,7 +197,8 @@
 
 
 EdgeEvent = Request | AttemptEnded | ClientLeft | NodeDraining | LimitLease | BudgetHistory | EdgeClock
-PlannerOrder = Grant | FinalAnswer | CancelAttempt | ClockStamp | RuleVersions
+OperationOrder = Grant | FinalAnswer | CancelAttempt
+PlannerOrder = OperationOrder | ClockStamp | RuleVersions
 AnyMessage = Hello | Welcome | Goodbye | Ping | Pong | Credit | EdgeEvent | PlannerOrder
 
 _ENCODER = msgspec.msgpack.Encoder()
--- a/cressrock/planner/planner.py
+++ b/cressrock/planner/planner.py
@@ -214,14 +214,14 @@
             outcome = Outcome.RESET  # the cautious reading: it may have run
         scheduled.in_flight = False
         ended = AttemptEnded(
-            scheduled.scheduler_name,
-            event.attempt,
-            outcome,
-            event.settled,
-            event.latency_ms,
-            event.reported_usage,
-            event.units_elsewhere,
-            reached_node(outcome),
+            request=scheduled.scheduler_name,
+            attempt=event.attempt,
+            outcome=outcome,
+            settled=event.settled,
+            latency_ms=event.latency_ms,
+            reported_usage=event.reported_usage,
+            units_elsewhere=event.units_elsewhere,
+            charged=reached_node(outcome),
         )
         self._events.append(ended)
         if event.settled:
@@ -347,7 +347,13 @@
         scheduled.in_flight = True
         valid_until_ms = scheduled.session.clock_ms + self.limits.grant_ms
         return messages.Grant(
-            self._grants, self.epoch, scheduled.operation, attempt, node, valid_until_ms, timeout_ms
+            number=self._grants,
+            epoch=self.epoch,
+            operation=scheduled.operation,
+            attempt=attempt,
+            node=node,
+            valid_until_ms=valid_until_ms,
+            timeout_ms=timeout_ms,
         )
 
     def _answered(self, scheduled: ScheduledOperation) -> None:
