--- a/cressrock/edge/decisions.py
+++ b/cressrock/edge/decisions.py
@@ -17,7 +17,6 @@
 from __future__ import annotations
 
 import random
-from collections import Counter
 from dataclasses import replace
 
 from cressrock.dispatch.driver import DecisionModule
@@ -94,16 +93,13 @@
         self.table = OperationTable(ledger)
         self.grants = GrantFence(ledger)
         self.outbox = Outbox(max_outbox, uncounted_after_ms)
-        history = AttemptHistory(budget_window_ms)
-        self.session = PlannerSession(self.grants, self.outbox, history, tick_ms=tick_ms)
+        self.session = PlannerSession(self.grants, self.outbox, AttemptHistory(budget_window_ms), tick_ms)
         self.disconnected_since_ms: float | None = 0.0
-        self.dispositions: Counter[Disposition] = Counter()
         self._attempts = AttemptTracker(self.table, self.session, ordering, quota)
         self._leases = LimitLeases(quota, self.table) if quota is not None else None
         self._planner_orders = PlannerOrders(self.table, self.session, self._attempts)
         self._local_orders = LocalOrders(local, self.table, self._attempts)
-        # Rule versions: what the numbers of classes and plans stand for.
-        self.knows_versions = False
+        self.knows_versions = False  # of rules: what the numbers of classes and plans stand for
         self.plans_per_version = 0  # 0: there is one version
         self.version_of = settings_version
         self.version_fallbacks = 0  # operations that came to a planner without their version
@@ -347,7 +343,6 @@
             else:
                 waiting.append(entry)
                 continue
-            self.dispositions[disposition] += 1
             self.table.remove(name)
             if pending.decider is Decider.PLANNER and self.session.is_open:
                 self.session.report(messages.ClientLeft(0, now, name), now)
--- a/cressrock/edge/grants.py
+++ b/cressrock/edge/grants.py
@@ -1,7 +1,7 @@
 """Which grants an edge may carry out: the fence between a planner's orders and the nodes.  Pure.
 
 A grant permits one attempt, of one operation, at one node, from one epoch, until a time on the edge's own
-clock. The planner reckons that time from the newest event of this edge that it has seen, so a planner that
+clock.  The planner reckons that time from the newest event of this edge that it has seen, so a planner that
 stood still, or whose clock differs, hands out grants that have expired when they arrive.
 """
 
--- a/cressrock/edge/operations.py
+++ b/cressrock/edge/operations.py
@@ -95,8 +95,7 @@
         """Take an operation from the local scheduler if another decider may go on with it.
 
         What may have run and is not safe to repeat stays: its deduplication window and scope are known here
-        alone. Danger: two deciders would each keep order on a key apart; what has to run in order never
-        stays.
+        alone.  What has to run in order never stays: two deciders would each keep order on a key apart.
         """
         entry = self.ledger.entries.get(name)
         if entry is None or entry.verdict is not None or entry.attempt_in_flight() is not None:
--- a/cressrock/edge/planner_session.py
+++ b/cressrock/edge/planner_session.py
@@ -28,9 +28,7 @@
 class PlannerSession:
     """What this edge has from its planner, and what it has still to send."""
 
-    def __init__(
-        self, grants: GrantFence, outbox: Outbox, history: AttemptHistory, *, tick_ms: float
-    ) -> None:
+    def __init__(self, grants: GrantFence, outbox: Outbox, history: AttemptHistory, tick_ms: float) -> None:
         """Start without a planner.  `tick_ms`: so often at least a planner is sent this edge's clock."""
         self.grants = grants
         self.outbox = outbox
