--- a/examples/presence/join.py
+++ b/examples/presence/join.py
@@ -22,5 +22,5 @@
 
 
 if __name__ == "__main__":
-    given = [word for word in sys.argv[1:] if word != "--near"]
-    anyio.run(main, given[0], given[1:], "near" if "--near" in sys.argv else "here")
+    arguments = [word for word in sys.argv[1:] if word != "--near"]
+    anyio.run(main, arguments[0], arguments[1:], "near" if "--near" in sys.argv else "here")
--- a/examples/presence/watch.py
+++ b/examples/presence/watch.py
@@ -7,7 +7,7 @@
 from cressrock.presence import Presence
 
 
-async def main(room: str, addresses: list[str], most: int) -> None:
+async def main(room: str, addresses: list[str], max_events: int) -> None:
     """Watch until so many events were seen (0: for ever)."""
     async with Presence.connect(*addresses) as presence:
         watched = await presence.room(room)
@@ -19,15 +19,15 @@
             else:
                 print(f"{event.event} {event.member or event.gateway} {event.why}".rstrip(), flush=True)
             seen += 1
-            if seen == most:
+            if seen == max_events:
                 break
 
 
 if __name__ == "__main__":
-    given = sys.argv[1:]
+    arguments = sys.argv[1:]
     events = 0
-    if "--events" in given:
-        at = given.index("--events")
-        events = int(given[at + 1])
-        del given[at : at + 2]
-    anyio.run(main, given[0], given[1:], events)
+    if "--events" in arguments:
+        index = arguments.index("--events")
+        events = int(arguments[index + 1])
+        del arguments[index : index + 2]
+    anyio.run(main, arguments[0], arguments[1:], events)
