--- a/cressrock/lab/presence_crowd.py
+++ b/cressrock/lab/presence_crowd.py
@@ -20,7 +20,7 @@
     SessionUnavailableError,
 )
 from cressrock.lab.presence_check import Act, Claimed, Told, Watched, state
-from cressrock.presence import Event, Presence, Room
+from cressrock.presence.client import Event, Presence, Room
 
 
 class Crowd:
--- a/cressrock/presence/environment.py
+++ b/cressrock/presence/environment.py
@@ -10,8 +10,8 @@
 from cressrock.consensus.decisions import Decision, Expired
 from cressrock.gossip.store import GossipStore
 from cressrock.http.channel import Stream
-from cressrock.membership.membership import Member
 from cressrock.membership.packets import MemberState
+from cressrock.membership.types import Member
 from cressrock.presence.liveness import Gateway, GatewayState
 from cressrock.presence.messages import Origin
 from cressrock.presence.rooms import Rooms
--- a/cressrock/presence/service.py
+++ b/cressrock/presence/service.py
@@ -10,8 +10,8 @@
 
 from cressrock.consensus.decisions import Decision
 from cressrock.errors.presence import PresenceError
-from cressrock.gossip.store import EVERYTHING_CHANGED
-from cressrock.gossip.store import Origin as GossipOrigin
+from cressrock.gossip.change_log import EVERYTHING_CHANGED
+from cressrock.gossip.messages import Origin as GossipOrigin
 from cressrock.http.channel import Stream
 from cressrock.http.server import Exchange
 from cressrock.presence.admin_port import AdminPort
