--- a/examples/presence/agreed.py
+++ b/examples/presence/agreed.py
@@ -4,7 +4,7 @@
 
 import anyio
 
-from cressrock.errors.presence import NameHeld
+from cressrock.errors.presence import NameHeldError
 from cressrock.presence import Presence
 
 
@@ -17,7 +17,7 @@
         second = await presence.join(room)
         try:
             await second.agreed(name)
-        except NameHeld as held:
+        except NameHeldError as held:
             print(f"refused: {held.text}")
         taken = await second.agreed(name, take=True)
         print(f"{second.member} holds {name} by token {taken.number}, greater: "
