--- a/cressrock/errors/presence.py
+++ b/cressrock/errors/presence.py
@@ -1,4 +1,4 @@
-"""What fails in presence and rooms."""
+"""Errors of presence and rooms."""
 
 from __future__ import annotations
 
--- a/cressrock/presence/admin_port.py
+++ b/cressrock/presence/admin_port.py
@@ -131,7 +131,7 @@
         try:
             promised = await self._promise(meaning, session, version, request)
         except BaseException:
-            # Whatever ended it, also a client that went: a member nobody was told of is none.
+            # Whatever ended it, a disconnected client too: a join without an answer must leave no member.
             self._rooms.leave(self._context.now_ms(), session, Reason.WITHDRAWN)
             self._context.carry_out()
             raise
--- a/cressrock/presence/agreed_names.py
+++ b/cressrock/presence/agreed_names.py
@@ -2,8 +2,8 @@
 
 The versions grow over all topics for ever, so each new holder's token is greater than every former one's:
 whoever guards a thing by it refuses smaller tokens (fencing; Gray and Cheriton 1989 for leases, Burrows
-2006 for sequencers).  A holder whose gateway hears no renewal is told that its hold is unsure; it is never
-told that it holds what another may hold since.
+2006 for sequencers).  A holder whose gateway receives no renewal learns that its hold is unsure; it is
+never told that it holds what another may hold since.
 """
 
 from __future__ import annotations
--- a/cressrock/presence/causal_delivery.py
+++ b/cressrock/presence/causal_delivery.py
@@ -1,8 +1,8 @@
-"""Shows what other gateways tell, no effect before its cause.
+"""Applies what other gateways send to the views, and shows no effect before its cause.
 
 Each change names what its gateway had shown of the room's other gateways since its own change before, and
 is shown only after those (causal delivery: Lamport 1978; Birman, Schiper, Stephenson 1991, with the
-dependencies told as differences; first in, first out by origin makes that complete).  Where a cause cannot
+dependencies sent as differences; first in, first out by origin makes that complete).  Where a cause cannot
 be had within `hold_back_ms` (its gateway is cut off), the effect is shown and the cause becomes a debt:
 when it comes after all, the feed ends with a resync, and the cause stands in the snapshot.  So no event
 ever shows an effect before its cause.
@@ -37,7 +37,7 @@
         self._table, self._directory, self._settings = table, directory, settings
 
     def receive(self, now_ms: float, origin: Origin, update: Update) -> bool:
-        """Apply what an origin tells; whether its replica may be complete by it."""
+        """Apply an origin's update; return whether its replica may be complete now."""
         view = self._table.views.get(update.room)
         replica = view.replicas.get(origin) if view is not None else None
         if view is None or replica is None:
@@ -108,7 +108,7 @@
         view.advance(replica, page.version)
         view.shown_since_own_change[origin] = page.version
         if joins > 1:
-            view.resync()  # a snapshot does not tell in which order they came
+            view.resync()  # a snapshot does not say in which order they joined
         if missing:
             # It may hold effects whose causes are not here: as events they would be out of order.
             for stamp in missing:
@@ -135,7 +135,7 @@
                 True  # of an incarnation that is over, or in a room that is only replicated for its gateway
             )
         if len(view.replicas) < MAX_FOLLOWED_BY_CAUSE:
-            self._table.follow(now_ms, view, stamp.origin)  # the gossip has not told of it yet
+            self._table.follow(now_ms, view, stamp.origin)  # the gossip has not announced it yet
         return False
 
     def release_overdue(self, now_ms: float) -> None:
--- a/cressrock/presence/directory.py
+++ b/cressrock/presence/directory.py
@@ -109,11 +109,11 @@
         return bucket
 
     def forget(self, origin: Origin) -> None:
-        """Drop what an origin told: the gossip no longer holds it."""
+        """Drop an origin's entries, which the gossip no longer holds."""
         self._others.pop(origin, None)
 
     def may_have_members(self, origin: Origin, room: str) -> bool:
-        """Whether an origin may have members in a room, by what it told."""
+        """Whether an origin may have members in a room, by its entries."""
         buckets = self._others.get(origin)
         if not buckets:
             return False
@@ -125,10 +125,10 @@
         return marks is None or mark in marks
 
     def origins(self) -> list[Origin]:
-        """Return the origins that told of rooms, in the order in which they first did."""
+        """Return the origins that have entries, in the order in which they first had."""
         return list(self._others)
 
     def knows_later_incarnation(self, stamp_origin: Origin) -> bool:
-        """Whether the same gateway told of rooms in a later incarnation."""
+        """Whether the same gateway has entries of a later incarnation."""
         name, incarnation = stamp_origin
         return any(other.gateway == name and other.incarnation > incarnation for other in self._others)
--- a/cressrock/presence/environment.py
+++ b/cressrock/presence/environment.py
@@ -19,7 +19,7 @@
 
 GATEWAY_ROLE = "edge"
 
-# The words of the admin port for the states of the fleet's membership.
+# How the admin port names the states of the fleet's membership.
 GATEWAY_STATES: Mapping[MemberState, GatewayState] = {
     MemberState.ALIVE: GatewayState.ALIVE,
     MemberState.SUSPECT: GatewayState.SUSPECT,
@@ -53,7 +53,7 @@
         """Log what is usual."""
 
     def warning(self, event: str, **fields: str) -> None:
-        """Log what an operator may have to look at."""
+        """Log what an operator may have to act on."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -96,8 +96,8 @@
 class ServiceContext:
     """What the parts of the service share.
 
-    `carry_out` sends and publishes what the rooms want, and has to follow each change of them; `wake` has the
-    service's loop look again at once.
+    `carry_out` sends and publishes what the rooms want, and has to follow each change of them; `wake` makes
+    the service's loop run again at once.
     """
 
     settings: ServiceSettings
--- a/cressrock/presence/feed.py
+++ b/cressrock/presence/feed.py
@@ -1,4 +1,4 @@
-"""What a watcher of a room is told: events under a cursor, for as far back as the feed reaches."""
+"""A room's events for its watchers: numbered, and remembered for as far back as the feed reaches."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class EventKind(enum.StrEnum):
-    """What happened, by the word that the admin port uses."""
+    """What happened, as the admin port names it."""
 
     JOIN = "join"
     LEAVE = "leave"
@@ -25,12 +25,12 @@
 
 
 class Reason(enum.StrEnum):
-    """Why a member left, by the word that gateways and the admin port use."""
+    """Why a member left, as gateways and the admin port name it."""
 
-    LEFT = "left"  # its client's word
+    LEFT = "left"  # its client said so
     WITHDRAWN = "withdrawn"  # a join that did not come to its meaning
-    SILENT = "silent"  # its gateway's word: no contact for the grace
-    CLOSED = "closed"  # its gateway's word: an orderly stop
+    SILENT = "silent"  # its gateway ended it: no contact for the grace
+    CLOSED = "closed"  # its gateway ended it: an orderly stop
     TIME = "time"  # its gateway was silent for the stated time
     MOVED = "moved"  # it goes on at another gateway
 
--- a/cressrock/presence/gossip_entries.py
+++ b/cressrock/presence/gossip_entries.py
@@ -49,7 +49,7 @@
         self.publish(PRESENT_KEY, bytes((FORMAT,)))
 
     def announcing_gateways(self) -> set[str]:
-        """Return the gateways that told that they have presence."""
+        """Return the gateways that announced that they have presence."""
         return {origin[0] for origin in self._environment.gossip.origins(PRESENT_KEY)}
 
     def record_served_volume(self, volume: str) -> None:
--- a/cressrock/presence/liveness.py
+++ b/cressrock/presence/liveness.py
@@ -1,7 +1,7 @@
 """What may be said of gateways and their members: never gone only because somebody is silent.
 
 All times are the asking gateway's own, in milliseconds; no clock of two machines is compared.  A verdict here
-widens or narrows what is *told*; nothing that routes work looks at it.
+widens or narrows what is *said*; nothing that routes work reads it.
 """
 
 from __future__ import annotations
@@ -49,7 +49,7 @@
 
 
 class GatewayState(enum.Enum):
-    """What the fleet's membership says of a gateway, by the word that the admin port uses."""
+    """What the fleet's membership says of a gateway, as the admin port names it."""
 
     ALIVE = "alive"
     SUSPECT = "unsure"
@@ -80,7 +80,7 @@
 
     Counted are the region's gateways that are alive or suspected: a suspected one may be alive, so it
     raises what is needed.  Gateways known as dead are not counted, so that each side of a long cut goes on
-    for itself: the answer tells both numbers, and who is not heard from.
+    for itself: the answer gives both numbers, and who is not heard from.
     """
     counted = (GatewayState.ALIVE, GatewayState.SUSPECT)
     total = 1 + sum(1 for gateway in others if gateway.region == region and gateway.state in counted)
@@ -126,7 +126,7 @@
     """Return the gateways that an answer does not speak for, by name.
 
     `listed` are those whose list of rooms the gossip has brought; `suspect_since_ms` whose members of the
-    room are unsure, since when; `pending` those that were asked and have not told everything yet.
+    room are unsure, since when; `pending` those that were asked and have not sent everything yet.
     """
     unreported: dict[str, UnreportedGateway] = {}
     for gateway in others:
--- a/cressrock/presence/local_rooms.py
+++ b/cressrock/presence/local_rooms.py
@@ -86,7 +86,7 @@
         while len(local.log) > self.settings.log:
             local.floor = local.log.popleft().version
         if was_empty and local.members:
-            # A room that has been empty for less than the linger has its place still: no news.
+            # A room that has been empty for less than the linger is still in the directory.
             if self._emptied.pop(room, None) is None:
                 self.directory.add_own(room)
         elif not local.members and not was_empty:
--- a/cressrock/presence/messages.py
+++ b/cressrock/presence/messages.py
@@ -26,7 +26,7 @@
 _Data = Annotated[bytes, msgspec.Meta(max_length=4096)]
 _SessionDigest = Annotated[bytes, msgspec.Meta(max_length=16)]
 
-# The versions of an end marker (`MemberEntry.moved` without a gateway): by whose word the session ended.
+# The versions of an end marker (`MemberEntry.moved` without a gateway): who ended the session.
 ENDED_BY_CLIENT = 0
 ENDED_BY_GATEWAY = 1
 
@@ -56,7 +56,7 @@
 
     `secret_digest` lets another gateway check the session's secret and take it over.  `moved` makes the
     entry a marker: the session goes on at that gateway since that version, or, without a gateway's name, it
-    has ended by the word of its client (version 0) or of its gateway (1).
+    was ended by its client (version 0) or by its gateway (1).
     """
 
     id: _MemberId
--- a/cressrock/presence/name_claims.py
+++ b/cressrock/presence/name_claims.py
@@ -34,7 +34,7 @@
         self._context = context
         self._settings, self._environment = context.settings, context.environment
         self._rooms = context.rooms
-        self._holds: dict[str, NameHold] = {}  # by topic, as decisions told
+        self._holds: dict[str, NameHold] = {}  # by topic, of the decisions received
         self._to_drop: dict[str, int] = {}  # topic -> number of the decision
         self._claiming: set[tuple[str, str]] = set()  # topic, member
 
@@ -99,7 +99,7 @@
             try:
                 number = await self._claim_once(consensus, holder, preempt=preempt)
             except DecisionConflictError:
-                continue  # another decision came between: look at what stands now
+                continue  # another decision came between: read again what stands
             if self._rooms.sessions.get(holder.member) is not session:
                 self._to_drop[topic_of(holder.room, holder.name)] = number
                 raise SessionEndedError(f"session {holder.member} ended meanwhile")
@@ -147,7 +147,7 @@
         """Have a name dropped, if this decision on it still stands."""
         self._to_drop[topic_of(room, name)] = number
 
-    # --- what decisions tell
+    # --- decisions received
 
     def on_decision(self, decision: Decision) -> None:
         """Apply a decision of any topic: who holds a name now, and who is fenced."""
--- a/cressrock/presence/peer_streams.py
+++ b/cressrock/presence/peer_streams.py
@@ -33,7 +33,7 @@
 
     def __init__(self, context: ServiceContext) -> None:
         """Nothing is dialled before `connect_missing`."""
-        self.rejected = 0  # frames and streams that were parted with
+        self.rejected = 0  # streams that were closed for what came by them
         self._context = context
         self._settings, self._environment = context.settings, context.environment
         self._rooms = context.rooms
@@ -76,7 +76,7 @@
                 tasks.start_soon(self._hold_stream_to, origin, address)
 
     async def _hold_stream_to(self, origin: Origin, address: str) -> None:
-        """Hold a stream to an origin for as long as it is wanted; what broke, the next look dials again."""
+        """Hold a stream to an origin for as long as it is wanted; what broke, the next tick dials again."""
         try:
             host, _, port = address.rpartition(":")
             stream: Stream | None = None
@@ -92,7 +92,7 @@
         except (PresenceFrameError, PresenceLimitError) as error:
             self._reject(error, gateway=origin.gateway)
         except (OSError, ValueError, *BROKEN):
-            pass  # the next look dials again; the words about it come from its silence
+            pass  # the next tick dials again; the rooms notice its silence
         finally:
             self._lose_stream_to(origin)
 
@@ -121,7 +121,7 @@
         self._environment.log.debug("presence.stream_ended", gateway=origin.gateway)
 
     def _receive_from_source(self, origin: Origin, message: Message) -> bool:
-        """Take in what an origin says; False once its stream is not wanted any more."""
+        """Pass on what an origin sent; return False once its stream is not wanted any more."""
         if isinstance(message, Reply):
             self._rooms.record_contact(self._context.now_ms(), origin)
             pending = self._pending.get(message.request)
@@ -190,7 +190,7 @@
         tasks.cancel_scope.cancel()
 
     async def _read(self, connection: PeerConnection, receive: Callable[[Message], bool]) -> None:
-        """Read messages until the stream ends, is silent, or is parted with; raises nothing of it.
+        """Read messages until the stream ends, is silent, or has to be closed; raises nothing of it.
 
         (Within a task group an error would come out as a group, and past its handler end the program.)
         """
--- a/cressrock/presence/recovery.py
+++ b/cressrock/presence/recovery.py
@@ -25,7 +25,7 @@
 
 
 class ResumedBy(enum.StrEnum):
-    """How a session goes on, by the word of the admin port."""
+    """How a session goes on, as the admin port names it."""
 
     CONTACT = "here"
     HAND_OVER = "handed over"
--- a/cressrock/presence/rooms.py
+++ b/cressrock/presence/rooms.py
@@ -80,11 +80,11 @@
         self._sessions.touch(now_ms, session, data, locks)
 
     def leave(self, now_ms: float, session: Session, reason: Reason = Reason.LEFT) -> None:
-        """End a session, by its client's word or this gateway's."""
+        """End a session, for its client or by this gateway's decision."""
         self._sessions.leave(now_ms, session, reason)
 
     def close(self, now_ms: float) -> None:
-        """End all sessions here by this gateway's word, in an orderly stop."""
+        """End all sessions here, in an orderly stop."""
         self._sessions.close_all(now_ms)
 
     def hand_over(self, now_ms: float, request: HandOverRequest) -> MemberEntry | None:
@@ -111,7 +111,7 @@
         return self._directory.drain_updates(max_bytes)
 
     def receive_directory_entry(self, now_ms: float, origin: Origin, key: str, value: bytes | None) -> None:
-        """Take in an entry of another gateway; None: it was removed."""
+        """Read an entry of another gateway; None: it was removed."""
         if origin == self.origin:
             return
         bucket = self._directory.receive(origin, key, value)
@@ -136,11 +136,11 @@
 
     @property
     def has_feed_changes(self) -> bool:
-        """Whether a room's feed has news since `drain_changed_rooms`."""
+        """Whether a room's feed has changed since `drain_changed_rooms`."""
         return bool(self._feed_index.changed_rooms)
 
     def drain_changed_rooms(self) -> set[str]:
-        """Return the rooms whose feed has news since the last call."""
+        """Return the rooms whose feed has changed since the last call."""
         changed, self._feed_index.changed_rooms = self._feed_index.changed_rooms, set()
         return changed
 
@@ -154,7 +154,7 @@
         return self._suspicion.unsure_gateways(now_ms, view)
 
     def as_of_ms(self, view: RoomView, now_ms: float) -> float:
-        """Return the time up to which all that the heard gateways told is here."""
+        """Return the time up to which all that the confirmed gateways sent is here."""
         return self._suspicion.as_of_ms(now_ms, view)
 
     # --- streams to other gateways
@@ -176,7 +176,7 @@
         self._table.record_contact(now_ms, origin)
 
     def receive_update(self, now_ms: float, origin: Origin, message: Message) -> None:
-        """Apply what an origin tells by the stream to it."""
+        """Apply what an origin sent by the stream to it."""
         self._table.record_contact(now_ms, origin)
         if isinstance(message, SnapshotPage | ChangeBatch):
             if self._delivery.receive(now_ms, origin, message):
--- a/cressrock/presence/service.py
+++ b/cressrock/presence/service.py
@@ -1,6 +1,7 @@
 """Presence of one gateway at work: its rooms with their streams, gossip, agreed names and admin port.
 
-It holds no figure of its own; what to say and whom to believe is decided by the rooms and by `liveness`.
+It holds no figure of its own; what to send and which gateways are alive is decided by the rooms and by
+`liveness`.
 """
 
 from __future__ import annotations
@@ -30,7 +31,7 @@
 from cressrock.presence.watches import Watches
 
 SESSION_KEY_BYTES = 16
-TICKS_PER_SILENT_TIME = 8  # the loop looks this often within `silent_ms`
+TICKS_PER_SILENT_TIME = 8  # the loop runs this often within `silent_ms`
 
 
 class PresenceService:
@@ -97,7 +98,7 @@
             self._carry_out()
 
     def end_sessions(self) -> None:
-        """End all sessions by this gateway's word; in an orderly stop, before the fleet is left."""
+        """End all sessions; in an orderly stop, before the fleet is left."""
         self.rooms.close(self.now_ms())
         self.rooms.publish_changes()
         self._carry_out()
@@ -106,7 +107,7 @@
         self._wake.set()
 
     def _carry_out(self) -> None:
-        """Carry what the rooms want sent and told."""
+        """Send and publish what the rooms want, and wake watchers."""
         for to, message in self.rooms.drain_outgoing():
             self.streams.send(to, message)
         for key, value in self.rooms.drain_directory_updates():
@@ -117,7 +118,7 @@
         for released in self.rooms.drain_released_names():
             self._names.give_up(*released)
 
-    # --- what the process tells
+    # --- notifications from the process
 
     def on_gossip_change(self, origin: GossipOrigin, key: str) -> None:
         """Read an entry of the gossip that changed."""
@@ -149,7 +150,7 @@
             others = [other for other in session.entry.locks if other != lock]
             self.rooms.touch(self.now_ms(), session, locks=[*others, lock] if taken else others)
         except PresenceError as error:
-            # The lock itself is the node's affair; only what is told of it is missing.
+            # The lock itself is the node's affair; only its entry in the room is missing.
             self.environment.log.info("presence.lock_not_recorded", lock=lock, **error.fields())
         self._carry_out()
 
--- a/cressrock/presence/sessions.py
+++ b/cressrock/presence/sessions.py
@@ -152,7 +152,7 @@
             self._record(now_ms, session.room, MemberEdit(entry.id, session.entry))
 
     def leave(self, now_ms: float, session: Session, reason: Reason = Reason.LEFT) -> None:
-        """End a session, by its client's word or this gateway's."""
+        """End a session, for its client or by this gateway's decision."""
         entry = session.entry
         if self.by_member.pop(entry.id, None) is None:
             return
@@ -167,7 +167,7 @@
             self._record(now_ms, session.room, MemberEdit(entry.id, None, reason))
 
     def close_all(self, now_ms: float) -> None:
-        """End all sessions by this gateway's word, in an orderly stop."""
+        """End all sessions, in an orderly stop."""
         for session in list(self.by_member.values()):
             self.leave(now_ms, session, Reason.CLOSED)
 
--- a/cressrock/presence/settings.py
+++ b/cressrock/presence/settings.py
@@ -6,7 +6,7 @@
 
 
 class RoomSettings(msgspec.Struct, frozen=True, kw_only=True):
-    """What the rooms' state goes by."""
+    """Bounds and times of the rooms' state."""
 
     max_members: int = 200_000  # own, over all rooms
     max_room: int = 20_000  # members of one room, as seen here
--- a/cressrock/presence/suspicion.py
+++ b/cressrock/presence/suspicion.py
@@ -19,7 +19,7 @@
         self._table, self._delivery, self._settings = table, delivery, settings
 
     def tick(self, now_ms: float) -> None:
-        """Say unsure of those that have been silent for too long, and gone of those past the stated time."""
+        """Suspect those that have been silent for too long, and give up those past the stated time."""
         for origin, source in self._table.sources.items():
             if (
                 source.connected
@@ -77,7 +77,7 @@
         return suspect_since_ms
 
     def as_of_ms(self, now_ms: float, view: RoomView) -> float:
-        """Return the time up to which all that the heard gateways told is here."""
+        """Return the time up to which all that the confirmed gateways sent is here."""
         contacts = [
             self._table.sources[origin].last_contact_ms
             for origin, replica in view.replicas.items()
--- a/cressrock/presence/view.py
+++ b/cressrock/presence/view.py
@@ -1,4 +1,4 @@
-"""A room as one gateway shows it: what each origin told, and the events of what changed in that.
+"""A room as one gateway shows it: a replica of each origin's members, and the events of their changes.
 
 Of one member's id the greatest hop is shown, so a session that went on at another gateway is never there
 twice.
@@ -26,12 +26,12 @@
 
 @dataclass(slots=True)
 class Replica:
-    """What one origin told of a room, and what of that is shown."""
+    """One origin's members of a room as far as they are shown, and what waits to be."""
 
     version: int = 0  # shown up to
     received: int = 0
     members: dict[str, MemberEntry] = field(default_factory=dict)
-    synced: bool = False  # all that the origin told is here, and what it tells comes by a stream
+    synced: bool = False  # all that the origin sent is here, and its changes come by a stream
     synced_until_ms: float = 0.0  # while not synced: until when it was
     suspected: bool = False
     delayed: deque[DelayedChange] = field(default_factory=deque)
@@ -123,7 +123,7 @@
             return None
         there = self.replicas.get(target)
         if there is not None and there.version >= entry.moved.version:
-            return None  # its new gateway has told that it ended
+            return None  # its new gateway has sent that it ended
         return ShownMember(entry, *target, False)
 
     def members(self) -> list[ShownMember]:
@@ -141,7 +141,7 @@
         return KnownMember(entry, entry.moved_to or origin)
 
     def pending_gateways(self) -> list[str]:
-        """Return the gateways that were asked for their members and have not told all."""
+        """Return the gateways that were asked for their members and have not sent all."""
         return sorted(origin[0] for origin, replica in self.replicas.items() if not replica.synced)
 
     # --- what changes it
@@ -162,7 +162,7 @@
     def set_entry(
         self, origin: Origin, replica: Replica, member_id: str, entry: MemberEntry | None, reason: str
     ) -> None:
-        """Let an origin hold an entry of a member, or none, and tell what changes by it."""
+        """Let an origin hold an entry of a member, or none, and emit what changes by it."""
         before = self.shown_member(member_id)
         if entry is None:
             replica.members.pop(member_id, None)
--- a/cressrock/presence/view_table.py
+++ b/cressrock/presence/view_table.py
@@ -115,7 +115,7 @@
             self.follow(now_ms, view, origin)
 
     def follow(self, now_ms: float, view: RoomView, origin: Origin) -> Replica:
-        """Have a view follow an origin, and return what it told so far."""
+        """Have a view follow an origin, and return its replica."""
         replica = view.replicas.get(origin)
         if replica is None:
             replica = view.replicas[origin] = Replica(synced_until_ms=now_ms)
@@ -127,7 +127,7 @@
         return replica
 
     def unfollow(self, view: RoomView, origin: Origin) -> None:
-        """Have a view follow an origin no longer; what it told is forgotten."""
+        """Have a view follow an origin no longer; its replica is dropped."""
         view.replicas.pop(origin, None)
         self.doubtful.pop((view.room, origin), None)
         view.waiting.discard(origin)
--- a/cressrock/presence/watches.py
+++ b/cressrock/presence/watches.py
@@ -22,7 +22,7 @@
         self._waiting: dict[str, list[anyio.Event]] = {}
 
     def notify(self, rooms: Iterable[str]) -> None:
-        """Wake whoever waits for news of these rooms."""
+        """Wake whoever waits for events of these rooms."""
         for room in rooms:
             for event in self._waiting.pop(room, ()):
                 event.set()
@@ -49,14 +49,14 @@
                 waiting[:] = [event for event in waiting if not event.is_set()]
 
     async def wait_for_events(self, room: str, timeout_ms: float) -> None:
-        """Wait until a room's feed has news, or the time is over."""
+        """Wait until a room's feed has changed, or the time is over."""
         event = anyio.Event()
         self._waiting.setdefault(room, []).append(event)
         with anyio.move_on_after(timeout_ms / 1000):
             await event.wait()
 
     async def synced_view(self, room: str) -> RoomView:
-        """Return the view of a room, once all that are asked have told, or the time for it is over."""
+        """Return the view of a room, once all that are asked have answered, or the time for it is over."""
         context = self._context
         view = context.rooms.open_view(context.now_ms(), room)
         context.carry_out()
