--- a/tests/presence/test_service.py
+++ b/tests/presence/test_service.py
@@ -88,6 +88,35 @@
     run_in_cluster(scene)
 
 
+def test_a_long_poll_waits_for_the_next_event_and_counts_as_contact():
+    async def scene(cluster):
+        client, service = Client(cluster), cluster.at["a"]
+        joined = await client.post("a", "join", room="docs")
+        poll = f"room=docs&token={joined['token']}&wait_ms=30000&after="
+        answers = []
+
+        async def wait(cursor):
+            answers.append((await client.watch("a", poll + cursor), anyio.current_time()))
+
+        snapshot = await client.watch("a", poll)
+        async with anyio.create_task_group() as tasks:
+            tasks.start_soon(wait, snapshot["cursor"])
+            await anyio.sleep(20)  # longer than the grace
+            assert not answers and service.status()["watchers"] == 1
+            other = await client.post("a", "join", room="docs")
+            joined_at = anyio.current_time()
+        (answer, answered_at) = answers[0]
+        assert answered_at == joined_at and not answer["resync"]
+        assert [(event.event, event.member) for event in answer["events"]] == [("join", other["member"])]
+        assert service.status()["watchers"] == 0
+        begun_at = anyio.current_time()
+        await wait(f"{answer['cursor']}&wait_ms=5000")  # of two values the last counts
+        answer, answered_at = answers[-1]
+        assert answer["events"] == [] and 4.9 < answered_at - begun_at < 5.1
+
+    run_in_cluster(scene)
+
+
 class BytesStream:
     """A stream that brings some bytes, and then ends."""
 
