--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -270,7 +270,7 @@
         await stream.send(b"GET /demo/a HTTP/1.1\r\nhost: gw\r\n\r\n")
         await anyio.sleep(5)
         decisions = rig.gateway.driver.decisions
-        assert not any(node.out for node in decisions.nodes.values())
+        assert not any(endpoint.in_flight for endpoint in decisions.endpoints.by_name.values())
         await anyio.sleep(40)  # the front gives up on a reader that reads nothing
         assert not rig.gateway.driver.ledger.entries and rig.gateway.nodes.connections() < 4
         await stream.aclose()
--- a/tests/test_planner.py
+++ b/tests/test_planner.py
@@ -52,8 +52,9 @@
     assert plan.step(2.0).orders["e"][0].operation == "r"
     plan.leave("e", second)
     plan.step(3.0)
-    brain = plan.decisions
-    assert not plan.inside and not any(n.out for n in brain.nodes.values()) and not brain.requests
+    scheduler = plan.decisions
+    assert not plan.inside and not scheduler.requests
+    assert not any(endpoint.in_flight for endpoint in scheduler.endpoints.by_name.values())
 
 
 def test_what_is_taken_in_is_bounded_and_fair_between_edges():
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -18,6 +18,7 @@
 from cressrock.lab.site import convert_site, load_site, usual
 from cressrock.lab.trace import Row, Trace
 from cressrock.programs.gateway import Components
+from cressrock.scheduler.dispatch import Dispatch
 from cressrock.scheduler.scheduler import Scheduler
 from cressrock.settings import SettingsError
 from cressrock.settings.types import interface_settings
@@ -26,11 +27,19 @@
 CALM = {"name": "calm", "seed": 5, "troubles": ("none",), "length_ms": 6000.0}
 
 
+class ShyDispatch(Dispatch):
+    """Nothing leaves while the latest answer is not fresh."""
+
+    def has_slot(self, endpoint, now_ms):
+        return super().has_slot(endpoint, now_ms) and now_ms - endpoint.ejection.answered_at_ms < 40.0
+
+
 class Shy(Scheduler):
-    """Refuses work though its node is idle: nothing leaves while the latest answer is not fresh."""
+    """Refuses work though its node is idle."""
 
-    def _room(self, node):
-        return super()._room(node) and self.now - node.heard < 40.0
+    def __init__(self, settings, seed, now_ms):
+        super().__init__(settings, seed, now_ms)
+        self.dispatch = ShyDispatch(settings, self.dispatch.admission, self.slow_start, self.lost_attempts)
 
 
 def shy(settings, seed, now):
