--- a/cressrock/consensus/replica.py
+++ b/cressrock/consensus/replica.py
@@ -34,15 +34,11 @@
 from cressrock.consensus import wire as w
 from cressrock.consensus.client import ClientSettings, ConsensusClient, DecisionCache
 from cressrock.consensus.raft import messages as m
-from cressrock.consensus.raft.node import (
-    LogEntry,
-    RaftNode,
-    RaftSettings,
-    Ready,
-    Role,
-    StoredState,
-    initial_state,
-)
+from cressrock.consensus.raft.core import Role
+from cressrock.consensus.raft.log import StoredState, initial_state
+from cressrock.consensus.raft.messages import LogEntry
+from cressrock.consensus.raft.node import RaftNode, Ready
+from cressrock.consensus.raft.progress import RaftSettings
 from cressrock.consensus.store import ReplicaStore, StoreHeader, replica_name
 from cressrock.consensus.transport import (
     Connection,
--- a/cressrock/lab/explored.py
+++ b/cressrock/lab/explored.py
@@ -8,7 +8,8 @@
 from dataclasses import replace
 
 from cressrock.consensus.raft.core import Role
-from cressrock.consensus.raft.node import HardState, RaftNode, Ready
+from cressrock.consensus.raft.log import HardState
+from cressrock.consensus.raft.node import RaftNode, Ready
 from cressrock.lab.explorer import Action, Bounds, Scenario
 
 
--- a/tests/test_presence_drill.py
+++ b/tests/presence/test_drill.py
@@ -14,9 +14,9 @@
 from cressrock.lab.drill import rehearse
 from cressrock.lab.presence_check import check, check_names, converged
 from cressrock.lab.presence_crowd import Crowd
-from cressrock.presence import Presence
+from cressrock.presence.client import Presence
 
-ROOT = Path(__file__).parent.parent
+ROOT = Path(__file__).parents[2]
 ENV = {**os.environ, "PYTHONPATH": str(ROOT)}
 PRESENCE = {
     "grace_ms": 4000,
