--- a/cressrock/failover/evaluation.py
+++ b/cressrock/failover/evaluation.py
@@ -94,21 +94,22 @@
     settings: FailoverSettings, current: FailoverDecision, entries: dict[str, ZoneDecision]
 ) -> None:
     """Take back what would evacuate more than may be; what stands already goes first."""
-    total = sum(zone.capacity for zone in settings.zones.values())
-
-    def withdrawn(entry: ZoneDecision) -> float:
-        if entry.blind_zones or entry.state == ZoneState.RECOVERING:
-            return 0.0  # most of it serves, or soon does
-        return settings.zones[entry.zone].capacity * (1 - entry.share / FULL_SHARE)
+    before = {zone: _withdrawn_capacity(settings, current.for_zone(zone)) for zone in entries}
+    after = {zone: _withdrawn_capacity(settings, entry) for zone, entry in entries.items()}
+    remaining = total = sum(zone.capacity for zone in settings.zones.values())
+    for zone in sorted(entries, key=lambda zone: (before[zone] < after[zone], zone)):
+        if remaining - after[zone] < settings.least_left * total - ROUNDING:
+            entries[zone] = current.for_zone(zone)
+            remaining -= before[zone]
+        else:
+            remaining -= after[zone]
 
-    def withdraws_more(zone: str) -> bool:
-        return withdrawn(current.for_zone(zone)) < withdrawn(entries[zone])
 
-    remaining = total
-    for zone in sorted(entries, key=lambda zone: (withdraws_more(zone), zone)):
-        if remaining - withdrawn(entries[zone]) < settings.least_left * total - ROUNDING:
-            entries[zone] = current.for_zone(zone)
-        remaining -= withdrawn(entries[zone])
+def _withdrawn_capacity(settings: FailoverSettings, entry: ZoneDecision) -> float:
+    """Return how much of a zone's capacity a decision takes out of service."""
+    if entry.blind_zones or entry.state == ZoneState.RECOVERING:
+        return 0.0  # most of it serves, or soon does
+    return settings.zones[entry.zone].capacity * (1 - entry.share / FULL_SHARE)
 
 
 def _with_capacity(
--- a/cressrock/failover/routing.py
+++ b/cressrock/failover/routing.py
@@ -364,7 +364,7 @@
         """Whether a zone is in trouble by decision, so that evidence is wanted from all."""
         return self.decisions.any_trouble()
 
-    def status(self) -> dict[str, object]:
+    def status(self) -> Mapping[str, object]:
         """Return plain values for an admin port."""
         move = self.decisions.write_move
         return {
--- a/tests/aggregation/test_aggregation_drill.py
+++ b/tests/aggregation/test_aggregation_drill.py
@@ -1,151 +1,111 @@
 """Collectors by processes: killed, stopped, cut off and all gone, while a zone is lost and comes back.
 
-Judged from the sockets and from what each process says at its admin port.  Edges tell collectors here from
-the second edge on (`fleet.collect_from`); a fleet of few does not by itself.
+Judged from the sockets and from what each process says at its admin port.  Edges report to collectors here
+from the second edge on (`fleet.collect_from`); a fleet of few does not by itself.
 """
 
 import pytest
 
-from cressrock.lab import steps as st
-from cressrock.lab.common import Common, Told
-from cressrock.lab.day import Script
-from cressrock.lab.drill import rehearse
-
-REGIONS = {"a1": "north", "a2": "north", "b1": "south"}
-PLACES = {"d0": "a1", "d1": "a1", "d2": "a2", "d3": "b1", "p0": "a1", "p1": "a2", "p2": "b1"}
-FAST = {
-    "beat_ms": 300.0,
-    "rest_ms": 600.0,
-    "step_ms": 700.0,
-    "warm_ms": 2000.0,
-    "calm_ms": 2000.0,
-    "recent_ms": 3000.0,
-}
-
-
-def settings(collect_from):
-    def more(drill, name, value):
-        value["fleet"]["collect_from"] = collect_from
-        value["zones"] = {
-            "zones": {zone: {"region": region, "capacity": 200.0} for zone, region in REGIONS.items()},
-            "edges": 4,
-            **FAST,
-        }
+from cressrock.lab import steps
+from tests.failover import drill_support
+from tests.failover.drill_support import (
+    all_follow,
+    kill_nodes,
+    losses_of,
+    start_nodes,
+    until_all_are_well,
+    with_zones,
+    zones_status,
+)
 
-    return more
 
+def play(story, collect_from=1):
+    def extend(drill, name, value):
+        with_zones(drill, name, value)
+        value["fleet"]["collect_from"] = collect_from
 
-async def room(drill, name):
-    return ((await drill.ask(name)) or {}).get("zones") or {}
+    drill_support.play(story, extend)
 
 
-async def evidence(drill, name):
+async def evidence_status(drill, name):
     return (((await drill.ask(name)) or {}).get("fleet") or {}).get("evidence") or {}
 
 
-async def told(drill, names):
-    """Whether each of these tells a collector, which has all of it."""
-    found = [await evidence(drill, n) for n in names]
-    return all(e.get("collecting") and e.get("answered") and e.get("to") for e in found)
+async def all_report_to_collectors(drill, edges):
+    """Whether each of these reports to a collector, which has all of it."""
+    statuses = [await evidence_status(drill, edge) for edge in edges]
+    return all(
+        status.get("collecting") and status.get("answered") and status.get("to") for status in statuses
+    )
+
 
+async def until_all_report_to_collectors(drill, edges, what="all tell collectors"):
+    await drill.until(what, lambda: all_report_to_collectors(drill, edges))
 
-async def words(drill, zone, wanted, names):
-    return all([(await room(drill, n)).get("words", {}).get(zone) == wanted for n in names])
 
+async def until_the_leader_has_summaries_alone(drill):
+    leader = await drill.leader()
 
-async def decreed(drill, wanted, names, zone="a1"):
-    for name in names:
-        found = ((await room(drill, name)).get("decreed") or {}).get(zone)
-        if (found and (found["state"], found["part"])) != wanted:
-            return False
-    return True
+    async def by_summaries():
+        # Nothing of it goes by gossip any more, and the leader evaluates summaries.
+        status = await zones_status(drill, leader)
+        return status.get("summed") and status.get("tellers") == 0
 
+    await drill.until("sums alone", by_summaries)
 
-async def begin(drill):
-    edges, names = [d.name for d in drill.dispatchers], drill.names()
-    everybody = dict.fromkeys(names, "alive")
-    await drill.until("one view", lambda: drill.sees(everybody, by=names))
-    await drill.until("a leader", drill.leader)
-    for zone in REGIONS:
-        await drill.until(f"all reach {zone}", lambda zone=zone: words(drill, zone, "good", edges))
-    return edges
 
+async def kill(drill, collector, edges):
+    await drill._do(steps.Kill(collector))
 
-def play(story, collect_from=1):
-    common = Common(
-        seats=["p0", "p1", "p2"],
-        zones={n: (z, REGIONS[z]) for n, z in PLACES.items()},
-        more=settings(collect_from),
-    )
-    script = Script(
-        seed=1,
-        dispatchers=4,
-        planners=3,
-        nodes=6,
-        rate=60.0,
-        real=True,
-        way_ms=60.0,
-        length_ms=1e9,
-        troubles=(),
-    )
-    drill = Told(script, (), story=story, extend=common.extend)
-    drill.node_zones = {shard: sorted(REGIONS)[shard % 3] for shard in range(6)}
-    report = rehearse(drill)
-    assert report.well, (report.findings, report.found.breaches[:3], report.marks)
-    assert report.found.figures["answered"] == report.found.figures["requests"] > 200
 
+async def restart(drill, collector):
+    await drill._do(steps.Restart(collector))
 
-async def lose(drill):
-    lost = [(n.rack.shard, n.name) for n in drill.hall.in_zone("a1")]
-    for _, name in lost:
-        await drill.hall.kill(name)
-    return lost
 
+async def stop(drill, collector, edges):
+    await drill._do(steps.Stop(collector))
 
-async def back(drill, lost):
-    for shard, name in lost:
-        await drill.hall.start(shard, name, cold=True)
-    drill.hall.publish()
 
+async def resume(drill, collector):
+    await drill._do(steps.Go(collector))
 
-@pytest.mark.parametrize("trouble", ["killed", "stopped", "cut"])
-def test_a_zone_is_given_up_once_and_taken_back_while_its_collector_is(trouble):
+
+async def cut_off(drill, collector, edges):
+    for edge in edges:
+        await drill._do(steps.Cut(edge, collector))
+
+
+async def heal(drill, collector):
+    await drill._do(steps.Heal())
+
+
+@pytest.mark.parametrize(
+    ("trouble", "mend"),
+    [
+        pytest.param(kill, restart, id="killed"),
+        pytest.param(stop, resume, id="stopped"),
+        pytest.param(cut_off, heal, id="cut"),
+    ],
+)
+def test_a_zone_is_evacuated_once_and_taken_back_while_its_collector_is(trouble, mend):
     seen = {}
 
     async def story(drill):
-        edges = await begin(drill)
-        await drill.until("all tell collectors", lambda: told(drill, edges))
-        leader = await drill.leader()
-
-        async def by_sums():
-            # Nothing of it goes by the spread any more, and the leader judges by sums.
-            found = await room(drill, leader)
-            return found.get("summed") and found.get("tellers") == 0
-
-        await drill.until("sums alone", by_sums)
-        collector = (await evidence(drill, "d0"))["to"]
-        assert (await evidence(drill, "d1"))["to"] == collector, "one collector for a zone"
-        if trouble == "killed":
-            await drill._do(st.Kill(collector))
-        elif trouble == "stopped":
-            await drill._do(st.Stop(collector))
-        else:
-            for edge in edges:
-                await drill._do(st.Cut(edge, collector))
-        lost = await lose(drill)
-        await drill.until("given up", lambda: decreed(drill, ("gone", 0.0), edges))
+        edges = await until_all_are_well(drill)
+        await until_all_report_to_collectors(drill, edges)
+        await until_the_leader_has_summaries_alone(drill)
+        collector = (await evidence_status(drill, "d0"))["to"]
+        assert (await evidence_status(drill, "d1"))["to"] == collector, "one collector for a zone"
+        await trouble(drill, collector, edges)
+        lost = await kill_nodes(drill, "a1")
+        await drill.until("given up", lambda: all_follow(drill, ("gone", 0.0), edges))
         for zone in ("a2", "b1"):
-            seen[zone] = await decreed(drill, None, edges, zone)
-        if trouble == "killed":
-            await drill._do(st.Restart(collector))
-        elif trouble == "stopped":
-            await drill._do(st.Go(collector))
-        else:
-            await drill._do(st.Heal())
-        await back(drill, lost)
-        await drill.until("taken back", lambda: decreed(drill, ("near", 1.0), edges))
-        await drill.until("all tell collectors again", lambda: told(drill, edges))
-        seen["losses"] = [(await room(drill, name))["decreed"]["a1"]["losses"] for name in edges]
+            seen[zone] = await all_follow(drill, None, edges, zone)
+        await mend(drill, collector)
+        await start_nodes(drill, lost)
+        await drill.until("taken back", lambda: all_follow(drill, ("near", 1.0), edges))
+        await until_all_report_to_collectors(drill, edges, "all tell collectors again")
+        seen["losses"] = await losses_of(drill, "a1", edges)
         await drill.answered(60)
 
     play(story)
@@ -154,44 +114,47 @@
 
 def test_without_any_collector_each_goes_on_alone_and_evidence_comes_back_with_them():
     async def story(drill):
-        edges = await begin(drill)
-        await drill.until("all tell collectors", lambda: told(drill, edges))
-        seats = [p.name for p in drill.planners]
-        for name in seats:
-            await drill._do(st.Kill(name))
-
-        async def alone():
-            found = [await evidence(drill, n) for n in edges]
-            return all(not e.get("collecting") and "no collector" in e.get("why", "") for e in found)
+        edges = await until_all_are_well(drill)
+        await until_all_report_to_collectors(drill, edges)
+        planners = [planner.name for planner in drill.planners]
+        for name in planners:
+            await drill._do(steps.Kill(name))
+
+        async def each_by_gossip():
+            statuses = [await evidence_status(drill, edge) for edge in edges]
+            return all(
+                not status.get("collecting") and "no collector" in status.get("why", "")
+                for status in statuses
+            )
 
         await drill.answered(60)
-        await drill.until("each by the spread", alone)
-        for name in seats:
-            await drill._do(st.Restart(name))
-        await drill.until("all tell collectors again", lambda: told(drill, edges))
+        await drill.until("each by the spread", each_by_gossip)
+        for name in planners:
+            await drill._do(steps.Restart(name))
+        await until_all_report_to_collectors(drill, edges, "all tell collectors again")
         # It is decided again: a zone is lost now.
         await drill.until("a leader", drill.leader)
-        lost = await lose(drill)
-        await drill.until("given up", lambda: decreed(drill, ("gone", 0.0), edges))
-        await back(drill, lost)
-        await drill.until("taken back", lambda: decreed(drill, ("near", 1.0), edges))
+        lost = await kill_nodes(drill, "a1")
+        await drill.until("given up", lambda: all_follow(drill, ("gone", 0.0), edges))
+        await start_nodes(drill, lost)
+        await drill.until("taken back", lambda: all_follow(drill, ("near", 1.0), edges))
 
     play(story)
 
 
-def test_a_few_processes_tell_by_the_spread_without_anybody_setting_anything():
+def test_a_few_processes_report_by_gossip_without_anybody_setting_anything():
     async def story(drill):
-        edges = await begin(drill)
+        edges = await until_all_are_well(drill)
         for name in edges:
-            found = await evidence(drill, name)
-            assert not found["collecting"] and found["why"] == "few tellers" and not found["refused"]
+            status = await evidence_status(drill, name)
+            assert not status["collecting"] and status["why"] == "few tellers" and not status["refused"]
         leader = await drill.leader()
 
-        async def heard():
-            return (await room(drill, leader)).get("tellers") == 4
+        async def all_are_received():
+            return (await zones_status(drill, leader)).get("tellers") == 4
 
-        await drill.until("all are heard by the spread", heard)
-        assert not (await room(drill, leader))["summed"]
+        await drill.until("all are heard by the spread", all_are_received)
+        assert not (await zones_status(drill, leader))["summed"]
         await drill.answered(200)
 
     play(story, collect_from=0)
