--- a/cressrock/lab/councilsim.py
+++ b/cressrock/lab/councilsim.py
@@ -18,8 +18,11 @@
 import msgspec
 
 from cressrock.consensus.raft import messages as m
+from cressrock.consensus.raft.core import Role
+from cressrock.consensus.raft.log import StoredState, initial_state
 from cressrock.consensus.raft.messages import LogEntry
-from cressrock.consensus.raft.node import RaftNode, RaftSettings, Ready, Role, StoredState, initial_state
+from cressrock.consensus.raft.node import RaftNode, Ready
+from cressrock.consensus.raft.progress import RaftSettings
 from cressrock.errors.consensus import (
     ConsensusBusyError,
     LogDivergedError,
--- a/cressrock/lab/explorer.py
+++ b/cressrock/lab/explorer.py
@@ -26,8 +26,11 @@
 import msgspec
 
 from cressrock.consensus.raft import messages as m
+from cressrock.consensus.raft.core import Role
+from cressrock.consensus.raft.log import StoredState, initial_state
 from cressrock.consensus.raft.messages import LogEntry, RaftMessage
-from cressrock.consensus.raft.node import RaftNode, RaftSettings, Role, StoredState, initial_state
+from cressrock.consensus.raft.node import RaftNode
+from cressrock.consensus.raft.progress import RaftSettings
 from cressrock.errors import CressrockError
 from cressrock.lab.replica_store import InMemoryReplicaStore
 
--- a/cressrock/lab/seat.py
+++ b/cressrock/lab/seat.py
@@ -17,8 +17,9 @@
 
 from cressrock import net
 from cressrock.consensus import decisions as d
-from cressrock.consensus.raft.node import RaftSettings
-from cressrock.consensus.replica import ConsensusReplica, Environment, ReplicaSettings
+from cressrock.consensus.raft.progress import RaftSettings
+from cressrock.consensus.replica import ConsensusReplica, ReplicaSettings
+from cressrock.consensus.transport import Environment
 
 
 def say(line: dict[str, Any]) -> None:
--- a/tests/compatibility/consensus_streams.py
+++ b/tests/compatibility/consensus_streams.py
@@ -11,9 +11,11 @@
 
 from cressrock.consensus import decision_gossip, decisions, wire
 from cressrock.consensus.raft import messages
+from cressrock.consensus.raft.core import Role
 from cressrock.consensus.raft.log import HardState, Snapshot, StoredState, force_single_voter, initial_state
 from cressrock.consensus.raft.messages import LogEntry
-from cressrock.consensus.raft.node import RaftNode, RaftSettings, Ready, Role
+from cressrock.consensus.raft.node import RaftNode, Ready
+from cressrock.consensus.raft.progress import RaftSettings
 from cressrock.errors import CressrockError
 from tests.compatibility.canonical import Digest
 
--- a/tests/test_compose.py
+++ b/tests/test_compose.py
@@ -5,8 +5,9 @@
 from hypothesis import strategies as st
 
 from cressrock.dispatch.ledger import Verdict
-from cressrock.dispatch.operation import Denial, Reply
+from cressrock.dispatch.operation import Reply
 from cressrock.dispatch.reasons import Reason
+from cressrock.dispatch.transport import Denial
 from cressrock.webdav import xml
 from cressrock.webdav.compose import Answer, Site, Volume, compose
 from cressrock.webdav.paths import parse
