--- a/cressrock/aggregation/channel.py
+++ b/cressrock/aggregation/channel.py
@@ -9,6 +9,7 @@
 
 import random
 from collections.abc import Callable, Iterable, Mapping
+from dataclasses import dataclass
 from typing import Any, Protocol
 
 import anyio
@@ -62,38 +63,48 @@
         """Remove an own entry."""
 
 
+@dataclass(frozen=True, slots=True)
+class ChannelSettings:
+    """What a process is for the collectors, and when it reports.
+
+    `replicas`: names of the consensus replicas.  `sends_reports`: it is missed if it reports nothing.
+    `is_collector`: it announces that it collects.  `max_gossip_senders`: so many still report by gossip; 0:
+    derived.
+    """
+
+    zone: str
+    replicas: Iterable[str] = ()
+    sends_reports: bool = True
+    is_collector: bool = False
+    max_gossip_senders: int = 0
+    timings: AggregationTimings = AggregationTimings()
+
+
 class EvidenceChannel:
     """`run` it in a task group beside the membership's transport, which gives `receive` what others send."""
 
     def __init__(
         self,
         me: Origin,
-        zone: str,
+        settings: ChannelSettings,
         gossip: Gossip,
         *,
         clock: Callable[[], float],
         source: random.Random,
         log: EventLog,
-        replicas: Iterable[str] = (),
-        sends_reports: bool = True,
-        is_collector: bool = False,
-        max_gossip_senders: int = 0,
-        timings: AggregationTimings | None = None,
     ) -> None:
-        """`replicas`: names of the consensus replicas.  `sends_reports`: it is missed if it reports nothing.
-
-        `is_collector`: it announces that it collects.  `max_gossip_senders`: so many still report by gossip;
-        0: derived.
-        """
+        """`clock` gives monotonic ms; `source` draws times."""
         self.me, self.gossip, self.clock, self.log = me, gossip, clock, log
-        self.sends_reports = sends_reports
-        self.timings = timings or AggregationTimings()
+        self.sends_reports, self.timings = settings.sends_reports, settings.timings
         now_ms = clock()
-        self.sender = ReportSender(zone, self.timings, source, now_ms)
+        self.sender = ReportSender(settings.zone, self.timings, source, now_ms)
         self.summarizers = SummarizerRegistry()
-        self.collector = ReportCollector(me, self.timings, self.summarizers, now_ms) if is_collector else None
+        self.collector: ReportCollector | None = None
+        if settings.is_collector:
+            self.collector = ReportCollector(me, self.timings, self.summarizers, now_ms)
         hold_ms = self.timings.renewal_interval_ms
-        self.delivery_mode = DeliveryMode(max_gossip_senders or derive_max_gossip_senders(hold_ms), hold_ms)
+        max_gossip_senders = settings.max_gossip_senders or derive_max_gossip_senders(hold_ms)
+        self.delivery_mode = DeliveryMode(max_gossip_senders, hold_ms)
         self.send: Callable[[str, bytes], None] = lambda name, data: None  # to a member, one datagram
         self.members: Callable[[], MembersView] = lambda: ()
         self.rejected: dict[str, int] = {}  # messages that could not be read, by code
@@ -103,7 +114,7 @@
         self._source = source
         self._gossip_hold_until_ms = 0.0  # nothing is gossiped before: not all of many in one moment
         self._interval_factor = 1.0  # drawn, so that many do not gossip in step
-        self._watch = MemberWatch(tuple(replicas), self.timings.summary_ttl_ms, now_ms)
+        self._watch = MemberWatch(tuple(settings.replicas), self.timings.summary_ttl_ms, now_ms)
         self._wake = anyio.Event()
 
     # --- what cluster features ask
--- a/cressrock/lab/capacity_page.py
+++ b/cressrock/lab/capacity_page.py
@@ -225,7 +225,7 @@
         "one decree",
         "over collectors' sums {collect.zone.verdict_core*100} % of a core; over everybody's words "
         "{turn.zones.leader} ms each 250 ms: {turn.zones.leader*0.4} %",
-        "`zones/verdict`, a view of words or of sums",
+        "`failover/evaluation`, a view of reports or of summaries",
         f"{CARRIED} over sums; over everybody's words the loop stands still meanwhile",
     ),
     Line(
--- a/cressrock/runtime.py
+++ b/cressrock/runtime.py
@@ -16,7 +16,7 @@
 
 from cressrock import net
 from cressrock.aggregation import messages
-from cressrock.aggregation.channel import EvidenceChannel
+from cressrock.aggregation.channel import ChannelSettings, EvidenceChannel
 from cressrock.consensus import decisions as d
 from cressrock.consensus.client import ConsensusClient, DecisionCache
 from cressrock.consensus.decision_gossip import (
@@ -169,15 +169,17 @@
         self.is_collector = is_collector and council is not None and council.store is not None
         self.evidence = EvidenceChannel(
             (identity.name, identity.incarnation),
-            identity.fleet.zone,
+            ChannelSettings(
+                identity.fleet.zone,
+                replicas=tuple(council.seats) if council is not None else (),
+                sends_reports=identity.role == "edge",
+                is_collector=self.is_collector,
+                max_gossip_senders=identity.fleet.collect_from,
+            ),
             self.gossip,
             clock=clock,
             source=random.Random(f"{identity.name}/{identity.incarnation}/evidence"),
             log=log,
-            replicas=council.seats if council is not None else (),
-            sends_reports=identity.role == "edge",
-            is_collector=self.is_collector,
-            max_gossip_senders=identity.fleet.collect_from,
         )
         self._view_cache = ViewCache()
         self.membership: ClusterTransport | None = None
--- a/tests/aggregation/support.py
+++ b/tests/aggregation/support.py
@@ -3,7 +3,7 @@
 import json
 import random
 
-from cressrock.aggregation.channel import EvidenceChannel
+from cressrock.aggregation.channel import ChannelSettings, EvidenceChannel
 from cressrock.aggregation.collector import ReportCollector
 from cressrock.aggregation.members import MemberInfo
 from cressrock.aggregation.messages import CAPABILITY, Report, ReportAck, ReportEntry, decode, encode
@@ -185,15 +185,11 @@
         is_collector = name in self.replicas
         channel = EvidenceChannel(
             (name, 1),
-            "a",
+            ChannelSettings("a", self.replicas, not is_collector, is_collector, max_gossip_senders),
             GossipShelf(),
             clock=lambda: self.now_ms,
             source=random.Random(name),
             log=NoLog(),
-            replicas=self.replicas,
-            sends_reports=not is_collector,
-            is_collector=is_collector,
-            max_gossip_senders=max_gossip_senders,
         )
         channel.summarizers.add("listed", ListingSummarizer())
         channel.send = lambda recipient, data: self.datagrams.append((name, recipient, data))
--- a/tests/compatibility/collect_cases.py
+++ b/tests/compatibility/collect_cases.py
@@ -15,7 +15,7 @@
 import anyio
 
 from cressrock.aggregation import messages
-from cressrock.aggregation.channel import EvidenceChannel
+from cressrock.aggregation.channel import ChannelSettings, EvidenceChannel
 from cressrock.aggregation.collector import ReportCollector
 from cressrock.aggregation.delivery import DeliveryMode, derive_max_gossip_senders, gossip_interval_ms
 from cressrock.aggregation.members import MemberInfo
@@ -454,15 +454,11 @@
         collects = name in self.planners
         one = EvidenceChannel(
             (name, 1),
-            "ab"[len(self.spreads) % 2],
+            ChannelSettings("ab"[len(self.spreads) % 2], self.planners, not collects, collects, most),
             self.spreads[name],
             clock=now_ms,
             source=random.Random(name),
             log=NoLog(),
-            replicas=self.planners,
-            sends_reports=not collects,
-            is_collector=collects,
-            max_gossip_senders=most,
         )
         one.summarizers.add("listing", Listing())
         one.send = lambda to, data: self._send(name, to, data)
--- a/tests/compatibility/rollout_cases.py
+++ b/tests/compatibility/rollout_cases.py
@@ -13,7 +13,7 @@
 import trio
 import trio.testing
 
-from cressrock.aggregation.channel import EvidenceChannel
+from cressrock.aggregation.channel import ChannelSettings, EvidenceChannel
 from cressrock.aggregation.collector import ReportCollector
 from cressrock.aggregation.summaries import MergedSummaries
 from cressrock.aggregation.timings import AggregationTimings
@@ -597,7 +597,12 @@
         self.decision_cache = DecisionCache(None, clock)
         self.consensus = _Council(self.decision_cache)
         self.evidence = EvidenceChannel(
-            ("me", 1), "z0", self.gossip, clock=clock, source=source, log=_Log(), is_collector=collects
+            ("me", 1),
+            ChannelSettings("z0", is_collector=collects),
+            self.gossip,
+            clock=clock,
+            source=source,
+            log=_Log(),
         )
         self.on_gossip_change: list[Any] = []
         self.on_leaving: list[Any] = []
--- a/tests/compatibility/zones_cluster.py
+++ b/tests/compatibility/zones_cluster.py
@@ -11,7 +11,7 @@
 import msgspec
 
 from cressrock.aggregation import messages
-from cressrock.aggregation.channel import EvidenceChannel
+from cressrock.aggregation.channel import ChannelSettings, EvidenceChannel
 from cressrock.consensus.decisions import Decision, Expired
 from cressrock.errors.consensus import DecisionConflictError, NoQuorumError
 from cressrock.failover import decision
@@ -113,15 +113,11 @@
         self.consensus = SharedCouncil(cluster) if planner else None
         self.evidence = EvidenceChannel(
             (name, 1),
-            cluster.zone_of[name],
+            ChannelSettings(cluster.zone_of[name], cluster.planners, not planner, planner, cluster.most),
             self.gossip,
             clock=now_ms,
             source=random.Random(f"{name} {seed}"),
             log=NoLog(),
-            replicas=cluster.planners,
-            sends_reports=not planner,
-            is_collector=planner,
-            max_gossip_senders=cluster.most,
         )
         self.evidence.send = lambda to, data: cluster.carry(name, to, data)
         self.evidence.members = self.members
