--- a/tests/test_rollout_parts.py
+++ b/tests/rollout/test_rule_versions.py
@@ -1,4 +1,4 @@
-"""Versions of rules inside edge, planner, link and decision module; and the simulators at a small size."""
+"""Versions of rules side by side: in the scheduler, on the link, in edge and planner, in the settings."""
 
 import random
 from dataclasses import replace
@@ -8,24 +8,22 @@
 
 from cressrock import interface as i
 from cressrock.edge.operations import Decider
-from cressrock.lab import rolloutsim as sim
 from cressrock.link import messages as m
 from cressrock.link.protocol import RULE_VERSIONS, Link, Role
 from cressrock.planner.planner import Planner, PlannerLimits
-from cressrock.rollout.read_lease import ReadLease
 from cressrock.scheduler.scheduler import Scheduler
 from cressrock.settings.load import convert
 from tests.edge.support import CLASSES, PLANS
 from tests.edge.support import EdgeHarness as World
-from tests.test_rollout import BASE
-
-# --- the decision module
+from tests.rollout.support import SETTINGS
 
 READ = i.RequestClass(latency_objective_ms=100, deadline_ms=1000, idempotency=i.Idempotency.ALWAYS)
+
+
 NODES = i.NodeList(i.ListKind.COMPLETE, (i.Node("n", 0),))
 
 
-def ask(name, cls=0, plan=0, volume="v", left=1000.0):
+def arrival(name, cls=0, plan=0, volume="v", left=1000.0):
     return i.Arrival(name, volume, "", 1.0, left, plan, cls, 0, waited_ms=0.0)
 
 
@@ -40,7 +38,7 @@
                 more = (READ, replace(READ, latency_objective_ms=7))
                 scheduler.widen(replace(settings, classes=more, plans=settings.plans * 2))
             events = [NODES] if now == 0 else []
-            events += [ask(f"r{now}.{n}") for n in range(draw.choice((0, 0, 1, 2)))]
+            events += [arrival(f"r{now}.{n}") for n in range(draw.choice((0, 0, 1, 2)))]
             for name in [n for n in out if draw.random() < 0.2]:
                 ended = i.AttemptEnded(
                     name, out.pop(name), draw.choice((i.Outcome.OK, i.Outcome.FULL)), False, 20.0
@@ -64,7 +62,7 @@
         )
     )
     # Nothing is ready: each waits as long as its own version gives it.
-    scheduler.act(0.0, [ask("good"), ask("tried", cls=1, plan=1)])
+    scheduler.act(0.0, [arrival("good"), arrival("tried", cls=1, plan=1)])
     ends = {}
     for now in range(0, 1000, 10):
         for action in scheduler.act(float(now), []):
@@ -82,7 +80,7 @@
     scheduler.act(0.0, [NODES])
     sent = 0
     for now in range(0, 10000, 10):
-        events = [ask(f"a{now}"), ask(f"b{now}", cls=1, plan=1)]
+        events = [arrival(f"a{now}"), arrival(f"b{now}", cls=1, plan=1)]
         events += [
             i.AttemptEnded(n, 0, i.Outcome.OK, True, 5.0, charged=True)
             for n in list(scheduler.endpoints.by_name["n"].in_flight)
@@ -91,9 +89,6 @@
     assert 80 <= sent <= 111  # 10 a second and the burst
 
 
-# --- the link
-
-
 def test_messages_carry_the_version_and_older_peers_pass_it_over():
     request = m.Request(1, 2.0, "o", "v", "", 1.0, 3.0, 0, 0, 0, 1, rule_version="ab")
     value = msgspec.msgpack.decode(m.encode(request)[4:])
@@ -116,9 +111,6 @@
     assert joined(edge=()) == joined(planner=()) == ()
 
 
-# --- edge and planner
-
-
 def edge():
     """An edge that holds a candidate: class and plan 2 on are its."""
     world = World(own=False)
@@ -187,43 +179,7 @@
     assert planner.dropped["unusable request"] == 1  # a number beyond one version's classes
 
 
-# --- settings
-
-
 def test_rollouts_need_a_council_and_are_off_by_default():
-    assert convert("test", BASE).rollout is None
+    assert convert("test", SETTINGS).rollout is None
     with pytest.raises(Exception, match="rollout: needs `council`"):
-        convert("test", BASE | {"rollout": {}})
-
-
-# --- at size, small
-
-
-def test_harmless_rollouts_get_through_with_faults_beside_them_and_the_pure_test_agrees():
-    ends = [sim.Fleet(sim.Shape(), sim.course(least_s=8), seed).play(check=True) for seed in range(1, 7)]
-    assert [p.state for p in ends] == ["done"] * 6, ends
-
-
-def test_a_rise_is_found_and_one_process_alone_halts_nothing():
-    plan = sim.course(least_s=900)
-    base = (0.01, 0.002, 0.002, 0.02, 0.08)
-    for seed in (1, 2):
-        fleet = sim.Fleet(sim.Shape(faults=False), plan, seed, worse={sim.REFUSED: 3.0625}, base=base)
-        found = fleet.play(600, check=True)
-        assert (found.state, found.stage) == ("halted", 0) and "refused" in found.why, found
-        alone = sim.Fleet(sim.Shape(), sim.course(least_s=8), seed, sick_by_it=1).play(check=True)
-        assert alone.state == "done", alone
-
-
-@pytest.mark.parametrize("seed", range(1, 4))
-def test_nothing_halted_is_chosen_later_than_the_hold_by_anybody_though_old_word_comes_late(seed):
-    assert sim.hold_run(seed, processes=60).after_ms <= 10000 * 1.002
-    if seed == 2:  # the danger: what a cut held back is believed for a whole hold more
-        assert sim.hold_run(seed, processes=60, reads=False).after_ms > 10000
-
-
-def test_a_read_counts_from_its_beginning_and_for_one_number():
-    sure = ReadLease()
-    assert not sure.is_valid(1, 0.0)
-    sure.record_read(1, 100.0, 1000.0)
-    assert sure.is_valid(1, 1099.0) and not sure.is_valid(1, 1100.0) and not sure.is_valid(2, 200.0)
+        convert("test", SETTINGS | {"rollout": {}})
