--- a/cressrock/errors/rollout.py
+++ b/cressrock/errors/rollout.py
@@ -15,14 +15,14 @@
 
 
 class InvalidRulesError(RolloutError):
-    """A rules document cannot be read, or a figure in it makes no sense; the text names the place."""
+    """A rules document cannot be read, or a value in it makes no sense; the text names the place."""
 
     code: ClassVar[str] = "rollout-rules-wrong"
     remedy: ClassVar[str] = "mend the document at the place that is named and start it again"
 
 
 class UnknownRulesVersionError(RolloutError):
-    """A rules document, or a rollout's decree, is of a version that this program does not know."""
+    """A rules document, or a rollout's decision, is of a version that this program does not know."""
 
     code: ClassVar[str] = "rollout-newer"
     remedy: ClassVar[str] = "bring this process up to the release that wrote it; it serves as before"
--- a/cressrock/replication/manager.py
+++ b/cressrock/replication/manager.py
@@ -39,16 +39,16 @@
 class ManagerSettings:
     """The settings' values; times in ms."""
 
-    look_ms: float
-    witnesses: int
-    back_least_ms: float
-    back_most_ms: float
-    forget_ms: float
-    hold_ms: float
-    share: float
-    rate: float
-    busy: float
-    pause_ms: float
+    poll_interval_ms: float
+    min_witnesses: int
+    min_rejoin_delay_ms: float
+    max_rejoin_delay_ms: float
+    forget_evictions_ms: float
+    lease_ms: float
+    repair_share: float
+    repair_rate: float
+    repair_busy_load: float
+    repair_pause_ms: float
 
 
 @dataclass(slots=True)
@@ -71,8 +71,8 @@
 
     def __init__(
         self,
-        placed: Mapping[str, ReplicaPlacement],
-        ground: PlannerRuntime,
+        placements: Mapping[str, ReplicaPlacement],
+        runtime: PlannerRuntime,
         client: NodeClient,
         settings: ManagerSettings,
         *,
@@ -85,14 +85,17 @@
 
         `incarnation` names this run of the planner, in what names its operations to the nodes.
         """
-        self._placements, self._runtime, self._settings = placed, ground, settings
+        self._placements, self._runtime, self._settings = placements, runtime, settings
         self._regions, self._clock, self._log = regions, clock, log
         pacer = RepairPacer(
-            share=settings.share, rate=settings.rate, busy=settings.busy, pause_ms=settings.pause_ms
+            share=settings.repair_share,
+            rate=settings.repair_rate,
+            busy=settings.repair_busy_load,
+            pause_ms=settings.repair_pause_ms,
         )
         self._client = PacedNodeClient(client, pacer, clock, incarnation)
-        self._decisions = SetDecisions(ground, settings.hold_ms)
-        self._admin = AdminEndpoint(placed, self._decisions, self._client, log)
+        self._decisions = SetDecisions(runtime, settings.lease_ms)
+        self._admin = AdminEndpoint(placements, self._decisions, self._client, log)
         self._memory: dict[str, _ShardMemory] = {}  # by topic
         self._counts: dict[str, int] = {}
         self._logged_problems: set[str] = set()
@@ -112,7 +115,7 @@
     async def run(self) -> None:
         """Manage the sets until cancelled."""
         while True:
-            await anyio.sleep(self._settings.look_ms / 1000)
+            await anyio.sleep(self._settings.poll_interval_ms / 1000)
             if not self._runtime.is_leader:
                 self._memory.clear()
                 continue
@@ -152,13 +155,13 @@
         for key, replica in sorted(by_key.items()):
             seen_ms = now_ms - memory.seen_since_ms[key]
             if replica.state is ReplicaState.IN_SYNC:
-                if replica.evictions and seen_ms >= settings.forget_ms:
+                if replica.evictions and seen_ms >= settings.forget_evictions_ms:
                     new = transitions.forget_evictions(current.in_sync_set, replica.zone)
                     await self._decisions.decide(shard.topic, new, current.version)
                     return
                 continue
             delay_ms = transitions.rejoin_delay_ms(
-                replica.evictions, settings.back_least_ms, settings.back_most_ms
+                replica.evictions, settings.min_rejoin_delay_ms, settings.max_rejoin_delay_ms
             )
             is_joining = replica.state is ReplicaState.JOINING
             if is_joining or not replica.evictions or seen_ms >= delay_ms:
@@ -229,7 +232,7 @@
     async def _is_primary_lost(self, shard: ReplicatedShard, in_sync_set: InSyncSet) -> bool:
         primary = in_sync_set.primary
         reports = self._reports(shard.node_shard(primary))
-        if reachability.is_lost(reports, self._settings.witnesses):
+        if reachability.is_lost(reports, self._settings.min_witnesses):
             return True
         if reachability.OTHER_STORE not in reports.values():
             return False
--- a/cressrock/replication/paced_client.py
+++ b/cressrock/replication/paced_client.py
@@ -100,7 +100,7 @@
                 reply = None  # the plan breaks off, and a later one begins from the set as it then stands
         now_ms = self._clock()
         is_busy = reply is not None and reply.status == BUSY_STATUS
-        self._pacer.record_operation(now_ms, now_ms - began_ms, refused=is_busy, load=_load(reply))
+        self._pacer.record_operation(now_ms, now_ms - began_ms, rejected=is_busy, load=_load(reply))
         return None if is_busy else reply
 
     async def inspect(self, shard: ReplicatedShard, zone: str, role: str = "") -> Reply | None:
--- a/cressrock/replication/publisher.py
+++ b/cressrock/replication/publisher.py
@@ -27,9 +27,9 @@
 class ReachabilityPublisher:
     """Keeps this process's reports in gossip in step with its own attempts."""
 
-    def __init__(self, copies: ReplicatedVolumes, spread: Gossip, every_ms: float) -> None:
+    def __init__(self, volumes: ReplicatedVolumes, gossip: Gossip, interval_ms: float) -> None:
         """`every_ms` is the pause between two looks."""
-        self._volumes, self._gossip, self._interval_ms = copies, spread, every_ms
+        self._volumes, self._gossip, self._interval_ms = volumes, gossip, interval_ms
         self._published: dict[int, bytes] = {}
 
     async def run(self) -> None:
--- a/cressrock/replication/reachability.py
+++ b/cressrock/replication/reachability.py
@@ -33,13 +33,18 @@
     """
 
     def __init__(
-        self, *, least: int = 2, over_ms: float = 150.0, fresh_ms: float = 5000.0, absent_ms: float = 500.0
+        self,
+        *,
+        min_failures: int = 2,
+        min_failing_ms: float = 150.0,
+        fresh_ms: float = 5000.0,
+        absent_ms: float = 500.0,
     ) -> None:
         """`fresh_ms`: so long an answer counts as a sign of life, and a failure as one of the contrary.
 
         `absent_ms`: so long a shard may be without a listed node, while another one replaces it.
         """
-        self._min_failures, self._min_failing_ms = least, over_ms
+        self._min_failures, self._min_failing_ms = min_failures, min_failing_ms
         self._fresh_ms, self._absent_ms = fresh_ms, absent_ms
         self._absent_since_ms: dict[int, float] = {}  # since when the list names no ready node of a shard
         self._shards: dict[int, _Shard] = {}
--- a/cressrock/replication/read.py
+++ b/cressrock/replication/read.py
@@ -45,7 +45,7 @@
     Only where nothing was sent is another replica asked, once.  `lease_valid`: the decision counts; without
     that nothing can be settled, and what is uncommitted is rejected.
     """
-    zones = [zone for zone in order if zone in in_sync_set.read_zones][:MAX_REPLICAS_READ]
+    zones = _readable(in_sync_set, order)
     refreshed = 0
     index = 0
     result = ReplicaResult()
@@ -54,16 +54,13 @@
         (result,) = yield PerformOperations((operation_at(in_sync_set, zone, OperationKind.CLIENT),))
         if result.rejection is not None:
             refreshed += 1
-            newer = None
-            if refreshed <= MAX_REFRESHES:
-                newer = yield RefreshSet(max(result.epoch, in_sync_set.epoch + 1))
+            min_epoch = max(result.epoch, in_sync_set.epoch + 1)
+            newer = (yield RefreshSet(min_epoch)) if refreshed <= MAX_REFRESHES else None
             if newer is None:
                 index += 1
                 continue
             in_sync_set = newer
-            readable = in_sync_set.read_zones
-            zones = [zone for zone in order if zone in readable][:MAX_REPLICAS_READ]
-            zones = zones or list(readable[:MAX_REPLICAS_READ])
+            zones = _readable(in_sync_set, order) or _readable(in_sync_set, in_sync_set.read_zones)
             index = 0
             continue
         if result.reply is None:
@@ -80,6 +77,10 @@
     return reject("copies", result)
 
 
+def _readable(in_sync_set: InSyncSet, order: Sequence[str]) -> list[str]:
+    return [zone for zone in order if zone in in_sync_set.read_zones][:MAX_REPLICAS_READ]
+
+
 def _settled_read(
     in_sync_set: InSyncSet, zone: str, result: ReplicaResult, rules: SafetyRules
 ) -> RequestSteps:
--- a/cressrock/replication/repair_pacer.py
+++ b/cressrock/replication/repair_pacer.py
@@ -17,10 +17,10 @@
         self._share, self._rate, self._busy, self._pause_ms = share, rate, busy, pause_ms
         self._next_at_ms = 0.0
 
-    def record_operation(self, now_ms: float, took_ms: float, *, refused: bool, load: float) -> None:
+    def record_operation(self, now_ms: float, took_ms: float, *, rejected: bool, load: float) -> None:
         """Enter an operation that ended now; `refused`: the node rejected it as too busy."""
         rest_ms = max(took_ms * (1 / self._share - 1), 1000 / self._rate)
-        if refused or load > self._busy:
+        if rejected or load > self._busy:
             rest_ms = max(rest_ms, self._pause_ms)
         self._next_at_ms = now_ms + rest_ms
 
--- a/cressrock/replication/service.py
+++ b/cressrock/replication/service.py
@@ -50,10 +50,10 @@
 
     def __init__(
         self,
-        placed: Mapping[str, ReplicaPlacement],
-        ground: ClusterRuntime,
+        placements: Mapping[str, ReplicaPlacement],
+        runtime: ClusterRuntime,
         shares: DeadlineShares,
-        reach: ReachabilityTracker,
+        reachability: ReachabilityTracker,
         *,
         zone: str,
         regions: dict[str, str],
@@ -67,11 +67,11 @@
         `choose(zones, units, now_ms)` orders zones that are in sync for a read; without it the nearest come
         first, those that this process cannot reach last.
         """
-        self._placements, self._reachability, self._clock = placed, reach, clock
+        self._placements, self._reachability, self._clock = placements, reachability, clock
         self._zone, self._regions = zone, regions
         self._retry_after_ms = retry_after_ms
         self._choose = choose or self._nearest
-        self._environment = RequestEnvironment(ground, shares, reach, clock, log)
+        self._environment = RequestEnvironment(runtime, shares, reachability, clock, log)
         self._latest_sets: dict[str, InSyncSet] = {}  # by topic: the newest that a request worked under
 
     def is_replicated(self, volume: str) -> bool:
--- a/cressrock/replication/shard_request.py
+++ b/cressrock/replication/shard_request.py
@@ -72,11 +72,11 @@
 class DeadlineShares:
     """How a request's time is divided; see the settings.  Times in ms."""
 
-    first: float
-    follow: float
-    told_ms: float
-    ask_ms: float
-    hold_ms: float
+    first_step: float
+    following_steps: float
+    eviction_pause_ms: float
+    consensus_timeout_ms: float
+    lease_ms: float
 
 
 class Send(Protocol):
@@ -118,7 +118,7 @@
         pending = self.pending_commits.setdefault((topic, zone), deque(maxlen=MAX_PENDING_COMMITS))
         pending.append(version)
 
-    def take_commits(self, topic: str, zone: str) -> list[Version]:
+    def drain_commits(self, topic: str, zone: str) -> list[Version]:
         """Return some versions that a replica is to be told of, each once."""
         pending = self.pending_commits.get((topic, zone))
         if not pending:
@@ -175,7 +175,7 @@
         if is_read and not self.is_first_step:
             return self.deadline_ms
         shares = self.environment.shares
-        share = shares.first if self.is_first_step else shares.follow
+        share = shares.first_step if self.is_first_step else shares.following_steps
         self.is_first_step = False
         return now_ms + (self.deadline_ms - now_ms) * share
 
@@ -201,7 +201,7 @@
         payload = operation.payload
         body = payload.body if isinstance(payload, node_protocol.Payload) else None
         method = None if is_client else node_protocol.operation_method(operation)
-        commits = environment.take_commits(self.shard.topic, operation.zone)
+        commits = environment.drain_commits(self.shard.topic, operation.zone)
         headers = node_protocol.operation_headers(operation, commits)
         reply = await self.send(shard, method, key, headers, body, deadline_ms)
         if isinstance(reply, Denial):
@@ -247,7 +247,7 @@
 
     def _consensus_timeout_ms(self) -> float:
         environment = self.environment
-        return min(environment.shares.ask_ms, self.deadline_ms - environment.clock())
+        return min(environment.shares.consensus_timeout_ms, self.deadline_ms - environment.clock())
 
     async def _refresh(self, min_epoch: int) -> InSyncSet | None:
         """Return a set of at least this epoch, by asking where it is not known yet."""
@@ -280,18 +280,9 @@
         except TransitionNotAllowedError:
             # Another process has changed the set meanwhile.
             return await self._refresh(in_sync_set.epoch + 1)
-        consensus = environment.runtime.consensus
-        if consensus is None:
-            return None
         began_ms = environment.clock()
         try:
-            await consensus.decide(
-                topic,
-                encode_set(new),
-                environment.shares.hold_ms,
-                known.version,
-                timeout_ms=self._consensus_timeout_ms(),
-            )
+            await self._decide(new, known.version)
         except DecisionConflictError:
             return await self._refresh(in_sync_set.epoch + 1)
         except (NoQuorumError, RequestForgottenError, DecisionTooLargeError, InvalidDecisionError) as error:
@@ -305,6 +296,19 @@
             "replication.replica_evicted", topic=topic, zones=zones, epoch=new.epoch, duration_ms=duration_ms
         )
         # Others may still read there: what they are told after this acknowledgement should be it.
-        pause_ms = min(environment.shares.told_ms, self.deadline_ms - environment.clock())
+        pause_ms = min(environment.shares.eviction_pause_ms, self.deadline_ms - environment.clock())
         await anyio.sleep(max(0.0, pause_ms) / 1000)
         return new
+
+    async def _decide(self, new: InSyncSet, version: int) -> None:
+        """Propose a set in place of the decision of this version.  Raises ConsensusError."""
+        consensus = self.environment.runtime.consensus
+        if consensus is None:
+            raise NoQuorumError("this process has no way to the council")
+        await consensus.decide(
+            self.shard.topic,
+            encode_set(new),
+            self.environment.shares.lease_ms,
+            version,
+            timeout_ms=self._consensus_timeout_ms(),
+        )
--- a/cressrock/replication/write.py
+++ b/cressrock/replication/write.py
@@ -8,7 +8,7 @@
 from __future__ import annotations
 
 from collections.abc import Generator, Sequence
-from typing import Any
+from typing import Any, NamedTuple
 
 from cressrock.replication.headers import Rejection
 from cressrock.replication.in_sync_set import InSyncSet
@@ -61,7 +61,19 @@
     ordered = yield from _order_at_primary(current, payload)
     if isinstance(ordered, OperationOutcome):
         return ordered
-    current, result = ordered
+    return (yield from _finish(ordered, payload, rules))
+
+
+class _Ordered(NamedTuple):
+    """The primary's answer, and the set it was done under."""
+
+    in_sync_set: InSyncSet
+    result: ReplicaResult
+
+
+def _finish(ordered: _Ordered, payload: Any, rules: SafetyRules) -> RequestSteps:
+    """Bring what the primary ordered, or what its answer rests on, to all replicas, and answer."""
+    in_sync_set, result = ordered
     record: Record | None = result.record
     if record is None:
         return answer(result)
@@ -69,9 +81,9 @@
     if not changed and (record.committed or not rules.settle_reads):
         return answer(result)
     propagation = Propagation(
-        record, current.primary, rules, is_write=changed, payload=payload if changed else None
+        record, in_sync_set.primary, rules, is_write=changed, payload=payload if changed else None
     )
-    done = yield from propagation.run(current)
+    done = yield from propagation.run(in_sync_set)
     if done is None:
         # What was answered rests on a write that others lack: telling it would promise what may be gone.
         return fail("copies", result) if changed else reject("unsettled", result)
@@ -80,7 +92,7 @@
 
 def _order_at_primary(
     in_sync_set: InSyncSet, payload: Any
-) -> Generator[Action, Any, OperationOutcome | tuple[InSyncSet, ReplicaResult]]:
+) -> Generator[Action, Any, OperationOutcome | _Ordered]:
     """Have the primary do the client's operation; return its answer with the set it was done under."""
     for _ in range(MAX_SETS_PER_REQUEST):
         (result,) = yield PerformOperations(
@@ -100,4 +112,4 @@
         return unanswered("first-copy", result)
     if result.failed:
         return fail("first-copy", result)
-    return in_sync_set, result
+    return _Ordered(in_sync_set, result)
--- a/cressrock/rollout/service.py
+++ b/cressrock/rollout/service.py
@@ -68,8 +68,8 @@
 
     def __init__(
         self,
-        ground: ClusterRuntime,
-        book: VersionTables[V],
+        runtime: ClusterRuntime,
+        tables: VersionTables[V],
         settings: ProcessSettings,
         *,
         clock: Callable[[], float],
@@ -86,17 +86,17 @@
         `planner_has_version(digest)` says whether whoever decides for this process has a version; `may_lead`:
         this process has a consensus replica; `zone_of` gives a process's zone.
         """
-        self._runtime, self._tables, self._settings = ground, book, settings
+        self._runtime, self._tables, self._settings = runtime, tables, settings
         self._clock, self._wall_ms, self._rng, self._log = clock, wall_ms, rng, log
         self._planner_has_version, self._may_lead, self._zone_of = planner_has_version, may_lead, zone_of
         self._persisted = PersistedStateFile(settings.keep_file, log)
         self._versions = LoadedVersions(
-            ground.decision_cache, book, self._persisted, log, on_versions_changed
+            runtime.decision_cache, tables, self._persisted, log, on_versions_changed
         )
-        self._evidence = EvidenceExchange(ground, len(settings.classes), log)
-        self._leader = RolloutLeader(ground, settings.classes, settings.lease_ms, clock, log)
+        self._evidence = EvidenceExchange(runtime, len(settings.classes), log)
+        self._leader = RolloutLeader(runtime, settings.classes, settings.lease_ms, clock, log)
         self._admin = AdminEndpoint(
-            ground, settings.lease_ms, book.check,
+            runtime, settings.lease_ms, tables.check,
             follow=self._follow, status=self.status, statistics=self._statistics,
         )  # fmt: skip
         self._state: RolloutState | None = None  # the newest received, whether it is current or not
@@ -109,13 +109,17 @@
         self._decision_changed = anyio.Event()
         self._published_at_ms = 0.0
         self._summarizer = ZoneSummarizer() if may_lead else None
-        if self._summarizer is not None:
-            ground.evidence.summarizers.add("rollout", self._summarizer)
-        ground.decision_cache.listeners.append(self._on_decision)
-        ground.on_gossip_change.append(self._on_gossip_change)
-        ground.on_leaving.append(self._on_leaving)
+        self._subscribe()
         self._follow()
 
+    def _subscribe(self) -> None:
+        runtime = self._runtime
+        if self._summarizer is not None:
+            runtime.evidence.summarizers.add("rollout", self._summarizer)
+        runtime.decision_cache.listeners.append(self._on_decision)
+        runtime.on_gossip_change.append(self._on_gossip_change)
+        runtime.on_leaving.append(self._on_leaving)
+
     def choose(self, volume: str) -> VersionChoice[V]:
         """Return by which version a request that comes now is decided, to its answer."""
         state, tables, participation = self._state, self._tables, self._participation
--- a/tests/compatibility/copies_cases.py
+++ b/tests/compatibility/copies_cases.py
@@ -551,7 +551,7 @@
         now += draw.choice((0.0, 3.0, 100.0))
         digest.add(pace.wait_ms(now))
         pace.record_operation(
-            now, draw.choice((0.0, 2.0, 30.0)), refused=draw.random() < 0.2, load=draw.random()
+            now, draw.choice((0.0, 2.0, 30.0)), rejected=draw.random() < 0.2, load=draw.random()
         )
         digest.add(pace.wait_ms(now + draw.choice((0.0, 1.0, 300.0))))
     return digest.hex()
@@ -562,7 +562,9 @@
     draw, digest = random.Random(f"reach/{seed}"), Digest()
     found, now = reachability.ReachabilityTracker(), 0.0
     if seed % 2:
-        found = reachability.ReachabilityTracker(least=1, over_ms=0.0, fresh_ms=300.0, absent_ms=50.0)
+        found = reachability.ReachabilityTracker(
+            min_failures=1, min_failing_ms=0.0, fresh_ms=300.0, absent_ms=50.0
+        )
     for _ in range(400):
         now += draw.choice((0.0, 20.0, 60.0, 400.0))
         shard, act = draw.randrange(4), draw.random()
@@ -743,7 +745,13 @@
         self.council = _Council(self)
         self.grounds = [_Ground(self, name) for name in ("e0", "e1", "planner")]
         self.reach = [reachability.ReachabilityTracker(), reachability.ReachabilityTracker()]
-        shares = shard_request.DeadlineShares(first=0.5, follow=0.6, told_ms=5.0, ask_ms=100.0, hold_ms=400.0)
+        shares = shard_request.DeadlineShares(
+            first_step=0.5,
+            following_steps=0.6,
+            eviction_pause_ms=5.0,
+            consensus_timeout_ms=100.0,
+            lease_ms=400.0,
+        )
         self.gateways = [
             service.ReplicatedVolumes(
                 PLACED,
@@ -759,16 +767,16 @@
             for n, zone in enumerate(("a", "c"))
         ]
         figures = manager.ManagerSettings(
-            look_ms=20.0,
-            witnesses=2,
-            back_least_ms=50.0,
-            back_most_ms=400.0,
-            forget_ms=400.0,
-            hold_ms=400.0,
-            share=0.5,
-            rate=2000.0,
-            busy=0.8,
-            pause_ms=20.0,
+            poll_interval_ms=20.0,
+            min_witnesses=2,
+            min_rejoin_delay_ms=50.0,
+            max_rejoin_delay_ms=400.0,
+            forget_evictions_ms=400.0,
+            lease_ms=400.0,
+            repair_share=0.5,
+            repair_rate=2000.0,
+            repair_busy_load=0.8,
+            repair_pause_ms=20.0,
         )
         self.keeper = manager.ReplicaManager(
             PLACED,
--- a/tests/replication/test_repair_pacer.py
+++ b/tests/replication/test_repair_pacer.py
@@ -5,9 +5,9 @@
 
 def test_repair_stays_below_live_work():
     pace = RepairPacer(share=0.25, rate=1000.0, busy=0.8, pause_ms=250.0)
-    pace.record_operation(100.0, 10.0, refused=False, load=0.5)
+    pace.record_operation(100.0, 10.0, rejected=False, load=0.5)
     assert pace.wait_ms(100.0) == 30.0
-    pace.record_operation(200.0, 10.0, refused=False, load=0.9)
+    pace.record_operation(200.0, 10.0, rejected=False, load=0.9)
     assert pace.wait_ms(210.0) == 240.0
-    pace.record_operation(500.0, 10.0, refused=True, load=0.0)
+    pace.record_operation(500.0, 10.0, rejected=True, load=0.0)
     assert pace.wait_ms(500.0) == 250.0
