--- a/cressrock/replication/read.py
+++ b/cressrock/replication/read.py
@@ -68,8 +68,7 @@
                 return fail("copy", result)
             index += 1
             continue
-        record = result.record
-        if result.failed or record is None or record.committed or not rules.settle_reads:
+        if _is_settled(result) or not rules.settle_reads:
             return answer(result)
         if not lease_valid:
             return reject("unsettled", result)
@@ -77,6 +76,11 @@
     return reject("copies", result)
 
 
+def _is_settled(result: ReplicaResult) -> bool:
+    """Whether an answer rests on nothing that could be gone again with its replica."""
+    return result.failed or result.record is None or result.record.committed
+
+
 def _readable(in_sync_set: InSyncSet, order: Sequence[str]) -> list[str]:
     return [zone for zone in order if zone in in_sync_set.read_zones][:MAX_REPLICAS_READ]
 
@@ -94,7 +98,7 @@
             in_sync_set = newer
         elif result.reply is None:
             return unanswered("copy", result)
-        elif result.failed or result.record is None or result.record.committed:
+        elif _is_settled(result) or result.record is None:
             return answer(result)
         elif committed.get(result.record.path, NO_VERSION) >= result.record.version:
             return answer(result)
