--- a/cressrock/lab/rolloutsim.py
+++ b/cressrock/lab/rolloutsim.py
@@ -3,7 +3,7 @@
 Two simulators.  `Fleet` plays a rollout second by second: every process draws trials and bad answers, with
 faults beside them (a zone lost, sick processes, bursts, volumes that are always refused), and the leader's
 `Pace` and the test decide.  The test is evaluated on arrays, by the bets of `verdict`; where a run is checked
-the arrays are put into `Heard` at its end, and `verdict.judge` has to say the same.
+the arrays are put into `FleetCounts` at its end, and `verdict.accusations_from_counts` has to say the same.
 
 `hold_run` plays decrees and cuts over the real readers, to see when a halted candidate is last chosen.
 """
@@ -191,7 +191,7 @@
         return float((weights * self.chronic).sum() / max(weights.sum(), 1e-12))
 
     def judged(self, marks: Any) -> list[tuple[int, int]]:
-        """Return (class, kind) of what the candidate is accused of: `verdict.judge` on arrays."""
+        """Return (class, kind) of what the candidate is accused of: `accusations_from_counts` on arrays."""
         levels, classes = self.plan.thresholds, len(self.shape.classes)
         wanted = accusation_threshold(levels, classes)
         logs = np.zeros((*marks.shape[1:4], len(ODDS_RATIOS)))
@@ -206,7 +206,7 @@
         return [(int(c), int(k)) for c, k in np.argwhere(mixed >= wanted)]
 
     def _far_worse(self) -> None:
-        """Let processes go back alone, by `verdict.far_worse` on arrays."""
+        """Let processes go back alone, by `local_accusation` on arrays."""
         levels, classes = self.plan.thresholds, len(self.shape.classes)
         logs = np.zeros((*self.marks.shape[1:4], len(ODDS_RATIOS)))
         far = max(levels.rollback_odds_ratio, levels.tolerated_odds_ratio)
@@ -291,7 +291,7 @@
 
     Beats are gossiped: each reaches each process of the leader's side after up to a second and a half; what
     a cut holds back comes when it heals; old copies are heard again.  `reads`: processes count on their own
-    reads (`stages.Sure`); without, on what is told alone.  Clocks run apart by up to a thousandth.
+    reads (`ReadLease`); without, on what is told alone.  Clocks run apart by up to a thousandth.
     """
     draw = random.Random(seed)
     state = start_rollout(None, b"bad")
--- a/cressrock/rollout/service.py
+++ b/cressrock/rollout/service.py
@@ -101,7 +101,7 @@
         )  # fmt: skip
         self._state: RolloutState | None = None  # the newest received, whether it is current or not
         self._version = 0  # of its decision
-        self._decoded_version: int | None = None
+        self._decoded_version = -1  # of the newest decision that was looked at
         self._good_digest = self._persisted.state.good_digest  # as far as is known here
         self._participation: Participation | None = None
         self._candidate_requests = 0  # requests that came to the candidate, since this process started
--- a/tests/rollout/test_drill.py
+++ b/tests/rollout/test_drill.py
@@ -8,8 +8,7 @@
 import pytest
 
 from cressrock.errors.lab import ProcessNotReadyError
-from cressrock.lab import fragile
-from cressrock.lab import steps as st
+from cressrock.lab import fragile, steps
 from cressrock.lab.common import Common, Told
 from cressrock.lab.day import Script
 from cressrock.lab.drill import rehearse
@@ -159,9 +158,9 @@
         if collect_from:
             await drill.answered(20)
             collector = (await evidence("d0"))["to"]
-            await drill._do(st.Kill(collector))
+            await drill._do(steps.Kill(collector))
             await drill.answered(20)
-            await drill._do(st.Restart(collector))
+            await drill._do(steps.Restart(collector))
 
         async def halted():
             return (await ask(drill, "p1")).get("state") == "halted"
@@ -245,9 +244,9 @@
 
             await drill.until(f"stage {stage}", in_stage)
             victim = (await drill.leader() or "p0") if stage != 1 else PLANNERS[stage]
-            await drill._do(st.Kill(victim))
+            await drill._do(steps.Kill(victim))
             await drill.answered(10)
-            await drill._do(st.Restart(victim))
+            await drill._do(steps.Restart(victim))
             if stage == 1:
                 # Zone a goes as well: two edges and a planner, for longer than the stage would take.
                 drill.relays.partition([{"d0", "d1", "p0"}, {"d2", "p1", "p2"}])
@@ -257,8 +256,8 @@
         assert seen == sorted(seen) and set(seen) == {0, 1, 2}, seen
         await drill.answered(30)
         # It is the good version now, also of a process that starts anew.
-        await drill._do(st.Kill("d0"))
-        await drill._do(st.Restart("d0"))
+        await drill._do(steps.Kill("d0"))
+        await drill._do(steps.Restart("d0"))
         await drill.until("known again", lambda: all_say(drill, state="done", good=digest, held=[digest]))
 
     play(story, edges_die=True)
