--- a/benchmarks/council_processes.py
+++ b/benchmarks/council_processes.py
@@ -20,8 +20,8 @@
 
 sys.path.insert(0, str(Path(__file__).parent.parent))
 
-from cressrock.consensus.raft.log import HardState
 from cressrock.consensus.raft.messages import LogEntry
+from cressrock.consensus.raft.persistent_state import HardState
 from cressrock.consensus.store import ReplicaStore
 from cressrock.errors import consensus as e
 from tests import test_council_processes as p
--- a/cressrock/consensus/raft/follower.py
+++ b/cressrock/consensus/raft/follower.py
@@ -1,146 +1,173 @@
-"""A seat's part as follower: entries and snapshots of a leader.  Pure."""
+"""The follower's side: entries and snapshots that a leader sends."""
 
 from __future__ import annotations
 
-from cressrock.consensus.raft import messages as m
-from cressrock.consensus.raft.core import RaftCore, Role
-from cressrock.consensus.raft.log import Snapshot
+from dataclasses import dataclass
+
+from cressrock.consensus.raft.messages import (
+    AppendEntries,
+    AppendEntriesReply,
+    InstallSnapshot,
+    InstallSnapshotReply,
+    decode_voters,
+)
+from cressrock.consensus.raft.persistent_state import Snapshot
+from cressrock.consensus.raft.state import ReplicaState
 from cressrock.errors.consensus import InvalidMessageError, LogDivergedError
 
 
-class Following(RaftCore):
-    """What a follower does with what its leader sends."""
+@dataclass(frozen=True, slots=True)
+class SnapshotTransfer:
+    """Which snapshot of which leader the chunks received so far belong to."""
+
+    leader: str
+    term: int
+    index: int
+    index_term: int
+    size: int
+
+
+class Follower:
+    """Takes a leader's messages into the log of a replica."""
+
+    __slots__ = ("_replica", "_transfer", "_buffer")
 
-    __slots__ = ()
+    def __init__(self, replica: ReplicaState) -> None:
+        """Begin without a chunk of a snapshot."""
+        self._replica = replica
+        self._transfer: SnapshotTransfer | None = None
+        self._buffer = bytearray()
 
-    def _heard(self, sender: str) -> None:
-        if self.state is Role.LEADER or self.leader not in ("", sender):
-            raise LogDivergedError(f"{sender} leads term {self.term}, and so does {self.leader}")
-        self._become_follower(self.term, sender)
-        self.leader_heard_at_ms = self.now_ms
+    # --- entries
 
-    def _on_append(self, sender: str, message: m.AppendEntries) -> None:
-        self._heard(sender)
-        previous, previous_term, entries = message.previous_index, message.previous_term, message.entries
-        if not self._well_formed(message):
-            self.drop_counts["malformed"] += 1
+    def on_append(self, sender: str, message: AppendEntries) -> None:
+        """Append a leader's entries, or say where the logs differ.  Raises LogDivergedError."""
+        replica = self._replica
+        log = replica.log
+        if not self._is_well_formed(message):
+            replica.drop_counts["malformed"] += 1
             return
-        last = previous + len(entries)
-        if previous < self.log.snapshot_index:  # what our snapshot covers is committed, hence the same
-            entries = entries[self.log.snapshot_index - previous :]
-            previous, previous_term = self.log.snapshot_index, self.log.snapshot_term
-            last = max(last, previous)
-        have = self.log.term_at(previous)
-        if have != previous_term:
-            if have is not None and previous <= self.commit:
-                raise LogDivergedError(f"{sender} has term {previous_term} at the committed entry {previous}")
-            self._refuse(sender, message, previous, have)
+        previous_index, previous_term = message.previous_index, message.previous_term
+        entries = message.entries
+        last_index = previous_index + len(entries)
+        if previous_index < log.snapshot_index:  # what our snapshot covers is committed, hence the same
+            entries = entries[log.snapshot_index - previous_index :]
+            previous_index, previous_term = log.snapshot_index, log.snapshot_term
+            last_index = max(last_index, previous_index)
+        own_term = log.term_at(previous_index)
+        if own_term != previous_term:
+            if own_term is not None and previous_index <= replica.commit:
+                raise LogDivergedError(
+                    f"{sender} has term {previous_term} at the committed entry {previous_index}"
+                )
+            self._report_conflict(sender, message, previous_index, own_term)
             return
         for entry in entries:
-            have = self.log.term_at(entry.index)
-            if have == entry.term:
+            own_term = log.term_at(entry.index)
+            if own_term == entry.term:
                 continue
-            if have is not None:
+            if own_term is not None:
                 self._truncate(sender, entry.index)
-            self.log.append(entry)
-        self.commit = max(self.commit, min(message.commit, last))
-        self._send(
-            sender,
-            m.AppendEntriesReply(
-                generation=self.generation,
-                term=self.term,
-                accepted=True,
-                match=last,
-                round=message.round,
-            ),
-        )
+            log.append(entry)
+        replica.commit = max(replica.commit, min(message.commit, last_index))
+        replica.send(sender, AppendEntriesReply(
+            generation=replica.generation, term=replica.term, accepted=True, match=last_index,
+            round=message.round,
+        ))  # fmt: skip
 
-    def _well_formed(self, message: m.AppendEntries) -> bool:
-        """Whether the entries follow one another, their terms grow up to ours, and seats are seats."""
+    def _is_well_formed(self, message: AppendEntries) -> bool:
+        """Whether the entries follow one another, their terms grow up to ours, and voters can be read."""
         term = message.previous_term
         for index, entry in enumerate(message.entries, message.previous_index + 1):
-            if entry.index != index or not term <= entry.term <= self.term:
+            if entry.index != index or not term <= entry.term <= self._replica.term:
                 return False
             term = entry.term
             if entry.kind == "seats":
                 try:
-                    m.decode_voters(entry.data)
+                    decode_voters(entry.data)
                 except InvalidMessageError:
                     return False
         return True
 
-    def _refuse(self, sender: str, message: m.AppendEntries, previous: int, have: int | None) -> None:
-        conflict = self.log.last_index + 1 if have is None else self.log.first_index_of_term(have, previous)
-        self._send(
-            sender,
-            m.AppendEntriesReply(
-                generation=self.generation,
-                term=self.term,
-                accepted=False,
-                previous_index=message.previous_index,
-                conflict_term=have or 0,
-                conflict_index=conflict,
-                round=message.round,
-            ),
-        )
+    def _report_conflict(
+        self, sender: str, message: AppendEntries, previous_index: int, own_term: int | None
+    ) -> None:
+        replica = self._replica
+        if own_term is None:
+            conflict_index = replica.log.last_index + 1
+        else:
+            conflict_index = replica.log.first_index_of_term(own_term, previous_index)
+        replica.send(sender, AppendEntriesReply(
+            generation=replica.generation, term=replica.term, accepted=False,
+            previous_index=message.previous_index, conflict_term=own_term or 0,
+            conflict_index=conflict_index, round=message.round,
+        ))  # fmt: skip
 
     def _truncate(self, sender: str, start: int) -> None:
-        if start <= self.commit:
+        replica = self._replica
+        if start <= replica.commit:
             raise LogDivergedError(f"{sender} asks to change the committed entry {start}")
-        self.log.truncate(start)
-        if start <= self.stable_index:
-            self.stable_index = start - 1
-            self.truncated_from = start if self.truncated_from is None else min(self.truncated_from, start)
-
-    def _on_snapshot(self, sender: str, message: m.InstallSnapshot) -> None:
-        self._heard(sender)
-        seats = message.seats
-        if not seats or len(set(seats)) != len(seats) or message.index_term > self.term:
-            self.drop_counts["malformed"] += 1
+        replica.log.truncate(start)
+        if start <= replica.stable_index:
+            replica.stable_index = start - 1
+            replica.record_truncation(start)
+
+    # --- snapshots
+
+    def on_snapshot(self, sender: str, message: InstallSnapshot) -> None:
+        """Collect a snapshot's chunks, and install it when all are there."""
+        replica = self._replica
+        voters = message.voters
+        if not voters or len(set(voters)) != len(voters) or message.index_term > replica.term:
+            replica.drop_counts["malformed"] += 1
             return
-        done = message.index <= self.commit
+        done = message.index <= replica.commit
         if not done:
-            of = (sender, self.term, message.index, message.index_term, message.size)
-            if (
-                message.size > self.settings.max_snapshot_bytes
-                or message.offset + len(message.data) > message.size
-            ):
-                self.drop_counts["snapshot_size"] += 1
+            max_bytes = replica.settings.max_snapshot_bytes
+            if message.size > max_bytes or message.offset + len(message.data) > message.size:
+                replica.drop_counts["snapshot_size"] += 1
                 return
-            if self.snapshot_transfer != of:
-                self.snapshot_transfer, self.snapshot_buffer = of, bytearray()
-            if message.offset == len(self.snapshot_buffer):
-                self.snapshot_buffer += message.data
-            done = len(self.snapshot_buffer) == message.size
-            if done:
-                self._install(
-                    Snapshot(message.index, message.index_term, message.seats, bytes(self.snapshot_buffer))
-                )
-        self._send(
-            sender,
-            m.InstallSnapshotReply(
-                generation=self.generation,
-                term=self.term,
-                index=message.index,
-                offset=len(self.snapshot_buffer),
-                done=done,
-                round=message.round,
-            ),
-        )
+            done = self._collect(sender, message)
+        replica.send(sender, InstallSnapshotReply(
+            generation=replica.generation, term=replica.term, index=message.index, offset=len(self._buffer),
+            done=done, round=message.round,
+        ))  # fmt: skip
         if done:
-            self.snapshot_transfer, self.snapshot_buffer = (), bytearray()
+            self._transfer, self._buffer = None, bytearray()
+
+    def _collect(self, sender: str, message: InstallSnapshot) -> bool:
+        """Add a chunk; return whether the snapshot was whole and is installed."""
+        transfer = SnapshotTransfer(
+            sender, self._replica.term, message.index, message.index_term, message.size
+        )
+        if self._transfer != transfer:
+            self._transfer, self._buffer = transfer, bytearray()
+        if message.offset == len(self._buffer):
+            self._buffer += message.data
+        if len(self._buffer) != message.size:
+            return False
+        self._install(Snapshot(message.index, message.index_term, message.voters, bytes(self._buffer)))
+        return True
 
     def _install(self, snapshot: Snapshot) -> None:
-        had = self.log.last_index
-        if self.log.start_after(snapshot):
-            self.stable_index = max(self.stable_index, snapshot.index)
+        replica = self._replica
+        former_last_index = replica.log.last_index
+        if replica.log.start_after(snapshot):
+            replica.stable_index = max(replica.stable_index, snapshot.index)
         else:
-            self.stable_index = snapshot.index
-            if had > snapshot.index:
-                start = snapshot.index + 1
-                self.truncated_from = (
-                    start if self.truncated_from is None else min(self.truncated_from, start)
-                )
-        self.commit = self.applied = snapshot.index
-        self.snapshot = self.unpersisted_snapshot = snapshot
-        self.restore_pending = True
+            replica.stable_index = snapshot.index
+            if former_last_index > snapshot.index:
+                replica.record_truncation(snapshot.index + 1)
+        replica.commit = replica.applied = snapshot.index
+        replica.snapshot = replica.unpersisted_snapshot = snapshot
+        replica.restore_pending = True
+
+    def clone(self, replica: ReplicaState) -> Follower:
+        """Return an independent copy over a copied state."""
+        other = Follower(replica)
+        other._transfer, other._buffer = self._transfer, bytearray(self._buffer)
+        return other
+
+    def key(self) -> tuple[object, ...]:
+        """Return what decides its behaviour when clocks do not, for the model checker's hash."""
+        return bytes(self._buffer), self._transfer
--- a/cressrock/consensus/raft/log.py
+++ b/cressrock/consensus/raft/log.py
@@ -1,108 +1,40 @@
-"""The replicated log of one seat in memory, and what a store keeps of it.  Pure."""
+"""A replica's log in memory: the entries after its snapshot."""
 
 from __future__ import annotations
 
 from bisect import bisect_left, bisect_right
-from dataclasses import dataclass, replace
 
-from cressrock.consensus.raft.messages import LogEntry, decode_voters, encode_voters
+from cressrock.consensus.raft.messages import LogEntry, decode_voters
+from cressrock.consensus.raft.persistent_state import Snapshot
 
-
-@dataclass(frozen=True, slots=True)
-class HardState:
-    """What a seat must not forget: its term, its vote in it ("" for none), how far it knew of commits.
-
-    `generation` numbers councils that an operator forced anew (`raft.force_new`); 0: none yet, a new seat
-    takes that of the first leader it hears.  `commit` is kept lazily: losing it costs time, not safety.
-    """
-
-    term: int = 0
-    voted_for: str = ""
-    commit: int = 0
-    generation: int = 0
-
-
-@dataclass(frozen=True, slots=True)
-class Snapshot:
-    """The state machine's data after the entry (`index`, `term`), and the seats that held there."""
-
-    index: int
-    term: int
-    voters: tuple[str, ...]
-    data: bytes
-
-
-@dataclass(frozen=True, slots=True)
-class StoredState:
-    """What a store gives back at the start: `entries` follow the snapshot without a gap."""
-
-    hard_state: HardState = HardState()
-    snapshot: Snapshot | None = None
-    entries: tuple[LogEntry, ...] = ()
-
-
-def initial_state(voters: tuple[str, ...]) -> StoredState:
-    """Return what every seat of a new council begins with: the same first entry, which names all seats.
-
-    Only for a council that has never been; a seat that joins one begins with `Stored()`.
-    """
-    entry = LogEntry(1, 1, "seats", encode_voters(tuple(sorted(voters))))
-    return StoredState(HardState(1, "", 1, 1), None, (entry,))
-
-
-def force_single_voter(stored: StoredState, name: str) -> StoredState:
-    """Return what makes a council of the one seat `me` out of its own store: the way out of a lost majority.
-
-    What it may cost: entries that the lost majority had committed and this store does not have are gone,
-    though they were acknowledged; entries here that were never committed become so.  Log indexes may come a
-    second time with other content, so whatever is numbered by index must put the generation above it.
-    To be done at one seat only, the one whose last entry has the highest (term, index), with all others of
-    the old council stopped: seats of the old generation that come back are refused, with the reason,
-    and join again as new seats with empty stores.  Forced at two seats, there are two councils.
-    """
-    last_index = RaftLog(stored.snapshot, stored.entries).last_index
-    term = stored.hard_state.term + 1
-    entry = LogEntry(term, last_index + 1, "seats", encode_voters((name,)))
-    hard = replace(stored.hard_state, term=term, voted_for="", generation=stored.hard_state.generation + 1)
-    return StoredState(hard, stored.snapshot, (*stored.entries, entry))
+ENTRY_OVERHEAD_BYTES = 16  # what an entry takes in a message beside its data
 
 
 class RaftLog:
     """Entries after a snapshot; indexes count from 1, (0, 0) is before all."""
 
     __slots__ = (
-        "snapshot_index",
-        "snapshot_term",
-        "snapshot_voters",
-        "entries",
-        "data_bytes",
-        "voter_changes",
-    )
+        "snapshot_index", "snapshot_term", "snapshot_voters", "entries", "data_bytes", "voter_changes",
+    )  # fmt: skip
 
     def __init__(self, snapshot: Snapshot | None, entries: tuple[LogEntry, ...]) -> None:
-        """Take what a store gave back."""
+        """Begin with what a store gave back."""
         self.snapshot_index = snapshot.index if snapshot else 0
         self.snapshot_term = snapshot.term if snapshot else 0
         self.snapshot_voters: tuple[str, ...] = snapshot.voters if snapshot else ()
         self.entries: list[LogEntry] = []
-        self.data_bytes = 0  # bytes of data held
-        self.voter_changes: list[tuple[int, tuple[str, ...]]] = []  # (index, seats) of the seats entries held
+        self.data_bytes = 0  # of all entries in memory
+        self.voter_changes: list[tuple[int, tuple[str, ...]]] = []  # index and voters of membership entries
         for entry in entries:
             self.append(entry)
 
     def clone(self) -> RaftLog:
-        """Return a log of its own with the same content."""
+        """Return an independent copy."""
         other = RaftLog.__new__(RaftLog)
-        other.snapshot_index, other.snapshot_term, other.snapshot_voters = (
-            self.snapshot_index,
-            self.snapshot_term,
-            self.snapshot_voters,
-        )
-        other.entries, other.data_bytes, other.voter_changes = (
-            self.entries[:],
-            self.data_bytes,
-            self.voter_changes[:],
-        )
+        other.snapshot_index, other.snapshot_term = self.snapshot_index, self.snapshot_term
+        other.snapshot_voters = self.snapshot_voters
+        other.entries, other.data_bytes = self.entries[:], self.data_bytes
+        other.voter_changes = self.voter_changes[:]
         return other
 
     @property
@@ -117,22 +49,22 @@
 
     @property
     def voters(self) -> tuple[str, ...]:
-        """The seats by the latest seats entry, committed or not (4.1)."""
+        """The voters by the latest membership entry, committed or not (4.1)."""
         return self.voter_changes[-1][1] if self.voter_changes else self.snapshot_voters
 
     @property
     def voters_index(self) -> int:
-        """The index of the latest seats entry, 0 if it is in the snapshot."""
+        """The index of the latest membership entry, 0 if it is in the snapshot."""
         return self.voter_changes[-1][0] if self.voter_changes else 0
 
     def voters_at(self, index: int) -> tuple[str, ...]:
-        """Return the seats that hold after the entry `index`."""
-        found = self.snapshot_voters
-        for at, seats in self.voter_changes:
-            if at > index:
+        """Return the voters after the entry `index`."""
+        result = self.snapshot_voters
+        for change_index, voters in self.voter_changes:
+            if change_index > index:
                 break
-            found = seats
-        return found
+            result = voters
+        return result
 
     def term_at(self, index: int) -> int | None:
         """Return the term of an entry, None if the log does not have it (any more)."""
@@ -143,7 +75,7 @@
         return None
 
     def append(self, entry: LogEntry) -> None:
-        """Put one entry at the end; a gap is a fault of the caller (ValueError)."""
+        """Append one entry; a gap is a fault of the caller (ValueError)."""
         if entry.index != self.last_index + 1:
             raise ValueError(f"entry {entry.index} after {self.last_index}")
         if entry.kind == "seats":
@@ -153,9 +85,9 @@
 
     def truncate(self, start: int) -> None:
         """Drop all entries from the index `start` on."""
-        gone = self.entries[start - self.snapshot_index - 1 :]
-        del self.entries[start - self.snapshot_index - 1 :]
-        self.data_bytes -= sum(len(entry.data) for entry in gone)
+        position = start - self.snapshot_index - 1
+        self.data_bytes -= sum(len(entry.data) for entry in self.entries[position:])
+        del self.entries[position:]
         while self.voter_changes and self.voter_changes[-1][0] >= start:
             self.voter_changes.pop()
 
@@ -163,47 +95,41 @@
         """Return the entries with start <= index <= end."""
         return self.entries[max(0, start - self.snapshot_index - 1) : max(0, end - self.snapshot_index)]
 
-    def batch_from(self, start: int, most: int, most_bytes: int) -> tuple[LogEntry, ...]:
-        """Return entries from `start` on: at most `most`, at most `most_bytes` of data but at least one."""
-        found: list[LogEntry] = []
+    def batch_from(self, start: int, max_entries: int, max_bytes: int) -> tuple[LogEntry, ...]:
+        """Return entries from `start` on: at most `max_entries` and `max_bytes`, but at least one."""
+        batch: list[LogEntry] = []
         size = 0
-        for position in range(
-            start - self.snapshot_index - 1, min(len(self.entries), start - self.snapshot_index - 1 + most)
-        ):
+        first = start - self.snapshot_index - 1
+        for position in range(first, min(len(self.entries), first + max_entries)):
             entry = self.entries[position]
-            size += len(entry.data) + 16
-            if found and size > most_bytes:
+            size += len(entry.data) + ENTRY_OVERHEAD_BYTES
+            if batch and size > max_bytes:
                 break
-            found.append(entry)
-        return tuple(found)
+            batch.append(entry)
+        return tuple(batch)
 
     def start_after(self, snapshot: Snapshot) -> bool:
         """Begin after `snapshot`; entries that follow are kept if they fit it.  Return whether they did."""
         fits = self.term_at(snapshot.index) == snapshot.term
         if fits:
-            kept = self.entries[snapshot.index - self.snapshot_index :]
-            self.voter_changes = [(at, seats) for at, seats in self.voter_changes if at > snapshot.index]
+            self.entries = self.entries[snapshot.index - self.snapshot_index :]
+            self.voter_changes = [change for change in self.voter_changes if change[0] > snapshot.index]
         else:
-            kept, self.voter_changes = [], []
-        self.entries = kept
-        self.data_bytes = sum(len(entry.data) for entry in kept)
-        self.snapshot_index, self.snapshot_term, self.snapshot_voters = (
-            snapshot.index,
-            snapshot.term,
-            snapshot.voters,
-        )
+            self.entries, self.voter_changes = [], []
+        self.data_bytes = sum(len(entry.data) for entry in self.entries)
+        self.snapshot_index, self.snapshot_term = snapshot.index, snapshot.term
+        self.snapshot_voters = snapshot.voters
         return fits
 
-    def first_index_of_term(self, term: int, until: int) -> int:
-        """Return the first index held whose entry is of `term`; `until` is one of them."""
-        found = bisect_left(self.entries, term, 0, max(0, until - self.snapshot_index), key=_term)
-        return self.snapshot_index + 1 + found
+    def first_index_of_term(self, term: int, max_index: int) -> int:
+        """Return the first index in memory whose entry is of `term`; `max_index` is one of them."""
+        end = max(0, max_index - self.snapshot_index)
+        return self.snapshot_index + 1 + bisect_left(self.entries, term, 0, end, key=_term)
 
-    def last_index_of_term(self, term: int, until: int) -> int:
-        """Return the last index <= `until` of `term`, 0 if there is none (terms only grow along a log)."""
-        index = self.snapshot_index + bisect_right(
-            self.entries, term, 0, max(0, until - self.snapshot_index), key=_term
-        )
+    def last_index_of_term(self, term: int, max_index: int) -> int:
+        """Return the last index <= `max_index` of `term`, 0 if there is none (terms only grow along a log)."""
+        end = max(0, max_index - self.snapshot_index)
+        index = self.snapshot_index + bisect_right(self.entries, term, 0, end, key=_term)
         return index if self.term_at(index) == term else 0
 
 
--- a/cressrock/consensus/raft/messages.py
+++ b/cressrock/consensus/raft/messages.py
@@ -1,8 +1,8 @@
-"""What seats say to one another, version 1: MessagePack, one envelope with cluster, sender, receiver.  Pure.
+"""Raft's messages and their encoding, version 1: MessagePack, one envelope with cluster, sender, receiver.
 
-Names follow Ongaro, *Consensus: Bridging Theory and Practice* (2014): RequestVote is `Vote`, AppendEntries is
-`Append`.  Every message carries its sender's term and the council's generation (see `raft.force_new`).
-The bounds of the types are the codec's outermost; a seat's `Timing` bounds what it makes far lower.
+Messages are named after Ongaro, *Consensus: Bridging Theory and Practice* (2014).  Every message carries its
+sender's term and the group's generation (see `force_single_voter`).  The bounds of the types are the codec's
+outermost; a replica's `RaftSettings` bound what it makes far lower.  Field names and tags are on the wire.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 from cressrock.errors.consensus import InvalidMessageError
 
 PROTOCOL_VERSION = 1
-MAX_MESSAGE_BYTES = 4 * 1024 * 1024  # bytes of one encoded message: nothing larger is looked at
+MAX_MESSAGE_BYTES = 4 * 1024 * 1024  # of one encoded message: nothing larger is decoded
 MAX_VOTERS = 16
 
 Name = Annotated[str, Meta(min_length=1, max_length=64)]
@@ -26,7 +26,7 @@
 
 
 class LogEntry(Struct, frozen=True, array_like=True):
-    """One entry of the log; `data` of a `seats` entry is `pack_seats` of all seats from here on."""
+    """One entry of the log; `data` of a `seats` entry is `encode_voters` of all voters from here on."""
 
     term: Count
     index: Count
@@ -35,14 +35,14 @@
 
 
 class Message(Struct, frozen=True, tag_field="t", kw_only=True):
-    """Any message between seats: the sender's generation and term."""
+    """Any message between replicas: the sender's generation and term."""
 
     generation: Count
     term: Count
 
 
 class PreVote(Message, frozen=True, tag="prevote", kw_only=True):
-    """Would you vote for me in the term `next_term`?  Changes nothing at the one asked (9.6)."""
+    """Asks for a promise of a vote in the term `next_term`; changes nothing at the receiver (9.6)."""
 
     next_term: Count
     last_index: Count
@@ -84,10 +84,10 @@
 
 
 class AppendEntriesReply(Message, frozen=True, tag="appended", kw_only=True):
-    """Accepted: the log agrees with the leader's up to `match`.  Refused: see `conflict_*`.
+    """Accepted: the log agrees with the leader's up to `match`.  Not accepted: see `conflict_*`.
 
-    Refused means that the log has not (`previous_index`, the leader's term of it); then `conflict_term` is
-    the term which stands there instead and `conflict_index` its first index, or 0 and the end of the log + 1.
+    Not accepted means that the log has no (`previous_index`, the leader's term of it); then `conflict_term` is
+    the term of that entry instead and `conflict_index` its first index, or 0 and the end of the log + 1.
     """
 
     accepted: bool
@@ -99,11 +99,11 @@
 
 
 class InstallSnapshot(Message, frozen=True, tag="snapshot", kw_only=True):
-    """A piece of the snapshot up to (`index`, `index_term`): `data` at `offset` of `size` bytes."""
+    """A chunk of the snapshot up to (`index`, `index_term`): `data` at `offset` of `size` bytes."""
 
     index: Count
     index_term: Count
-    seats: Names
+    voters: Names = msgspec.field(name="seats")
     offset: Count
     size: Count
     data: Data
@@ -111,7 +111,7 @@
 
 
 class InstallSnapshotReply(Message, frozen=True, tag="snapshotted", kw_only=True):
-    """Of the snapshot at `index` the bytes below `offset` are here; `done`: all of it is kept."""
+    """Of the snapshot at `index` the bytes below `offset` were received; `done`: it is installed."""
 
     index: Count
     offset: Count
@@ -120,11 +120,11 @@
 
 
 class TimeoutNow(Message, frozen=True, tag="timeout", kw_only=True):
-    """The leader asks the receiver to stand at once (3.10)."""
+    """The leader asks the receiver to campaign at once (3.10)."""
 
 
 class StaleGeneration(Message, frozen=True, tag="refused", kw_only=True):
-    """The receiver is of an older generation of the council and has no say any more."""
+    """The receiver is of an older generation of the group and has no vote any more."""
 
     reason: Annotated[str, Meta(max_length=512)]
 
@@ -151,7 +151,7 @@
 
 
 class _Envelope(Struct, frozen=True):
-    """Version 1: who says what to whom in which cluster."""
+    """Version 1: cluster, sender, receiver and message."""
 
     v: Annotated[int, Meta(ge=1, le=65535)]
     cluster: Annotated[str, Meta(max_length=64)]
--- a/cressrock/consensus/raft/node.py
+++ b/cressrock/consensus/raft/node.py
@@ -1,383 +1,519 @@
-"""One seat of the council: Raft, after Ongaro, *Consensus: Bridging Theory and Practice* (2014).  Pure.
+"""One replica's Raft, after Ongaro, *Consensus: Bridging Theory and Practice* (2014); pure.
 
 In the manner of etcd's raft library: time and messages are stepped in, a batch (`Ready`) is taken out, and
-the caller owes its order: keep, then send, then apply.  Chapters are of the dissertation: pre-vote 9.6,
-check-quorum and stickiness to a leader 6.2 and 4.2.3, seats changed one at a time 4.1 to 4.3 with the
-correction of 2015 (no change before an entry of the leader's own term is committed), snapshots in pieces 5,
-transfer of the lead 3.10, read index 6.4, backtracking by the term in conflict (5.3 of Ongaro and Ousterhout,
+the caller owes its order: persist, then send, then apply.  Chapters are of the dissertation: pre-vote 9.6,
+check-quorum and stickiness to a leader 6.2 and 4.2.3, voters changed one at a time 4.1 to 4.3 with the
+correction of 2015 (no change before an entry of the leader's own term is committed), snapshots in chunks 5,
+leadership transfer 3.10, read index 6.4, backtracking by the term in conflict (5.3 of Ongaro and Ousterhout,
 *In Search of an Understandable Consensus Algorithm*, 2014).
 
-Safety leans on no clock: what was voted, logged and committed is right however wrong times are, and a read is
-confirmed by a round of answers begun after it came.  Clocks decide only who stands when, and when a leader
-whose quorum is silent gives up by itself.
+Safety depends on no clock: what was voted, logged and committed is right however wrong times are, and a read
+is confirmed by a round of answers begun after it came.  Clocks decide only who campaigns when, and when a
+leader whose quorum is silent gives up by itself.
 """
 
 from __future__ import annotations
 
-from dataclasses import dataclass
-
-from cressrock.consensus.raft import messages as m
-from cressrock.consensus.raft.core import FOREVER, Role
-from cressrock.consensus.raft.follower import Following
-from cressrock.consensus.raft.log import HardState, Snapshot, StoredState, force_single_voter, initial_state
-from cressrock.consensus.raft.messages import LogEntry, RaftMessage
-from cressrock.consensus.raft.progress import ConfirmedRead, RaftSettings
-from cressrock.consensus.raft.replication import Leading
-from cressrock.errors.consensus import ConsensusBusyError, MembershipChangeRefusedError
-
-__all__ = [
-    "LogEntry",
-    "HardState",
-    "ConfirmedRead",
-    "Ready",
-    "Role",
-    "RaftNode",
-    "Snapshot",
-    "StoredState",
-    "RaftSettings",
-    "initial_state",
-    "force_single_voter",
-]
-
-
-@dataclass(frozen=True, slots=True)
-class Ready:
-    """A batch of what a caller owes, in this order.
-
-    1. Keep durably, in one transaction: `hard`; `snapshot` (and drop entries up to its index); drop entries
-       from `truncate_from` on; put `entries` at the end.  If that fails the seat is to be thrown away, with
-       the batch, and made anew from what the store has: nothing of the batch was said.
-    2. Send `messages`.  Losing, repeating or reordering them is allowed.
-    3. If `restore`: replace the state machine by `snapshot`.  Apply `committed`, answer `reads`, tell those
-       who asked for `lost_reads` to ask again.
-    4. `Seat.advance(ready)`.
+import random
+from collections import Counter, deque
+from typing import ClassVar, Self
+
+from cressrock.consensus.raft.elections import Election
+from cressrock.consensus.raft.follower import Follower
+from cressrock.consensus.raft.log import RaftLog
+from cressrock.consensus.raft.messages import (
+    MAX_VOTERS,
+    AppendEntries,
+    AppendEntriesReply,
+    InstallSnapshot,
+    InstallSnapshotReply,
+    PreVote,
+    PreVoteReply,
+    RaftMessage,
+    RequestVote,
+    RequestVoteReply,
+    StaleGeneration,
+    TimeoutNow,
+    encode_voters,
+)
+from cressrock.consensus.raft.persistent_state import Snapshot, StoredState
+from cressrock.consensus.raft.progress import Progress
+from cressrock.consensus.raft.ready import ReadToken, Ready
+from cressrock.consensus.raft.replication import Replication
+from cressrock.consensus.raft.settings import RaftSettings
+from cressrock.consensus.raft.state import FOREVER, ReplicaState, Role
+from cressrock.errors.consensus import (
+    ConsensusBusyError,
+    LogDivergedError,
+    MembershipChangeRefusedError,
+    NotLeaderError,
+)
+
+
+class RaftNode:
+    """One replica: routes time and messages to its parts, and changes its role.
+
+    `replication_type` is what the model checker replaces by one that is broken on purpose.
     """
 
-    hard_state: HardState | None = None
-    snapshot: Snapshot | None = None
-    restore_snapshot: bool = False
-    truncate_from: int | None = None
-    entries: tuple[LogEntry, ...] = ()
-    messages: tuple[tuple[str, RaftMessage], ...] = ()
-    committed: tuple[LogEntry, ...] = ()
-    confirmed_reads: tuple[ConfirmedRead, ...] = ()
-    lost_reads: tuple[int | str, ...] = ()
+    __slots__ = ("replica", "replication", "_election", "_follower", "_batch_outstanding")
+
+    replication_type: ClassVar[type[Replication]] = Replication
+
+    def __init__(
+        self,
+        name: str,
+        stored: StoredState,
+        settings: RaftSettings,
+        random_source: random.Random,
+        now_ms: float,
+    ) -> None:
+        """`stored` is the store's content: `initial_state(voters)` for a new group, else `StoredState()`."""
+        self.replica = ReplicaState(name, stored, settings, random_source, now_ms)
+        self.replication = self.replication_type(self.replica)
+        self._election = Election(self.replica)
+        self._follower = Follower(self.replica)
+        self._batch_outstanding = False
+
+    # --- what may be read
+
+    @property
+    def name(self) -> str:
+        """This replica's identity."""
+        return self.replica.name
+
+    @property
+    def role(self) -> Role:
+        """What this replica is."""
+        replica = self.replica
+        if replica.role is Role.FOLLOWER and replica.name not in replica.log.voters:
+            return Role.LEARNER
+        return replica.role
+
+    @property
+    def term(self) -> int:
+        """The current term."""
+        return self.replica.term
 
     @property
-    def must_persist(self) -> bool:
-        """Whether anything is to be written."""
-        return bool(self.hard_state or self.snapshot or self.entries or self.truncate_from is not None)
+    def voted_for(self) -> str:
+        """Who has this replica's vote in the current term; "" for nobody."""
+        return self.replica.voted_for
 
+    @property
+    def generation(self) -> int:
+        """The group's generation, see `HardState`."""
+        return self.replica.generation
 
-class RaftNode(Leading, Following):
-    """One seat.  Made from what its store has; see `Core` for what may be read of it."""
+    @property
+    def leader(self) -> str:
+        """Who leads the current term as far as this replica knows; "" if unknown."""
+        return self.replica.leader
 
-    __slots__ = ()
+    @property
+    def voters(self) -> tuple[str, ...]:
+        """The voters by the latest entry that names them, committed or not."""
+        return self.replica.log.voters
 
-    # What a caller does
+    @property
+    def log(self) -> RaftLog:
+        """The entries after the snapshot; to be read only."""
+        return self.replica.log
+
+    @property
+    def snapshot(self) -> Snapshot | None:
+        """The latest snapshot."""
+        return self.replica.snapshot
+
+    @property
+    def commit(self) -> int:
+        """The newest index known as committed."""
+        return self.replica.commit
+
+    @property
+    def applied(self) -> int:
+        """The newest index handed out to be applied."""
+        return self.replica.applied
+
+    @property
+    def progress(self) -> dict[str, Progress]:
+        """What a leader knows of the others; to be read only."""
+        return self.replication.progress
+
+    @property
+    def outbox(self) -> deque[tuple[str, RaftMessage]]:
+        """Messages that wait for the next batch; to be read only."""
+        return self.replica.outbox
+
+    @property
+    def drop_counts(self) -> Counter[str]:
+        """What was dropped, by reason."""
+        return self.replica.drop_counts
+
+    @property
+    def excluded_reason(self) -> str:
+        """Why the group no longer knows this replica; "" while it does."""
+        return self.replica.excluded_reason
+
+    # --- time
 
     def next_deadline_ms(self) -> float:
         """Return when `tick` is due next, in milliseconds."""
-        if self.state is not Role.LEADER:
-            return self.deadline_ms if self._may_stand() else FOREVER
-        return min(self.deadline_ms, self._fresh_until())
-
-    def has_ready(self) -> bool:
-        """Whether `ready` would give anything."""
-        return bool(
-            self.outbox
-            or self.lost_reads
-            or self.unpersisted_snapshot
-            or self.truncated_from is not None
-            or self.stable_index < self.log.last_index
-            or self._hard_news()
-            or self.applied < self.commit
-            or (self.state is Role.LEADER and (self.round_wanted or self._read_due() or self._has_news()))
-        )
+        replica = self.replica
+        if replica.role is not Role.LEADER:
+            return replica.deadline_ms if replica.may_campaign() else FOREVER
+        return min(replica.deadline_ms, self.replication.lease_expires_at_ms())
 
     def tick(self, now_ms: float) -> None:
-        """Let time pass: stand, send heartbeats, or give up the lead."""
-        self._clock(now_ms)
-        if self.now_ms < self.deadline_ms:
+        """Let time pass: campaign, send heartbeats, or give up the lead."""
+        replica = self.replica
+        self._advance_clock(now_ms)
+        if replica.now_ms < replica.deadline_ms:
             return
-        if self.state is Role.LEADER:
-            self.broadcast_heartbeat()
-        elif self._may_stand():
-            self.campaign(self.now_ms)
+        if replica.role is Role.LEADER:
+            self.replication.broadcast_heartbeat()
+        elif replica.may_campaign():
+            self.campaign(replica.now_ms)
         else:
-            self._draw(self.now_ms)
+            replica.draw_election_deadline()
+
+    def _advance_clock(self, now_ms: float) -> None:
+        """Pass time; a leader that was stopped beyond its lease leads no more, before all else."""
+        replica = self.replica
+        replica.advance_clock(now_ms)
+        if replica.role is Role.LEADER and self.replication.lease_expires_at_ms() <= replica.now_ms:
+            replica.drop_counts["quorum_lost"] += 1
+            self._become_follower(replica.term, "")
+
+    # --- what a leader is asked
+
+    def _check_leads(self, now_ms: float) -> None:
+        self._advance_clock(now_ms)
+        replica, target = self.replica, self.replication.transfer_target
+        if replica.role is not Role.LEADER:
+            raise NotLeaderError(f"{replica.name} does not lead the council", replica.leader)
+        if target:
+            raise NotLeaderError(f"{replica.name} hands the lead to {target}", target)
 
     def propose(self, now_ms: float, data: bytes) -> int:
-        """Put a command into the log and return its index; it may yet be lost until it comes out committed.
+        """Append a command to the log and return its index; it may be lost until it comes out committed.
 
-        Raises `NotLeader`, also when this seat led but cannot know by its own clock that it still does, and
-        `CouncilBusy`.
+        Raises NotLeaderError, also when this replica led but cannot know by its own clock that it still does,
+        and ConsensusBusyError.
         """
-        self._must_lead(now_ms)
-        if len(data) > self.settings.max_entry_bytes:
+        self._check_leads(now_ms)
+        settings, uncommitted_bytes = self.replica.settings, self.replication.uncommitted_bytes
+        if len(data) > settings.max_entry_bytes:
             raise ConsensusBusyError(
-                f"a proposal of {len(data)} bytes, at most {self.settings.max_entry_bytes} are taken"
+                f"a proposal of {len(data)} bytes, at most {settings.max_entry_bytes} are taken"
             )
-        if self.uncommitted_bytes + len(data) > self.settings.max_uncommitted_bytes:
+        if uncommitted_bytes + len(data) > settings.max_uncommitted_bytes:
             raise ConsensusBusyError(
-                f"{self.uncommitted_bytes} bytes wait to be decided, {self.settings.max_uncommitted_bytes} may"
+                f"{uncommitted_bytes} bytes wait to be decided, {settings.max_uncommitted_bytes} may"
             )
-        return self._append("command", data)
+        return self.replication.append("command", data)
 
     def change_voters(self, now_ms: float, *, add: str = "", remove: str = "") -> int:
-        """Put one seat in or one out and return the entry's index; exactly one of the two is named.
+        """Add or remove one voter and return the entry's index; exactly one of the two is named.
 
-        Raises `NotLeader`; `SeatsRefused` while another change is under way, before an entry of this
-        term is committed (the correction of 2015), or as long as the one to add lacks more than
-        `max_behind` entries: it is taught from now on (4.2.1), and the caller asks again.
+        Raises NotLeaderError; MembershipChangeRefusedError while another change is under way, before an entry
+        of this term is committed (the correction of 2015), or as long as the one to add lacks more than
+        `max_learner_lag` entries: it is caught up from now on (4.2.1), and the caller asks again.
         """
-        self._must_lead(now_ms)
-        seats = self.log.voters
+        self._check_leads(now_ms)
+        replica = self.replica
         if bool(add) == bool(remove):
             raise MembershipChangeRefusedError("exactly one seat is put in or out at a time")
-        if self.log.voters_index > self.commit:
+        if replica.log.voters_index > replica.commit:
+            raise MembershipChangeRefusedError(
+                f"the change at entry {replica.log.voters_index} is not committed yet"
+            )
+        if not self.replication.has_committed_in_own_term():
+            raise MembershipChangeRefusedError(f"no entry of term {replica.term} is committed yet")
+        return self._add_voter(add) if add else self._remove_voter(remove)
+
+    def _add_voter(self, name: str) -> int:
+        replica, voters = self.replica, self.replica.log.voters
+        if name in voters or len(voters) >= MAX_VOTERS:
+            raise MembershipChangeRefusedError(f"{name} is a seat already, or there are {MAX_VOTERS} of them")
+        learner = self.replication.track_learner(name)
+        lag = replica.log.last_index - learner.match_index
+        is_silent = learner.acked_at_ms + replica.settings.election_ms <= replica.now_ms
+        if lag > replica.settings.max_learner_lag or is_silent:
             raise MembershipChangeRefusedError(
-                f"the change at entry {self.log.voters_index} is not committed yet"
+                f"{name} lacks {lag} entries or is not heard from; it is being taught"
             )
-        if not self._own_term_committed():
-            raise MembershipChangeRefusedError(f"no entry of term {self.term} is committed yet")
-        if add:
-            if add in seats or len(seats) >= m.MAX_VOTERS:
-                raise MembershipChangeRefusedError(
-                    f"{add} is a seat already, or there are {m.MAX_VOTERS} of them"
-                )
-            self._teach(add)
-            peer = self.progress[add]
-            behind = self.log.last_index - peer.match_index
-            if (
-                behind > self.settings.max_learner_lag
-                or peer.acked_at_ms + self.settings.election_ms <= self.now_ms
-            ):
-                raise MembershipChangeRefusedError(
-                    f"{add} lacks {behind} entries or is not heard from; it is being taught"
-                )
-            return self._append("seats", m.encode_voters(tuple(sorted((*seats, add)))))
-        if remove not in seats or len(seats) == 1:
-            raise MembershipChangeRefusedError(f"{remove} is no seat, or the last one")
-        index = self._append("seats", m.encode_voters(tuple(name for name in seats if name != remove)))
-        if remove in self.progress:
-            self.progress[remove].removal_index = index
+        return self.replication.append("seats", encode_voters(tuple(sorted((*voters, name)))))
+
+    def _remove_voter(self, name: str) -> int:
+        voters, replication = self.replica.log.voters, self.replication
+        if name not in voters or len(voters) == 1:
+            raise MembershipChangeRefusedError(f"{name} is no seat, or the last one")
+        index = replication.append("seats", encode_voters(tuple(one for one in voters if one != name)))
+        if name in replication.progress:
+            replication.progress[name].removal_index = index
         return index
 
     def transfer_leadership(self, now_ms: float, target: str) -> None:
-        """Hand the lead to another seat: it gets all entries, then stands at once; no proposals meanwhile."""
-        self._must_lead(now_ms)
-        if target == self.name or target not in self.log.voters:
+        """Hand the lead to another voter: it gets all entries, then campaigns; no proposals meanwhile."""
+        self._check_leads(now_ms)
+        if target == self.name or target not in self.voters:
             raise MembershipChangeRefusedError(f"{target} is no other seat")
-        self.transfer_target, self.transfer_deadline_ms = target, self.now_ms + self.settings.election_ms
-        self._try_transfer()
+        self.replication.start_transfer(target)
 
-    def read_index(self, now_ms: float, token: int | str) -> None:
-        """Ask for a linearizable read: `Ready.reads` has it when a quorum has confirmed this leader since.
+    def read_index(self, now_ms: float, token: ReadToken) -> None:
+        """Ask for a linearizable read; `Ready.confirmed_reads` has it when a quorum has confirmed this leader.
 
-        `Ready.lost_reads` has it if the lead is lost before.  Raises `NotLeader`, `CouncilBusy`.
+        `Ready.lost_reads` has it if the lead is lost before.  Raises NotLeaderError, ConsensusBusyError.
         """
-        self._must_lead(now_ms)
-        if len(self.pending_reads) >= self.settings.max_pending_reads:
-            raise ConsensusBusyError(f"{len(self.pending_reads)} reads wait")
-        # All that earlier leaders committed lies below our own first entry, even if we do not know it yet.
-        self.pending_reads.append((token, max(self.commit, self.first_index_of_term), self.round + 1))
-        self.round_wanted = True
+        self._check_leads(now_ms)
+        self.replication.request_read(token)
 
-    def compact(self, index: int, data: bytes) -> None:
-        """Replace all entries up to `index` (applied) by the state machine's snapshot there.
+    def broadcast_heartbeat(self) -> None:
+        """Begin a heartbeat round now; only for a leader."""
+        self.replication.broadcast_heartbeat()
 
-        Raises `CouncilBusy` if it is larger than other seats would take in; the log then stays as it is.
-        """
-        if index <= self.log.snapshot_index:
-            return
-        if len(data) > self.settings.max_snapshot_bytes:
-            raise ConsensusBusyError(
-                f"a snapshot of {len(data)} bytes, {self.settings.max_snapshot_bytes} are taken in"
+    # --- batches
+
+    def has_ready(self) -> bool:
+        """Whether `ready` would give anything."""
+        replica, replication = self.replica, self.replication
+        return bool(
+            replica.outbox
+            or replication.lost_reads
+            or replica.must_persist()
+            or replica.applied < replica.commit
+            or (
+                replica.role is Role.LEADER
+                and (replication.round_wanted or replication.is_read_confirmed() or replication.has_pending())
             )
-        term = self.log.term_at(index)
-        if term is None or index > self.applied:
-            raise ValueError(f"entry {index} is not applied (up to {self.applied})")
-        self.snapshot = Snapshot(index, term, self.log.voters_at(index), data)
-        self.log.start_after(self.snapshot)
-        self.unpersisted_snapshot = self.snapshot
+        )
 
     def ready(self) -> Ready:
         """Take out a batch; only one is out at a time (ValueError)."""
-        if self.batch_outstanding:
+        if self._batch_outstanding:
             raise ValueError("the batch before was not advanced")
-        if self.state is Role.LEADER:
-            if self.round_wanted:
-                self.broadcast_heartbeat()
-            self._flush()
-            self._advance_commit()
-            self._flush()
-        end = min(self.commit, self.applied + self.settings.max_apply_entries)
-        committed = tuple(self.log.entries_between(self.applied + 1, end))
-        self.applied = max(self.applied, end)
-        reads = []
-        while self._read_due():
-            token, index, _ = self.pending_reads.popleft()
-            reads.append(ConfirmedRead(token, index))
-        entries = tuple(self.log.entries_between(self.stable_index + 1, self.log.last_index))
-        hard = None
-        if self._hard_news() or entries or self.unpersisted_snapshot or self.truncated_from is not None:
-            hard = HardState(self.term, self.voted_for, self.commit, self.generation)
-            self.persisted_hard_state = hard
+        replica = self.replica
+        if replica.role is Role.LEADER:
+            self._complete_sending()
+        end = min(replica.commit, replica.applied + replica.settings.max_apply_entries)
+        committed = tuple(replica.log.entries_between(replica.applied + 1, end))
+        replica.applied = max(replica.applied, end)
+        confirmed_reads = self.replication.take_confirmed_reads()
+        hard_state = None
+        if replica.must_persist():
+            hard_state = replica.persisted_hard_state = replica.hard_state()
         batch = Ready(
-            hard,
-            self.unpersisted_snapshot,
-            self.restore_pending,
-            self.truncated_from,
-            entries,
-            tuple(self.outbox),
-            committed,
-            tuple(reads),
-            tuple(self.lost_reads),
+            hard_state=hard_state,
+            snapshot=replica.unpersisted_snapshot,
+            restore_snapshot=replica.restore_pending,
+            truncate_from=replica.truncated_from,
+            entries=tuple(replica.log.entries_between(replica.stable_index + 1, replica.log.last_index)),
+            messages=tuple(replica.outbox),
+            committed=committed,
+            confirmed_reads=confirmed_reads,
+            lost_reads=self.replication.take_lost_reads(),
         )
-        self.stable_index = self.log.last_index
-        self.unpersisted_snapshot, self.restore_pending, self.truncated_from = None, False, None
-        self.outbox.clear()
-        self.lost_reads = []
-        self.batch_outstanding = True
+        replica.stable_index = replica.log.last_index
+        replica.unpersisted_snapshot, replica.restore_pending, replica.truncated_from = None, False, None
+        replica.outbox.clear()
+        self._batch_outstanding = True
         return batch
 
+    def _complete_sending(self) -> None:
+        """Put everything that a leader may say now into the outbox."""
+        replication = self.replication
+        if replication.round_wanted:
+            replication.broadcast_heartbeat()
+        replication.send_pending()
+        if replication.advance_commit():
+            self._become_follower(self.term, "")
+        replication.send_pending()
+
     def advance(self, ready: Ready) -> None:
-        """`ready` was kept, sent and applied."""
-        self.batch_outstanding = False
+        """`ready` was persisted, sent and applied."""
+        self._batch_outstanding = False
+
+    def compact(self, index: int, data: bytes) -> None:
+        """Replace all entries up to `index` (applied) by the state machine's snapshot there.
+
+        Raises ConsensusBusyError if it is larger than other replicas would accept; the log stays as it is.
+        """
+        replica, max_bytes = self.replica, self.replica.settings.max_snapshot_bytes
+        if index <= replica.log.snapshot_index:
+            return
+        if len(data) > max_bytes:
+            raise ConsensusBusyError(f"a snapshot of {len(data)} bytes, {max_bytes} are taken in")
+        term = replica.log.term_at(index)
+        if term is None or index > replica.applied:
+            raise ValueError(f"entry {index} is not applied (up to {replica.applied})")
+        replica.snapshot = Snapshot(index, term, replica.log.voters_at(index), data)
+        replica.log.start_after(replica.snapshot)
+        replica.unpersisted_snapshot = replica.snapshot
+
+    # --- changes of role
 
     def campaign(self, now_ms: float, *, transfer: bool = False) -> None:
-        """Stand for the lead now, after a pre-vote unless the leader itself asked for it."""
-        self.now_ms = max(self.now_ms, now_ms)
-        if not self._may_stand() or self.state is Role.LEADER:
+        """Campaign for the lead now, after a pre-vote unless the leader itself asked for it."""
+        replica = self.replica
+        replica.advance_clock(now_ms)
+        if not replica.may_campaign() or replica.role is Role.LEADER:
             return
-        self.leader, self.votes_granted, self.votes_rejected = "", {self.name}, set()
-        self.campaign_started_at_ms = self.now_ms
-        self._draw(self.now_ms)
-        others = [name for name in self.log.voters if name != self.name]
-        if self.settings.pre_vote and not transfer:
-            self.state = Role.PRE_CANDIDATE
-            for name in others:
-                self._send(
-                    name,
-                    m.PreVote(
-                        generation=self.generation,
-                        term=self.term,
-                        next_term=self.term + 1,
-                        last_index=self.log.last_index,
-                        last_term=self.log.last_term,
-                    ),
-                )
-            if self._elected():
-                self._stand(False)
+        self._election.begin_campaign()
+        if replica.settings.pre_vote and not transfer:
+            self._election.request_pre_votes()
+            if self._election.is_won():
+                self._request_votes(transfer=False)
         else:
-            self._stand(transfer)
+            self._request_votes(transfer)
+
+    def _request_votes(self, transfer: bool) -> None:
+        self._election.request_votes(transfer)
+        if self._election.is_won():
+            self._become_leader()
+
+    def _become_leader(self) -> None:
+        replica, election = self.replica, self._election
+        replica.role, replica.leader = Role.LEADER, replica.name
+        self.replication.start(election.votes_granted, election.started_at_ms)
+        election.reset()
+
+    def _become_follower(self, term: int, leader: str) -> None:
+        replica = self.replica
+        was_leader = replica.role is Role.LEADER
+        if term > replica.term:
+            replica.term, replica.voted_for = term, ""
+        replica.role, replica.leader = Role.FOLLOWER, leader
+        self.replication.stop()
+        self._election.reset()
+        if was_leader or leader:
+            replica.draw_election_deadline()
+
+    # --- messages
 
     def receive(self, now_ms: float, sender: str, message: RaftMessage) -> None:
-        """Take a message of another seat.  Raises `CouncilDiverged`, upon which this seat must stop."""
-        self._clock(now_ms)
-        if sender == self.name or not self._same_council(sender, message):
+        """Take a message of another replica.  Raises LogDivergedError, upon which this one must stop."""
+        self._advance_clock(now_ms)
+        if sender == self.name or not self._accept_generation(sender, message):
             return
-        if message.term > self.term and not self._follow_term(sender, message):
+        if message.term > self.term and not self._accept_newer_term(sender, message):
             return
-        if message.term < self.term and not isinstance(message, m.PreVote | m.PreVoteReply):
-            # An old leader or candidate learns the newer term from the answer; an old answer says nothing.
-            if isinstance(message, m.AppendEntries | m.InstallSnapshot):
-                self._send(
-                    sender, m.AppendEntriesReply(generation=self.generation, term=self.term, accepted=False)
-                )
-            elif isinstance(message, m.RequestVote):
-                self._send(
-                    sender, m.RequestVoteReply(generation=self.generation, term=self.term, granted=False)
-                )
-            else:
-                self.drop_counts["old_term"] += 1
+        if message.term < self.term and not isinstance(message, PreVote | PreVoteReply):
+            self._answer_older_term(sender, message)
             return
+        self._handle(sender, message)
+
+    def _accept_generation(self, sender: str, message: RaftMessage) -> bool:
+        """Whether the message is of our generation; a replica without one adopts the first that it hears."""
+        replica = self.replica
+        if replica.generation == 0 and message.generation and not isinstance(message, StaleGeneration):
+            replica.generation = message.generation
+        if message.generation == replica.generation:
+            return not isinstance(message, StaleGeneration)
+        replica.drop_counts["generation"] += 1
+        if message.generation > replica.generation:
+            replica.excluded_reason = (
+                f"{sender} is of generation {message.generation} of the council, {replica.name} of"
+                f" {replica.generation}: the council was forced anew without this seat"
+            )
+            self._become_follower(replica.term, "")
+        elif not isinstance(message, StaleGeneration):
+            reason = f"generation {message.generation} of the council is over, {replica.generation} holds"
+            replica.send(
+                sender, StaleGeneration(generation=replica.generation, term=replica.term, reason=reason)
+            )
+        return False
+
+    def _accept_newer_term(self, sender: str, message: RaftMessage) -> bool:
+        """Adopt a newer term; return whether the message is to be handled."""
+        if isinstance(message, PreVote):
+            return True  # asks what would be, and changes nobody's term
+        if isinstance(message, RequestVote) and not message.transfer and self._leader_is_alive():
+            self.drop_counts["sticky"] += 1
+            return False
+        is_from_leader = isinstance(message, AppendEntries | InstallSnapshot)
+        self._become_follower(message.term, sender if is_from_leader else "")
+        return True
+
+    def _answer_older_term(self, sender: str, message: RaftMessage) -> None:
+        """Tell an old leader or candidate of the newer term; an old answer says nothing."""
+        replica = self.replica
+        generation, term = replica.generation, replica.term
+        if isinstance(message, AppendEntries | InstallSnapshot):
+            replica.send(sender, AppendEntriesReply(generation=generation, term=term, accepted=False))
+        elif isinstance(message, RequestVote):
+            replica.send(sender, RequestVoteReply(generation=generation, term=term, granted=False))
+        else:
+            replica.drop_counts["old_term"] += 1
+
+    def _handle(self, sender: str, message: RaftMessage) -> None:
+        must_step_down = False
         match message:
-            case m.AppendEntries():
-                self._on_append(sender, message)
-            case m.AppendEntriesReply():
-                self._on_append_reply(sender, message)
-            case m.PreVote():
-                self._on_pre_vote(sender, message)
-            case m.PreVoteReply():
-                if self.state is Role.PRE_CANDIDATE and message.next_term == self.term + 1:
-                    self._tally(sender, message.granted)
-            case m.RequestVote():
-                self._on_vote(sender, message)
-            case m.RequestVoteReply():
-                if self.state is Role.CANDIDATE:
-                    self._tally(sender, message.granted)
-            case m.InstallSnapshot():
-                self._on_snapshot(sender, message)
-            case m.InstallSnapshotReply():
-                self._on_snapshot_reply(sender, message)
-            case m.TimeoutNow():
+            case AppendEntries():
+                self._follow(sender)
+                self._follower.on_append(sender, message)
+            case AppendEntriesReply():
+                must_step_down = self.replication.on_append_reply(sender, message)
+            case PreVote():
+                self._election.answer_pre_vote(sender, message, leader_is_alive=self._leader_is_alive())
+            case PreVoteReply():
+                if self.replica.role is Role.PRE_CANDIDATE and message.next_term == self.term + 1:
+                    self._count_vote(sender, message.granted)
+            case RequestVote():
+                self._election.answer_vote(sender, message)
+            case RequestVoteReply():
+                if self.replica.role is Role.CANDIDATE:
+                    self._count_vote(sender, message.granted)
+            case InstallSnapshot():
+                self._follow(sender)
+                self._follower.on_snapshot(sender, message)
+            case InstallSnapshotReply():
+                must_step_down = self.replication.on_snapshot_reply(sender, message)
+            case TimeoutNow():
                 if sender == self.leader:
-                    self.campaign(self.now_ms, transfer=True)
-
-    # Elections
-
-    def _on_pre_vote(self, sender: str, message: m.PreVote) -> None:
-        granted = (
-            message.next_term > self.term
-            and not self._sticky()
-            and (message.last_term, message.last_index) >= (self.log.last_term, self.log.last_index)
-        )
-        self._send(
-            sender,
-            m.PreVoteReply(
-                generation=self.generation,
-                term=self.term,
-                next_term=message.next_term,
-                granted=granted,
-            ),
-        )
-
-    def _on_vote(self, sender: str, message: m.RequestVote) -> None:
-        granted = (
-            (self.voted_for == sender or (not self.voted_for and not self.leader))
-            and self.state is not Role.LEADER
-            and (message.last_term, message.last_index) >= (self.log.last_term, self.log.last_index)
-        )
-        if granted:
-            self.voted_for = sender
-            self._draw(self.now_ms)
-        self._send(sender, m.RequestVoteReply(generation=self.generation, term=self.term, granted=granted))
+                    self.campaign(self.replica.now_ms, transfer=True)
+        if must_step_down:
+            self._become_follower(self.term, "")
 
-    def _tally(self, sender: str, granted: bool) -> None:
-        if sender not in self.log.voters:
+    def _follow(self, sender: str) -> None:
+        """Follow the leader of this term."""
+        replica = self.replica
+        if replica.role is Role.LEADER or replica.leader not in ("", sender):
+            raise LogDivergedError(f"{sender} leads term {replica.term}, and so does {replica.leader}")
+        self._become_follower(replica.term, sender)
+        replica.leader_heard_at_ms = replica.now_ms
+
+    def _leader_is_alive(self) -> bool:
+        """Whether a leader was heard so lately that nobody else is voted for (4.2.3)."""
+        replica, stickiness_ms = self.replica, self.replica.settings.effective_stickiness_ms
+        if replica.role is Role.LEADER:
+            return replica.now_ms < self.replication.quorum_acked_at_ms() + stickiness_ms
+        return bool(replica.leader) and replica.now_ms < replica.leader_heard_at_ms + stickiness_ms
+
+    def _count_vote(self, sender: str, granted: bool) -> None:
+        if sender not in self.voters:
             return
-        (self.votes_granted if granted else self.votes_rejected).add(sender)
-        if self._elected():
-            if self.state is Role.PRE_CANDIDATE:
-                self._stand(False)
+        self._election.record_vote(sender, granted)
+        if self._election.is_won():
+            if self.replica.role is Role.PRE_CANDIDATE:
+                self._request_votes(transfer=False)
             else:
                 self._become_leader()
-        elif len(self.votes_rejected) > len(self.log.voters) // 2:
+        elif self._election.is_lost():
             self._become_follower(self.term, "")
 
-    def _elected(self) -> bool:
-        return 2 * len(self.votes_granted) > len(self.log.voters)
-
-    def _stand(self, transfer: bool) -> None:
-        self.state = Role.CANDIDATE
-        self.term += 1
-        self.voted_for = self.name
-        self.votes_granted, self.votes_rejected = {self.name}, set()
-        self.campaign_started_at_ms = self.now_ms
-        self._draw(self.now_ms)
-        for name in self.log.voters:
-            if name != self.name:
-                self._send(
-                    name,
-                    m.RequestVote(
-                        generation=self.generation,
-                        term=self.term,
-                        last_index=self.log.last_index,
-                        last_term=self.log.last_term,
-                        transfer=transfer,
-                    ),
-                )
-        if self._elected():
-            self._become_leader()
+    # --- for the model checker
+
+    def clone(self) -> Self:
+        """Return an independent node in the same state; the source of randomness is shared."""
+        other = self.__class__.__new__(self.__class__)
+        other.replica = self.replica.clone()
+        other.replication = self.replication.clone(other.replica)
+        other._election = self._election.clone(other.replica)
+        other._follower = self._follower.clone(other.replica)
+        other._batch_outstanding = self._batch_outstanding
+        return other
+
+    def key(self) -> tuple[object, ...]:
+        """Return all that decides what this node does when clocks decide nothing."""
+        return (self.replica.key(), self._election.key(), self.replication.key(), self._follower.key())
--- a/cressrock/consensus/raft/replication.py
+++ b/cressrock/consensus/raft/replication.py
@@ -1,271 +1,387 @@
-"""A seat's part as leader: log, peers, rounds, commits.  Pure."""
+"""The leader's side: replication to the others, heartbeat rounds, commit by counting, read index, transfer."""
 
 from __future__ import annotations
 
-from cressrock.consensus.raft import messages as m
-from cressrock.consensus.raft.core import RaftCore, Role
-from cressrock.consensus.raft.messages import LogEntry
-from cressrock.consensus.raft.progress import NEVER, Progress, quorum_value
-from cressrock.errors.consensus import MembershipChangeRefusedError, NotLeaderError
+from collections import deque
 
+from cressrock.consensus.raft.messages import (
+    AppendEntries,
+    AppendEntriesReply,
+    EntryKind,
+    InstallSnapshot,
+    InstallSnapshotReply,
+    LogEntry,
+    TimeoutNow,
+)
+from cressrock.consensus.raft.progress import NEVER, Progress, ProgressState, quorum_value
+from cressrock.consensus.raft.ready import ConfirmedRead, ReadToken
+from cressrock.consensus.raft.state import ReplicaState, Role
+from cressrock.errors.consensus import ConsensusBusyError, MembershipChangeRefusedError
 
-class Leading(RaftCore):
-    """What a leader does with its peers."""
+MAX_ROUNDS = 1024  # heartbeat rounds whose beginning is remembered
 
-    __slots__ = ()
 
-    def _must_lead(self, now_ms: float) -> None:
-        self._clock(now_ms)
-        if self.state is not Role.LEADER:
-            raise NotLeaderError(f"{self.name} does not lead the council", self.leader)
-        if self.transfer_target:
-            raise NotLeaderError(
-                f"{self.name} hands the lead to {self.transfer_target}", self.transfer_target
-            )
+class Replication:
+    """What a leader keeps and does; idle in every other role."""
+
+    __slots__ = (
+        "replica", "progress", "round", "rounds", "round_wanted", "transfer_target", "transfer_deadline_ms",
+        "first_index_of_term", "uncommitted_bytes", "pending_reads", "lost_reads",
+    )  # fmt: skip
+
+    def __init__(self, replica: ReplicaState) -> None:
+        """Begin idle."""
+        self.replica = replica
+        self.progress: dict[str, Progress] = {}
+        self.round = 0
+        self.rounds: deque[tuple[int, float]] = deque()  # number of a round, when it was begun
+        self.round_wanted = False
+        self.transfer_target, self.transfer_deadline_ms = "", NEVER
+        self.first_index_of_term = 0
+        self.uncommitted_bytes = 0
+        self.pending_reads: deque[tuple[ReadToken, int, int]] = deque()  # token, index, round it waits for
+        self.lost_reads: list[ReadToken] = []
 
-    def _become_leader(self) -> None:
-        voters = self.votes_granted
-        self.state, self.leader = Role.LEADER, self.name
+    def start(self, voted_for_us: set[str], campaign_started_at_ms: float) -> None:
+        """Take up the lead: an empty entry of the new term and a heartbeat to all."""
+        replica = self.replica
         self.progress = {}
         self.round = 0
-        for name in self.log.voters:
-            if name != self.name:
-                acked = self.campaign_started_at_ms if name in voters else NEVER
-                self.progress[name] = Progress(
-                    next_index=self.log.last_index + 1, acked_at_ms=acked, tracked_since_ms=self.now_ms
+        for voter in replica.log.voters:
+            if voter != replica.name:
+                self.progress[voter] = Progress(
+                    next_index=replica.log.last_index + 1,
+                    acked_at_ms=campaign_started_at_ms if voter in voted_for_us else NEVER,
+                    tracked_since_ms=replica.now_ms,
                 )
-        self.votes_granted, self.votes_rejected = set(), set()
-        self.uncommitted_bytes = sum(
-            len(entry.data) for entry in self.log.entries_between(self.commit + 1, self.log.last_index)
-        )
-        self.first_index_of_term = self._append("empty", b"")
+        uncommitted = replica.log.entries_between(replica.commit + 1, replica.log.last_index)
+        self.uncommitted_bytes = sum(len(entry.data) for entry in uncommitted)
+        self.first_index_of_term = self.append("empty", b"")
         self.broadcast_heartbeat()
 
-    def _append(self, kind: m.EntryKind, data: bytes) -> int:
-        entry = LogEntry(self.term, self.log.last_index + 1, kind, data)
-        self.log.append(entry)
+    def stop(self) -> None:
+        """Give up the lead: reads that were not confirmed are lost."""
+        self.progress, self.transfer_target = {}, ""
+        self.rounds.clear()
+        self.round_wanted = False
+        self.lost_reads += [token for token, _, _ in self.pending_reads]
+        self.pending_reads.clear()
+
+    # --- the quorum
+
+    def quorum_acked_at_ms(self) -> float:
+        """Return when the latest round was begun that a quorum has answered."""
+        replica = self.replica
+        return quorum_value(
+            replica.now_ms if voter == replica.name else self.progress[voter].acked_at_ms
+            for voter in replica.log.voters
+        )
+
+    def lease_expires_at_ms(self) -> float:
+        """Return until when this leader may lead by what its quorum answered, counted from when it asked."""
+        return self.quorum_acked_at_ms() + self.replica.settings.effective_lease_ms
+
+    def _record_ack(self, sender: str, acked_round: int) -> Progress | None:
+        """Record that a replica answered a round of ours: it heard us after that round began."""
+        peer = self.progress.get(sender)
+        if self.replica.role is not Role.LEADER or peer is None or acked_round > self.round:
+            return None
+        if acked_round > peer.acked_round:
+            peer.acked_round = acked_round
+            for number, started_at_ms in self.rounds:
+                if number == acked_round:
+                    peer.acked_at_ms = max(peer.acked_at_ms, started_at_ms)
+                    break
+        return peer
+
+    # --- the log
+
+    def append(self, kind: EntryKind, data: bytes) -> int:
+        """Append an entry of the leader's term and return its index."""
+        replica = self.replica
+        entry = LogEntry(replica.term, replica.log.last_index + 1, kind, data)
+        replica.log.append(entry)
         self.uncommitted_bytes += len(data)
         if kind == "seats":
-            for name in self.log.voters:
-                if name != self.name and name not in self.progress:
-                    self.progress[name] = Progress(
-                        next_index=self.log.last_index, tracked_since_ms=self.now_ms
+            for voter in replica.log.voters:
+                if voter != replica.name and voter not in self.progress:
+                    self.progress[voter] = Progress(
+                        next_index=replica.log.last_index, tracked_since_ms=replica.now_ms
                     )
         return entry.index
 
-    def _own_term_committed(self) -> bool:
-        return self.log.term_at(self.commit) == self.term
+    def has_committed_in_own_term(self) -> bool:
+        """Whether an entry of the leader's own term is committed."""
+        return self.replica.log.term_at(self.replica.commit) == self.replica.term
 
-    def _may_commit(self, index: int) -> bool:
-        """Only entries of the leader's own term are committed by counting (3.6.2)."""
-        return self.log.term_at(index) == self.term
+    def may_commit(self, index: int) -> bool:
+        """Whether an entry may be committed by counting: only one of the leader's own term (3.6.2)."""
+        return self.replica.log.term_at(index) == self.replica.term
 
-    def _advance_commit(self) -> None:
-        matches = [
-            self.log.last_index if name == self.name else self.progress[name].match_index
-            for name in self.log.voters
-        ]
-        index = int(quorum_value(matches))
-        if index <= self.commit or not self._may_commit(index):
-            return
-        self.uncommitted_bytes -= sum(
-            len(entry.data) for entry in self.log.entries_between(self.commit + 1, index)
+    def advance_commit(self) -> bool:
+        """Commit what a majority has.  Return whether that removes this leader, which must step down then."""
+        replica = self.replica
+        index = int(
+            quorum_value(
+                replica.log.last_index if voter == replica.name else self.progress[voter].match_index
+                for voter in replica.log.voters
+            )
         )
-        self.commit = index
-        if self.name not in self.log.voters and self.log.voters_index <= self.commit:
-            # We are out: tell the others that it is committed, ask the one that has most to stand, and rest.
-            self._flush()
-            best = max(self.log.voters, key=lambda name: (self.progress[name].match_index, name))
-            self._send(best, m.TimeoutNow(generation=self.generation, term=self.term))
-            self._become_follower(self.term, "")
-
-    def _teach(self, name: str) -> None:
-        if name in self.progress:
-            return
-        if len(self.progress) - len(self.log.voters) + 1 >= self.settings.max_learners:
-            raise MembershipChangeRefusedError(
-                f"{self.settings.max_learners} new seats are being taught already"
+        if index <= replica.commit or not self.may_commit(index):
+            return False
+        committed = replica.log.entries_between(replica.commit + 1, index)
+        self.uncommitted_bytes -= sum(len(entry.data) for entry in committed)
+        replica.commit = index
+        if replica.name in replica.log.voters or replica.log.voters_index > replica.commit:
+            return False
+        # The others must hear that it is committed; the most complete one campaigns at once.
+        self.send_pending()
+        successor = max(replica.log.voters, key=lambda voter: (self.progress[voter].match_index, voter))
+        replica.send(successor, TimeoutNow(generation=replica.generation, term=replica.term))
+        return True
+
+    # --- learners and transfer
+
+    def track_learner(self, name: str) -> Progress:
+        """Replicate to a replica that is to become a voter, from now on (4.2.1)."""
+        replica = self.replica
+        if name not in self.progress:
+            learners = len(self.progress) - len(replica.log.voters) + 1
+            if learners >= replica.settings.max_learners:
+                raise MembershipChangeRefusedError(
+                    f"{replica.settings.max_learners} new replicas are being caught up already"
+                )
+            self.progress[name] = Progress(
+                next_index=replica.log.last_index + 1, tracked_since_ms=replica.now_ms
             )
-        self.progress[name] = Progress(next_index=self.log.last_index + 1, tracked_since_ms=self.now_ms)
+        return self.progress[name]
+
+    def _is_done_with(self, name: str, peer: Progress) -> bool:
+        """Whether a replica that is no voter needs nothing more: it knows of its removal, or is silent."""
+        if name in self.replica.log.voters:
+            return False
+        settings = self.replica.settings
+        timeout_ms = settings.learner_timeout_elections * settings.election_ms
+        knows_of_removal = 0 < peer.removal_index <= min(peer.match_index, peer.sent_commit)
+        heard_at_ms = max(peer.acked_at_ms, peer.tracked_since_ms)
+        return knows_of_removal or heard_at_ms + timeout_ms < self.replica.now_ms
+
+    def start_transfer(self, target: str) -> None:
+        """Hand the lead to `target` once it has all entries."""
+        replica = self.replica
+        self.transfer_target = target
+        self.transfer_deadline_ms = replica.now_ms + replica.settings.election_ms
+        self._try_transfer()
+
+    def _try_transfer(self) -> None:
+        replica = self.replica
+        peer = self.progress.get(self.transfer_target)
+        if peer is not None and peer.match_index == replica.log.last_index:
+            replica.send(self.transfer_target, TimeoutNow(generation=replica.generation, term=replica.term))
+
+    # --- reads
+
+    def request_read(self, token: ReadToken) -> None:
+        """Have a read confirmed by a round that begins after now (6.4).  Raises ConsensusBusyError."""
+        if len(self.pending_reads) >= self.replica.settings.max_pending_reads:
+            raise ConsensusBusyError(f"{len(self.pending_reads)} reads wait")
+        # All that earlier leaders committed lies below our own first entry, even if we do not know it yet.
+        index = max(self.replica.commit, self.first_index_of_term)
+        self.pending_reads.append((token, index, self.round + 1))
+        self.round_wanted = True
+
+    def is_read_confirmed(self) -> bool:
+        """Whether the oldest read has its round, and what it may show is applied."""
+        replica = self.replica
+        if not self.pending_reads or replica.role is not Role.LEADER:
+            return False
+        _, index, awaited_round = self.pending_reads[0]
+        quorum_round = quorum_value(
+            self.round if voter == replica.name else self.progress[voter].acked_round
+            for voter in replica.log.voters
+        )
+        return awaited_round <= quorum_round and index <= replica.applied
+
+    def take_confirmed_reads(self) -> tuple[ConfirmedRead, ...]:
+        """Return the reads that may be answered now."""
+        confirmed = []
+        while self.is_read_confirmed():
+            token, index, _ = self.pending_reads.popleft()
+            confirmed.append(ConfirmedRead(token, index))
+        return tuple(confirmed)
+
+    def take_lost_reads(self) -> tuple[ReadToken, ...]:
+        """Return the reads that were lost with the lead."""
+        lost, self.lost_reads = tuple(self.lost_reads), []
+        return lost
+
+    # --- sending
 
     def broadcast_heartbeat(self) -> None:
-        """Begin a round: an Append or a piece to everyone, whatever is on its way."""
-        self.round_wanted = False
-        self.round += 1
-        self.rounds.append((self.round, self.now_ms))
-        while self.rounds[0][1] + 2 * self.settings.effective_lease_ms < self.now_ms:
-            self.rounds.popleft()
-        while len(self.rounds) > 1024:
-            self.rounds.popleft()
-        self.deadline_ms = self.now_ms + self.settings.heartbeat_ms
-        if self.transfer_target and self.now_ms >= self.transfer_deadline_ms:
+        """Begin a round: an AppendEntries or a snapshot's chunk to everyone, whatever is on its way."""
+        replica = self.replica
+        self._begin_round()
+        replica.deadline_ms = replica.now_ms + replica.settings.heartbeat_ms
+        if self.transfer_target and replica.now_ms >= self.transfer_deadline_ms:
             self.transfer_target = ""
         self._try_transfer()
-        silent = self.settings.learner_timeout_elections * self.settings.election_ms
         for name, peer in list(self.progress.items()):
-            if name not in self.log.voters:
-                knows = 0 < peer.removal_index <= min(peer.match_index, peer.sent_commit)
-                if knows or max(peer.acked_at_ms, peer.tracked_since_ms) + silent < self.now_ms:
-                    del self.progress[name]
-                    continue
+            if self._is_done_with(name, peer):
+                del self.progress[name]
+                continue
             peer.probe_sent = False
-            if peer.state == "snapshot":
-                if peer.chunk_sent_at_ms + self.settings.heartbeat_ms <= self.now_ms:
-                    self._send_piece(name, peer)
+            if peer.state is ProgressState.SNAPSHOT:
+                if peer.chunk_sent_at_ms + replica.settings.heartbeat_ms <= replica.now_ms:
+                    self._send_chunk(name, peer)
             else:
-                room = len(peer.inflight_last_indexes) < self.settings.max_inflight_appends
-                self._send_append(name, peer, peer.state == "probe" or room)
-
-    def _has_news(self) -> bool:
-        """Whether `_flush` would send anything."""
-        return any(
-            (peer.state == "probe" and not peer.probe_sent)
-            or (
-                peer.state == "stream"
-                and (
-                    (
-                        peer.next_index <= self.log.last_index
-                        and len(peer.inflight_last_indexes) < self.settings.max_inflight_appends
-                    )
-                    or peer.sent_commit < self.commit
-                )
-            )
-            for peer in self.progress.values()
-        )
+                has_room = len(peer.inflight_last_indexes) < replica.settings.max_inflight_appends
+                self._send_append(name, peer, peer.state is ProgressState.PROBE or has_room)
 
-    def _flush(self) -> None:
-        """Send what every peer may be sent now."""
+    def _begin_round(self) -> None:
+        replica = self.replica
+        self.round_wanted = False
+        self.round += 1
+        self.rounds.append((self.round, replica.now_ms))
+        # An answer to a round older than the lease renews nothing.
+        while self.rounds[0][1] + 2 * replica.settings.effective_lease_ms < replica.now_ms:
+            self.rounds.popleft()
+        while len(self.rounds) > MAX_ROUNDS:
+            self.rounds.popleft()
+
+    def has_pending(self) -> bool:
+        """Whether `send_pending` would send anything."""
+        replica = self.replica
+        last_index, max_inflight = replica.log.last_index, replica.settings.max_inflight_appends
+        for peer in self.progress.values():
+            if peer.state is ProgressState.PROBE and not peer.probe_sent:
+                return True
+            if peer.may_send_entries(last_index, max_inflight):
+                return True
+            if peer.state is ProgressState.STREAM and peer.sent_commit < replica.commit:
+                return True
+        return False
+
+    def send_pending(self) -> None:
+        """Send what every replica may be sent now."""
+        replica = self.replica
+        last_index, max_inflight = replica.log.last_index, replica.settings.max_inflight_appends
         for name, peer in self.progress.items():
-            if peer.state == "probe" and not peer.probe_sent:
+            if peer.state is ProgressState.PROBE and not peer.probe_sent:
                 self._send_append(name, peer, True)
-            while (
-                peer.state == "stream"
-                and peer.next_index <= self.log.last_index
-                and len(peer.inflight_last_indexes) < self.settings.max_inflight_appends
-            ):
+            while peer.may_send_entries(last_index, max_inflight):
                 self._send_append(name, peer, True)
-            if peer.state == "stream" and peer.sent_commit < self.commit:
+            if peer.state is ProgressState.STREAM and peer.sent_commit < replica.commit:
                 self._send_append(name, peer, False)
 
     def _send_append(self, name: str, peer: Progress, with_entries: bool) -> None:
-        previous = peer.next_index - 1
-        term = self.log.term_at(previous)
-        if term is None:
-            peer.state, peer.snapshot, peer.snapshot_offset = "snapshot", self.snapshot, 0
-            peer.inflight_last_indexes.clear()
-            self._send_piece(name, peer)
+        replica = self.replica
+        previous_index = peer.next_index - 1
+        previous_term = replica.log.term_at(previous_index)
+        if previous_term is None:
+            peer.send_snapshot(replica.snapshot)
+            self._send_chunk(name, peer)
             return
         entries: tuple[LogEntry, ...] = ()
         if with_entries:
-            entries = self.log.batch_from(
-                peer.next_index, self.settings.max_append_entries, self.settings.max_append_bytes
+            entries = replica.log.batch_from(
+                peer.next_index, replica.settings.max_append_entries, replica.settings.max_append_bytes
             )
-        self._send(
-            name,
-            m.AppendEntries(
-                generation=self.generation,
-                term=self.term,
-                previous_index=previous,
-                previous_term=term,
-                entries=entries,
-                commit=self.commit,
-                round=self.round,
-            ),
-        )
-        peer.sent_commit = self.commit
-        if peer.state == "probe":
+        replica.send(name, AppendEntries(
+            generation=replica.generation, term=replica.term, previous_index=previous_index,
+            previous_term=previous_term, entries=entries, commit=replica.commit, round=self.round,
+        ))  # fmt: skip
+        peer.sent_commit = replica.commit
+        if peer.state is ProgressState.PROBE:
             peer.probe_sent = True
         elif entries:
             peer.next_index += len(entries)
             peer.inflight_last_indexes.append(peer.next_index - 1)
 
-    def _send_piece(self, name: str, peer: Progress) -> None:
-        snapshot = peer.snapshot
-        assert snapshot is not None
-        data = snapshot.data[peer.snapshot_offset : peer.snapshot_offset + self.settings.snapshot_chunk_bytes]
-        peer.chunk_sent_at_ms = self.now_ms
-        self._send(
-            name,
-            m.InstallSnapshot(
-                generation=self.generation,
-                term=self.term,
-                index=snapshot.index,
-                index_term=snapshot.term,
-                seats=snapshot.voters,
-                offset=peer.snapshot_offset,
-                size=len(snapshot.data),
-                data=data,
-                round=self.round,
-            ),
-        )
+    def _send_chunk(self, name: str, peer: Progress) -> None:
+        replica, snapshot = self.replica, peer.snapshot
+        if snapshot is None:
+            raise ValueError(f"{name} needs entries before {replica.log.snapshot_index}, without a snapshot")
+        offset = peer.snapshot_offset
+        peer.chunk_sent_at_ms = replica.now_ms
+        replica.send(name, InstallSnapshot(
+            generation=replica.generation, term=replica.term, index=snapshot.index,
+            index_term=snapshot.term, voters=snapshot.voters, offset=offset, size=len(snapshot.data),
+            data=snapshot.data[offset : offset + replica.settings.snapshot_chunk_bytes], round=self.round,
+        ))  # fmt: skip
 
-    def _acked(self, sender: str, round_: int) -> Progress | None:
-        """Note that a peer answered a round of ours: it heard us after that round began."""
-        peer = self.progress.get(sender)
-        if self.state is not Role.LEADER or peer is None or round_ > self.round:
-            return None
-        if round_ > peer.acked_round:
-            peer.acked_round = round_
-            for number, at in self.rounds:
-                if number == round_:
-                    peer.acked_at_ms = max(peer.acked_at_ms, at)
-                    break
-        return peer
+    # --- answers
 
-    def _on_append_reply(self, sender: str, message: m.AppendEntriesReply) -> None:
-        peer = self._acked(sender, message.round)
+    def on_append_reply(self, sender: str, message: AppendEntriesReply) -> bool:
+        """Take in an answer; return whether this leader must step down, see `advance_commit`."""
+        peer = self._record_ack(sender, message.round)
         if peer is None:
-            return
+            return False
         if message.accepted:
-            if message.match > self.log.last_index:
-                self.drop_counts["malformed"] += 1
-                return
-            news = peer.matched(message.match)
-            if peer.state == "probe" and message.match >= peer.next_index - 1:
-                peer.state, peer.probe_sent = "stream", False
-            elif peer.state == "snapshot" and peer.snapshot and message.match >= peer.snapshot.index:
-                peer.probe(peer.match_index + 1)
-            if news:
-                self._advance_commit()
-                self._try_transfer()
-            return
-        if peer.state == "snapshot" or message.previous_index <= peer.match_index:
-            return  # of an earlier message: what it lacked then, it has told to have since
-        if peer.state == "probe" and message.previous_index != peer.next_index - 1:
+            return self._on_accepted(peer, message.match)
+        self._on_conflict(peer, message)
+        return False
+
+    def _on_accepted(self, peer: Progress, match_index: int) -> bool:
+        if match_index > self.replica.log.last_index:
+            self.replica.drop_counts["malformed"] += 1
+            return False
+        is_new = peer.record_match(match_index)
+        if peer.state is ProgressState.PROBE and match_index >= peer.next_index - 1:
+            peer.state, peer.probe_sent = ProgressState.STREAM, False
+        elif peer.state is ProgressState.SNAPSHOT and peer.snapshot and match_index >= peer.snapshot.index:
+            peer.probe(peer.match_index + 1)
+        if not is_new:
+            return False
+        if self.advance_commit():
+            return True
+        self._try_transfer()
+        return False
+
+    def _on_conflict(self, peer: Progress, message: AppendEntriesReply) -> None:
+        """Go back to where the logs can meet, by the term in conflict (5.3)."""
+        if peer.state is ProgressState.SNAPSHOT or message.previous_index <= peer.match_index:
+            return  # answers an earlier message: it has reported since to have what it lacked then
+        if peer.state is ProgressState.PROBE and message.previous_index != peer.next_index - 1:
             return
-        follow = message.conflict_index
+        next_index = message.conflict_index
         if message.conflict_term:
-            follow = self.log.last_index_of_term(message.conflict_term, message.previous_index) + 1
-            if follow == 1:
-                follow = message.conflict_index
-        peer.probe(max(peer.match_index + 1, min(follow, message.previous_index)))
+            log = self.replica.log
+            next_index = log.last_index_of_term(message.conflict_term, message.previous_index) + 1
+            if next_index == 1:
+                next_index = message.conflict_index
+        peer.probe(max(peer.match_index + 1, min(next_index, message.previous_index)))
 
-    def _on_snapshot_reply(self, sender: str, message: m.InstallSnapshotReply) -> None:
-        peer = self._acked(sender, message.round)
+    def on_snapshot_reply(self, sender: str, message: InstallSnapshotReply) -> bool:
+        """Take in an answer; return whether this leader must step down, see `advance_commit`."""
+        peer = self._record_ack(sender, message.round)
         if peer is None or peer.snapshot is None or peer.snapshot.index != message.index:
-            return
+            return False
         if message.done:
-            peer.matched(message.index)
+            peer.record_match(message.index)
             peer.probe(peer.match_index + 1)
-            self._advance_commit()
-        elif peer.snapshot_offset < message.offset <= len(peer.snapshot.data):
+            return self.advance_commit()
+        if peer.snapshot_offset < message.offset <= len(peer.snapshot.data):
             peer.snapshot_offset = message.offset
-            self._send_piece(sender, peer)
+            self._send_chunk(sender, peer)
         else:
-            peer.snapshot_offset = min(
-                peer.snapshot_offset, message.offset
-            )  # it began anew; the next round sends from there
+            # It began anew; the next round sends from there.
+            peer.snapshot_offset = min(peer.snapshot_offset, message.offset)
+        return False
 
-    def _try_transfer(self) -> None:
-        peer = self.progress.get(self.transfer_target)
-        if peer is not None and peer.match_index == self.log.last_index:
-            self._send(self.transfer_target, m.TimeoutNow(generation=self.generation, term=self.term))
+    def clone(self, replica: ReplicaState) -> Replication:
+        """Return an independent copy over a copied state."""
+        other = self.__class__.__new__(self.__class__)
+        for name in Replication.__slots__:
+            setattr(other, name, getattr(self, name))
+        other.replica = replica
+        other.progress = {name: peer.clone() for name, peer in self.progress.items()}
+        other.rounds, other.pending_reads = deque(self.rounds), deque(self.pending_reads)
+        other.lost_reads = self.lost_reads[:]
+        return other
 
-    def _read_due(self) -> bool:
-        if not self.pending_reads or self.state is not Role.LEADER:
-            return False
-        _, index, round_ = self.pending_reads[0]
-        rounds = [
-            self.round if name == self.name else self.progress[name].acked_round for name in self.log.voters
-        ]
-        return round_ <= quorum_value(rounds) and index <= self.applied
+    def key(self) -> tuple[object, ...]:
+        """Return what decides its behaviour when clocks do not, for the model checker's hash."""
+        return (
+            tuple((name, peer.key()) for name, peer in sorted(self.progress.items())), self.round,
+            self.first_index_of_term, self.transfer_target, tuple(self.pending_reads),
+        )  # fmt: skip
--- /dev/null
+++ b/cressrock/consensus/raft/state.py
@@ -0,0 +1,133 @@
+"""The state that every replica has, whatever its role: term, vote, log, clock, outbox, what is not yet on disk."""
+
+from __future__ import annotations
+
+import random
+from collections import Counter, deque
+from enum import Enum
+
+from cressrock.consensus.raft.log import RaftLog
+from cressrock.consensus.raft.messages import RaftMessage
+from cressrock.consensus.raft.persistent_state import HardState, Snapshot, StoredState
+from cressrock.consensus.raft.progress import NEVER
+from cressrock.consensus.raft.settings import RaftSettings
+
+FOREVER = float("inf")
+
+
+class Role(Enum):
+    """What a replica is at the moment; a learner has no vote and never campaigns."""
+
+    LEARNER = "learner"
+    FOLLOWER = "follower"
+    PRE_CANDIDATE = "asking"
+    CANDIDATE = "candidate"
+    LEADER = "leader"
+
+
+class ReplicaState:
+    """State that elections, replication and the follower's side share.
+
+    `role` is FOLLOWER for a learner too.  `drop_counts` counts what was dropped by reason; `excluded_reason`
+    says why the group no longer knows this replica.
+    """
+
+    __slots__ = (
+        "name", "settings", "random_source", "now_ms", "generation", "term", "voted_for", "commit", "log",
+        "snapshot", "role", "leader", "leader_heard_at_ms", "deadline_ms", "outbox", "applied",
+        "persisted_hard_state", "stable_index", "truncated_from", "unpersisted_snapshot", "restore_pending",
+        "excluded_reason", "drop_counts",
+    )  # fmt: skip
+
+    def __init__(
+        self,
+        name: str,
+        stored: StoredState,
+        settings: RaftSettings,
+        random_source: random.Random,
+        now_ms: float,
+    ) -> None:
+        """Begin as a follower with what the store has."""
+        self.name, self.settings, self.random_source, self.now_ms = name, settings, random_source, now_ms
+        hard_state = stored.hard_state
+        self.generation, self.term = hard_state.generation, hard_state.term
+        self.voted_for = hard_state.voted_for
+        self.snapshot = stored.snapshot
+        self.log = RaftLog(stored.snapshot, stored.entries)
+        self.commit = max(self.log.snapshot_index, min(hard_state.commit, self.log.last_index))
+        self.applied = self.log.snapshot_index  # handed out to the state machine
+        self.persisted_hard_state = hard_state
+        self.stable_index = self.log.last_index  # handed out to the store
+        self.truncated_from: int | None = None
+        self.unpersisted_snapshot: Snapshot | None = None
+        self.restore_pending = False
+        self.role = Role.FOLLOWER
+        self.leader = ""
+        self.leader_heard_at_ms = NEVER
+        self.deadline_ms = FOREVER
+        self.outbox: deque[tuple[str, RaftMessage]] = deque()
+        self.excluded_reason = ""
+        self.drop_counts: Counter[str] = Counter()
+        self.draw_election_deadline()
+
+    def advance_clock(self, now_ms: float) -> None:
+        """Take over a newer time; time never goes back here."""
+        self.now_ms = max(self.now_ms, now_ms)
+
+    def draw_election_deadline(self) -> None:
+        """Set the next deadline at random in one to two election times from now."""
+        self.deadline_ms = self.now_ms + self.settings.election_ms * (1.0 + self.random_source.random())
+
+    def may_campaign(self) -> bool:
+        """Whether this replica is a voter that the group still knows."""
+        return self.name in self.log.voters and not self.excluded_reason
+
+    def send(self, receiver: str, message: RaftMessage) -> None:
+        """Queue a message; a full outbox loses its oldest one."""
+        if len(self.outbox) >= self.settings.max_outbox_messages:
+            self.drop_counts["outbox_full"] += 1
+            self.outbox.popleft()
+        self.outbox.append((receiver, message))
+
+    def hard_state(self) -> HardState:
+        """Return term, vote, commit and generation as they are to be persisted."""
+        return HardState(self.term, self.voted_for, self.commit, self.generation)
+
+    def hard_state_changed(self) -> bool:
+        """Whether term, vote or generation changed; a commit alone is kept with whatever is written next."""
+        persisted = self.persisted_hard_state
+        return (self.term, self.voted_for, self.generation) != (
+            persisted.term,
+            persisted.voted_for,
+            persisted.generation,
+        )
+
+    def must_persist(self) -> bool:
+        """Whether anything has changed that the store does not have."""
+        return bool(
+            self.unpersisted_snapshot
+            or self.truncated_from is not None
+            or self.stable_index < self.log.last_index
+            or self.hard_state_changed()
+        )
+
+    def record_truncation(self, start: int) -> None:
+        """Have the store drop its entries from `start` on."""
+        self.truncated_from = start if self.truncated_from is None else min(self.truncated_from, start)
+
+    def clone(self) -> ReplicaState:
+        """Return an independent copy; the source of randomness is shared."""
+        other = ReplicaState.__new__(ReplicaState)
+        for name in ReplicaState.__slots__:
+            setattr(other, name, getattr(self, name))
+        other.log = self.log.clone()
+        other.outbox, other.drop_counts = deque(self.outbox), Counter(self.drop_counts)
+        return other
+
+    def key(self) -> tuple[object, ...]:
+        """Return all that decides the replica's behaviour when clocks do not, for the model checker's hash."""
+        return (
+            self.generation, self.term, self.voted_for, self.commit, self.applied, self.snapshot,
+            tuple(self.log.entries), self.role, self.leader, self.excluded_reason, self.stable_index,
+            self.truncated_from,
+        )  # fmt: skip
--- a/cressrock/consensus/recover.py
+++ b/cressrock/consensus/recover.py
@@ -12,7 +12,8 @@
 from dataclasses import dataclass, replace
 
 from cressrock.consensus import decisions as d
-from cressrock.consensus.raft.node import LogEntry, force_single_voter
+from cressrock.consensus.raft.messages import LogEntry
+from cressrock.consensus.raft.persistent_state import force_single_voter
 from cressrock.consensus.store import ReplicaStore
 from cressrock.errors import CressrockError
 from cressrock.errors.consensus import ForeignStoreError
--- a/cressrock/consensus/replica.py
+++ b/cressrock/consensus/replica.py
@@ -34,15 +34,12 @@
 from cressrock.consensus import wire as w
 from cressrock.consensus.client import ClientSettings, ConsensusClient, DecisionCache
 from cressrock.consensus.raft import messages as m
-from cressrock.consensus.raft.node import (
-    LogEntry,
-    RaftNode,
-    RaftSettings,
-    Ready,
-    Role,
-    StoredState,
-    initial_state,
-)
+from cressrock.consensus.raft.messages import LogEntry
+from cressrock.consensus.raft.node import RaftNode
+from cressrock.consensus.raft.persistent_state import StoredState, initial_state
+from cressrock.consensus.raft.ready import Ready
+from cressrock.consensus.raft.settings import RaftSettings
+from cressrock.consensus.raft.state import Role
 from cressrock.consensus.store import ReplicaStore, StoreHeader, replica_name
 from cressrock.consensus.transport import (
     Connection,
--- a/cressrock/consensus/store.py
+++ b/cressrock/consensus/store.py
@@ -38,8 +38,8 @@
 import msgspec
 import xxhash
 
-from cressrock.consensus.raft.log import HardState, Snapshot, StoredState
 from cressrock.consensus.raft.messages import EntryKind, LogEntry
+from cressrock.consensus.raft.persistent_state import HardState, Snapshot, StoredState
 from cressrock.errors.consensus import (
     ForeignStoreError,
     StoreCorruptError,
--- a/cressrock/lab/councilsim.py
+++ b/cressrock/lab/councilsim.py
@@ -19,7 +19,11 @@
 
 from cressrock.consensus.raft import messages as m
 from cressrock.consensus.raft.messages import LogEntry
-from cressrock.consensus.raft.node import RaftNode, RaftSettings, Ready, Role, StoredState, initial_state
+from cressrock.consensus.raft.node import RaftNode
+from cressrock.consensus.raft.persistent_state import StoredState, initial_state
+from cressrock.consensus.raft.ready import Ready
+from cressrock.consensus.raft.settings import RaftSettings
+from cressrock.consensus.raft.state import Role
 from cressrock.errors.consensus import (
     ConsensusBusyError,
     LogDivergedError,
--- a/cressrock/lab/explored.py
+++ b/cressrock/lab/explored.py
@@ -7,8 +7,11 @@
 
 from dataclasses import replace
 
-from cressrock.consensus.raft.core import Role
-from cressrock.consensus.raft.node import HardState, RaftNode, Ready
+from cressrock.consensus.raft.node import RaftNode
+from cressrock.consensus.raft.persistent_state import HardState
+from cressrock.consensus.raft.ready import Ready
+from cressrock.consensus.raft.replication import Replication
+from cressrock.consensus.raft.state import Role
 from cressrock.lab.explorer import Action, Bounds, Scenario
 
 
@@ -58,35 +61,45 @@
         return other
 
 
+class _CountingReplication(Replication):
+    def may_commit(self, index: int) -> bool:
+        return True
+
+
 class CommitsByCount(RaftNode):
     """Commits an entry of a former term as soon as a majority has it (figure 3.7 of the dissertation)."""
 
     __slots__ = ()
+    replication_type = _CountingReplication
+
 
-    def _may_commit(self, index: int) -> bool:
+class _HastyReplication(Replication):
+    def has_committed_in_own_term(self) -> bool:
         return True
 
 
 class ChangesEarly(RaftNode):
-    """Changes seats before an entry of its own term is committed (Ongaro's correction of 2015)."""
+    """Changes voters before an entry of its own term is committed (Ongaro's correction of 2015)."""
 
     __slots__ = ()
+    replication_type = _HastyReplication
 
-    def _own_term_committed(self) -> bool:
-        return True
+
+class _UnconfirmedReplication(Replication):
+    def is_read_confirmed(self) -> bool:
+        replica = self.replica
+        return (
+            bool(self.pending_reads)
+            and replica.role is Role.LEADER
+            and self.pending_reads[0][1] <= replica.applied
+        )
 
 
 class ReadsAtOnce(RaftNode):
     """Confirms reads without asking whether it still leads."""
 
     __slots__ = ()
-
-    def _read_due(self) -> bool:
-        return (
-            bool(self.pending_reads)
-            and self.state is Role.LEADER
-            and self.pending_reads[0][1] <= self.applied
-        )
+    replication_type = _UnconfirmedReplication
 
 
 # a led term 2 and has an entry of it that nobody else has; c the same in term 3; a leads again in term 4.
--- a/cressrock/lab/explorer.py
+++ b/cressrock/lab/explorer.py
@@ -27,7 +27,10 @@
 
 from cressrock.consensus.raft import messages as m
 from cressrock.consensus.raft.messages import LogEntry, RaftMessage
-from cressrock.consensus.raft.node import RaftNode, RaftSettings, Role, StoredState, initial_state
+from cressrock.consensus.raft.node import RaftNode
+from cressrock.consensus.raft.persistent_state import StoredState, initial_state
+from cressrock.consensus.raft.settings import RaftSettings
+from cressrock.consensus.raft.state import Role
 from cressrock.errors import CressrockError
 from cressrock.lab.replica_store import InMemoryReplicaStore
 
@@ -426,11 +429,11 @@
                     found = message.next_term <= seat.term and message.term <= seat.term
                 case m.RequestVoteReply():
                     found = message.term < seat.term or (
-                        message.term == seat.term and seat.state is not Role.CANDIDATE
+                        message.term == seat.term and seat.role is not Role.CANDIDATE
                     )
                 case m.AppendEntriesReply() | m.InstallSnapshotReply():
                     found = message.term < seat.term or (
-                        message.term == seat.term and seat.state not in (Role.CANDIDATE, Role.LEADER)
+                        message.term == seat.term and seat.role not in (Role.CANDIDATE, Role.LEADER)
                     )
                 case _:
                     found = False
--- a/cressrock/lab/localcost_state.py
+++ b/cressrock/lab/localcost_state.py
@@ -13,8 +13,9 @@
 
 from cressrock.consensus import decisions as d
 from cressrock.consensus.decision_gossip import DecisionPublisher, DecisionSubscriber
-from cressrock.consensus.raft.log import HardState, RaftLog, Snapshot
+from cressrock.consensus.raft.log import RaftLog
 from cressrock.consensus.raft.messages import LogEntry
+from cressrock.consensus.raft.persistent_state import HardState, Snapshot
 from cressrock.consensus.store import ReplicaStore
 from cressrock.dispatch.idempotency import IdempotencyKeys
 from cressrock.dispatch.ledger import Ledger
--- a/cressrock/lab/replica_store.py
+++ b/cressrock/lab/replica_store.py
@@ -2,9 +2,9 @@
 
 from __future__ import annotations
 
-from cressrock.consensus.raft.log import HardState, Snapshot, StoredState
 from cressrock.consensus.raft.messages import LogEntry
-from cressrock.consensus.raft.node import Ready
+from cressrock.consensus.raft.persistent_state import HardState, Snapshot, StoredState
+from cressrock.consensus.raft.ready import Ready
 
 
 class InMemoryReplicaStore:
--- a/cressrock/lab/seat.py
+++ b/cressrock/lab/seat.py
@@ -17,7 +17,7 @@
 
 from cressrock import net
 from cressrock.consensus import decisions as d
-from cressrock.consensus.raft.node import RaftSettings
+from cressrock.consensus.raft.settings import RaftSettings
 from cressrock.consensus.replica import ConsensusReplica, Environment, ReplicaSettings
 
 
@@ -37,7 +37,7 @@
         start=given.start,
         timing=RaftSettings(election_ms=given.election_ms, heartbeat_ms=given.heartbeat_ms),
         renewal_interval_ms=given.renew_ms,
-        max_log_entries=given.max_log_entries,
+        max_log_entries=given.max_log,
     )
     world = Environment(net.clock(), net.wall_ms, net.connect, random.Random())
 
--- a/cressrock/runtime.py
+++ b/cressrock/runtime.py
@@ -24,7 +24,8 @@
     DecisionPublisher,
     DecisionSubscriber,
 )
-from cressrock.consensus.raft.node import RaftSettings, Role
+from cressrock.consensus.raft.settings import RaftSettings
+from cressrock.consensus.raft.state import Role
 from cressrock.consensus.replica import (
     ConsensusClient,
     ConsensusReplica,
--- a/tests/compatibility/consensus_cases.py
+++ b/tests/compatibility/consensus_cases.py
@@ -10,8 +10,8 @@
 from cressrock.consensus import decision_gossip, decisions, wire
 from cressrock.consensus.client import DecisionCache
 from cressrock.consensus.raft import messages
-from cressrock.consensus.raft.log import HardState, Snapshot
 from cressrock.consensus.raft.messages import LogEntry
+from cressrock.consensus.raft.persistent_state import HardState, Snapshot
 from cressrock.consensus.store import ReplicaStore
 from cressrock.planner import epochs
 
@@ -55,14 +55,14 @@
             **head,
             index=40,
             index_term=6,
-            seats=("a#1", "b#2"),
+            voters=("a#1", "b#2"),
             offset=64,
             size=70,
             data=b"\x01\x02",
             round=9,
         ),
         "snapshot bare": messages.InstallSnapshot(
-            **head, index=1, index_term=1, seats=(), offset=0, size=0, data=b""
+            **head, index=1, index_term=1, voters=(), offset=0, size=0, data=b""
         ),
         "snapshotted": messages.InstallSnapshotReply(**head, index=40, offset=66, done=True, round=9),
         "snapshotted bare": messages.InstallSnapshotReply(**head, index=40, offset=0),
--- a/tests/compatibility/consensus_streams.py
+++ b/tests/compatibility/consensus_streams.py
@@ -11,9 +11,18 @@
 
 from cressrock.consensus import decision_gossip, decisions, wire
 from cressrock.consensus.raft import messages
-from cressrock.consensus.raft.log import HardState, Snapshot, StoredState, force_single_voter, initial_state
 from cressrock.consensus.raft.messages import LogEntry
-from cressrock.consensus.raft.node import RaftNode, RaftSettings, Ready, Role
+from cressrock.consensus.raft.node import RaftNode
+from cressrock.consensus.raft.persistent_state import (
+    HardState,
+    Snapshot,
+    StoredState,
+    force_single_voter,
+    initial_state,
+)
+from cressrock.consensus.raft.ready import Ready
+from cressrock.consensus.raft.settings import RaftSettings
+from cressrock.consensus.raft.state import Role
 from cressrock.errors import CressrockError
 from tests.compatibility.canonical import Digest
 
@@ -345,7 +354,7 @@
                     **head,
                     index=index + 5,
                     index_term=term + chance.randint(0, 1),
-                    seats=("n0", "n0"),
+                    voters=("n0", "n0"),
                     offset=0,
                     size=3,
                     data=b"abc",
@@ -354,7 +363,7 @@
                     **head,
                     index=index + 5,
                     index_term=max(0, term - 1),
-                    seats=("n0", "n1"),
+                    voters=("n0", "n1"),
                     offset=0,
                     size=chance.choice([2, 10**9]),
                     data=b"abc",
--- a/tests/compatibility/test_consensus.py
+++ b/tests/compatibility/test_consensus.py
@@ -7,8 +7,8 @@
 from cressrock.consensus import decision_gossip, decisions, recover, wire
 from cressrock.consensus.client import DecisionCache
 from cressrock.consensus.raft import messages
-from cressrock.consensus.raft.log import HardState
 from cressrock.consensus.raft.messages import LogEntry
+from cressrock.consensus.raft.persistent_state import HardState
 from cressrock.consensus.store import ReplicaStore
 from cressrock.errors.consensus import ForeignStoreError, InvalidMessageError, StoreMissingError
 from cressrock.planner import epochs
--- a/tests/test_council_carrier.py
+++ b/tests/test_council_carrier.py
@@ -9,7 +9,8 @@
 
 from cressrock.consensus import decisions as d
 from cressrock.consensus import wire as w
-from cressrock.consensus.raft.node import RaftSettings, Role
+from cressrock.consensus.raft.settings import RaftSettings
+from cressrock.consensus.raft.state import Role
 from cressrock.consensus.recover import main as recover_main
 from cressrock.consensus.recover import recover
 from cressrock.consensus.replica import (
--- a/tests/test_council_store.py
+++ b/tests/test_council_store.py
@@ -10,8 +10,8 @@
 
 import pytest
 
-from cressrock.consensus.raft.log import HardState, Snapshot, StoredState
 from cressrock.consensus.raft.messages import LogEntry
+from cressrock.consensus.raft.persistent_state import HardState, Snapshot, StoredState
 from cressrock.consensus.store import ReplicaStore, StoredEntry, StoreHeader, replica_name, seal, unseal
 from cressrock.errors import consensus as e
 
@@ -191,7 +191,7 @@
 def test_a_limit_of_the_system_on_the_file_is_a_full_disk(tmp_path):
     program = """
         import resource, signal, sys
-        from cressrock.consensus.raft.log import HardState
+        from cressrock.consensus.raft.persistent_state import HardState
         from cressrock.consensus.raft.messages import LogEntry
         from cressrock.consensus.store import ReplicaStore
         from cressrock.errors.consensus import StoreFullError
@@ -215,13 +215,13 @@
 def test_a_process_that_dies_while_it_writes_leaves_all_or_nothing_of_each_write(tmp_path):
     program = """
         import sys
-        from cressrock.consensus.raft.log import HardState
+        from cressrock.consensus.raft.persistent_state import HardState
         from cressrock.consensus.raft.messages import LogEntry
         from cressrock.consensus.store import ReplicaStore
         store = ReplicaStore(sys.argv[1], cluster="c", replica="p1")
         index = len(store.load().entries)
         while True:
-            pair = (LogEntry(1, index + 1, "command", bytes(5000)), LogEntry(1, index + 2, "command", bytes(5000)))
+            pair = tuple(LogEntry(1, index + more, "command", bytes(5000)) for more in (1, 2))
             store.write(HardState(index + 2, "", 0, 1), None, pair)
             index += 2
             print(index, flush=True)
--- a/tests/test_explorer.py
+++ b/tests/test_explorer.py
@@ -4,7 +4,9 @@
 
 import pytest
 
-from cressrock.consensus.raft.node import RaftNode, RaftSettings, initial_state
+from cressrock.consensus.raft.node import RaftNode
+from cressrock.consensus.raft.persistent_state import initial_state
+from cressrock.consensus.raft.settings import RaftSettings
 from cressrock.lab.explored import BROKEN, QUICK
 from cressrock.lab.explorer import Bounds, Explorer, Scenario
 
--- a/tests/test_raft.py
+++ b/tests/test_raft.py
@@ -5,17 +5,17 @@
 import pytest
 
 from cressrock.consensus.raft import messages as m
-from cressrock.consensus.raft.node import (
-    ConfirmedRead,
+from cressrock.consensus.raft.messages import LogEntry
+from cressrock.consensus.raft.node import RaftNode
+from cressrock.consensus.raft.persistent_state import (
     HardState,
-    LogEntry,
-    RaftNode,
-    RaftSettings,
-    Role,
     StoredState,
     force_single_voter,
     initial_state,
 )
+from cressrock.consensus.raft.ready import ConfirmedRead
+from cressrock.consensus.raft.settings import RaftSettings
+from cressrock.consensus.raft.state import Role
 from cressrock.errors.consensus import (
     ConsensusBusyError,
     InvalidMessageError,
@@ -380,7 +380,7 @@
 
 def test_an_oversized_snapshot_is_not_taken_in():
     seat = RaftNode("x", StoredState(), RaftSettings(max_snapshot_bytes=10), random.Random(1), 0.0)
-    piece = {"generation": 1, "term": 2, "index": 5, "index_term": 1, "seats": ("a",)}
+    piece = {"generation": 1, "term": 2, "index": 5, "index_term": 1, "voters": ("a",)}
     seat.receive(0, "a", m.InstallSnapshot(offset=0, size=11, data=b"12345678", **piece))
     seat.receive(0, "a", m.InstallSnapshot(offset=4, size=9, data=b"123456", **piece))
     assert seat.drop_counts["snapshot_size"] == 2 and not seat.ready().messages
@@ -504,7 +504,7 @@
         m.AppendEntriesReply(
             accepted=False, previous_index=3, conflict_term=1, conflict_index=2, round=9, **head
         ),
-        m.InstallSnapshot(index=3, index_term=1, seats=("a", "b"), offset=0, size=2, data=b"ab", **head),
+        m.InstallSnapshot(index=3, index_term=1, voters=("a", "b"), offset=0, size=2, data=b"ab", **head),
         m.InstallSnapshotReply(index=3, offset=2, done=True, round=9, **head),
         m.TimeoutNow(**head),
         m.StaleGeneration(reason="over", **head),
