--- a/cressrock/consensus/client.py
+++ b/cressrock/consensus/client.py
@@ -1,21 +1,42 @@
-"""The council as any process asks it, and what a process keeps of its decrees."""
+"""How any process asks the consensus group for decisions."""
 
 from __future__ import annotations
 
 import json
-import os
-from collections.abc import Callable, Mapping
+from collections.abc import Callable, Mapping, Sequence
 from dataclasses import dataclass
-from pathlib import Path
-from typing import Any
 
 import anyio
 from anyio.abc import TaskGroup
 
-from cressrock.consensus import decisions as d
-from cressrock.consensus import wire as w
-from cressrock.consensus.store import flush_directory
-from cressrock.consensus.transport import Environment, PeerConnection, ReconnectBackoff
+from cressrock.consensus.connection_protocol import ConnectionLimits, LocalEndpoint
+from cressrock.consensus.decision_cache import DecisionCache
+from cressrock.consensus.decisions import (
+    MAX_VALUE_BYTES,
+    Decide,
+    Decision,
+    Done,
+    Drop,
+    Rejected,
+    VersionConflict,
+    decode_command,
+    encode,
+)
+from cressrock.consensus.environment import Environment
+from cressrock.consensus.frames import (
+    AddReplica,
+    CurrentDecision,
+    GetStatus,
+    NotLeader,
+    Operation,
+    ReadDecision,
+    RemoveReplica,
+    ReplicaStatus,
+    Reply,
+    RetryLater,
+    TransferLeadership,
+)
+from cressrock.consensus.transport import PeerConnection, ReconnectBackoff
 from cressrock.errors.consensus import (
     DecisionConflictError,
     DecisionTooLargeError,
@@ -23,27 +44,67 @@
     InvalidReplicaSetError,
     NoQuorumError,
     RequestForgottenError,
-    StoreTooNewError,
 )
 
+MAX_CLIENT_NAME = 64  # characters
+
 
 @dataclass(frozen=True, slots=True)
 class ClientSettings:
     """How a client asks; times in milliseconds."""
 
     timeout_ms: float = 10_000.0  # several elections: a leader's death is ridden out
-    attempt_timeout_ms: float = 1000.0  # without an answer the next seat is asked
-    retry_delay_ms: float = 40.0  # before the next try, drawn from its half up
-    bounds: w.Bounds = w.Bounds()
+    attempt_timeout_ms: float = 1000.0  # without an answer the next replica is asked
+    retry_delay_ms: float = 40.0  # before the next attempt, drawn from its upper half
+    connection_limits: ConnectionLimits = ConnectionLimits()
     reconnect: ReconnectBackoff = ReconnectBackoff()
 
 
+class _ReplicaChoice:
+    """Which replica a request is sent to next, and whether a follower may forward it."""
+
+    def __init__(self, names: Sequence[str], start: int) -> None:
+        self._names = names
+        self._position = start
+        self._unreachable: set[str] = set()
+        self.forward = False
+
+    @property
+    def name(self) -> str:
+        return self._names[self._position % len(self._names)]
+
+    def skip_unreachable(self) -> None:
+        """Go on to the next one: this one cannot be reached from here, and perhaps the leader cannot."""
+        self._unreachable.add(self.name)
+        self.forward = True
+        self._position += 1
+
+    def follow_hint(self, leader: str) -> None:
+        """Go on to the leader that a follower named, or to the next one."""
+        if leader in self._names and leader != self.name and leader not in self._unreachable:
+            self._position = self._names.index(leader)
+        else:
+            # Where the leader cannot be reached from here, a replica that does forwards the request.
+            self.forward = self.forward or bool(leader)
+            self._position += 1
+
+
+@dataclass(slots=True)
+class _Attempts:
+    """What is known of one request while it is asked again and again."""
+
+    subject: str
+    is_first_use: bool  # of its request id
+    sent: int = 0
+    asked_at_index: int | None = None
+    failure: str = "no seat could be reached"
+
+
 class ConsensusClient:
-    """Asks the council's seats; any process may, by whichever seat answers.
+    """Asks the group's replicas; any process may, by whichever replica answers.
 
-    `seats` names the seats with their addresses as this process reaches them.  Lines are opened when first
-    used and live in `tasks`.  One question is repeated under one request id while its outcome is unknown, so
-    it is applied once however often it arrived.
+    Connections are opened when first used and live in `tasks`.  One request is repeated under one id while
+    its outcome is unknown, so it is applied once however often it arrived.
     """
 
     def __init__(
@@ -57,9 +118,10 @@
         *,
         cache: DecisionCache | None = None,
     ) -> None:
-        """`name` tells who asked, in decrees and request ids; `reader` takes what is answered as well.
+        """`name` says who asked, in decisions and request ids; `replicas` gives their addresses as this
+        process reaches them; `cache` takes what is answered as well.
 
-        Raises SeatsWrong without any seat.
+        Raises InvalidReplicaSetError without any replica.
         """
         if not replicas:
             raise InvalidReplicaSetError("no seat to ask")
@@ -68,34 +130,35 @@
         self.replicas = dict(replicas)
         self.cache = cache or DecisionCache(None, environment.clock)
         self.leader = ""  # where the last answer came from
-        self._applied = 0  # the newest index that any seat said it has applied
-        self._lines: dict[str, PeerConnection] = {}
+        self._newest_applied = 0  # the newest index that any replica said it has applied
+        self._connections: dict[str, PeerConnection] = {}
         # Ids must not come a second time in a later life of this name.
-        self._life = f"{name[:64]}-{environment.random_source.getrandbits(64):016x}"
-        self._asked = 0
-
-    def _line(self, name: str) -> PeerConnection:
-        line = self._lines.get(name)
-        if line is None:
-            me = w.Me(self.cluster, self.name[:64], False)
-            line = PeerConnection(
+        nonce = environment.random_source.getrandbits(64)
+        self._request_prefix = f"{name[:MAX_CLIENT_NAME]}-{nonce:016x}"
+        self._requests = 0
+
+    def _connection(self, name: str) -> PeerConnection:
+        connection = self._connections.get(name)
+        if connection is None:
+            local = LocalEndpoint(self.cluster, self.name[:MAX_CLIENT_NAME], False)
+            connection = PeerConnection(
                 self.environment,
                 name,
                 self.replicas[name],
-                lambda: me,
-                bounds=self.settings.bounds,
-                redial=self.settings.reconnect,
+                lambda: local,
+                limits=self.settings.connection_limits,
+                reconnect=self.settings.reconnect,
             )
-            self._lines[name] = line
-            self.tasks.start_soon(line.run)
-        return line
+            self._connections[name] = connection
+            self.tasks.start_soon(connection.run)
+        return connection
 
     def new_request_id(self) -> str:
         """Return a new request id."""
-        self._asked += 1
-        return f"{self._life}-{self._asked}"
+        self._requests += 1
+        return f"{self._request_prefix}-{self._requests}"
 
-    # --- what is asked
+    # --- operations
 
     async def decide(
         self,
@@ -107,214 +170,166 @@
         author: str | None = None,
         request_id: str | None = None,
         timeout_ms: float | None = None,
-    ) -> d.Decision:
-        """Let `value` stand for `topic` and return the decree; with `if_number` only after it (0: none).
+    ) -> Decision:
+        """Set a topic's value and return the decision; with `if_version` only after it (0: none).
 
-        Raises Conflict with the number that stands; TooLarge; Forgotten; BadDecree for a topic or hold that
-        cannot be; NoQuorum, whose `unknown` says whether it may still come to stand.
+        Raises DecisionConflictError with the current version; DecisionTooLargeError; RequestForgottenError;
+        InvalidDecisionError for a topic or lease that cannot be; NoQuorumError, whose `outcome_unknown` says
+        whether it may still be decided.
         """
-        if len(value) > d.MAX_VALUE_BYTES:
+        if len(value) > MAX_VALUE_BYTES:
             raise DecisionTooLargeError(f"topic {topic!r}: a value of {len(value)} bytes")
-        fresh = request_id is None
-        request_id = request_id or self.new_request_id()
-        author = self.name if author is None else author
-
-        def ask(asked_at: int) -> w.Question:
-            return d.Decide(topic, value, lease_ms, author, request_id, asked_at, if_version)
-
-        d.decode_command(d.encode(d.Decide(topic, value, lease_ms, author, request_id, 0, if_version)))
-        reply = await self._ask(ask, timeout_ms, f"topic {topic!r}", fresh=fresh)
-        if not isinstance(reply, w.Stands) or reply.decree is None:
-            raise InvalidDecisionError(f"a seat answered {type(reply).__name__} to a decision")
-        self.cache.receive(reply.decree)
-        return reply.decree
+        attempts = _Attempts(f"topic {topic!r}", is_first_use=request_id is None)
+        command = Decide(
+            topic,
+            value,
+            lease_ms,
+            self.name if author is None else author,
+            request_id or self.new_request_id(),
+            0,
+            if_version,
+        )
+        decode_command(encode(command))  # checks the bounds of its fields
+        reply = await self._request(
+            lambda index: Decide(
+                command.topic,
+                command.value,
+                command.lease_ms,
+                command.author,
+                command.request_id,
+                index,
+                command.if_version,
+            ),
+            attempts,
+            timeout_ms,
+        )
+        if not isinstance(reply, CurrentDecision) or reply.decision is None:
+            raise InvalidDecisionError(f"a replica answered {type(reply).__name__} to a decision")
+        self.cache.receive(reply.decision)
+        return reply.decision
 
     async def drop(
         self, topic: str, if_version: int | None = None, *, timeout_ms: float | None = None
     ) -> int:
-        """Let nothing stand for `topic`; returns the drop's number.  Raises as `decide` does."""
-        request = self.new_request_id()
-        reply = await self._ask(
-            lambda asked_at: d.Drop(topic, request, asked_at, if_version), timeout_ms, f"topic {topic!r}"
+        """Remove a topic's decision; return the drop's version.  Raises as `decide` does."""
+        request_id = self.new_request_id()
+        reply = await self._request(
+            lambda index: Drop(topic, request_id, index, if_version),
+            _Attempts(f"topic {topic!r}", is_first_use=True),
+            timeout_ms,
         )
-        if not isinstance(reply, d.Done):
-            raise InvalidDecisionError(f"a seat answered {type(reply).__name__} to a drop")
+        if not isinstance(reply, Done):
+            raise InvalidDecisionError(f"a replica answered {type(reply).__name__} to a drop")
         return reply.version
 
-    async def read(self, topic: str, *, timeout_ms: float | None = None) -> d.Decision | None:
-        """Return what stands for `topic` at some moment during this call (linearizable), or None.
+    async def read(self, topic: str, *, timeout_ms: float | None = None) -> Decision | None:
+        """Return a topic's decision at some moment during this call (linearizable), or None.
 
-        Raises NoQuorum.
+        Raises NoQuorumError.
         """
-        reply = await self._ask(lambda _: w.Read(topic), timeout_ms, f"topic {topic!r}")
-        if not isinstance(reply, w.Stands):
-            raise InvalidDecisionError(f"a seat answered {type(reply).__name__} to a read")
-        if reply.decree is not None:
-            self.cache.receive(reply.decree)
-        return reply.decree
+        reply = await self._request_plain(ReadDecision(topic), f"topic {topic!r}", timeout_ms)
+        if not isinstance(reply, CurrentDecision):
+            raise InvalidDecisionError(f"a replica answered {type(reply).__name__} to a read")
+        if reply.decision is not None:
+            self.cache.receive(reply.decision)
+        return reply.decision
 
     async def join(self, identity: str, *, timeout_ms: float | None = None) -> None:
-        """Have the seat `identity` (name#id) taken in.  Raises NoQuorum."""
-        await self._ask(lambda _: w.Join(identity), timeout_ms, f"seat {identity}")
-
-    async def remove(self, who: str, *, timeout_ms: float | None = None) -> None:
-        """Have a seat put out, by name or identity.  Raises NoQuorum."""
-        await self._ask(lambda _: w.Remove(who), timeout_ms, f"seat {who}")
-
-    async def transfer(self, to: str, *, timeout_ms: float | None = None) -> None:
-        """Ask the leader to hand the lead to the seat `to`.  Raises NoQuorum."""
-        await self._ask(lambda _: w.Transfer(to), timeout_ms, f"seat {to}")
-
-    async def status(self, name: str, *, timeout_ms: float | None = None) -> dict[str, Any] | None:
-        """Return one seat's own status; None where it does not answer in time."""
-        until = self.environment.clock() + (timeout_ms or self.settings.attempt_timeout_ms)
-        line = self._line(name)
-        if await line.stands(until) is None:
+        """Have the replica `identity` (name#id) added.  Raises NoQuorumError."""
+        await self._request_plain(AddReplica(identity), f"seat {identity}", timeout_ms)
+
+    async def remove(self, name: str, *, timeout_ms: float | None = None) -> None:
+        """Have a replica removed, by name or identity.  Raises NoQuorumError."""
+        await self._request_plain(RemoveReplica(name), f"seat {name}", timeout_ms)
+
+    async def transfer(self, target: str, *, timeout_ms: float | None = None) -> None:
+        """Ask the leader to hand the lead to the replica `target`.  Raises NoQuorumError."""
+        await self._request_plain(TransferLeadership(target), f"seat {target}", timeout_ms)
+
+    async def status(self, name: str, *, timeout_ms: float | None = None) -> dict[str, object] | None:
+        """Return one replica's own status; None where it does not answer in time."""
+        timeout_ms = timeout_ms or self.settings.attempt_timeout_ms
+        deadline_ms = self.environment.clock() + timeout_ms
+        connection = self._connection(name)
+        if await connection.wait_open(deadline_ms) is None:
+            return None
+        reply = await connection.ask(GetStatus(), forward=False, deadline_ms=deadline_ms)
+        if not isinstance(reply, ReplicaStatus):
             return None
-        reply = await line.ask(w.Status(), forward=False, until_ms=until)
-        return json.loads(reply.text) if isinstance(reply, w.Told) else None
+        status: dict[str, object] = json.loads(reply.text)
+        return status
 
-    # --- how
+    # --- attempts
 
-    async def _ask(
+    async def _request_plain(
+        self, operation: Operation, subject: str, timeout_ms: float | None
+    ) -> CurrentDecision | Done:
+        return await self._request(lambda _: operation, _Attempts(subject, is_first_use=True), timeout_ms)
+
+    async def _request(
         self,
-        question: Callable[[int], w.Question],
+        operation_at: Callable[[int], Operation],
+        attempts: _Attempts,
         timeout_ms: float | None,
-        what: str,
-        *,
-        fresh: bool = True,
-    ) -> w.Stands | d.Done:
+    ) -> CurrentDecision | Done:
+        """Send an operation until its outcome is known; `operation_at` makes it for an index."""
         clock, settings = self.environment.clock, self.settings
-        began = clock()
-        end = began + (settings.timeout_ms if timeout_ms is None else timeout_ms)
-        asked_at: int | None = None
-        sent = 0
-        why = "no seat could be reached"
-        names = sorted(self.replicas)
-        turn = (
-            names.index(self.leader)
-            if self.leader in names
-            else self.environment.random_source.randrange(len(names))
-        )
-        unreachable: set[str] = set()
-        forward = False
-        while clock() < end:
-            name = names[turn % len(names)]
-            until = min(end, clock() + settings.attempt_timeout_ms)
-            line = self._line(name)
-            if (peer := line.peer or await line.stands(until)) is None:
-                unreachable.add(name)
-                forward = True
-                turn += 1
+        started_at_ms = clock()
+        deadline_ms = started_at_ms + (settings.timeout_ms if timeout_ms is None else timeout_ms)
+        choice = self._first_choice()
+        while clock() < deadline_ms:
+            name = choice.name
+            attempt_deadline_ms = min(deadline_ms, clock() + settings.attempt_timeout_ms)
+            connection = self._connection(name)
+            peer = connection.peer or await connection.wait_open(attempt_deadline_ms)
+            if peer is None:
+                choice.skip_unreachable()
                 continue
-            if asked_at is None:
-                asked_at = self._applied = max(self._applied, peer.applied, line.applied)
-            sent += 1
-            reply = await line.ask(question(asked_at), forward=forward, until_ms=until)
-            self._applied = max(self._applied, line.applied)
-            match reply:
-                case w.Stands() | d.Done():
-                    self.leader = name
-                    return reply
-                case d.VersionConflict(number):
-                    raise DecisionConflictError(f"{what}: another decision stands, number {number}", number)
-                case d.Rejected("forgotten") if fresh and sent == 1:
-                    # Sent this once and never before: surely not applied, the index was only too old.
-                    asked_at, sent = None, 0
-                case d.Rejected("forgotten"):
-                    raise RequestForgottenError(f"{what}: asked too late to know whether it was applied")
-                case d.Rejected(reason):
-                    raise DecisionTooLargeError(f"{what}: {reason}")
-                case w.Elsewhere(hint):
-                    why = f"{name} does not lead"
-                    if hint in self.replicas and hint != name and hint not in unreachable:
-                        turn = names.index(hint)
-                    else:
-                        # Where the leader cannot be reached from here, a seat that does passes it on.
-                        forward = forward or bool(hint)
-                        turn += 1
-                case w.Later(text):
-                    why = f"{name}: {text}"
-                case _:
-                    why = f"{name} did not answer"
-                    unreachable.add(name)
-                    forward = True
-                    turn += 1
-            pause = settings.retry_delay_ms * self.environment.random_source.uniform(0.5, 1)
-            await anyio.sleep(max(0.0, min(pause, end - clock())) / 1000)
-        waited = clock() - began
-        raise NoQuorumError(f"{what}: not decided within {waited:.0f} ms ({why})", waited, sent > 0)
-
-
-class DecisionCache:
-    """A process's Reader with its memory on disk: what was seen is kept before anybody is told of it.
-
-    One small write and flush for each new number, on the caller's own task: decrees are few.
-    """
-
-    def __init__(
-        self, path: str | Path | None, clock: Callable[[], float], *, max_topics: int = d.MAX_TOPICS
-    ) -> None:
-        """Without a path nothing is kept.  A file that cannot be read is put aside: `torn` says why.
+            if attempts.asked_at_index is None:
+                newest = max(self._newest_applied, peer.applied, connection.peer_applied)
+                attempts.asked_at_index = self._newest_applied = newest
+            attempts.sent += 1
+            reply = await connection.ask(
+                operation_at(attempts.asked_at_index), forward=choice.forward, deadline_ms=attempt_deadline_ms
+            )
+            self._newest_applied = max(self._newest_applied, connection.peer_applied)
+            if isinstance(reply, CurrentDecision | Done):
+                self.leader = name
+                return reply
+            self._after_failure(reply, attempts, choice)
+            pause_ms = settings.retry_delay_ms * self.environment.random_source.uniform(0.5, 1)
+            await anyio.sleep(max(0.0, min(pause_ms, deadline_ms - clock())) / 1000)
+        waited_ms = clock() - started_at_ms
+        raise NoQuorumError(
+            f"{attempts.subject}: not decided within {waited_ms:.0f} ms ({attempts.failure})",
+            waited_ms,
+            attempts.sent > 0,
+        )
 
-        Raises StoreNewer for a newer program's file.
-        """
-        self.path = Path(path) if path else None
-        self.clock = clock
-        self.corrupt_reason = ""
-        self.unsaved_reason = ""  # why the last write failed; "" while all is kept
-        self.listeners: list[Callable[[d.Decision], None]] = []
-        seen = b""
-        if self.path is not None:
-            try:
-                seen = self.path.read_bytes()
-            except FileNotFoundError:
-                pass
-        try:
-            self.reader = d.DecisionReader(seen, max_topics=max_topics)
-        except StoreTooNewError:
-            raise
-        except InvalidDecisionError as wrong:
-            # Only the guard against older decrees is lost, and the council's next beat sets it again.
-            self.corrupt_reason = str(wrong)
-            self.reader = d.DecisionReader(max_topics=max_topics)
-
-    def receive(self, decree: d.Decision) -> bool:
-        """Take a decree from wherever it came; returns whether it is news.
-
-        A new number is on disk before anybody is told; beats are kept with the next number, since a life
-        that begins with an older beat only counts a decree for one more hold.  Where the disk takes nothing
-        the decree counts all the same (no rule leans on it) and `unkept` says so until a write succeeds.
-        """
-        number = self.reader.last_version(decree.topic)
-        news = self.reader.receive(decree, self.clock())
-        if news and (decree.version > number or self.unsaved_reason):
-            try:
-                self.save()
-                self.unsaved_reason = ""
-            except OSError as wrong:
-                self.unsaved_reason = str(wrong)
-        if news:
-            for tell in self.listeners:
-                tell(decree)
-        return news
-
-    def receive_bytes(self, data: bytes) -> bool:
-        """Take a decree's bytes, as seats put them into the spread.  Raises BadDecree, StoreNewer."""
-        return self.receive(d.decode_decision(data))
-
-    def get(self, topic: str) -> d.Decision | d.Expired | None:
-        """Return what counts now; see Reader.get."""
-        return self.reader.get(topic, self.clock())
-
-    def save(self) -> None:
-        """Put what was seen on disk, whole or not at all.  Raises OSError."""
-        if self.path is None:
-            return
-        part = self.path.with_name(self.path.name + ".part")
-        with open(part, "wb") as file:
-            file.write(self.reader.to_bytes())
-            file.flush()
-            os.fsync(file.fileno())
-        os.replace(part, self.path)
-        flush_directory(self.path.parent)
+    def _first_choice(self) -> _ReplicaChoice:
+        names = sorted(self.replicas)
+        if self.leader in names:
+            return _ReplicaChoice(names, names.index(self.leader))
+        return _ReplicaChoice(names, self.environment.random_source.randrange(len(names)))
+
+    def _after_failure(self, reply: Reply | None, attempts: _Attempts, choice: _ReplicaChoice) -> None:
+        """Raise what is final, or prepare the next attempt."""
+        subject, name = attempts.subject, choice.name
+        match reply:
+            case VersionConflict(version):
+                raise DecisionConflictError(f"{subject}: another decision stands, number {version}", version)
+            case Rejected("forgotten") if attempts.is_first_use and attempts.sent == 1:
+                # Sent this once and never before: surely not applied, the index was only too old.
+                attempts.asked_at_index, attempts.sent = None, 0
+            case Rejected("forgotten"):
+                raise RequestForgottenError(f"{subject}: asked too late to know whether it was applied")
+            case Rejected(reason):
+                raise DecisionTooLargeError(f"{subject}: {reason}")
+            case NotLeader(leader_hint):
+                attempts.failure = f"{name} does not lead"
+                choice.follow_hint(leader_hint)
+            case RetryLater(reason):
+                attempts.failure = f"{name}: {reason}"
+            case _:
+                attempts.failure = f"{name} did not answer"
+                choice.skip_unreachable()
--- a/cressrock/consensus/decision_gossip.py
+++ b/cressrock/consensus/decision_gossip.py
@@ -1,12 +1,13 @@
-"""How decrees travel in the spread: what a seat tells of them, what a process takes from all seats.  Pure.
+"""How decisions travel by gossip: what a replica publishes, what a process makes of all replicas' entries.
 
-- `decree/TOPIC`: the decree itself, told once for each number.  One that is too large for the spread is told
-  by its number alone, and is asked for at a seat.
-- `beat/I`: the newest beat, with the numbers of the decrees that stood when a quorum confirmed it, in pieces.
-  So renewing any number of decrees costs a few hundred bytes, not each decree again.
+- `decree/TOPIC`: the decision itself, published once for each version.  One that is too large for gossip is
+  published as a reference to its version, and is fetched from a replica.
+- `beat/I`: the newest renewal, with the versions of the decisions that stood when a quorum confirmed it, in
+  several entries.  So renewing any number of decisions costs a few hundred bytes, not each decision again.
 
-A process takes the newest of what all seats tell.  What stands in a beat is renewed by it; what does not
-lives on to the end of its hold.  A seat that was cut off goes on telling what it knew, which renews nothing.
+A process uses the newest of what all replicas publish.  A decision whose version is in a renewal is renewed
+by it; another lives on to the end of its lease.  A replica that was cut off goes on publishing what it knew,
+which renews nothing.
 """
 
 from __future__ import annotations
@@ -17,42 +18,50 @@
 
 import msgspec
 
-from cressrock.consensus import decisions as d
+from cressrock.consensus.decisions import (
+    MAX_TOPICS,
+    Count,
+    Decision,
+    Topic,
+    decode_decision,
+    encode,
+    gossip_key,
+    with_renewal,
+)
 
 FORMAT_VERSION = 1
 DECISION_PREFIX, RENEWAL_PREFIX = "decree/", "beat/"
-VERSIONS_PER_ENTRY = 48  # numbers in one entry: at nine bytes each they fit the spread's largest value
-
-Whole = Annotated[int, msgspec.Meta(ge=0, le=2**63 - 1)]
+VERSIONS_PER_ENTRY = 48  # at nine bytes each they fit gossip's largest value
 
 
 class DecisionReference(msgspec.Struct, frozen=True, array_like=True, tag="mark"):
-    """A decree that is too large for the spread."""
+    """A decision that is too large for gossip."""
 
-    topic: d.Topic
-    version: Whole
-    renewal: Whole
+    topic: Topic
+    version: Count
+    renewal: Count
 
 
 class LeaseRenewal(msgspec.Struct, frozen=True, array_like=True, tag="beat"):
-    """A piece of what stood at a beat."""
+    """Some of the versions that a renewal renews."""
 
-    renewal: Whole
-    versions: Annotated[list[Whole], msgspec.Meta(max_length=4 * VERSIONS_PER_ENTRY)]
+    renewal: Count
+    versions: Annotated[list[Count], msgspec.Meta(max_length=4 * VERSIONS_PER_ENTRY)]
 
 
 _encoder = msgspec.msgpack.Encoder()
 _decoder = msgspec.msgpack.Decoder(DecisionReference | LeaseRenewal)
-_LARGE = 0x80 + FORMAT_VERSION  # no decree begins so: its first byte is its version
+_FIRST_BYTE = 0x80 + FORMAT_VERSION  # no decision begins so: its first byte is its format version
 
 
-def _encode(message: DecisionReference | LeaseRenewal) -> bytes:
-    return bytes((_LARGE,)) + _encoder.encode(message)
+def encode_entry(message: DecisionReference | LeaseRenewal) -> bytes:
+    """Return the bytes of a reference or a renewal."""
+    return bytes((_FIRST_BYTE,)) + _encoder.encode(message)
 
 
-def _decode(data: bytes) -> DecisionReference | LeaseRenewal | None:
-    """Read a mark or a beat; None for anything else, as another version may put here."""
-    if not data or data[0] != _LARGE:
+def _decode_entry(data: bytes) -> DecisionReference | LeaseRenewal | None:
+    """Read a reference or a renewal; None for anything else, as another version may put here."""
+    if not data or data[0] != _FIRST_BYTE:
         return None
     try:
         return _decoder.decode(data[1:])
@@ -62,116 +71,139 @@
 
 @dataclass(frozen=True, slots=True)
 class GossipChange:
-    """An entry of this process to put into the spread; None removes it."""
+    """An entry of this process to put into gossip; None removes it."""
 
     key: str
     value: bytes | None
 
 
 class DecisionPublisher:
-    """One seat's entries.  `most` is the largest value that the spread takes, in bytes."""
+    """One replica's gossip entries."""
 
     def __init__(self, max_value_bytes: int) -> None:
-        """Start with nothing told."""
+        """Begin with nothing published; the bound is gossip's largest value."""
         self.max_value_bytes = max_value_bytes
-        self.published_versions: dict[str, int] = {}  # topic -> number
+        self.published_versions: dict[str, int] = {}  # by topic
         self.renewal_entries = 0
 
-    def publish(self, standing: Iterable[d.Decision], beat: int) -> list[GossipChange]:
-        """Return what to change, with all that stands at this seat; `beat` 0: none was confirmed now."""
-        found = {decree.topic: decree for decree in standing}
+    def publish(self, current: Iterable[Decision], renewal: int) -> list[GossipChange]:
+        """Return what to change, given all current decisions; `renewal` 0: none was confirmed now."""
+        decisions = {decision.topic: decision for decision in current}
+        changes = self._remove_dropped(decisions)
+        for topic, decision in sorted(decisions.items()):
+            if self.published_versions.get(topic) != decision.version:
+                self.published_versions[topic] = decision.version
+                changes.append(GossipChange(gossip_key(topic), self._encode_decision(decision)))
+        if renewal:
+            changes += self._publish_renewal(decisions.values(), renewal)
+        return changes
+
+    def _remove_dropped(self, decisions: dict[str, Decision]) -> list[GossipChange]:
+        dropped = sorted(topic for topic in self.published_versions if topic not in decisions)
+        for topic in dropped:
+            del self.published_versions[topic]
+        return [GossipChange(gossip_key(topic), None) for topic in dropped]
+
+    def _encode_decision(self, decision: Decision) -> bytes:
+        data = encode(decision)
+        if len(data) > self.max_value_bytes:
+            return encode_entry(DecisionReference(decision.topic, decision.version, decision.renewal))
+        return data
+
+    def _publish_renewal(self, decisions: Iterable[Decision], renewal: int) -> list[GossipChange]:
+        versions = sorted(decision.version for decision in decisions)
+        entries = [
+            versions[start : start + VERSIONS_PER_ENTRY]
+            for start in range(0, len(versions), VERSIONS_PER_ENTRY)
+        ]
         changes = [
-            GossipChange(DECISION_PREFIX + topic, None)
-            for topic in sorted(self.published_versions)
-            if topic not in found
+            GossipChange(f"{RENEWAL_PREFIX}{index}", encode_entry(LeaseRenewal(renewal, entry)))
+            for index, entry in enumerate(entries)
         ]
-        for change in changes:
-            del self.published_versions[change.key.removeprefix(DECISION_PREFIX)]
-        for topic, decree in sorted(found.items()):
-            if self.published_versions.get(topic) != decree.version:
-                self.published_versions[topic] = decree.version
-                data = d.encode(decree)
-                if len(data) > self.max_value_bytes:
-                    data = _encode(DecisionReference(topic, decree.version, decree.renewal))
-                changes.append(GossipChange(DECISION_PREFIX + topic, data))
-        if beat:
-            numbers = sorted(decree.version for decree in found.values())
-            pieces = [
-                numbers[at : at + VERSIONS_PER_ENTRY] for at in range(0, len(numbers), VERSIONS_PER_ENTRY)
-            ]
-            for index, piece in enumerate(pieces):
-                changes.append(GossipChange(f"{RENEWAL_PREFIX}{index}", _encode(LeaseRenewal(beat, piece))))
-            changes += [
-                GossipChange(f"{RENEWAL_PREFIX}{index}", None)
-                for index in range(len(pieces), self.renewal_entries)
-            ]
-            self.renewal_entries = len(pieces)
+        surplus = range(len(entries), self.renewal_entries)
+        changes += [GossipChange(f"{RENEWAL_PREFIX}{index}", None) for index in surplus]
+        self.renewal_entries = len(entries)
         return changes
 
 
 class DecisionSubscriber:
-    """One process's side: entries in, decrees for its reader out, and topics to ask a seat about.
+    """One process's side: gossip entries in, decisions for its reader out, and topics to fetch.
 
-    Bounded by `most` decrees, and by the beats of the newest numbers.
+    Bounded by `max_topics` decisions, and by the renewals of the newest versions.
     """
 
-    def __init__(self, max_topics: int = d.MAX_TOPICS) -> None:
-        """Start with nothing heard."""
+    def __init__(self, max_topics: int = MAX_TOPICS) -> None:
+        """Begin with nothing received."""
         self.max_topics = max_topics
-        self.decisions: dict[str, d.Decision] = {}
-        self.renewals: dict[int, int] = {}  # number -> newest beat
-        self.pending_fetches: dict[str, DecisionReference] = {}
+        self.decisions: dict[str, Decision] = {}  # by topic
+        self.renewals: dict[int, int] = {}  # version -> newest renewal
+        self.pending_fetches: dict[str, DecisionReference] = {}  # by topic
 
-    def receive_entry(self, key: str, value: bytes) -> tuple[list[d.Decision], list[str]]:
-        """Take an entry of any seat; returns decrees for the reader, and topics to ask for.
+    def receive_entry(self, key: str, value: bytes) -> tuple[list[Decision], list[str]]:
+        """Take an entry of any replica; return decisions for the reader, and topics to fetch.
 
-        Raises BadDecree, StoreNewer for a decree that cannot be read.
+        Raises InvalidDecisionError, StoreTooNewError for a decision that cannot be read.
         """
         if key.startswith(RENEWAL_PREFIX):
-            message = _decode(value)
-            return (self._beat(message), []) if isinstance(message, LeaseRenewal) else ([], [])
+            message = _decode_entry(value)
+            return (self._receive_renewal(message), []) if isinstance(message, LeaseRenewal) else ([], [])
         if not key.startswith(DECISION_PREFIX):
             return [], []
-        message = _decode(value)
+        message = _decode_entry(value)
         if isinstance(message, DecisionReference):
-            held = self.decisions.get(message.topic)
-            if held is not None and held.version >= message.version:
-                return self._renew([held], message.renewal), []
-            asked = self.pending_fetches.get(message.topic)
-            if asked is None and len(self.pending_fetches) >= self.max_topics:
-                return [], []
-            if asked is None or asked.version < message.version:
-                self.pending_fetches[message.topic] = message
-            return [], [message.topic]
-        return self.receive_decision(d.decode_decision(value)), []
-
-    def receive_decision(self, decree: d.Decision) -> list[d.Decision]:
-        """Take a decree itself, from the spread or from a seat's answer."""
-        held, asked = self.decisions.get(decree.topic), self.pending_fetches.get(decree.topic)
-        if asked is not None and asked.version <= decree.version:
-            del self.pending_fetches[decree.topic]
-        if held is not None and held.version > decree.version:
+            return self._receive_reference(message)
+        return self.receive_decision(decode_decision(value)), []
+
+    def receive_decision(self, decision: Decision) -> list[Decision]:
+        """Cache a decision that came by gossip or from a replica; return what the local reader must apply.
+
+        An older version than the cached one is ignored.  A full cache passes the decision on without caching
+        it, so that a flood of topics cannot make this process lose a decision.
+        """
+        self._complete_fetch(decision)
+        cached = self.decisions.get(decision.topic)
+        if cached is not None and cached.version > decision.version:
             return []
-        if held is None and len(self.decisions) >= self.max_topics:
-            return [decree]
-        beat = max(decree.renewal, self.renewals.get(decree.version, 0))
-        if held is not None and held.version == decree.version:
-            beat = max(beat, held.renewal)
-        decree = self.decisions[decree.topic] = msgspec.structs.replace(decree, renewal=beat)
-        return [decree]
-
-    def _beat(self, message: LeaseRenewal) -> list[d.Decision]:
-        for number in message.versions:
-            self.renewals[number] = max(self.renewals.get(number, 0), message.renewal)
+        if cached is None and len(self.decisions) >= self.max_topics:
+            return [decision]
+        renewed = self._with_latest_renewal(decision, cached)
+        self.decisions[decision.topic] = renewed
+        return [renewed]
+
+    def _complete_fetch(self, decision: Decision) -> None:
+        reference = self.pending_fetches.get(decision.topic)
+        if reference is not None and reference.version <= decision.version:
+            del self.pending_fetches[decision.topic]
+
+    def _with_latest_renewal(self, decision: Decision, cached: Decision | None) -> Decision:
+        renewal = max(decision.renewal, self.renewals.get(decision.version, 0))
+        if cached is not None and cached.version == decision.version:
+            renewal = max(renewal, cached.renewal)
+        return msgspec.structs.replace(decision, renewal=renewal)
+
+    def _receive_reference(self, reference: DecisionReference) -> tuple[list[Decision], list[str]]:
+        cached = self.decisions.get(reference.topic)
+        if cached is not None and cached.version >= reference.version:
+            return self._renew([cached], reference.renewal), []
+        pending = self.pending_fetches.get(reference.topic)
+        if pending is None and len(self.pending_fetches) >= self.max_topics:
+            return [], []
+        if pending is None or pending.version < reference.version:
+            self.pending_fetches[reference.topic] = reference
+        return [], [reference.topic]
+
+    def _receive_renewal(self, message: LeaseRenewal) -> list[Decision]:
+        for version in message.versions:
+            self.renewals[version] = max(self.renewals.get(version, 0), message.renewal)
         if len(self.renewals) > 2 * self.max_topics:
-            newest = sorted(self.renewals, key=lambda number: (self.renewals[number], number))[
-                -self.max_topics :
-            ]
-            self.renewals = {number: self.renewals[number] for number in newest}
-        numbers = set(message.versions)
-        return self._renew([h for h in self.decisions.values() if h.version in numbers], message.renewal)
-
-    def _renew(self, held: list[d.Decision], beat: int) -> list[d.Decision]:
-        found = [msgspec.structs.replace(decree, renewal=beat) for decree in held if decree.renewal < beat]
-        self.decisions.update((decree.topic, decree) for decree in found)
-        return found
+            by_age = sorted(self.renewals, key=lambda version: (self.renewals[version], version))
+            self.renewals = {version: self.renewals[version] for version in by_age[-self.max_topics :]}
+        versions = set(message.versions)
+        named = [decision for decision in self.decisions.values() if decision.version in versions]
+        return self._renew(named, message.renewal)
+
+    def _renew(self, cached: list[Decision], renewal: int) -> list[Decision]:
+        """Renew those decisions to which the renewal is new, and return them."""
+        renewed = with_renewal((one for one in cached if one.renewal < renewal), renewal)
+        self.decisions.update((decision.topic, decision) for decision in renewed)
+        return list(renewed)
--- a/cressrock/consensus/raft/log.py
+++ b/cressrock/consensus/raft/log.py
@@ -127,7 +127,7 @@
         return self.snapshot_index + 1 + bisect_left(self.entries, term, 0, end, key=_term)
 
     def last_index_of_term(self, term: int, max_index: int) -> int:
-        """Return the last index <= `max_index` of `term`, 0 if there is none (terms only grow along a log)."""
+        """Return the last index <= `max_index` of `term`, 0 if none (terms only grow along a log)."""
         end = max(0, max_index - self.snapshot_index)
         index = self.snapshot_index + bisect_right(self.entries, term, 0, end, key=_term)
         return index if self.term_at(index) == term else 0
--- a/cressrock/consensus/raft/messages.py
+++ b/cressrock/consensus/raft/messages.py
@@ -86,8 +86,8 @@
 class AppendEntriesReply(Message, frozen=True, tag="appended", kw_only=True):
     """Accepted: the log agrees with the leader's up to `match`.  Not accepted: see `conflict_*`.
 
-    Not accepted means that the log has no (`previous_index`, the leader's term of it); then `conflict_term` is
-    the term of that entry instead and `conflict_index` its first index, or 0 and the end of the log + 1.
+    Not accepted means that the log has no (`previous_index`, the leader's term of it); then `conflict_term`
+    is the term of that entry instead and `conflict_index` its first index, or 0 and the end of the log + 1.
     """
 
     accepted: bool
--- a/cressrock/consensus/raft/node.py
+++ b/cressrock/consensus/raft/node.py
@@ -262,7 +262,8 @@
         self.replication.start_transfer(target)
 
     def read_index(self, now_ms: float, token: ReadToken) -> None:
-        """Ask for a linearizable read; `Ready.confirmed_reads` has it when a quorum has confirmed this leader.
+        """Ask for a linearizable read; `Ready.confirmed_reads` has it when a quorum has confirmed this
+        leader.
 
         `Ready.lost_reads` has it if the lead is lost before.  Raises NotLeaderError, ConsensusBusyError.
         """
--- a/cressrock/consensus/raft/persistent_state.py
+++ b/cressrock/consensus/raft/persistent_state.py
@@ -56,7 +56,8 @@
 
 
 def force_single_voter(stored: StoredState, name: str) -> StoredState:
-    """Return what makes a group of the one replica `name` out of its own store: recovery from a lost majority.
+    """Return what makes a group of the one replica `name` out of its own store: recovery from a lost
+    majority.
 
     What it may cost: entries that the lost majority had committed and this store does not have are gone,
     though they were acknowledged; entries here that were never committed become so.  Log indexes may come a
--- a/cressrock/consensus/raft/replication.py
+++ b/cressrock/consensus/raft/replication.py
@@ -1,4 +1,4 @@
-"""The leader's side: replication to the others, heartbeat rounds, commit by counting, read index, transfer."""
+"""The leader's side: replication, heartbeat rounds, commit by counting, read index, transfer."""
 
 from __future__ import annotations
 
--- a/cressrock/consensus/raft/settings.py
+++ b/cressrock/consensus/raft/settings.py
@@ -10,7 +10,8 @@
     """Times in milliseconds and bounds of one replica; the same at all replicas of a group.
 
     `election_ms` must be well above `heartbeat_ms` plus the slowest round trip and disk write between
-    replicas: below it, leaders lose their lead on a calm day; above it, only a leader's death costs more time.
+    replicas: below it, leaders lose their lead on a calm day; above it, only a leader's death costs more
+    time.
     """
 
     election_ms: float = 1000.0  # drawn anew in [election, 2 election) each time
--- a/cressrock/consensus/raft/state.py
+++ b/cressrock/consensus/raft/state.py
@@ -1,4 +1,4 @@
-"""The state that every replica has, whatever its role: term, vote, log, clock, outbox, what is not yet on disk."""
+"""The state that every replica has in every role: term, vote, log, clock, outbox, what is not yet stored."""
 
 from __future__ import annotations
 
@@ -125,7 +125,7 @@
         return other
 
     def key(self) -> tuple[object, ...]:
-        """Return all that decides the replica's behaviour when clocks do not, for the model checker's hash."""
+        """Return all that decides its behaviour when clocks do not, for the model checker's hash."""
         return (
             self.generation, self.term, self.voted_for, self.commit, self.applied, self.snapshot,
             tuple(self.log.entries), self.role, self.leader, self.excluded_reason, self.stable_index,
--- a/cressrock/consensus/recover.py
+++ b/cressrock/consensus/recover.py
@@ -1,7 +1,7 @@
-"""The operator's way out when a majority of seats is lost for good: a council of one, made from one store.
+"""Recovery when a majority of replicas is lost for good: a group of one, made from one store.
 
-`python -m cressrock.consensus.recover STORE --cluster ID --seat NAME --i-have-lost-the-majority`.  Without the
-last word nothing is changed and the cost is printed.  See docs/council.md.
+`python -m cressrock.consensus.recover STORE --cluster ID --seat NAME --i-have-lost-the-majority`.  Without
+the last word nothing is changed and the cost is printed.  See docs/council.md.
 """
 
 from __future__ import annotations
@@ -11,14 +11,16 @@
 import time
 from dataclasses import dataclass, replace
 
-from cressrock.consensus import decisions as d
+from cressrock.consensus.decision_state import DecisionState
+from cressrock.consensus.decisions import SetVersionBase, encode
+from cressrock.consensus.raft.log import RaftLog
 from cressrock.consensus.raft.messages import LogEntry
-from cressrock.consensus.raft.persistent_state import force_single_voter
+from cressrock.consensus.raft.persistent_state import StoredState, force_single_voter
 from cressrock.consensus.store import ReplicaStore
 from cressrock.errors import CressrockError
 from cressrock.errors.consensus import ForeignStoreError
 
-SPARE = 1_000_000  # numbers left free at least, where the wall clock was set back
+SPARE_VERSIONS = 1_000_000  # left free at least, where the wall clock was set back
 
 COST = """\
 What this may cost:
@@ -31,11 +33,11 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Found:
-    """What a store holds: identity, seats, last entry, what it knows as committed, its generation."""
+class StoreContent:
+    """What a store holds: identity, voters, last entry, what it knows as committed, its generation."""
 
     identity: str
-    seats: tuple[str, ...]
+    voters: tuple[str, ...]
     last_term: int
     last_index: int
     commit: int
@@ -43,53 +45,52 @@
     topics: int
 
 
-def recover(path: str, cluster: str, seat: str, wall_ms: float, *, force: bool) -> Found:
-    """Return what a store holds, and with `force` make a council of one out of it.
+def recover(path: str, cluster: str, replica: str, wall_ms: float, *, force: bool) -> StoreContent:
+    """Return what a store holds, and with `force` make a group of one out of it.
 
-    Raises the store's errors (StoreBusy while its seat runs), StoreForeign for a seat without a council.
+    Raises the store's errors (StoreLockedError while its replica runs), ForeignStoreError for a replica
+    without a group.
     """
-    store = ReplicaStore(path, cluster=cluster, replica=seat, must_exist=True)
+    store = ReplicaStore(path, cluster=cluster, replica=replica, must_exist=True)
     try:
         header, stored = store.header, store.load()
         if not header.initial_replicas:
             raise ForeignStoreError(f"{path} has no council: its seat was never part of one")
-        state = d.DecisionState()
-        seats: tuple[str, ...] = ()
-        if stored.snapshot is not None:
-            state = d.DecisionState.restore(stored.snapshot.data, stored.snapshot.index)
-        for entry in stored.entries:
-            state.apply(entry.index, entry.data if entry.kind == "command" else b"")
-        alone = force_single_voter(stored, header.identity)
-        last = alone.entries[-1]
-        ended = stored.entries[-1] if stored.entries else stored.snapshot
-        seats = seats_of(stored.snapshot.voters if stored.snapshot else (), stored.entries)
+        decisions = _replay(stored)
         if force:
-            # Right behind the change of seats: nothing is decided before it, every number after it is new.
-            number = max(int(wall_ms), state.version + SPARE)
-            data = d.encode(d.SetVersionBase(number, None, stored.hard_state.commit))
-            ground = LogEntry(last.term, last.index + 1, "command", data)
-            store.save_header(header, replace(alone, entries=(*alone.entries, ground)))
-        return Found(
-            header.identity,
-            seats,
-            ended.term if ended else 0,
-            ended.index if ended else 0,
-            stored.hard_state.commit,
-            stored.hard_state.generation,
-            len(state.all_decisions()),
+            version_base = max(int(wall_ms), decisions.version + SPARE_VERSIONS)
+            store.save_header(header, _single_voter_state(stored, header.identity, version_base))
+        log = RaftLog(stored.snapshot, stored.entries)
+        return StoreContent(
+            identity=header.identity,
+            voters=log.voters,
+            last_term=log.last_term,
+            last_index=log.last_index,
+            commit=stored.hard_state.commit,
+            generation=stored.hard_state.generation,
+            topics=len(decisions.all_decisions()),
         )
     finally:
         store.close()
 
 
-def seats_of(seats: tuple[str, ...], entries: tuple[LogEntry, ...]) -> tuple[str, ...]:
-    """Return the seats after these entries."""
-    from cressrock.consensus.raft.messages import decode_voters
+def _replay(stored: StoredState) -> DecisionState:
+    """Return the decisions after all stored entries, committed or not."""
+    decisions = DecisionState()
+    if stored.snapshot is not None:
+        decisions = DecisionState.restore(stored.snapshot.data, stored.snapshot.index)
+    for entry in stored.entries:
+        decisions.apply(entry.index, entry.data if entry.kind == "command" else b"")
+    return decisions
 
-    for entry in entries:
-        if entry.kind == "seats":
-            seats = decode_voters(entry.data)
-    return seats
+
+def _single_voter_state(stored: StoredState, identity: str, version_base: int) -> StoredState:
+    single = force_single_voter(stored, identity)
+    last = single.entries[-1]
+    # Right behind the change of voters: nothing is decided before it, every version after it is new.
+    command = SetVersionBase(version_base, None, stored.hard_state.commit)
+    entry = LogEntry(last.term, last.index + 1, "command", encode(command))
+    return replace(single, entries=(*single.entries, entry))
 
 
 def main(arguments: list[str] | None = None) -> int:
@@ -99,20 +100,25 @@
     parser.add_argument("--cluster", required=True)
     parser.add_argument("--seat", required=True)
     parser.add_argument("--i-have-lost-the-majority", action="store_true", dest="force")
-    given = parser.parse_args(arguments)
+    options = parser.parse_args(arguments)
     try:
-        found = recover(given.store, given.cluster, given.seat, time.time() * 1000, force=given.force)
-    except CressrockError as wrong:
-        print(wrong, file=sys.stderr)
+        content = recover(
+            options.store, options.cluster, options.seat, time.time() * 1000, force=options.force
+        )
+    except CressrockError as error:
+        print(error, file=sys.stderr)
         return 1
-    print(f"{found.identity}: generation {found.generation}, seats {', '.join(found.seats)}")
-    print(f"last entry: term {found.last_term}, index {found.last_index}; committed for sure: {found.commit}")
-    print(f"topics that stand: {found.topics}")
+    print(f"{content.identity}: generation {content.generation}, seats {', '.join(content.voters)}")
+    print(
+        f"last entry: term {content.last_term}, index {content.last_index};"
+        f" committed for sure: {content.commit}"
+    )
+    print(f"topics that stand: {content.topics}")
     print(COST)
-    if not given.force:
+    if not options.force:
         print("Nothing was changed: say --i-have-lost-the-majority to do it.")
         return 2
-    print(f"Done: {found.identity} is now the only seat, in generation {found.generation + 1}.")
+    print(f"Done: {content.identity} is now the only seat, in generation {content.generation + 1}.")
     return 0
 
 
--- a/cressrock/consensus/transport.py
+++ b/cressrock/consensus/transport.py
@@ -1,83 +1,65 @@
-"""The council's connections: an open one, and a line that is dialled again for as long as it lives."""
+"""Connections over streams, and those to replicas that are dialled again whenever they end."""
 
 from __future__ import annotations
 
-import os
-import random
-from collections.abc import Awaitable, Callable
-from dataclasses import dataclass
-from typing import Any
+from collections.abc import Callable
+from dataclasses import dataclass, field
 
 import anyio
-import anyio.to_thread
 
-from cressrock.consensus import wire as w
+from cressrock.consensus.connection_protocol import (
+    Closed,
+    ConnectionLimits,
+    ConnectionProtocol,
+    ConnectionState,
+    Event,
+    LocalEndpoint,
+    Opened,
+)
+from cressrock.consensus.environment import Environment
+from cressrock.consensus.frames import Operation, RaftFrame, Reply, Request, Response
 from cressrock.http.channel import BROKEN, Stream
 
-
-async def run_in_thread(work: Callable[[], None]) -> None:
-    """Do blocking work in a thread and wait for it, also when cancelled: a write is done or has failed."""
-    await anyio.to_thread.run_sync(work)
-
-
-async def run_inline(work: Callable[[], None]) -> None:
-    """Do blocking work at once: for simulated time, in which a thread's real time must not pass."""
-    work()
-
-
-@dataclass(frozen=True, slots=True)
-class Environment:
-    """What a carrier takes from outside: clocks (ms), dialling, threads, chance; `draw` for a store."""
-
-    clock: Callable[[], float]
-    wall_ms: Callable[[], float]
-    connect: Callable[[str, int], Awaitable[Stream]]
-    random_source: random.Random
-    log: Any = None
-    run_blocking: Callable[[Callable[[], None]], Awaitable[None]] = run_in_thread
-    random_bytes: Callable[[int], bytes] = os.urandom
-
-    def log_event(self, event: str, **fields: object) -> None:
-        """Log one line."""
-        if self.log is not None:
-            self.log.info(event, **fields)
+READ_BYTES = 65536
+CLOSE_SECONDS = 1.0  # that the closing of a stream may take
+WAKE_MARGIN_SECONDS = 1e-6  # so that a deadline is past when its sleeper wakes
 
 
 @dataclass(frozen=True, slots=True)
 class ReconnectBackoff:
-    """Waits between attempts, in ms: doubled from `least` to `most`, each drawn from its half up."""
+    """Waits between attempts, in ms: doubled from `min_ms` to `max_ms`, each drawn from its upper half."""
 
     min_ms: float = 50.0
     max_ms: float = 1000.0
-    connect_ms: float = 1000.0  # an attempt that hangs longer is given up
+    connect_ms: float = 1000.0  # an attempt that takes longer is given up
 
 
 class Connection:
-    """Carries one Talk over one stream until either ends."""
+    """Carries one ConnectionProtocol over one stream until either ends."""
 
     def __init__(
-        self, talk: w.Talk, stream: Stream, clock: Callable[[], float], told: Callable[[w.Event], None]
+        self,
+        protocol: ConnectionProtocol,
+        stream: Stream,
+        clock: Callable[[], float],
+        on_event: Callable[[Event], None],
     ) -> None:
-        """`told` takes each event, the Closed as the last one."""
-        self.talk, self.stream, self.clock, self.on_event = talk, stream, clock, told
-        self._news = anyio.Event()
+        """`on_event` takes each event, the Closed as the last one."""
+        self.protocol, self.stream, self.clock, self.on_event = protocol, stream, clock, on_event
+        self._wakeup = anyio.Event()
 
-    def wake(self) -> None:
-        """Say that there is something to write."""
-        self._news.set()
-
-    def send(self, message: w.Raft | w.Ask | w.Answer) -> bool:
+    def send(self, message: RaftFrame | Request | Response) -> bool:
         """Queue a message and write it soon; False where it was lost."""
-        sent = self.talk.send(message)
-        self._news.set()
+        sent = self.protocol.send(message)
+        self._wakeup.set()
         return sent
 
     def close(self, code: str, reason: str) -> None:
         """End it from this side with a reason."""
-        self._tell(self.talk.close(code, reason))
-        self._news.set()
+        self._emit(self.protocol.close(code, reason))
+        self._wakeup.set()
 
-    def _tell(self, events: list[w.Event]) -> None:
+    def _emit(self, events: list[Event]) -> None:
         for event in events:
             self.on_event(event)
 
@@ -86,152 +68,172 @@
         try:
             async with anyio.create_task_group() as tasks:
                 tasks.start_soon(self._read, tasks.cancel_scope)
-                while True:
-                    self._tell(self.talk.tick(self.clock()))
-                    self._news = anyio.Event()
-                    if data := self.talk.take_bytes():
-                        # A peer that takes nothing must not keep its connection for ever.
-                        with anyio.fail_after(self.talk.bounds.silent_ms / 1000):
-                            await self.stream.send(data)
-                    if self.talk.state is w.State.CLOSED:
-                        break
-                    with anyio.move_on_at(self.talk.next_due() / 1000 + 1e-6):
-                        await self._news.wait()
+                await self._write()
                 tasks.cancel_scope.cancel()
         except (*BROKEN, TimeoutError):
-            pass
+            pass  # the connection ended, which the Closed event says
         except BaseExceptionGroup as group:
             rest = group.split(lambda error: isinstance(error, (*BROKEN, TimeoutError)))[1]
             if rest is not None:
                 raise rest from None
         finally:
-            self._tell(self.talk.receive_end())
-            with anyio.CancelScope(shield=True), anyio.move_on_after(1):
+            self._emit(self.protocol.receive_end())
+            with anyio.CancelScope(shield=True), anyio.move_on_after(CLOSE_SECONDS):
                 await self.stream.aclose()
 
+    async def _write(self) -> None:
+        protocol = self.protocol
+        while True:
+            self._emit(protocol.tick(self.clock()))
+            self._wakeup = anyio.Event()
+            if data := protocol.take_bytes():
+                # A peer that reads nothing must not keep its connection for ever.
+                with anyio.fail_after(protocol.limits.silent_ms / 1000):
+                    await self.stream.send(data)
+            if protocol.state is ConnectionState.CLOSED:
+                return
+            with anyio.move_on_at(protocol.next_deadline_ms() / 1000 + WAKE_MARGIN_SECONDS):
+                await self._wakeup.wait()
+
     async def _read(self, scope: anyio.CancelScope) -> None:
+        protocol = self.protocol
         try:
-            while self.talk.state is not w.State.CLOSED:
-                self._tell(self.talk.receive_data(await self.stream.receive(65536), self.clock()))
-                self._news.set()
+            while protocol.state is not ConnectionState.CLOSED:
+                self._emit(protocol.receive_data(await self.stream.receive(READ_BYTES), self.clock()))
+                self._wakeup.set()
         except BROKEN:
-            self._tell(self.talk.receive_end())
+            self._emit(protocol.receive_end())
             scope.cancel()
 
 
+@dataclass(slots=True)
+class _PendingResponse:
+    done: anyio.Event = field(default_factory=anyio.Event)
+    reply: Reply | None = None
+
+
 class PeerConnection:
-    """A connection to one seat that is dialled again whenever it ends."""
+    """A connection to one replica that is dialled again whenever it ends."""
 
     def __init__(
         self,
-        world: Environment,
+        environment: Environment,
         name: str,
         address: str,
-        me: Callable[[], w.Me],
+        local: Callable[[], LocalEndpoint],
         *,
-        bounds: w.Bounds,
-        redial: ReconnectBackoff,
-        opened: Callable[[], None] = lambda: None,
+        limits: ConnectionLimits,
+        reconnect: ReconnectBackoff,
+        on_open: Callable[[], None] = lambda: None,
     ) -> None:
-        """`me` says who greets, `opened` is called when it stands."""
-        self.world, self.name, self.address, self.me = world, name, address, me
-        self.bounds, self.redial, self._opened = bounds, redial, opened
-        self.peer: w.Opened | None = None  # who is at the other end, while it stands
-        self.parted: w.Closed | None = None  # why it ended last
-        self.lost = 0
+        """`local` says who greets."""
+        self.environment, self.name, self.address, self.local = environment, name, address, local
+        self.limits, self.reconnect, self._on_open = limits, reconnect, on_open
+        self.peer: Opened | None = None  # who is at the other end, while it is open
+        self.last_closed: Closed | None = None
+        self.dropped_messages = 0
         self._connection: Connection | None = None
-        self._stands = anyio.Event()
-        self._asked: dict[int, tuple[anyio.Event, list[w.Reply]]] = {}
-        self._number = 0
+        self._opened = anyio.Event()
+        self._pending: dict[int, _PendingResponse] = {}
+        self._last_number = 0
 
     async def run(self) -> None:
-        """Keep the line up until cancelled."""
-        host, _, port = self.address.rpartition(":")
-        wait = self.redial.min_ms
+        """Keep the connection up until cancelled."""
+        wait_ms = self.reconnect.min_ms
         while True:
-            stream = None
-            try:
-                with anyio.move_on_after(self.redial.connect_ms / 1000):
-                    stream = await self.world.connect(host, int(port))
-            except BROKEN:
-                pass
-            if stream is not None:
-                talk = w.Talk(True, self.me(), self.world.clock(), bounds=self.bounds)
-                self._connection = Connection(talk, stream, self.world.clock, self._told)
-                try:
-                    await self._connection.run()
-                finally:
-                    self._end()
-                if talk.peer:
-                    wait = self.redial.min_ms
-            await anyio.sleep(wait * self.world.random_source.uniform(0.5, 1) / 1000)
-            wait = min(wait * 2, self.redial.max_ms)
-
-    def heard_ms(self) -> float | None:
-        """Return when the other end was heard last on our clock, None while the line does not stand."""
-        return self._connection.talk.heard if self._connection and self.peer else None
+            stream = await self._dial()
+            if stream is not None and await self._serve(stream):
+                wait_ms = self.reconnect.min_ms
+            await anyio.sleep(wait_ms * self.environment.random_source.uniform(0.5, 1) / 1000)
+            wait_ms = min(wait_ms * 2, self.reconnect.max_ms)
+
+    async def _dial(self) -> Stream | None:
+        host, _, port = self.address.rpartition(":")
+        try:
+            with anyio.move_on_after(self.reconnect.connect_ms / 1000):
+                return await self.environment.connect(host, int(port))
+        except BROKEN:
+            pass  # it is dialled again after a wait
+        return None
+
+    async def _serve(self, stream: Stream) -> bool:
+        """Serve a stream to its end; return whether the peer had greeted."""
+        environment = self.environment
+        protocol = ConnectionProtocol(True, self.local(), environment.clock(), limits=self.limits)
+        self._connection = Connection(protocol, stream, environment.clock, self._on_event)
+        try:
+            await self._connection.run()
+        finally:
+            self._end()
+        return bool(protocol.peer)
+
+    def heard_at_ms(self) -> float | None:
+        """Return when the other end was heard last on our clock, None while nothing is open."""
+        return self._connection.protocol.heard_at_ms if self._connection and self.peer else None
 
     @property
-    def applied(self) -> int:
-        """The newest index that the other end said it has applied; 0 while the line does not stand."""
-        return self._connection.talk.applied if self._connection else 0
+    def peer_applied(self) -> int:
+        """The newest index that the other end said it has applied; 0 without a connection."""
+        return self._connection.protocol.peer_applied if self._connection else 0
 
     def _end(self) -> None:
         self._connection = None
-        self._fell()
-        asked, self._asked = self._asked, {}
-        for event, _ in asked.values():
-            event.set()
+        self._mark_closed()
+        pending, self._pending = self._pending, {}
+        for response in pending.values():
+            response.done.set()
 
-    def _fell(self) -> None:
+    def _mark_closed(self) -> None:
         self.peer = None
-        if self._stands.is_set():  # an event that tasks still wait for must stay the one that is set
-            self._stands = anyio.Event()
+        if self._opened.is_set():  # an event that tasks still wait for must stay the one that is set
+            self._opened = anyio.Event()
 
-    def _told(self, event: w.Event) -> None:
+    def _on_event(self, event: Event) -> None:
         match event:
-            case w.Opened():
+            case Opened():
                 self.peer = event
-                self._stands.set()
-                self._opened()
-            case w.Closed(code, reason):
-                if code != "ended" and (self.parted is None or self.parted.code != code):
-                    self.world.log_event("council.line.parted", seat=self.name, code=code, reason=reason)
-                self.parted = event
-                self._fell()
-            case w.Answer(number, reply):
-                if (waiting := self._asked.pop(number, None)) is not None:
-                    waiting[1].append(reply)
-                    waiting[0].set()
-
-    def send(self, message: w.Raft) -> None:
-        """Send a seat's message, or lose it."""
+                self._opened.set()
+                self._on_open()
+            case Closed(code, reason):
+                if code != "ended" and (self.last_closed is None or self.last_closed.code != code):
+                    self.environment.log_event(
+                        "consensus.peer_connection_closed", replica=self.name, code=code, reason=reason
+                    )
+                self.last_closed = event
+                self._mark_closed()
+            case Response(number, reply):
+                if (response := self._pending.pop(number, None)) is not None:
+                    response.reply = reply
+                    response.done.set()
+
+    def send(self, message: RaftFrame) -> None:
+        """Send a replica's message, or lose it."""
         if self._connection is None or not self._connection.send(message):
-            self.lost += 1
+            self.dropped_messages += 1
 
     def close(self, code: str, reason: str) -> None:
         """End the present connection; it is dialled anew."""
         if self._connection is not None:
             self._connection.close(code, reason)
 
-    async def stands(self, until_ms: float) -> w.Opened | None:
-        """Wait for the line to stand; None where it does not in time."""
-        with anyio.move_on_at(until_ms / 1000):
+    async def wait_open(self, deadline_ms: float) -> Opened | None:
+        """Wait for the connection to be open; None where it is not in time."""
+        with anyio.move_on_at(deadline_ms / 1000):
             while self.peer is None:
-                await self._stands.wait()
+                await self._opened.wait()
         return self.peer
 
-    async def ask(self, question: w.Question, *, forward: bool, until_ms: float) -> w.Reply | None:
-        """Ask and wait; None where no answer came: what was asked may or may not have been done."""
+    async def ask(self, operation: Operation, *, forward: bool, deadline_ms: float) -> Reply | None:
+        """Send a request and wait; None where no reply came: the operation may or may not have been done."""
         if self._connection is None or self.peer is None:
             return None
-        self._number += 1
-        number, event, replies = self._number, anyio.Event(), list[w.Reply]()
-        self._asked[number] = (event, replies)
+        self._last_number += 1
+        number, response = self._last_number, _PendingResponse()
+        self._pending[number] = response
         try:
-            if self._connection.send(w.Ask(number, question, forward)):
-                with anyio.move_on_at(until_ms / 1000):
-                    await event.wait()
+            if self._connection.send(Request(number, operation, forward)):
+                with anyio.move_on_at(deadline_ms / 1000):
+                    await response.done.wait()
         finally:
-            self._asked.pop(number, None)
-        return replies[0] if replies else None
+            self._pending.pop(number, None)
+        return response.reply
--- a/cressrock/lab/localcost_state.py
+++ b/cressrock/lab/localcost_state.py
@@ -13,6 +13,8 @@
 
 from cressrock.consensus import decisions as d
 from cressrock.consensus.decision_gossip import DecisionPublisher, DecisionSubscriber
+from cressrock.consensus.decision_reader import DecisionReader
+from cressrock.consensus.decision_state import DecisionState
 from cressrock.consensus.raft.log import RaftLog
 from cressrock.consensus.raft.messages import LogEntry
 from cressrock.consensus.raft.persistent_state import HardState, Snapshot
@@ -178,9 +180,9 @@
     )
 
 
-def _decrees(n: int) -> d.DecisionState:
+def _decrees(n: int) -> DecisionState:
     """Return a seat's state with n sets of copies decided; bounds are put aside."""
-    state = d.DecisionState()
+    state = DecisionState()
     limits = d.DecisionLimits(max_topics=MOST, max_total_bytes=1 << 26)
     state.apply(1, d.encode(d.SetVersionBase(FOUNDED_MS, limits)))
     for index in range(n):
@@ -215,10 +217,10 @@
     return sum(len(change.key) + len(change.value or b"") for change in changes)
 
 
-def _reader(n: int) -> tuple[d.DecisionReader, DecisionSubscriber, DecisionPublisher, tuple[d.Decision, ...]]:
+def _reader(n: int) -> tuple[DecisionReader, DecisionSubscriber, DecisionPublisher, tuple[d.Decision, ...]]:
     standing = _decrees(n).all_decisions()
     reader, taker, teller = (
-        d.DecisionReader(max_topics=MOST),
+        DecisionReader(max_topics=MOST),
         DecisionSubscriber(MOST),
         DecisionPublisher(1024),
     )
--- a/cressrock/lab/rolloutsim.py
+++ b/cressrock/lab/rolloutsim.py
@@ -19,6 +19,7 @@
 import numpy as np
 
 from cressrock.consensus import decisions as d
+from cressrock.consensus.decision_reader import DecisionReader
 from cressrock.rollout import evidence as e
 from cressrock.rollout import lifecycle as s
 from cressrock.rollout import verdict as v
@@ -291,7 +292,7 @@
     draw = random.Random(seed)
     state = s.start_rollout(None, b"bad")
     plan = s.RolloutPlan(stages=[s.Stage()])
-    readers = [d.DecisionReader() for _ in range(processes)]
+    readers = [DecisionReader() for _ in range(processes)]
     sure = [s.ReadLease() for _ in range(processes)]
     drift = [draw.uniform(0.999, 1.001) for _ in range(processes)]
     halt_at = draw.uniform(8000, 20000)
--- a/cressrock/lab/seat.py
+++ b/cressrock/lab/seat.py
@@ -17,8 +17,10 @@
 
 from cressrock import net
 from cressrock.consensus import decisions as d
+from cressrock.consensus.environment import Environment
 from cressrock.consensus.raft.settings import RaftSettings
-from cressrock.consensus.replica import ConsensusReplica, Environment, ReplicaSettings
+from cressrock.consensus.replica import ConsensusReplica
+from cressrock.consensus.settings import ReplicaSettings
 
 
 def say(line: dict[str, Any]) -> None:
--- a/cressrock/rollout/service.py
+++ b/cressrock/rollout/service.py
@@ -18,7 +18,8 @@
 
 from cressrock.aggregation.channel import EvidenceChannel
 from cressrock.consensus import decisions as d
-from cressrock.consensus.client import ConsensusClient, DecisionCache
+from cressrock.consensus.client import ConsensusClient
+from cressrock.consensus.decision_cache import DecisionCache
 from cressrock.errors import CressrockError
 from cressrock.errors.consensus import ConsensusError
 from cressrock.errors.rollout import InvalidRulesError, RolloutError, RolloutNotFoundError
--- a/cressrock/runtime.py
+++ b/cressrock/runtime.py
@@ -18,23 +18,20 @@
 from cressrock.aggregation import messages
 from cressrock.aggregation.channel import EvidenceChannel
 from cressrock.consensus import decisions as d
+from cressrock.consensus.client import ConsensusClient
+from cressrock.consensus.decision_cache import DecisionCache
 from cressrock.consensus.decision_gossip import (
     DECISION_PREFIX,
     RENEWAL_PREFIX,
     DecisionPublisher,
     DecisionSubscriber,
 )
+from cressrock.consensus.environment import Environment as CouncilWorld
+from cressrock.consensus.environment import run_in_thread, run_inline
 from cressrock.consensus.raft.settings import RaftSettings
 from cressrock.consensus.raft.state import Role
-from cressrock.consensus.replica import (
-    ConsensusClient,
-    ConsensusReplica,
-    DecisionCache,
-    ReplicaSettings,
-    run_in_thread,
-    run_inline,
-)
-from cressrock.consensus.transport import Environment as CouncilWorld
+from cressrock.consensus.replica import ConsensusReplica
+from cressrock.consensus.settings import ReplicaSettings
 from cressrock.errors import CressrockError
 from cressrock.errors.consensus import InvalidDecisionError, NoQuorumError
 from cressrock.gossip.anti_entropy import AntiEntropySettings
--- a/tests/compatibility/consensus_cases.py
+++ b/tests/compatibility/consensus_cases.py
@@ -7,8 +7,30 @@
 from pathlib import Path
 from typing import Any
 
-from cressrock.consensus import decision_gossip, decisions, wire
-from cressrock.consensus.client import DecisionCache
+from cressrock.consensus import decision_gossip, decisions
+from cressrock.consensus.decision_cache import DecisionCache
+from cressrock.consensus.decision_reader import DecisionReader
+from cressrock.consensus.decision_state import DecisionState
+from cressrock.consensus.frames import (
+    AddReplica,
+    CloseNotice,
+    CurrentDecision,
+    Frame,
+    GetStatus,
+    Hello,
+    NotLeader,
+    Ping,
+    Pong,
+    RaftFrame,
+    ReadDecision,
+    RemoveReplica,
+    Request,
+    Response,
+    RetryLater,
+    TransferLeadership,
+    Welcome,
+    encode_status,
+)
 from cressrock.consensus.raft import messages
 from cressrock.consensus.raft.messages import LogEntry
 from cressrock.consensus.raft.persistent_state import HardState, Snapshot
@@ -104,38 +126,38 @@
     }
 
 
-def frames() -> dict[str, wire.Frame]:
+def frame_examples() -> dict[str, Frame]:
     """Return the frames of a connection, every type, with and without their optional fields."""
     whole = decision_examples()["whole"]
     founders = (SENDER, RECEIVER, "c#00000000000000c3")
-    found: dict[str, wire.Frame] = {
-        "hello": wire.Hello((1, 2), CLUSTER, SENDER, True, "0123456789abcdef", founders),
-        "hello client": wire.Hello((1,), CLUSTER, "edge-1"),
-        "welcome": wire.Welcome(1, RECEIVER, "0123456789abcdef", founders, 99),
-        "welcome bare": wire.Welcome(1, RECEIVER),
-        "parting": wire.Parting("council-version", "no common version: [1] here, [2] there"),
-        "ping": wire.Ping(2**63 - 1),
-        "pong": wire.Pong(3, 77),
-        "pong bare": wire.Pong(3),
-        "raft": wire.Raft(b"\x00\x01\xff"),
-        "ask read": wire.Ask(1, wire.Read("zone/a"), True),
-        "ask status": wire.Ask(2, wire.Status()),
-        "ask join": wire.Ask(3, wire.Join(SENDER)),
-        "ask remove": wire.Ask(4, wire.Remove("a")),
-        "ask transfer": wire.Ask(5, wire.Transfer("b")),
-        "answer stands": wire.Answer(1, wire.Stands(whole), 40),
-        "answer nothing stands": wire.Answer(1, wire.Stands(None)),
-        "answer clash": wire.Answer(1, decisions.VersionConflict(0), 40),
-        "answer refused": wire.Answer(1, decisions.Rejected("too-large"), 40),
-        "answer elsewhere": wire.Answer(1, wire.Elsewhere("b"), 40),
-        "answer elsewhere bare": wire.Answer(1, wire.Elsewhere()),
-        "answer later": wire.Answer(1, wire.Later("being taken in")),
-        "answer told": wire.Answer(1, wire.told({"name": "a", "term": 3, "heard_ms_ago": {"b": None}}), 40),
-        "answer done": wire.Answer(1, decisions.Done(1_800_000_000_124), 40),
+    found: dict[str, Frame] = {
+        "hello": Hello((1, 2), CLUSTER, SENDER, True, "0123456789abcdef", founders),
+        "hello client": Hello((1,), CLUSTER, "edge-1"),
+        "welcome": Welcome(1, RECEIVER, "0123456789abcdef", founders, 99),
+        "welcome bare": Welcome(1, RECEIVER),
+        "parting": CloseNotice("council-version", "no common version: [1] here, [2] there"),
+        "ping": Ping(2**63 - 1),
+        "pong": Pong(3, 77),
+        "pong bare": Pong(3),
+        "raft": RaftFrame(b"\x00\x01\xff"),
+        "ask read": Request(1, ReadDecision("zone/a"), True),
+        "ask status": Request(2, GetStatus()),
+        "ask join": Request(3, AddReplica(SENDER)),
+        "ask remove": Request(4, RemoveReplica("a")),
+        "ask transfer": Request(5, TransferLeadership("b")),
+        "answer stands": Response(1, CurrentDecision(whole), 40),
+        "answer nothing stands": Response(1, CurrentDecision(None)),
+        "answer clash": Response(1, decisions.VersionConflict(0), 40),
+        "answer refused": Response(1, decisions.Rejected("too-large"), 40),
+        "answer elsewhere": Response(1, NotLeader("b"), 40),
+        "answer elsewhere bare": Response(1, NotLeader()),
+        "answer later": Response(1, RetryLater("being taken in")),
+        "answer told": Response(1, encode_status({"name": "a", "term": 3, "heard_ms_ago": {"b": None}}), 40),
+        "answer done": Response(1, decisions.Done(1_800_000_000_124), 40),
     }
     for name, command in commands().items():
         if not isinstance(command, decisions.SetVersionBase):
-            found[f"ask {name}"] = wire.Ask(9, command, name == "drop")
+            found[f"ask {name}"] = Request(9, command, name == "drop")
     return found
 
 
@@ -164,9 +186,9 @@
     ]
 
 
-def snapshot() -> decisions.DecisionState:
+def snapshot() -> DecisionState:
     """Return a state with decisions and requests of every outcome."""
-    state = decisions.DecisionState()
+    state = DecisionState()
     state.apply(1, b"")
     log: list[decisions.Command] = [
         decisions.SetVersionBase(1_800_000_000_000, decisions.DecisionLimits(3, 20, 200, 6)),
@@ -182,9 +204,9 @@
     return state
 
 
-def reader() -> decisions.DecisionReader:
+def reader() -> DecisionReader:
     """Return a reader that has seen a few decisions."""
-    made = decisions.DecisionReader(max_topics=2)
+    made = DecisionReader(max_topics=2)
     for at, (topic, number, beat) in enumerate(
         [("a", 10, 0), ("b", 11, 5 << 32), ("a", 10, 6 << 32), ("c", 12, 0)]
     ):
--- a/tests/compatibility/consensus_streams.py
+++ b/tests/compatibility/consensus_streams.py
@@ -9,7 +9,31 @@
 
 import msgspec
 
-from cressrock.consensus import decision_gossip, decisions, wire
+from cressrock.consensus import decision_gossip, decisions, frames
+from cressrock.consensus.connection_protocol import (
+    Closed,
+    ConnectionLimits,
+    ConnectionProtocol,
+    ConnectionState,
+    Event,
+    LocalEndpoint,
+    Opened,
+)
+from cressrock.consensus.decision_reader import DecisionReader
+from cressrock.consensus.decision_state import DecisionState
+from cressrock.consensus.frames import (
+    CloseNotice,
+    Hello,
+    Ping,
+    Pong,
+    RaftFrame,
+    ReadDecision,
+    Request,
+    Response,
+    RetryLater,
+    Welcome,
+)
+from cressrock.consensus.lease_renewals import LeaseRenewals
 from cressrock.consensus.raft import messages
 from cressrock.consensus.raft.messages import LogEntry
 from cressrock.consensus.raft.node import RaftNode
@@ -486,7 +510,7 @@
     return decree and decisions.encode(decree)
 
 
-def draw_command(chance: random.Random, state: decisions.DecisionState) -> decisions.Command | None:
+def draw_command(chance: random.Random, state: DecisionState) -> decisions.Command | None:
     topic = f"topic/{chance.randint(0, 8)}"
     request = f"r{max(0, state.applied + chance.choice([0, 0, 0, 0, -1, -2, -9]))}"
     asked_at = max(0, state.applied - chance.choice([0, 0, 1, 3, 12]))
@@ -515,7 +539,7 @@
     """Return the digest of one log applied to the state machine, with snapshots taken and restored."""
     chance = random.Random(seed)
     digest = Digest()
-    state = decisions.DecisionState(chance.choice([None, decisions.DecisionLimits(4, 40, 120, 6)]))
+    state = DecisionState(chance.choice([None, decisions.DecisionLimits(4, 40, 120, 6)]))
     for _ in range(250):
         command = draw_command(chance, state)
         index = state.applied + (2 if chance.random() < 0.01 else 1)
@@ -537,9 +561,9 @@
         if chance.random() < 0.1:
             kept = state.snapshot()
             digest.add([kept, [plain_decision(decree) for decree in state.all_decisions()]])
-            state = decisions.DecisionState.restore(kept, state.applied)
-    digest.add(attempt(lambda: decisions.DecisionState.restore(b"\x07bad")))
-    digest.add([decisions.DecisionState.restore(b"", 7).applied, state.snapshot()])
+            state = DecisionState.restore(kept, state.applied)
+    digest.add(attempt(lambda: DecisionState.restore(b"\x07bad")))
+    digest.add([DecisionState.restore(b"", 7).applied, state.snapshot()])
     return digest.hex()
 
 
@@ -561,8 +585,8 @@
     limit = chance.choice([1000, 60])
     tellers = [decision_gossip.DecisionPublisher(limit) for _ in range(3)]
     taker = decision_gossip.DecisionSubscriber(chance.choice([1000, 5]))
-    reader = decisions.DecisionReader(max_topics=chance.choice([1000, 6]))
-    renewals = decisions.LeaseRenewals(chance.choice([2048, 2]))
+    reader = DecisionReader(max_topics=chance.choice([1000, 6]))
+    renewals = LeaseRenewals(chance.choice([2048, 2]))
     standing: dict[str, decisions.Decision] = {}
     entries: list[tuple[str, bytes]] = []
     number, now, term, tokens = 100, 0.0, 1, [0]
@@ -605,13 +629,13 @@
         if chance.random() < 0.03:
             seen = reader.to_bytes()
             digest.add([seen, list(reader.topics())])
-            reader = decisions.DecisionReader(seen, max_topics=reader.max_topics)
-    digest.add(attempt(lambda: decisions.DecisionReader(b"\x01bad").topics()))
-    digest.add(attempt(lambda: decisions.DecisionReader(b"\x05").topics()))
+            reader = DecisionReader(seen, max_topics=reader.max_topics)
+    digest.add(attempt(lambda: DecisionReader(b"\x01bad").topics()))
+    digest.add(attempt(lambda: DecisionReader(b"\x05").topics()))
     return digest.hex()
 
 
-def receive(digest: Digest, reader: decisions.DecisionReader, answer: Any, now: float) -> None:
+def receive(digest: Digest, reader: DecisionReader, answer: Any, now: float) -> None:
     """Pass decisions on to the reader; record what was returned at each step."""
     if isinstance(answer, tuple):
         found, wanted = answer
@@ -624,23 +648,23 @@
 # --- connections
 
 
-def plain_event(event: wire.Event) -> list[Any]:
+def plain_event(event: Event) -> list[Any]:
     """Return an event without the words of a reason."""
     match event:
-        case wire.Opened():
+        case Opened():
             return [
                 "opened",
                 event.version,
-                event.who,
-                event.seat,
-                event.council,
-                list(event.founders),
+                event.peer,
+                event.is_replica,
+                event.group,
+                list(event.initial_replicas),
                 event.applied,
             ]
-        case wire.Closed():
-            return ["closed", event.code, event.ours]
+        case Closed():
+            return ["closed", event.code, event.by_us]
         case _:
-            return ["message", wire.encode(event)]
+            return ["message", frames.encode(event)]
 
 
 def plain_bytes(data: bytes) -> list[Any]:
@@ -658,10 +682,10 @@
     """Return the digest of one connection: two ends, bytes in pieces, time, faults of a peer."""
     chance = random.Random(seed)
     digest = Digest()
-    bounds = wire.Bounds(max_frame=chance.choice([1 << 20, 60]), max_queue=chance.choice([4 << 20, 40]))
-    ends: list[wire.Talk] = []
+    limits = ConnectionLimits(max_frame=chance.choice([1 << 20, 60]), max_queue=chance.choice([4 << 20, 40]))
+    ends: list[ConnectionProtocol] = []
     for dials in (True, False):
-        me = wire.Me(
+        me = LocalEndpoint(
             chance.choice(["c", "c", "c", "c", "other"]),
             "a#1" if dials else "b#2",
             not dials or chance.random() < 0.7,
@@ -670,21 +694,21 @@
             5,
         )
         versions = chance.choice([(1,), (1,), (1, 2), (2,)])
-        ends.append(wire.Talk(dials, me, 0.0, bounds=bounds, versions=versions))
+        ends.append(ConnectionProtocol(dials, me, 0.0, limits=limits, versions=versions))
     way = [bytearray(), bytearray()]  # bytes on their way from each end
     now = 0.0
     offered: list[Any] = [
-        wire.Raft(b"data"),
-        wire.Ask(1, wire.Read("t"), True),
-        wire.Answer(1, wire.Later("busy"), 9),
-        wire.Raft(b"x" * 70),
+        RaftFrame(b"data"),
+        Request(1, ReadDecision("t"), True),
+        Response(1, RetryLater("busy"), 9),
+        RaftFrame(b"x" * 70),
     ]
     forged = [
-        wire.Ping(1),
-        wire.Pong(1, 4),
-        wire.Welcome(1, "x"),
-        wire.Hello((1,), "c", "x"),
-        wire.Parting("c", "r"),
+        Ping(1),
+        Pong(1, 4),
+        Welcome(1, "x"),
+        Hello((1,), "c", "x"),
+        CloseNotice("c", "r"),
     ]
     for _ in range(60):
         side = chance.randrange(2)
@@ -712,7 +736,7 @@
             case "forge":
                 message = chance.choice([*forged, *offered])
                 garbage = chance.choice(
-                    [wire.encode(message), wire.encode(message), b"\0\0\0\x02\xc1\xc1", b"\x7f" * 4]
+                    [frames.encode(message), frames.encode(message), b"\0\0\0\x02\xc1\xc1", b"\x7f" * 4]
                 )
                 events = end.receive_data(garbage, now)
             case "close":
@@ -721,14 +745,21 @@
                 events = end.receive_end()
         digest.add([plain_event(event) for event in events])
         digest.add(
-            [end.state is wire.State.OPEN, end.peer, end.peer_seat, end.lost, end.applied, end.next_due()]
+            [
+                end.state is ConnectionState.OPEN,
+                end.peer,
+                end.peer_is_replica,
+                end.dropped_messages,
+                end.peer_applied,
+                end.next_deadline_ms(),
+            ]
         )
     return digest.hex()
 
 
 def allowed(side: int, message: Any, chance: random.Random) -> bool:
     """Whether this end would send such a message, or a rare breach of that."""
-    kind = wire.Answer if side == 0 else wire.Ask
+    kind = Response if side == 0 else Request
     return not isinstance(message, kind) or chance.random() < 0.02
 
 
--- a/tests/compatibility/copies_cases.py
+++ b/tests/compatibility/copies_cases.py
@@ -13,7 +13,7 @@
 import trio.testing
 
 from cressrock.consensus import decisions as d
-from cressrock.consensus.client import DecisionCache
+from cressrock.consensus.decision_cache import DecisionCache
 from cressrock.dispatch.ledger import Verdict
 from cressrock.dispatch.node_client import NoConnectionError
 from cressrock.dispatch.operation import Operation, Reply, Result
--- a/tests/compatibility/record_consensus.py
+++ b/tests/compatibility/record_consensus.py
@@ -9,7 +9,7 @@
 import tempfile
 from pathlib import Path
 
-from cressrock.consensus import decisions, wire
+from cressrock.consensus import decisions, frames
 from cressrock.consensus.raft import messages
 from tests.compatibility import consensus_cases as cases
 from tests.compatibility.canonical import FIXTURES, save
@@ -26,7 +26,7 @@
                 for name, message in cases.seat_messages().items()
             },
             "seats": messages.encode_voters(("a#1", "b#2")).hex(),
-            "frames": {name: wire.encode(frame).hex() for name, frame in cases.frames().items()},
+            "frames": {name: frames.encode(frame).hex() for name, frame in cases.frame_examples().items()},
             "commands": {name: decisions.encode(command).hex() for name, command in cases.commands().items()},
             "decisions": {name: decisions.encode(decree).hex() for name, decree in cases.decisions().items()},
             "told": cases.told_decisions(),
--- a/tests/compatibility/rollout_cases.py
+++ b/tests/compatibility/rollout_cases.py
@@ -17,7 +17,7 @@
 from cressrock.aggregation.collector import MergedSummaries, ReportCollector
 from cressrock.aggregation.sender import AggregationTimings
 from cressrock.consensus import decisions as d
-from cressrock.consensus.client import DecisionCache
+from cressrock.consensus.decision_cache import DecisionCache
 from cressrock.errors import CressrockError
 from cressrock.errors.consensus import DecisionConflictError, NoQuorumError
 from cressrock.errors.rollout import InvalidRulesError
--- a/tests/compatibility/test_consensus.py
+++ b/tests/compatibility/test_consensus.py
@@ -4,8 +4,12 @@
 
 import pytest
 
-from cressrock.consensus import decision_gossip, decisions, recover, wire
-from cressrock.consensus.client import DecisionCache
+from cressrock.consensus import decision_gossip, decisions, frames, recover
+from cressrock.consensus.connection_protocol import Closed, ConnectionProtocol, LocalEndpoint
+from cressrock.consensus.decision_cache import DecisionCache
+from cressrock.consensus.decision_reader import DecisionReader
+from cressrock.consensus.decision_state import DecisionState
+from cressrock.consensus.frames import CloseNotice, Hello, Welcome
 from cressrock.consensus.raft import messages
 from cressrock.consensus.raft.messages import LogEntry
 from cressrock.consensus.raft.persistent_state import HardState
@@ -30,7 +34,7 @@
 
 def test_every_recorded_example_is_still_built():
     assert set(cases.seat_messages()) == set(WIRE["messages"])
-    assert set(cases.frames()) == set(WIRE["frames"])
+    assert set(cases.frame_examples()) == set(WIRE["frames"])
     assert set(cases.commands()) == set(WIRE["commands"])
     assert set(cases.decision_examples()) == set(WIRE["decisions"])
     assert {name: set(map(str, seeds)) for name, (_, seeds) in STREAMS.items()} == {
@@ -60,8 +64,8 @@
 
 @pytest.mark.parametrize("name", WIRE["frames"])
 def test_a_frame_has_its_recorded_bytes(name):
-    frame, recorded = cases.frames()[name], bytes.fromhex(WIRE["frames"][name])
-    assert wire.encode(frame) == recorded
+    frame, recorded = cases.frame_examples()[name], bytes.fromhex(WIRE["frames"][name])
+    assert frames.encode(frame) == recorded
     assert int.from_bytes(recorded[:4], "big") == len(recorded) - 4
     assert decoded(recorded) == frame
 
@@ -69,25 +73,24 @@
 def decoded(recorded):
     """Return the frame that a connection's end makes of the bytes; a greeting is shown by its event."""
     founders = (cases.SENDER, cases.RECEIVER)
-    me = wire.Me(cases.CLUSTER, "x#1", True, "", founders)
-    dialled = wire.Talk(True, me, 0.0)
-    accepting = wire.Talk(False, me, 0.0)
-    decoder = wire._decoder
-    frame = decoder.decode(recorded[4:])
+    me = LocalEndpoint(cases.CLUSTER, "x#1", True, "", founders)
+    dialled = ConnectionProtocol(True, me, 0.0)
+    accepting = ConnectionProtocol(False, me, 0.0)
+    frame = frames.decode_body(recorded[4:])
     match frame:
-        case wire.Hello():
+        case Hello():
             events = accepting.receive_data(recorded, 1.0)
-            assert [(event.who, event.seat, event.council, event.founders) for event in events] == [
-                (frame.who, frame.seat, frame.council, frame.founders)
-            ]
-        case wire.Welcome():
+            assert [
+                (event.peer, event.is_replica, event.group, event.initial_replicas) for event in events
+            ] == [(frame.sender, frame.is_replica, frame.group, frame.initial_replicas)]
+        case Welcome():
             events = dialled.receive_data(recorded, 1.0)
-            assert [(event.version, event.who, event.applied) for event in events] == [
-                (frame.version, frame.who, frame.applied)
+            assert [(event.version, event.peer, event.applied) for event in events] == [
+                (frame.version, frame.sender, frame.applied)
             ]
-        case wire.Parting():
+        case CloseNotice():
             events = accepting.receive_data(recorded, 1.0)
-            assert events == [wire.Closed(frame.code, frame.reason, ours=False)]
+            assert events == [Closed(frame.code, frame.reason, by_us=False)]
     return frame
 
 
@@ -134,14 +137,14 @@
 def test_a_state_snapshot_has_its_recorded_bytes_and_is_restored_from_them():
     recorded = bytes.fromhex(WIRE["state"])
     assert cases.snapshot().snapshot() == recorded
-    assert decisions.DecisionState.restore(recorded).snapshot() == recorded
-    assert decisions.DecisionState.restore(recorded).all_decisions() == cases.snapshot().all_decisions()
+    assert DecisionState.restore(recorded).snapshot() == recorded
+    assert DecisionState.restore(recorded).all_decisions() == cases.snapshot().all_decisions()
 
 
 def test_a_readers_memory_has_its_recorded_bytes_and_is_read_from_them():
     recorded = bytes.fromhex(WIRE["seen"])
     assert cases.reader().to_bytes() == recorded
-    assert decisions.DecisionReader(recorded, max_topics=2).to_bytes() == recorded
+    assert DecisionReader(recorded, max_topics=2).to_bytes() == recorded
 
 
 # --- stored files
--- a/tests/test_council_carrier.py
+++ b/tests/test_council_carrier.py
@@ -8,22 +8,31 @@
 import pytest
 
 from cressrock.consensus import decisions as d
-from cressrock.consensus import wire as w
+from cressrock.consensus import frames
+from cressrock.consensus.client import ClientSettings, ConsensusClient
+from cressrock.consensus.connection_protocol import ConnectionProtocol, LocalEndpoint, Opened
+from cressrock.consensus.decision_cache import DecisionCache
+from cressrock.consensus.decision_reader import DecisionReader
+from cressrock.consensus.environment import Environment, run_inline
+from cressrock.consensus.frames import (
+    AddReplica,
+    CloseNotice,
+    CurrentDecision,
+    Hello,
+    NotLeader,
+    Ping,
+    RaftFrame,
+    ReadDecision,
+    Request,
+    Response,
+    Welcome,
+)
 from cressrock.consensus.raft.settings import RaftSettings
 from cressrock.consensus.raft.state import Role
 from cressrock.consensus.recover import main as recover_main
 from cressrock.consensus.recover import recover
-from cressrock.consensus.replica import (
-    ClientSettings,
-    ConsensusClient,
-    ConsensusReplica,
-    DecisionCache,
-    Environment,
-    ReplicaSettings,
-    check_lease,
-    check_replica_set,
-    run_inline,
-)
+from cressrock.consensus.replica import ConsensusReplica
+from cressrock.consensus.settings import ReplicaSettings, check_lease, check_replica_set
 from cressrock.errors import consensus as e
 from cressrock.lab.day import simulate
 from cressrock.lab.simnet import SimNet
@@ -170,7 +179,7 @@
         council = fleet.client()
         await council.decide("zone/a", b"old", 1500)
         old = fleet.leader()
-        one, two = d.DecisionReader(), d.DecisionReader()  # readers on either side of the cut
+        one, two = DecisionReader(), DecisionReader()  # readers on either side of the cut
         rest = [name for name in NAMES if name != old]
         fleet.sever(old)
         at = fleet.clock()
@@ -263,12 +272,12 @@
         assert (await other.decide("u", b"", 2000)).version > last.version
         # The late repeat of a request, from a process that does not know better, is not applied again.
         stale = fleet.client("stale")
-        stale._applied = 0
+        stale._newest_applied = 0
 
         async def ask(question):
-            line = stale._line(fleet.leader())
-            await line.stands(fleet.clock() + 1000)
-            return await line.ask(question, forward=False, until_ms=fleet.clock() + 1000)
+            line = stale._connection(fleet.leader())
+            await line.wait_open(fleet.clock() + 1000)
+            return await line.ask(question, forward=False, deadline_ms=fleet.clock() + 1000)
 
         reply = await ask(d.Decide("t", b"first", 2000.0, "client", first, 0))
         assert reply == d.Rejected("forgotten")
@@ -436,11 +445,11 @@
 
 
 def pair(**changes):
-    ours = w.Me("c", "p1#1", True, "k", ("p1#1",), 7)
-    theirs = w.Me("c", "p2#2", True, "k", ("p1#1",), 9)
+    ours = LocalEndpoint("c", "p1#1", True, "k", ("p1#1",), 7)
+    theirs = LocalEndpoint("c", "p2#2", True, "k", ("p1#1",), 9)
     return (
-        w.Talk(True, changes.get("ours", ours), 0, **changes.get("dial", {})),
-        w.Talk(False, changes.get("theirs", theirs), 0, **changes.get("take", {})),
+        ConnectionProtocol(True, changes.get("ours", ours), 0, **changes.get("dial", {})),
+        ConnectionProtocol(False, changes.get("theirs", theirs), 0, **changes.get("take", {})),
     )
 
 
@@ -455,15 +464,15 @@
 
 def test_greetings_agree_or_part_with_a_reason_that_both_hear():
     at_two, at_one = talk(*pair())
-    assert at_two == w.Opened(1, "p1#1", True, "k", ("p1#1",), 0)
-    assert at_one == w.Opened(1, "p2#2", True, "k", ("p1#1",), 9)
+    assert at_two == Opened(1, "p1#1", True, "k", ("p1#1",), 0)
+    assert at_one == Opened(1, "p2#2", True, "k", ("p1#1",), 9)
     for changes, code in (
         ({"dial": {"versions": (2, 3)}}, "council-version"),
-        ({"ours": w.Me("other", "p1#1", True)}, "council-cluster"),
-        ({"ours": w.Me("c", "p1#1", True, "another")}, "council-other"),
+        ({"ours": LocalEndpoint("other", "p1#1", True)}, "council-cluster"),
+        ({"ours": LocalEndpoint("c", "p1#1", True, "another")}, "council-other"),
     ):
         ours, theirs = talk(*pair(**changes))
-        assert (ours.code, ours.ours, theirs.code, theirs.ours) == (code, True, code, False)
+        assert (ours.code, ours.by_us, theirs.code, theirs.by_us) == (code, True, code, False)
     one, two = pair(dial={"versions": (3, 2, 1)}, take={"versions": (2, 1)})
     assert [event.version for event in talk(one, two)] == [2, 2]
     one, two = pair(dial={"versions": (2, 1)}, take={"versions": (1,)})
@@ -473,33 +482,42 @@
 def test_a_silent_end_is_parted_with():
     one, two = pair()
     talk(one, two)
-    assert one.next_due() == 300 and two.next_due() == 1200
-    assert one.tick(300) == [] and talk(one, two, 300) == [] and two.next_due() == 1500
+    assert one.next_deadline_ms() == 300 and two.next_deadline_ms() == 1200
+    assert one.tick(300) == [] and talk(one, two, 300) == [] and two.next_deadline_ms() == 1500
     one.tick(600)
     one.take_bytes()  # lost on the way
     assert one.tick(1500)[0].code == two.tick(1500)[0].code == "council-silent"
-    assert one.next_due() == float("inf") and not one.send(w.Raft(b"")) and one.lost == 1
+    assert (
+        one.next_deadline_ms() == float("inf") and not one.send(RaftFrame(b"")) and one.dropped_messages == 1
+    )
 
 
 def test_what_is_no_frame_is_told_and_never_kept():
     for data in (
         b"\xff\xff\xff\xff",
         b"\x00\x00\x00\x01\xc1",
-        w.encode(w.Raft(b"x")),
-        w.encode(w.Welcome(1, "x")),
+        frames.encode(RaftFrame(b"x")),
+        frames.encode(Welcome(1, "x")),
         b"\x00\x00\x40\x00" + b"\x91" * 0x4000,
     ):
         _, two = pair()
         assert two.receive_data(data, 0)[-1].code == "council-frame"
         assert b"council-frame" in two.take_bytes() and two.receive_data(data, 0) == []
-    client, seat = pair(ours=w.Me("c", "client", False))
+    client, seat = pair(ours=LocalEndpoint("c", "client", False))
     talk(client, seat)
-    assert seat.receive_data(w.encode(w.Raft(b"x")), 0)[-1].code == "council-frame"
+    assert seat.receive_data(frames.encode(RaftFrame(b"x")), 0)[-1].code == "council-frame"
     seed = 12
     print("seed", seed)
     source = random.Random(seed)
-    good = [w.encode(w.Hello((1,), "c", "p", True)), w.encode(w.Raft(b"abc")), w.encode(w.Ping(1))]
-    good += [w.encode(w.Ask(1, w.Read("t"))), w.encode(w.Ask(2, d.Decide("t", b"", 1.0, "", "r", 0)))]
+    good = [
+        frames.encode(Hello((1,), "c", "p", True)),
+        frames.encode(RaftFrame(b"abc")),
+        frames.encode(Ping(1)),
+    ]
+    good += [
+        frames.encode(Request(1, ReadDecision("t"))),
+        frames.encode(Request(2, d.Decide("t", b"", 1.0, "", "r", 0))),
+    ]
     for _ in range(2000):
         _, two = pair()
         for _ in range(3):
@@ -507,26 +525,26 @@
             for _ in range(source.randint(0, 2)):
                 data[source.randrange(len(data))] = source.randrange(256)
             two.receive_data(bytes(data), 0)
-        assert len(two._buffer) <= two.bounds.max_frame
+        assert len(two._buffer) <= two.limits.max_frame
 
 
 def test_golden_frames():
     samples = {
-        w.Hello((1,), "c", "p1#1", True, "k", ("p1#1",)): (
+        Hello((1,), "c", "p1#1", True, "k", ("p1#1",)): (
             "0000001997a568656c6c6f9101a163a470312331c3a16b91a470312331"
         ),
-        w.Welcome(1, "p2#2", "k", ("p1#1",), 9): "0000001896a777656c636f6d6501a470322332a16b91a47031233109",
-        w.Parting("council-version", "no"): (
+        Welcome(1, "p2#2", "k", ("p1#1",), 9): "0000001896a777656c636f6d6501a470322332a16b91a47031233109",
+        CloseNotice("council-version", "no"): (
             "0000001c93a770617274696e67af636f756e63696c2d76657273696f6ea26e6f"
         ),
-        w.Raft(b"\x01"): "0000000992a472616674c40101",
-        w.Ask(3, w.Read("t"), True): "0000000f94a361736b0392a472656164a174c3",
-        w.Ask(4, w.Join("p4#1")): "0000001294a361736b0492a46a6f696ea470342331c2",
-        w.Answer(3, w.Stands(d.Decision("t", 5, b"v", 1000.0, "me", 2))): (
+        RaftFrame(b"\x01"): "0000000992a472616674c40101",
+        Request(3, ReadDecision("t"), True): "0000000f94a361736b0392a472656164a174c3",
+        Request(4, AddReplica("p4#1")): "0000001294a361736b0492a46a6f696ea470342331c2",
+        Response(3, CurrentDecision(d.Decision("t", 5, b"v", 1000.0, "me", 2))): (
             "0000002694a6616e737765720392a67374616e647396a17405c40176cb408f400000000000a26d650200"
         ),
-        w.Answer(4, w.Elsewhere("p2")): "0000001894a6616e737765720492a9656c73657768657265a2703200",
-        w.Answer(5, d.VersionConflict(7)): "0000001294a6616e737765720592a5636c6173680700",
+        Response(4, NotLeader("p2")): "0000001894a6616e737765720492a9656c73657768657265a2703200",
+        Response(5, d.VersionConflict(7)): "0000001294a6616e737765720592a5636c6173680700",
     }
     for frame, wanted in samples.items():
-        assert w.encode(frame).hex() == wanted
+        assert frames.encode(frame).hex() == wanted
--- a/tests/test_council_processes.py
+++ b/tests/test_council_processes.py
@@ -18,7 +18,8 @@
 import pytest
 
 from cressrock import net
-from cressrock.consensus.replica import ClientSettings, ConsensusClient, Environment
+from cressrock.consensus.client import ClientSettings, ConsensusClient
+from cressrock.consensus.environment import Environment
 from cressrock.errors import consensus as e
 
 NAMES = ("p1", "p2", "p3")
--- a/tests/test_council_store.py
+++ b/tests/test_council_store.py
@@ -10,9 +10,11 @@
 
 import pytest
 
+from cressrock.consensus.identity import replica_name
 from cressrock.consensus.raft.messages import LogEntry
 from cressrock.consensus.raft.persistent_state import HardState, Snapshot, StoredState
-from cressrock.consensus.store import ReplicaStore, StoredEntry, StoreHeader, replica_name, seal, unseal
+from cressrock.consensus.store import ReplicaStore
+from cressrock.consensus.store_records import StoredEntry, StoreHeader, seal, unseal
 from cressrock.errors import consensus as e
 
 
--- a/tests/test_decrees.py
+++ b/tests/test_decrees.py
@@ -8,6 +8,9 @@
 from hypothesis import strategies as st
 
 from cressrock.consensus import decisions as d
+from cressrock.consensus.decision_reader import DecisionReader
+from cressrock.consensus.decision_state import DecisionState
+from cressrock.consensus.lease_renewals import LeaseRenewals
 from cressrock.errors import consensus as e
 
 
@@ -15,7 +18,7 @@
     return d.Decide(topic, value, hold, "me", request, asked_at, if_number)
 
 
-class Machine(d.DecisionState):
+class Machine(DecisionState):
     """Applies commands at the next index."""
 
     def do(self, command):
@@ -87,7 +90,7 @@
     assert m.do(decide("aa", b"xxx", "5")) == d.Rejected("too-large")
     assert m.do(d.Drop("a", "6", 0)) == d.Done(7) and m.total_bytes == 11
     assert m.do(decide("c" * 10, b"x" * 10, "7")) == d.Rejected("too-large")
-    again = d.DecisionState.restore(m.snapshot())
+    again = DecisionState.restore(m.snapshot())
     assert again.limits == m.limits and again.total_bytes == m.total_bytes
 
 
@@ -154,7 +157,7 @@
 
 
 def test_a_decree_counts_from_the_newest_beat_first_heard_and_no_copy_renews_it():
-    r = d.DecisionReader()
+    r = DecisionReader()
     assert r.get("t", 0) is None and r.next_expiry_ms(0) == float("inf")
     assert r.receive(decree(5, 10), 0)
     assert r.get("t", 999) == decree(5, 10) and r.next_expiry_ms(500) == 1000
@@ -170,9 +173,9 @@
 
 
 def test_what_a_former_life_has_seen_is_never_undercut_nor_taken_for_fresh():
-    former = d.DecisionReader()
+    former = DecisionReader()
     former.receive(decree(5, 10), 0)
-    r = d.DecisionReader(former.to_bytes())
+    r = DecisionReader(former.to_bytes())
     assert r.last_version("t") == 5 and r.get("t", 0) is None
     assert not r.receive(decree(4, 99), 0) and not r.receive(decree(5, 9), 0) and r.get("t", 0) is None
     assert not r.receive(
@@ -181,21 +184,21 @@
     assert r.get("t", 50) == d.Expired(decree(5, 10), 50)
     assert r.receive(decree(5, 11), 60) and r.get("t", 60) == decree(5, 11)
     with pytest.raises(e.InvalidDecisionError):
-        d.DecisionReader(b"\x01\x00")
+        DecisionReader(b"\x01\x00")
     with pytest.raises(e.StoreTooNewError):
-        d.DecisionReader(b"\x02\x00")
+        DecisionReader(b"\x02\x00")
 
 
 @settings(max_examples=100, deadline=None)
 @given(st.lists(st.tuples(names, st.integers(1, 30), st.integers(0, 5)), max_size=60), st.integers(0, 60))
 def test_no_reader_ever_goes_back_even_over_lives_and_with_few_places(copies, restart):
-    r = d.DecisionReader(max_topics=2)
+    r = DecisionReader(max_topics=2)
     newest = {}
     for place, (topic, number, beat) in enumerate(copies):
         if place == restart:
-            r = d.DecisionReader(r.to_bytes(), max_topics=2)
+            r = DecisionReader(r.to_bytes(), max_topics=2)
         r.receive(decree(number, beat, topic), place)
-        assert len(r._past) <= 2 and len(r._held) <= 2
+        assert len(r._seen) <= 2 and len(r._current) <= 2
         held = r.get(topic, place)
         if held is not None:
             mark = held.version if isinstance(held, d.Decision) else held.decision.version
@@ -209,7 +212,7 @@
 
 
 def test_beats_grow_over_leaders_and_only_confirmed_reads_of_the_same_term_earn_one():
-    old, new = d.LeaseRenewals(), d.LeaseRenewals()
+    old, new = LeaseRenewals(), LeaseRenewals()
     token = old.ask(3, 0)
     first = confirm(old, 3, token)
     assert first == (3 << 32) + 1 and confirm(old, 3, token) is None
@@ -218,12 +221,12 @@
     assert confirm(old, 3, now=300) is None and confirm(old, 3, now=299) > first
     assert confirm(new, 4) > confirm(old, 3) > first
     lost = [old.ask(3, 0) for _ in range(5000)]  # a leader that is cut off asks for ever, in bounded memory
-    assert len(old._asked) <= 2048 and confirm(old, 3, lost[0]) is None
+    assert len(old._pending) <= 2048 and confirm(old, 3, lost[0]) is None
 
 
 def test_a_former_leader_that_is_cut_off_renews_nothing():
     """The reader's side of it: leader 1 keeps its decree and its last beat, leader 2 goes on without it."""
-    one, two, reader = d.LeaseRenewals(), d.LeaseRenewals(), d.DecisionReader()
+    one, two, reader = LeaseRenewals(), LeaseRenewals(), DecisionReader()
     reader.receive(decree(5, confirm(one, 1)), 0)
     one.ask(1, 0)  # never confirmed: no beat comes of it, so leader 1 can only say the same again
     for now in range(0, 2000, 100):
@@ -252,7 +255,7 @@
         "0196020094cd1000cdc000ce00400000cd1000009196a16101c40176cb408f400000000000a26d65009293a272"
         "300192a4646f6e650193a272310292a5636c61736801"
     )
-    r = d.DecisionReader()
+    r = DecisionReader()
     r.receive(one, 0)
     assert r.to_bytes().hex() == "01920081a67a6f6e652f61920ccf0000000300000001"
     for sample, decoder in ((d.encode(command), d.decode_command), (d.encode(one), d.decode_decision)):
@@ -267,12 +270,12 @@
     seed = 3
     print("seed", seed)
     source = random.Random(seed)
-    good = d.encode(decide()), d.encode(decree(5)), Machine().snapshot(), d.DecisionReader().to_bytes()
+    good = d.encode(decide()), d.encode(decree(5)), Machine().snapshot(), DecisionReader().to_bytes()
     for _ in range(3000):
         data = bytearray(source.choice(good))
         for _ in range(source.randint(1, 4)):
             data[source.randrange(len(data))] = source.randrange(256)
-        for take in (d.decode_command, d.decode_decision, d.DecisionState.restore, d.DecisionReader):
+        for take in (d.decode_command, d.decode_decision, DecisionState.restore, DecisionReader):
             try:
                 take(bytes(data[: source.randint(0, len(data))]))
             except (e.InvalidDecisionError, e.StoreTooNewError):
--- a/tests/test_news.py
+++ b/tests/test_news.py
@@ -8,7 +8,7 @@
     DecisionReference,
     DecisionSubscriber,
     LeaseRenewal,
-    _encode,
+    encode_entry,
 )
 
 
@@ -75,12 +75,12 @@
     for data in (b"", b"\x81", b"\x81\x00garbage", b"\x82" + b"x"):
         assert taker.receive_entry("beat/0", data) == ([], [])
     for number in range(50):
-        taker.receive_entry("beat/0", _encode(LeaseRenewal(number, [number])))
-        taker.receive_entry(f"decree/{number}", _encode(DecisionReference(f"m{number}", number, 0)))
+        taker.receive_entry("beat/0", encode_entry(LeaseRenewal(number, [number])))
+        taker.receive_entry(f"decree/{number}", encode_entry(DecisionReference(f"m{number}", number, 0)))
         taker.receive_decision(decree(f"t{number}", number))
     assert len(taker.renewals) <= 8 and len(taker.pending_fetches) <= 4 and len(taker.decisions) <= 4
 
 
 def test_golden():
-    assert _encode(LeaseRenewal(7, [1, 300])).hex() == "8193a4626561740792" + "01cd012c"
-    assert _encode(DecisionReference("a", 5, 6)).hex() == "8194a46d61726ba1610506"
+    assert encode_entry(LeaseRenewal(7, [1, 300])).hex() == "8193a4626561740792" + "01cd012c"
+    assert encode_entry(DecisionReference("a", 5, 6)).hex() == "8194a46d61726ba1610506"
