--- a/cressrock/consensus/connection_protocol.py
+++ b/cressrock/consensus/connection_protocol.py
@@ -261,8 +261,8 @@
     def _receive_hello(self, hello: Hello) -> list[Event]:
         common = [version for version in self.versions if version in hello.versions]
         if not common:
-            ours, theirs = list(self.versions), list(hello.versions)
-            raise _PeerProtocolError("council-version", f"no common version: {ours} here, {theirs} there")
+            offered, known = list(hello.versions), list(self.versions)
+            raise _PeerProtocolError("council-version", f"no common version: {known} here, {offered} there")
         self._check_group(hello.cluster, hello.group)
         self.state, self.peer = ConnectionState.OPEN, hello.sender
         self.peer_is_replica = hello.is_replica
--- a/cressrock/consensus/lease_renewals.py
+++ b/cressrock/consensus/lease_renewals.py
@@ -35,11 +35,11 @@
         A process that was stopped between the quorum's answer and its own would else renew, on waking, what
         another leader may have replaced long ago.
         """
-        asked = self._pending.pop(token, None)
-        if asked is None:
+        request = self._pending.pop(token, None)
+        if request is None:
             return None
-        asked_term, asked_at_ms = asked
-        if asked_term != term or now_ms >= asked_at_ms + max_age_ms:
+        request_term, requested_at_ms = request
+        if request_term != term or now_ms >= requested_at_ms + max_age_ms:
             return None
         # A read index is confirmed only by a quorum that still followed this term after it was asked.
         self.last_renewal = max(self.last_renewal + 1, (term << RENEWAL_COUNT_BITS) + 1)
--- a/cressrock/consensus/raft/node.py
+++ b/cressrock/consensus/raft/node.py
@@ -18,11 +18,12 @@
 from collections import Counter, deque
 from typing import ClassVar, Self
 
+from cressrock.consensus.raft.batching import has_batch, take_batch
 from cressrock.consensus.raft.elections import Election
 from cressrock.consensus.raft.follower import Follower
 from cressrock.consensus.raft.log import RaftLog
+from cressrock.consensus.raft.membership_change import add_voter, check_may_change, remove_voter
 from cressrock.consensus.raft.messages import (
-    MAX_VOTERS,
     AppendEntries,
     AppendEntriesReply,
     InstallSnapshot,
@@ -34,7 +35,6 @@
     RequestVoteReply,
     StaleGeneration,
     TimeoutNow,
-    encode_voters,
 )
 from cressrock.consensus.raft.persistent_state import Snapshot, StoredState
 from cressrock.consensus.raft.progress import Progress
@@ -221,38 +221,10 @@
         `max_learner_lag` entries: it is caught up from now on (4.2.1), and the caller asks again.
         """
         self._check_leads(now_ms)
-        replica = self.replica
         if bool(add) == bool(remove):
             raise MembershipChangeRefusedError("exactly one seat is put in or out at a time")
-        if replica.log.voters_index > replica.commit:
-            raise MembershipChangeRefusedError(
-                f"the change at entry {replica.log.voters_index} is not committed yet"
-            )
-        if not self.replication.has_committed_in_own_term():
-            raise MembershipChangeRefusedError(f"no entry of term {replica.term} is committed yet")
-        return self._add_voter(add) if add else self._remove_voter(remove)
-
-    def _add_voter(self, name: str) -> int:
-        replica, voters = self.replica, self.replica.log.voters
-        if name in voters or len(voters) >= MAX_VOTERS:
-            raise MembershipChangeRefusedError(f"{name} is a seat already, or there are {MAX_VOTERS} of them")
-        learner = self.replication.track_learner(name)
-        lag = replica.log.last_index - learner.match_index
-        is_silent = learner.acked_at_ms + replica.settings.election_ms <= replica.now_ms
-        if lag > replica.settings.max_learner_lag or is_silent:
-            raise MembershipChangeRefusedError(
-                f"{name} lacks {lag} entries or is not heard from; it is being taught"
-            )
-        return self.replication.append("seats", encode_voters(tuple(sorted((*voters, name)))))
-
-    def _remove_voter(self, name: str) -> int:
-        voters, replication = self.replica.log.voters, self.replication
-        if name not in voters or len(voters) == 1:
-            raise MembershipChangeRefusedError(f"{name} is no seat, or the last one")
-        index = replication.append("seats", encode_voters(tuple(one for one in voters if one != name)))
-        if name in replication.progress:
-            replication.progress[name].removal_index = index
-        return index
+        check_may_change(self.replication)
+        return add_voter(self.replication, add) if add else remove_voter(self.replication, remove)
 
     def transfer_leadership(self, now_ms: float, target: str) -> None:
         """Hand the lead to another voter: it gets all entries, then campaigns; no proposals meanwhile."""
@@ -278,53 +250,21 @@
 
     def has_ready(self) -> bool:
         """Whether `ready` would give anything."""
-        replica, replication = self.replica, self.replication
-        return bool(
-            replica.outbox
-            or replication.lost_reads
-            or replica.must_persist()
-            or replica.applied < replica.commit
-            or (
-                replica.role is Role.LEADER
-                and (replication.round_wanted or replication.is_read_confirmed() or replication.has_pending())
-            )
-        )
+        return has_batch(self.replication)
 
     def ready(self) -> Ready:
         """Take out a batch; only one is out at a time (ValueError)."""
         if self._batch_outstanding:
             raise ValueError("the batch before was not advanced")
-        replica = self.replica
-        if replica.role is Role.LEADER:
+        if self.replica.role is Role.LEADER:
             self._complete_sending()
-        end = min(replica.commit, replica.applied + replica.settings.max_apply_entries)
-        committed = tuple(replica.log.entries_between(replica.applied + 1, end))
-        replica.applied = max(replica.applied, end)
-        confirmed_reads = self.replication.take_confirmed_reads()
-        hard_state = None
-        if replica.must_persist():
-            hard_state = replica.persisted_hard_state = replica.hard_state()
-        batch = Ready(
-            hard_state=hard_state,
-            snapshot=replica.unpersisted_snapshot,
-            restore_snapshot=replica.restore_pending,
-            truncate_from=replica.truncated_from,
-            entries=tuple(replica.log.entries_between(replica.stable_index + 1, replica.log.last_index)),
-            messages=tuple(replica.outbox),
-            committed=committed,
-            confirmed_reads=confirmed_reads,
-            lost_reads=self.replication.take_lost_reads(),
-        )
-        replica.stable_index = replica.log.last_index
-        replica.unpersisted_snapshot, replica.restore_pending, replica.truncated_from = None, False, None
-        replica.outbox.clear()
         self._batch_outstanding = True
-        return batch
+        return take_batch(self.replication)
 
     def _complete_sending(self) -> None:
         """Put everything that a leader may say now into the outbox."""
         replication = self.replication
-        if replication.round_wanted:
+        if replication.round_requested:
             replication.broadcast_heartbeat()
         replication.send_pending()
         if replication.advance_commit():
--- a/cressrock/consensus/raft/replication.py
+++ b/cressrock/consensus/raft/replication.py
@@ -25,7 +25,8 @@
     """What a leader keeps and does; idle in every other role."""
 
     __slots__ = (
-        "replica", "progress", "round", "rounds", "round_wanted", "transfer_target", "transfer_deadline_ms",
+        "replica", "progress", "round", "rounds", "round_requested", "transfer_target",
+        "transfer_deadline_ms",
         "first_index_of_term", "uncommitted_bytes", "pending_reads", "lost_reads",
     )  # fmt: skip
 
@@ -35,7 +36,7 @@
         self.progress: dict[str, Progress] = {}
         self.round = 0
         self.rounds: deque[tuple[int, float]] = deque()  # number of a round, when it was begun
-        self.round_wanted = False
+        self.round_requested = False
         self.transfer_target, self.transfer_deadline_ms = "", NEVER
         self.first_index_of_term = 0
         self.uncommitted_bytes = 0
@@ -63,7 +64,7 @@
         """Give up the lead: reads that were not confirmed are lost."""
         self.progress, self.transfer_target = {}, ""
         self.rounds.clear()
-        self.round_wanted = False
+        self.round_requested = False
         self.lost_reads += [token for token, _, _ in self.pending_reads]
         self.pending_reads.clear()
 
@@ -188,7 +189,7 @@
         # All that earlier leaders committed lies below our own first entry, even if we do not know it yet.
         index = max(self.replica.commit, self.first_index_of_term)
         self.pending_reads.append((token, index, self.round + 1))
-        self.round_wanted = True
+        self.round_requested = True
 
     def is_read_confirmed(self) -> bool:
         """Whether the oldest read has its round, and what it may show is applied."""
@@ -202,7 +203,7 @@
         )
         return awaited_round <= quorum_round and index <= replica.applied
 
-    def take_confirmed_reads(self) -> tuple[ConfirmedRead, ...]:
+    def pop_confirmed_reads(self) -> tuple[ConfirmedRead, ...]:
         """Return the reads that may be answered now."""
         confirmed = []
         while self.is_read_confirmed():
@@ -210,7 +211,7 @@
             confirmed.append(ConfirmedRead(token, index))
         return tuple(confirmed)
 
-    def take_lost_reads(self) -> tuple[ReadToken, ...]:
+    def pop_lost_reads(self) -> tuple[ReadToken, ...]:
         """Return the reads that were lost with the lead."""
         lost, self.lost_reads = tuple(self.lost_reads), []
         return lost
@@ -234,12 +235,12 @@
                 if peer.chunk_sent_at_ms + replica.settings.heartbeat_ms <= replica.now_ms:
                     self._send_chunk(name, peer)
             else:
-                has_room = len(peer.inflight_last_indexes) < replica.settings.max_inflight_appends
-                self._send_append(name, peer, peer.state is ProgressState.PROBE or has_room)
+                may_send = len(peer.inflight_last_indexes) < replica.settings.max_inflight_appends
+                self._send_append(name, peer, peer.state is ProgressState.PROBE or may_send)
 
     def _begin_round(self) -> None:
         replica = self.replica
-        self.round_wanted = False
+        self.round_requested = False
         self.round += 1
         self.rounds.append((self.round, replica.now_ms))
         # An answer to a round older than the lease renews nothing.
--- a/cressrock/consensus/replica.py
+++ b/cressrock/consensus/replica.py
@@ -26,13 +26,9 @@
 import anyio
 import anyio.lowlevel
 import msgspec
-from anyio.abc import TaskGroup
 
 from cressrock.consensus.connection_protocol import (
     FOREVER,
-    Closed,
-    ConnectionProtocol,
-    Event,
     LocalEndpoint,
 )
 from cressrock.consensus.decision_state import DecisionState
@@ -45,8 +41,6 @@
     Operation,
     RaftFrame,
     Reply,
-    Request,
-    Response,
     RetryLater,
     encode_status,
 )
@@ -58,11 +52,12 @@
 from cressrock.consensus.raft.persistent_state import StoredState, initial_state
 from cressrock.consensus.raft.ready import Ready
 from cressrock.consensus.raft.state import Role
+from cressrock.consensus.replica_server import GROUP_FORMED, ReplicaServer
 from cressrock.consensus.replica_status import replica_status
 from cressrock.consensus.settings import ReplicaSettings, check_replica_set
 from cressrock.consensus.store import ReplicaStore
 from cressrock.consensus.store_records import StoreHeader
-from cressrock.consensus.transport import WAKE_MARGIN_SECONDS, Connection, PeerConnection
+from cressrock.consensus.transport import WAKE_MARGIN_SECONDS, PeerConnection
 from cressrock.errors import CressrockError
 from cressrock.errors.consensus import InvalidMessageError, PeerRejectedError, ReplicaRemovedError
 from cressrock.http.channel import Stream
@@ -101,10 +96,8 @@
         self.requests = LeaderRequests(settings)
         self.counts: Counter[str] = Counter()
         self.connections: dict[str, PeerConnection] = {}
-        self._tasks: TaskGroup | None = None
-        self._accepted: set[Connection] = set()
+        self._server = ReplicaServer(environment, settings, self, self.counts)
         self._inbox: deque[tuple[str, RaftMessage]] = deque()
-        self._active_requests = 0
         self._wakeup = anyio.Event()
         self._snapshot: tuple[int, bytes] | None = None  # taken, and not yet in the log's place
         self._reported: tuple[object, ...] = ()
@@ -152,7 +145,7 @@
         settings = self.settings
         try:
             async with anyio.create_task_group() as tasks:
-                self._tasks = tasks
+                self._server.tasks = tasks
                 try:
                     await self.environment.run_blocking(self._open)
                     self._begin()
@@ -167,7 +160,7 @@
                     tasks.cancel_scope.cancel()
             await anyio.sleep_forever()
         finally:
-            self._tasks = None
+            self._server.tasks = None
             if self.store is not None:
                 self.store.close()
 
@@ -202,11 +195,10 @@
         )
 
     def _fail(self, error: CressrockError) -> None:
-        self.failed, self.raft, self._tasks = error, None, None
+        self.failed, self.raft, self._server.tasks = error, None, None
         self.environment.log_event("consensus.replica_stopped", **error.fields())
         self.requests.answer_all(NotLeader())
-        for connection in list(self._accepted):
-            connection.close(error.code, error.text)
+        self._server.close_all(error.code, error.text)
         if self.store is not None:
             self.store.close()
         self._report()
@@ -246,9 +238,7 @@
             initial_replicas=list(initial_replicas),
         )
         # Whoever greeted before learns of the group by greeting again.
-        for connection in list(self._accepted):
-            if connection.protocol.peer_is_replica:
-                connection.close("council-founded", "founded: greet again")
+        self._server.close_all(GROUP_FORMED, "founded: greet again", replicas_only=True)
 
     async def _join(self) -> None:
         """Ask to be added for as long as this replica is no voter."""
@@ -266,44 +256,26 @@
                 if isinstance(reply, Done):
                     break
 
-    # --- connections that others opened
+    # --- what others ask
 
     async def serve(self, stream: Stream) -> None:
         """Serve one accepted stream to its end."""
-        clock, settings = self.environment.clock, self.settings
-        protocol = ConnectionProtocol(
-            False, self.local_endpoint(), clock(), limits=settings.connection_limits
-        )
-        connection = Connection(protocol, stream, clock, lambda event: self._on_event(connection, event))
-        self._accepted.add(connection)
-        try:
-            if self.failed is not None:
-                connection.close(self.failed.code, self.failed.text)
-            elif self.header is None:
-                connection.close("council-starting", "the store is being opened")
-            elif len(self._accepted) > settings.max_connections:
-                connection.close("council-crowded", f"{settings.max_connections} connections are open")
-            await connection.run()
-        finally:
-            self._accepted.discard(connection)
-
-    def _on_event(self, connection: Connection, event: Event) -> None:
-        match event:
-            case RaftFrame(data):
-                self._on_raft(connection.protocol.peer, data)
-            case Request(number):
-                if self._tasks is None or self._active_requests >= self.settings.max_pending_requests:
-                    connection.send(Response(number, RetryLater("too much is asked at once")))
-                else:
-                    self._active_requests += 1
-                    self._tasks.start_soon(self._respond, connection, event)
-            case Closed(code, reason) if code not in ("ended", "council-founded"):
-                self.counts[f"parted {code}"] += 1
-                self.environment.log_event(
-                    "consensus.connection_closed", peer=connection.protocol.peer, code=code, reason=reason
-                )
-
-    def _on_raft(self, peer: str, data: bytes) -> None:
+        await self._server.serve(stream)
+
+    def refusal(self) -> tuple[str, str] | None:
+        """Return code and reason if this replica serves nobody now."""
+        if self.failed is not None:
+            return self.failed.code, self.failed.text
+        if self.header is None:
+            return "council-starting", "the store is being opened"
+        return None
+
+    def applied(self) -> int:
+        """Return the newest index that was applied."""
+        return self.decisions.applied
+
+    def receive_raft(self, peer: str, data: bytes) -> None:
+        """Queue a replica's message for the core."""
         try:
             sender, receiver, message = decode(data, self.settings.cluster)
         except InvalidMessageError as error:
@@ -318,14 +290,8 @@
             self._inbox.append((sender, message))
             self._wake()
 
-    async def _respond(self, connection: Connection, request: Request) -> None:
-        try:
-            reply = await self._reply(request.operation, request.forward)
-            connection.send(Response(request.number, reply, self.decisions.applied))
-        finally:
-            self._active_requests -= 1
-
-    async def _reply(self, operation: Operation, forward: bool) -> Reply:
+    async def reply(self, operation: Operation, *, forward: bool) -> Reply:
+        """Do an operation, or say who may; `forward`: ask the leader where this replica does not lead."""
         if isinstance(operation, GetStatus):
             return encode_status(self.status())
         if self.raft is None:
