--- a/cressrock/consensus/raft/membership_change.py
+++ b/cressrock/consensus/raft/membership_change.py
@@ -24,8 +24,8 @@
 def add_voter(replication: Replication, name: str) -> int:
     """Append the entry that adds a voter, and return its index.
 
-    Raises MembershipChangeRefusedError as long as the learner lacks more than `max_learner_lag` entries: it is
-    caught up from now on (4.2.1).
+    Raises MembershipChangeRefusedError as long as the learner lacks more than `max_learner_lag` entries: it
+    is caught up from now on (4.2.1).
     """
     replica, voters = replication.replica, replication.replica.log.voters
     if name in voters or len(voters) >= MAX_VOTERS:
