--- a/benchmarks/council_processes.py
+++ b/benchmarks/council_processes.py
@@ -2,7 +2,8 @@
 
     python benchmarks/council_processes.py [--seeds 1 2] [--faults 10] > RESULTS
 
-Three seats are processes on loopback with relays between each pair (tests/test_council_processes.py).
+Three replicas are processes on loopback with relays between each pair
+(tests/consensus/test_replica_processes.py).
 """
 
 import argparse
@@ -24,7 +25,7 @@
 from cressrock.consensus.raft.persistent_state import HardState
 from cressrock.consensus.store import ReplicaStore
 from cressrock.errors import consensus as e
-from tests import test_council_processes as p
+from tests.consensus import test_replica_processes as p
 
 SEATS = p.NAMES
 
--- a/tests/test_explorer.py
+++ b/tests/consensus/test_model_checker.py
@@ -15,19 +15,19 @@
 
 @pytest.mark.parametrize("scenario", QUICK, ids=NAMES)
 def test_every_state_within_the_bounds_keeps_every_invariant(scenario):
-    found = Explorer(scenario, traces=False).run(most_states=150_000)
-    print(found.row())
-    assert found.violation is None, found.violation
-    assert found.complete and found.states > 1000 and found.leaders > 500 and found.committed > 1
+    result = Explorer(scenario, traces=False).run(most_states=150_000)
+    print(result.row())
+    assert result.violation is None, result.violation
+    assert result.complete and result.states > 1000 and result.leaders > 500 and result.committed > 1
 
 
 @pytest.mark.parametrize("kind, invariant, scenario", BROKEN, ids=lambda x: getattr(x, "__name__", ""))
 def test_what_is_broken_on_purpose_is_found(kind, invariant, scenario):
-    found = Explorer(replace(scenario, make=kind, name=kind.__name__)).run(most_states=100_000)
-    print(found.row())
-    assert found.violation is not None
-    assert found.violation.text.startswith(invariant), found.violation.text
-    assert found.violation.trace
+    result = Explorer(replace(scenario, make=kind, name=kind.__name__)).run(most_states=100_000)
+    print(result.row())
+    assert result.violation is not None
+    assert result.violation.text.startswith(invariant), result.violation.text
+    assert result.violation.trace
 
 
 def test_the_same_bounds_give_the_same_states_and_the_same_verdict():
@@ -36,7 +36,7 @@
     assert one == two and one.complete
 
 
-def test_a_copy_of_a_seat_acts_as_the_seat_and_shares_nothing_with_it():
+def test_a_copy_of_a_replica_acts_as_the_replica_and_shares_nothing_with_it():
     import random
 
     timing = RaftSettings()
--- a/tests/test_council_processes.py
+++ b/tests/consensus/test_replica_processes.py
@@ -1,4 +1,4 @@
-"""Three seats as processes, relays between each pair, faults, and a history that is checked afterwards.
+"""Three replicas as processes, relays between each pair, faults, and a history that is checked afterwards.
 
 Verdicts rest on the history alone: each step waits until something has happened (decisions acknowledged after
 the fault), however long it takes, up to a bound at which the test says that nothing moves any more.
@@ -20,7 +20,7 @@
 from cressrock import net
 from cressrock.consensus.client import ClientSettings, ConsensusClient
 from cressrock.consensus.environment import Environment
-from cressrock.errors import consensus as e
+from cressrock.errors import consensus as errors
 
 NAMES = ("p1", "p2", "p3")
 MEMORY = Path("/dev/shm")
@@ -93,7 +93,7 @@
 
 
 class Drill:
-    """Seats as processes; `relays[a, b]` carries what `a` dials to `b`."""
+    """Replicas as processes; `relays[a, b]` carries what `a` dials to `b`."""
 
     def __init__(self, path, seed):
         self.path, self.seed = path, seed
@@ -160,15 +160,15 @@
         )
 
     def cut(self, name, *, out, into):
-        """Hold back what `name` says to other seats, what they say to it, or both."""
+        """Hold back what `name` says to other replicas, what they say to it, or both."""
         for (a, b), relay in self.relays.items():
             if a in NAMES and name in (a, b):
                 relay.cut(out if a == name else into, into if a == name else out)
 
-    async def leader(self, council):
+    async def leader(self, client):
         while True:
             for name in list(self.processes):
-                status = await council.status(name, timeout_ms=300)
+                status = await client.status(name, timeout_ms=300)
                 if status and status["role"] == "leader":
                     return name
             await asyncio.sleep(0.02)
@@ -191,12 +191,12 @@
     def acknowledged(self):
         return [one for one in self.appends if one[2] is not None]
 
-    async def append(self, council, label):
+    async def append(self, client, label):
         count = 0
         while True:
             try:
                 began = self.tick()
-                stands = await council.read("list")
+                stands = await client.read("list")
                 items = json.loads(stands.value) if stands else []
                 if stands:
                     self.reads.append((began, self.tick(), items, stands.version))
@@ -205,10 +205,14 @@
                 record = [item, self.tick(), None, None]
                 self.appends.append(record)
                 value = json.dumps([*items, item]).encode()
-                made = await council.decide("list", value, 60000, stands.version if stands else 0)
+                made = await client.decide("list", value, 60000, stands.version if stands else 0)
                 record[2:] = [self.tick(), made.version]
-            except (e.DecisionConflictError, e.NoQuorumError, e.RequestForgottenError) as wrong:
-                if isinstance(wrong, e.DecisionConflictError):
+            except (
+                errors.DecisionConflictError,
+                errors.NoQuorumError,
+                errors.RequestForgottenError,
+            ) as wrong:
+                if isinstance(wrong, errors.DecisionConflictError):
                     self.appends.remove(record)  # known not to stand
                 self.errors[wrong.code] = self.errors.get(wrong.code, 0) + 1
 
--- a/tests/test_councilsim.py
+++ b/tests/consensus/test_simulation.py
@@ -1,4 +1,4 @@
-"""Councils under seeded faults, and the judge of histories that no council can talk into anything."""
+"""Councils under seeded faults, and the judge of histories that no group can talk into anything."""
 
 import random
 
@@ -9,7 +9,7 @@
 
 
 @pytest.mark.parametrize("seed, seats", [(1, 3), (2, 5), (3, 3)])
-def test_a_council_under_faults_keeps_what_it_decided_and_comes_back(seed, seats):
+def test_a_group_under_faults_keeps_what_it_decided_and_comes_back(seed, seats):
     result = simulate(Plan(seed=seed, seats=seats, faults=40))
     print(f"seed {seed}, {seats} seats: {dict(result.faults)}, {result.operations} operations")
     assert not result.broken, result.broken
@@ -24,7 +24,7 @@
 
 
 @pytest.mark.parametrize("changes", [{"stale_reads": True}, {"lying_disk": 4, "compact_at": 10**9}])
-def test_a_council_that_is_broken_on_purpose_is_found_out(changes):
+def test_a_group_that_is_broken_on_purpose_is_found_out(changes):
     for seed in range(1, 11):
         result = simulate(Plan(seed=seed, faults=40, **changes))
         if result.broken:
--- a/tests/test_council_store.py
+++ b/tests/consensus/test_store.py
@@ -1,4 +1,4 @@
-"""A seat's store: what is kept lasts, and each way in which a file can be wrong is told by its own type."""
+"""A replica's store: what is written lasts, and each way in which a file can be wrong has its own error."""
 
 import random
 import resource
@@ -15,7 +15,7 @@
 from cressrock.consensus.raft.persistent_state import HardState, Snapshot, StoredState
 from cressrock.consensus.store import ReplicaStore
 from cressrock.consensus.store_records import StoredEntry, StoreHeader, seal, unseal
-from cressrock.errors import consensus as e
+from cressrock.errors import consensus as errors
 
 
 def draw(size):
@@ -65,14 +65,14 @@
     again = make(path, must_exist=True)
     wanted = entries(1, 2) + entries(3, 1, term=2)
     assert again.load() == StoredState(HardState(2, "", 3, 1), None, wanted)
-    # The seat's own snapshot keeps what follows it; a leader's that the log does not lead to replaces all.
+    # The replica's own snapshot keeps what follows it; a leader's that the log does not lead to replaces all.
     own = Snapshot(2, 1, ("p1#aa",), b"state")
     again.write(None, own)
     assert again.load() == StoredState(HardState(2, "", 3, 1), own, wanted[2:])
     foreign = Snapshot(9, 4, ("p1#aa", "p2#bb"), b"other")
     again.write(HardState(4, "", 9, 1), foreign, entries(10, 2, term=4))
     assert again.load() == StoredState(HardState(4, "", 9, 1), foreign, entries(10, 2, term=4))
-    with pytest.raises(e.StoreError, match="entry 14 for a log from 10 to 11"):
+    with pytest.raises(errors.StoreError, match="entry 14 for a log from 10 to 11"):
         again.write(None, None, entries(14, 1, term=4))
     assert load(path).entries == entries(10, 2, term=4)  # closed by the error, and nothing of it kept
 
@@ -105,31 +105,31 @@
 
 
 def test_each_wrong_store_is_told_by_its_own_type(tmp_path):
-    with pytest.raises(e.StoreMissingError):
+    with pytest.raises(errors.StoreMissingError):
         make(tmp_path / "none", must_exist=True)
     assert not (tmp_path / "none").exists()
     (tmp_path / "empty").touch()  # the disk's file is there, its content is not: lost as well
-    with pytest.raises(e.StoreMissingError):
+    with pytest.raises(errors.StoreMissingError):
         make(tmp_path / "empty", must_exist=True)
     path = filled(tmp_path / "seat")
-    with pytest.raises(e.ForeignStoreError, match="cluster 'c'"):
+    with pytest.raises(errors.ForeignStoreError, match="cluster 'c'"):
         make(path, cluster="d")
-    with pytest.raises(e.ForeignStoreError, match="seat 'p1'"):
+    with pytest.raises(errors.ForeignStoreError, match="seat 'p1'"):
         make(path, replica="p2")
     change(path, "PRAGMA user_version=0")
-    with pytest.raises(e.StoreTooOldError, match="format 0"):
+    with pytest.raises(errors.StoreTooOldError, match="format 0"):
         make(path)
     change(path, "PRAGMA user_version=2")
-    with pytest.raises(e.StoreTooNewError, match="format 2"):
+    with pytest.raises(errors.StoreTooNewError, match="format 2"):
         make(path)
     change(tmp_path / "other", "CREATE TABLE t(x)")
-    with pytest.raises(e.ForeignStoreError, match="another program"):
+    with pytest.raises(errors.ForeignStoreError, match="another program"):
         make(tmp_path / "other")
     (tmp_path / "text").write_bytes(b"not a database at all" * 100)
-    with pytest.raises(e.StoreCorruptError):
+    with pytest.raises(errors.StoreCorruptError):
         make(tmp_path / "text")
     held = make(tmp_path / "held")
-    with pytest.raises(e.StoreLockedError):
+    with pytest.raises(errors.StoreLockedError):
         make(tmp_path / "held")
     held.close()
     make(tmp_path / "held").close()
@@ -150,7 +150,7 @@
 def test_rows_that_are_gone_or_changed_are_seen(tmp_path, harm, text):
     path = filled(tmp_path / "seat")
     change(path, harm)
-    with pytest.raises(e.StoreCorruptError, match=text):
+    with pytest.raises(errors.StoreCorruptError, match=text):
         load(path)
 
 
@@ -171,7 +171,7 @@
         path.write_bytes(harmed)
         try:
             assert load(path) == wanted  # unused space, or a field that SQLite does not need
-        except e.StoreError:
+        except errors.StoreError:
             told += 1
     assert told > 50
 
@@ -180,11 +180,11 @@
     path = tmp_path / "seat"
     store = make(path, max_pages=12)
     kept = 0
-    with pytest.raises(e.StoreFullError):
+    with pytest.raises(errors.StoreFullError):
         for kept in range(1, 1000):
             store.write(HardState(1, "", 0, 1), None, entries(kept, 1, data=bytes(1000)))
     assert store.full and 3 < kept < 100
-    with pytest.raises(e.StoreFullError):
+    with pytest.raises(errors.StoreFullError):
         store.write(HardState(2, "p1#aa", 0, 1))
     stored = load(path)
     assert stored.hard_state.term == 1 and len(stored.entries) == kept - 1
@@ -260,5 +260,5 @@
     entry = msgspec.msgpack.encode(StoredEntry(1, "command", b"x"))
     assert seal("log 1", entry).hex() == "80d30d840f1585039301a7636f6d6d616e64c40178"
     assert unseal("a", seal("a", b"b")) == b"b"
-    with pytest.raises(e.StoreCorruptError):
+    with pytest.raises(errors.StoreCorruptError):
         unseal("b", seal("a", b"b"))
