--- a/tests/consensus/test_replica.py
+++ b/tests/consensus/test_replica.py
@@ -1,6 +1,8 @@
 """Replicas over streams: in simulated time and, below, as processes with relays between them."""
 
 import random
+import subprocess
+import sys
 import tempfile
 from pathlib import Path
 
@@ -553,3 +555,12 @@
     }
     for frame, wanted in samples.items():
         assert frames.encode(frame).hex() == wanted
+
+
+@pytest.mark.parametrize("module", ["cressrock.consensus.recover", "cressrock.council.recover"])
+def test_the_recovery_command_goes_by_its_present_and_its_former_name(module, tmp_path):
+    arguments = [str(tmp_path / "none"), "--cluster", "c", "--seat", "p1"]
+    done = subprocess.run(
+        [sys.executable, "-m", module, *arguments], capture_output=True, text=True, timeout=60
+    )
+    assert done.returncode == 1 and "council-store-lost" in done.stderr
