--- a/cressrock/consensus/raft/batching.py
+++ b/cressrock/consensus/raft/batching.py
@@ -10,15 +10,12 @@
 def has_batch(replication: Replication) -> bool:
     """Whether a batch would hold anything."""
     replica = replication.replica
-    return bool(
-        replica.outbox
-        or replication.lost_reads
-        or replica.must_persist()
-        or replica.applied < replica.commit
-        or (
-            replica.role is Role.LEADER
-            and (replication.round_requested or replication.is_read_confirmed() or replication.has_pending())
-        )
+    if replica.outbox or replication.lost_reads or replica.applied < replica.commit:
+        return True
+    if replica.must_persist():
+        return True
+    return replica.role is Role.LEADER and (
+        replication.round_requested or replication.is_read_confirmed() or replication.has_pending()
     )
 
 
--- a/cressrock/consensus/raft/node.py
+++ b/cressrock/consensus/raft/node.py
@@ -335,11 +335,12 @@
     def receive(self, now_ms: float, sender: str, message: RaftMessage) -> None:
         """Take a message of another replica.  Raises LogDivergedError, upon which this one must stop."""
         self._advance_clock(now_ms)
-        if sender == self.name or not self._accept_generation(sender, message):
+        replica = self.replica
+        if sender == replica.name or not self._accept_generation(sender, message):
             return
-        if message.term > self.term and not self._accept_newer_term(sender, message):
+        if message.term > replica.term and not self._accept_newer_term(sender, message):
             return
-        if message.term < self.term and not isinstance(message, PreVote | PreVoteReply):
+        if message.term < replica.term and not isinstance(message, PreVote | PreVoteReply):
             self._answer_older_term(sender, message)
             return
         self._handle(sender, message)
@@ -347,6 +348,8 @@
     def _accept_generation(self, sender: str, message: RaftMessage) -> bool:
         """Whether the message is of our generation; a replica without one adopts the first that it hears."""
         replica = self.replica
+        if message.generation == replica.generation and not isinstance(message, StaleGeneration):
+            return True
         if replica.generation == 0 and message.generation and not isinstance(message, StaleGeneration):
             replica.generation = message.generation
         if message.generation == replica.generation:
--- a/cressrock/consensus/raft/replication.py
+++ b/cressrock/consensus/raft/replication.py
@@ -73,9 +73,9 @@
     def quorum_acked_at_ms(self) -> float:
         """Return when the latest round was begun that a quorum has answered."""
         replica = self.replica
+        name, now_ms, progress = replica.name, replica.now_ms, self.progress
         return quorum_value(
-            replica.now_ms if voter == replica.name else self.progress[voter].acked_at_ms
-            for voter in replica.log.voters
+            [now_ms if voter == name else progress[voter].acked_at_ms for voter in replica.log.voters]
         )
 
     def lease_expires_at_ms(self) -> float:
@@ -122,12 +122,11 @@
     def advance_commit(self) -> bool:
         """Commit what a majority has.  Return whether that removes this leader, which must step down then."""
         replica = self.replica
-        index = int(
-            quorum_value(
-                replica.log.last_index if voter == replica.name else self.progress[voter].match_index
-                for voter in replica.log.voters
-            )
-        )
+        name, last_index, progress = replica.name, replica.log.last_index, self.progress
+        matches = [
+            last_index if voter == name else progress[voter].match_index for voter in replica.log.voters
+        ]
+        index = int(quorum_value(matches))
         if index <= replica.commit or not self.may_commit(index):
             return False
         committed = replica.log.entries_between(replica.commit + 1, index)
@@ -197,11 +196,11 @@
         if not self.pending_reads or replica.role is not Role.LEADER:
             return False
         _, index, awaited_round = self.pending_reads[0]
-        quorum_round = quorum_value(
+        rounds = [
             self.round if voter == replica.name else self.progress[voter].acked_round
             for voter in replica.log.voters
-        )
-        return awaited_round <= quorum_round and index <= replica.applied
+        ]
+        return awaited_round <= quorum_value(rounds) and index <= replica.applied
 
     def pop_confirmed_reads(self) -> tuple[ConfirmedRead, ...]:
         """Return the reads that may be answered now."""
@@ -254,11 +253,10 @@
         replica = self.replica
         last_index, max_inflight = replica.log.last_index, replica.settings.max_inflight_appends
         for peer in self.progress.values():
-            if peer.state is ProgressState.PROBE and not peer.probe_sent:
-                return True
-            if peer.may_send_entries(last_index, max_inflight):
-                return True
-            if peer.state is ProgressState.STREAM and peer.sent_commit < replica.commit:
+            if peer.state is ProgressState.STREAM:
+                if peer.sent_commit < replica.commit or peer.may_send_entries(last_index, max_inflight):
+                    return True
+            elif peer.state is ProgressState.PROBE and not peer.probe_sent:
                 return True
         return False
 
--- a/cressrock/consensus/raft/state.py
+++ b/cressrock/consensus/raft/state.py
@@ -96,10 +96,10 @@
     def hard_state_changed(self) -> bool:
         """Whether term, vote or generation changed; a commit alone is kept with whatever is written next."""
         persisted = self.persisted_hard_state
-        return (self.term, self.voted_for, self.generation) != (
-            persisted.term,
-            persisted.voted_for,
-            persisted.generation,
+        return (
+            self.term != persisted.term
+            or self.voted_for != persisted.voted_for
+            or self.generation != persisted.generation
         )
 
     def must_persist(self) -> bool:
--- a/tests/compatibility/consensus_cases.py
+++ b/tests/compatibility/consensus_cases.py
@@ -52,7 +52,7 @@
     )
 
 
-def seat_messages() -> dict[str, messages.RaftMessage]:
+def replica_messages() -> dict[str, messages.RaftMessage]:
     """Return messages between seats, every type, with and without their optional fields."""
     head = {"generation": 1, "term": 7}
     return {
@@ -161,10 +161,10 @@
     return found
 
 
-def told_decisions() -> list[dict[str, Any]]:
+def published_decisions() -> list[dict[str, Any]]:
     """Return what a seat puts into the spread for a few states, one after the other: keys and values."""
     found = decision_examples()
-    teller = decision_gossip.DecisionPublisher(200)
+    publisher = decision_gossip.DecisionPublisher(200)
     many = [decisions.Decision(f"many/{at:03}", 1000 + at, b"v", 9000.0, "p") for at in range(100)]
     steps: list[tuple[list[decisions.Decision], int]] = [
         ([found["whole"]], 0),
@@ -179,7 +179,7 @@
             "beat": beat,
             "changes": [
                 [change.key, None if change.value is None else change.value.hex()]
-                for change in teller.publish(standing, beat)
+                for change in publisher.publish(standing, beat)
             ],
         }
         for standing, beat in steps
@@ -316,9 +316,9 @@
     return json.loads(json.dumps(content))
 
 
-def refused_bytes() -> dict[str, str]:
+def invalid_bytes() -> dict[str, str]:
     """Return bytes that are no message, in hexadecimal; decoding one gives the reason of its name."""
-    good = messages.encode(CLUSTER, SENDER, RECEIVER, seat_messages()["append"])
+    good = messages.encode(CLUSTER, SENDER, RECEIVER, replica_messages()["append"])
     return {
         "malformed": good[:-3].hex(),
         "malformed head": b"\x93\x01".hex(),
--- a/tests/compatibility/consensus_streams.py
+++ b/tests/compatibility/consensus_streams.py
@@ -583,8 +583,8 @@
     chance = random.Random(seed)
     digest = Digest()
     limit = chance.choice([1000, 60])
-    tellers = [decision_gossip.DecisionPublisher(limit) for _ in range(3)]
-    taker = decision_gossip.DecisionSubscriber(chance.choice([1000, 5]))
+    publishers = [decision_gossip.DecisionPublisher(limit) for _ in range(3)]
+    subscriber = decision_gossip.DecisionSubscriber(chance.choice([1000, 5]))
     reader = DecisionReader(max_topics=chance.choice([1000, 6]))
     renewals = LeaseRenewals(chance.choice([2048, 2]))
     standing: dict[str, decisions.Decision] = {}
@@ -603,10 +603,10 @@
         tokens.append(renewals.ask(term, now))
         beat = renewals.confirm(chance.choice(tokens[-3:]), term, now + chance.choice([0.0, 30.0]), 25.0)
         digest.add(beat)
-        seen_at_teller = [decree for decree in standing.values() if chance.random() < 0.95]
+        seen_by_publisher = [decree for decree in standing.values() if chance.random() < 0.95]
         if beat and chance.random() < 0.3:
-            seen_at_teller = list(decisions.with_renewal(seen_at_teller, beat))
-        for change in chance.choice(tellers).publish(seen_at_teller, beat or 0):
+            seen_by_publisher = list(decisions.with_renewal(seen_by_publisher, beat))
+        for change in chance.choice(publishers).publish(seen_by_publisher, beat or 0):
             digest.add([change.key, change.value])
             if change.value is not None:
                 entries.append((change.key, change.value))
@@ -617,11 +617,11 @@
         for _ in range(chance.choice([0, 3, 10])):
             if entries:
                 key, value = chance.choice(entries)
-                answer = attempt(lambda key=key, value=value: taker.receive_entry(key, value))
+                answer = attempt(lambda key=key, value=value: subscriber.receive_entry(key, value))
                 receive(digest, reader, answer, now)
         if standing and chance.random() < 0.2:
             answered = chance.choice(sorted(standing.values(), key=lambda decree: decree.topic))
-            receive(digest, reader, (taker.receive_decision(answered), []), now)
+            receive(digest, reader, (subscriber.receive_decision(answered), []), now)
         topic = chance.choice(topics)
         digest.add(
             [plain_reading(reader.get(topic, now)), reader.next_expiry_ms(now), reader.last_version(topic)]
--- a/tests/compatibility/record_consensus.py
+++ b/tests/compatibility/record_consensus.py
@@ -23,16 +23,16 @@
         {
             "messages": {
                 name: messages.encode(cases.CLUSTER, cases.SENDER, cases.RECEIVER, message).hex()
-                for name, message in cases.seat_messages().items()
+                for name, message in cases.replica_messages().items()
             },
             "seats": messages.encode_voters(("a#1", "b#2")).hex(),
             "frames": {name: frames.encode(frame).hex() for name, frame in cases.frame_examples().items()},
             "commands": {name: decisions.encode(command).hex() for name, command in cases.commands().items()},
             "decisions": {name: decisions.encode(decree).hex() for name, decree in cases.decisions().items()},
-            "told": cases.told_decisions(),
+            "told": cases.published_decisions(),
             "state": cases.snapshot().snapshot().hex(),
             "seen": cases.reader().to_bytes().hex(),
-            "refused": cases.refused_bytes(),
+            "refused": cases.invalid_bytes(),
         },
     )
 
--- a/tests/compatibility/test_consensus.py
+++ b/tests/compatibility/test_consensus.py
@@ -33,7 +33,7 @@
 
 
 def test_every_recorded_example_is_still_built():
-    assert set(cases.seat_messages()) == set(WIRE["messages"])
+    assert set(cases.replica_messages()) == set(WIRE["messages"])
     assert set(cases.frame_examples()) == set(WIRE["frames"])
     assert set(cases.commands()) == set(WIRE["commands"])
     assert set(cases.decision_examples()) == set(WIRE["decisions"])
@@ -44,7 +44,7 @@
 
 @pytest.mark.parametrize("name", WIRE["messages"])
 def test_a_message_between_replicas_has_its_recorded_bytes(name):
-    message, recorded = cases.seat_messages()[name], bytes.fromhex(WIRE["messages"][name])
+    message, recorded = cases.replica_messages()[name], bytes.fromhex(WIRE["messages"][name])
     assert messages.encode(cases.CLUSTER, cases.SENDER, cases.RECEIVER, message) == recorded
     assert messages.decode(recorded, cases.CLUSTER) == (cases.SENDER, cases.RECEIVER, message)
 
@@ -109,21 +109,21 @@
 
 
 def test_what_is_published_by_gossip_has_its_recorded_keys_and_bytes():
-    assert cases.told_decisions() == WIRE["told"]
+    assert cases.published_decisions() == WIRE["told"]
     assert decisions.gossip_key("zone/a") == "decree/zone/a"
 
 
 def test_recorded_gossip_is_read_as_the_decisions_that_were_published():
-    taker = decision_gossip.DecisionSubscriber()
+    subscriber = decision_gossip.DecisionSubscriber()
     for step in WIRE["told"]:
         standing = [decisions.decode_decision(bytes.fromhex(data)) for data in step["standing"]]
         by_topic = {decree.topic: decree for decree in standing}
         for key, value in step["changes"]:
             if value is None:
                 continue
-            found, wanted = taker.receive_entry(key, bytes.fromhex(value))
+            found, wanted = subscriber.receive_entry(key, bytes.fromhex(value))
             for topic in wanted:
-                found = taker.receive_decision(by_topic[topic])
+                found = subscriber.receive_decision(by_topic[topic])
             for decree in found:
                 stands = by_topic[decree.topic]
                 assert (decree.version, decree.value, decree.lease_ms) == (
