--- a/cressrock/lab/hollow_turns.py
+++ b/cressrock/lab/hollow_turns.py
@@ -10,16 +10,22 @@
 from collections.abc import Callable
 from typing import Any
 
-from cressrock.failover import evidence as zones
-from cressrock.failover.decision import FailoverSettings, ZoneSettings
-from cressrock.failover.evaluation import EvaluationMemory, evaluate_reports
-from cressrock.failover.summary import ZoneMember
-from cressrock.gossip.store import GossipStore, GossipStoreSettings
+from cressrock.failover.evaluation import EvaluationMemory, evaluate
+from cressrock.failover.fleet_evidence import FleetEvidence
+from cressrock.failover.reports import ZoneReport, encode_reports
+from cressrock.failover.settings import FailoverSettings, ZoneSettings
+from cressrock.failover.witnesses import ReportView, ZoneMember
+from cressrock.gossip.settings import GossipStoreSettings
+from cressrock.gossip.store import GossipStore
 from cressrock.lab.hollow import FIRST_LIFE, REGIONS, ZONES, address
 from cressrock.lab.hollow_shared import acquaint, fill
 from cressrock.membership import packets as m
-from cressrock.membership.membership import Identity, Membership, MembershipSettings
-from cressrock.rollout import evidence as rollout
+from cressrock.membership.membership import Membership
+from cressrock.membership.settings import MembershipSettings
+from cressrock.membership.types import Identity
+from cressrock.rollout import evidence
+from cressrock.rollout.counts import FleetCounts
+from cressrock.rollout.evidence import FAULT_KINDS, CountsEntry, OutcomeCounts, counts_key
 
 Timer = Callable[[], float]  # seconds of processor time
 WORD = "zones/0"
@@ -52,15 +58,15 @@
 
 def word(settings: FailoverSettings, beat: int) -> bytes:
     """Return an edge's word: it reached its own zone and one other."""
-    said = [zones.ZoneReport(zone, 1, 900, 3, 1, 1, 812.25, 840.5, 57) for zone in sorted(settings.zones)[:2]]
-    (piece,) = zones.encode_reports(beat, said)
+    said = [ZoneReport(zone, 1, 900, 3, 1, 1, 812.25, 840.5, 57) for zone in sorted(settings.zones)[:2]]
+    (piece,) = encode_reports(beat, said)
     return piece
 
 
 def counted() -> bytes:
     """Return a process's counts of one class in one stage."""
-    tally = rollout.OutcomeCounts([900, 950], [[3, 2] for _ in rollout.FAULT_KINDS])
-    return rollout.encode(rollout.CountsEntry(bytes.fromhex(DIGEST), tally))
+    tally = OutcomeCounts([900, 950], [[3, 2] for _ in FAULT_KINDS])
+    return evidence.encode(CountsEntry(bytes.fromhex(DIGEST), tally))
 
 
 def zones_of(n: int) -> FailoverSettings:
@@ -86,19 +92,19 @@
     return made[0]
 
 
-def heard_of(n: int) -> zones.FleetEvidence:
+def heard_of(n: int) -> FleetEvidence:
     """Return what one process heard of everybody's words."""
-    found = zones.FleetEvidence(zones_of(n), max_origins=max(4 * n, 64))
+    found = FleetEvidence(zones_of(n), max_origins=max(4 * n, 64))
     for number in range(n):
         found.receive((name(number), FIRST_LIFE + number), WORD, word(found.settings, 7), 0.0)
     return found
 
 
-def counts_of(n: int) -> rollout.FleetCounts:
+def counts_of(n: int) -> FleetCounts:
     """Return what one process heard of everybody's counts."""
-    found = rollout.FleetCounts(DIGEST)
+    found = FleetCounts(DIGEST)
     for number in range(n):
-        found.merge((name(number), FIRST_LIFE + number), rollout.counts_key(0, 0), counted())
+        found.merge((name(number), FIRST_LIFE + number), counts_key(0, 0), counted())
     return found
 
 
@@ -118,8 +124,8 @@
         return least * 1000, "ms"
 
     def summed() -> None:
-        members._summed = None
-        members._sum()
+        members.state.table.beliefs_version += 1
+        members.checksum.value()
 
     def view() -> list[ZoneMember]:
         return [
@@ -132,7 +138,8 @@
         heard.is_any_zone_accused(0.0)
 
     def leader() -> None:
-        evaluate_reports(of, view(), heard.reports(0.0), heard.latest_intervals(), None, 0.0, memory)
+        everybody = view()
+        evaluate(of, everybody, ReportView(of, everybody, heard, 0.0), None, 0.0, memory)
 
     spread.retain_origins(lives)
     return {
