--- a/cressrock/lab/councilsim.py
+++ b/cressrock/lab/councilsim.py
@@ -18,11 +18,12 @@
 import msgspec
 
 from cressrock.consensus.raft import messages as m
-from cressrock.consensus.raft.core import Role
-from cressrock.consensus.raft.log import StoredState, initial_state
 from cressrock.consensus.raft.messages import LogEntry
-from cressrock.consensus.raft.node import RaftNode, Ready
-from cressrock.consensus.raft.progress import RaftSettings
+from cressrock.consensus.raft.node import RaftNode
+from cressrock.consensus.raft.persistent_state import StoredState, initial_state
+from cressrock.consensus.raft.ready import Ready
+from cressrock.consensus.raft.settings import RaftSettings
+from cressrock.consensus.raft.state import Role
 from cressrock.errors.consensus import (
     ConsensusBusyError,
     LogDivergedError,
--- a/cressrock/lab/rolloutsim.py
+++ b/cressrock/lab/rolloutsim.py
@@ -19,6 +19,7 @@
 import numpy as np
 
 from cressrock.consensus import decisions as d
+from cressrock.consensus.decision_reader import DecisionReader
 from cressrock.rollout import evidence, lifecycle
 from cressrock.rollout.betting import ODDS_RATIOS, accusation_threshold, log_wealths
 from cressrock.rollout.counts import FleetCounts
@@ -296,7 +297,7 @@
     draw = random.Random(seed)
     state = start_rollout(None, b"bad")
     plan = RolloutPlan(stages=[Stage()])
-    readers = [d.DecisionReader() for _ in range(processes)]
+    readers = [DecisionReader() for _ in range(processes)]
     sure = [ReadLease() for _ in range(processes)]
     drift = [draw.uniform(0.999, 1.001) for _ in range(processes)]
     halt_at = draw.uniform(8000, 20000)
--- a/cressrock/replication/shard_request.py
+++ b/cressrock/replication/shard_request.py
@@ -13,7 +13,8 @@
 
 import anyio
 
-from cressrock.consensus.client import ConsensusClient, DecisionCache
+from cressrock.consensus.client import ConsensusClient
+from cressrock.consensus.decision_cache import DecisionCache
 from cressrock.dispatch.ledger import Verdict
 from cressrock.dispatch.operation import Reply, Result
 from cressrock.dispatch.transport import Denial
--- a/cressrock/rollout/loaded_versions.py
+++ b/cressrock/rollout/loaded_versions.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 from typing import Any, Generic, NamedTuple
 
-from cressrock.consensus.client import DecisionCache
+from cressrock.consensus.decision_cache import DecisionCache
 from cressrock.consensus.decisions import Expired
 from cressrock.rollout.interfaces import V, VersionTables
 from cressrock.rollout.lifecycle import DOCUMENT_TOPICS
--- a/tests/compatibility/rollout_cases.py
+++ b/tests/compatibility/rollout_cases.py
@@ -18,7 +18,7 @@
 from cressrock.aggregation.summaries import MergedSummaries
 from cressrock.aggregation.timings import AggregationTimings
 from cressrock.consensus import decisions as d
-from cressrock.consensus.client import DecisionCache
+from cressrock.consensus.decision_cache import DecisionCache
 from cressrock.errors import CressrockError
 from cressrock.errors.consensus import DecisionConflictError, NoQuorumError
 from cressrock.errors.rollout import InvalidRulesError
