--- a/cressrock/lab/collectsim.py
+++ b/cressrock/lab/collectsim.py
@@ -385,7 +385,7 @@
 
 
 class Descent:
-    """Decrees' way down: as many spreads as there are members, in rounds of gossip as of `fleet.rounds`.
+    """Decrees' way down: as many spreads as there are members, in rounds of gossip as of `gossip.anti_entropy`.
 
     Only the seats write: each tells each decree, the leader a new beat each second, as `council.news` tells
     them.  Rounds are as in `lab.spreadsim`: messages of a round are made before any of them is taken in.
@@ -405,7 +405,7 @@
         for spread in self.spreads:
             # Who writes nothing needs no place in anybody's table; the count of members sets the tellings.
             spread.retain_origins([s.local for s in self.seats])
-            spread.max_transmissions = lambda: self.tellings  # type: ignore[method-assign]
+            spread.broadcasts.max_transmissions = lambda: self.tellings  # type: ignore[method-assign]
         self.tellers = [decision_gossip.DecisionPublisher(settings.max_value_bytes - 32) for _ in self.seats]
         self.standing = {
             f"t{n}": d.Decision(f"t{n}", n + 1, b"v" * 200, 10000.0, "", 1 << 32) for n in range(topics)
