--- a/cressrock/lab/collectsim.py
+++ b/cressrock/lab/collectsim.py
@@ -385,7 +385,7 @@
 
 
 class Descent:
-    """Decrees' way down: as many spreads as there are members, in rounds of gossip as of `gossip.anti_entropy`.
+    """Decrees' way down: as many spreads as there are members, in rounds as of `gossip.anti_entropy`.
 
     Only the seats write: each tells each decree, the leader a new beat each second, as `council.news` tells
     them.  Rounds are as in `lab.spreadsim`: messages of a round are made before any of them is taken in.
