--- a/cressrock/lab/hollow.py
+++ b/cressrock/lab/hollow.py
@@ -1,9 +1,9 @@
 """Hollow processes: thousands of members with their spread, in one process and simulated time.
 
 Each is the very state machine of a process of the program: `Membership`, `AntiEntropy`, `GossipStore` and
-the reader of decisions, and every message passes as its bytes, encoded and decoded.  What is not here: sockets,
-tasks, clients' payloads.  The network draws delays and losses and cuts paths, as `FleetSim` does.  State of
-each about each is shared while it is equal (`hollow_shared`).  One seed gives one run.
+the reader of decisions, and every message passes as its bytes, encoded and decoded.  What is not here:
+sockets, tasks, clients' payloads.  The network draws delays and losses and cuts paths, as `FleetSim` does.
+State of each about each is shared while it is equal (`hollow_shared`).  One seed gives one run.
 """
 
 from __future__ import annotations
