--- a/cressrock/gossip/entry_table.py
+++ b/cressrock/gossip/entry_table.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 from bisect import bisect_left, insort
+from collections.abc import Collection
 from typing import NamedTuple
 
 from cressrock.gossip.change_log import ChangeLog
@@ -25,6 +26,9 @@
 IndexKey = tuple[int, str]
 """What readers look up: the kind and the key of entries."""
 
+ItemOrigin = tuple[str, Origin]
+"""Who has a readable entry under a key, and of which item; the item is empty for values and counters."""
+
 
 class EntryTable:
     """States by origin, their sorted order, the readable entries by key, and the removals of items."""
@@ -40,7 +44,7 @@
             local[0]: local[1]
         }  # process incarnation of each name held or retained
         self.total_bytes = 0
-        self.index: dict[IndexKey, dict[tuple[str, Origin], None]] = {}
+        self.index: dict[IndexKey, dict[ItemOrigin, None]] = {}  # ordered sets
         self.removals = ItemRemovals()
         self.changes = ChangeLog(settings.max_change_notices)
         self.follow_ups: list[FollowUp] = []
@@ -66,8 +70,8 @@
         entry = state.entries.get(EntryKey(EntryKind.ITEM, ref.key, ref.item)) if state else None
         return entry if entry is not None and entry.payload is not None else None
 
-    def readable(self, kind: EntryKind, key: str) -> dict[tuple[str, Origin], None]:
-        """Return (item, origin) of all readable entries under a key."""
+    def readable(self, kind: EntryKind, key: str) -> Collection[ItemOrigin]:
+        """Return the item and origin of all readable entries under a key, in the order of their coming."""
         return self.index.get((kind, key), {})
 
     # --- entries
--- a/cressrock/gossip/transport.py
+++ b/cressrock/gossip/transport.py
@@ -56,14 +56,18 @@
         """Log one event."""
 
 
+Datagram = tuple[bytes, str]
+"""What was received, and the address it came from."""
+
+
 class DatagramSocket(Protocol):
     """A bound socket for datagrams."""
 
     def send(self, address: str, data: bytes) -> None:
         """Send one to host:port; it may be lost."""
 
-    async def receive(self) -> tuple[bytes, str]:
-        """Return the next one and the address it came from."""
+    async def receive(self) -> Datagram:
+        """Return the next one."""
 
 
 @dataclass(frozen=True, slots=True)
--- a/cressrock/lab/hollow_shared.py
+++ b/cressrock/lab/hollow_shared.py
@@ -16,7 +16,7 @@
 from collections.abc import Sequence
 from typing import Any
 
-from cressrock.gossip.entry_table import IndexKey
+from cressrock.gossip.entry_table import IndexKey, ItemOrigin
 from cressrock.gossip.local_writer import LocalWriter
 from cressrock.gossip.merge import StateMerger
 from cressrock.gossip.messages import Origin, OriginSection
@@ -153,7 +153,7 @@
     """
     states = {spread.local: pooled(pool, spread.local, _copied(spread.table.own)) for spread in spreads}
     order = sorted(states)
-    index: dict[IndexKey, dict[tuple[str, Origin], None]] = {}
+    index: dict[IndexKey, dict[ItemOrigin, None]] = {}
     for spread in spreads:
         for key in spread.table.own.entries:
             index.setdefault((key.kind, key.key), {})[(key.item, spread.local)] = None
