--- /dev/null
+++ b/tests/membership/test_broadcast_queue.py
@@ -0,0 +1,55 @@
+"""The queue of updates that wait to be carried by outgoing messages."""
+
+import pytest
+
+from cressrock.membership.broadcast_queue import BroadcastQueue
+from cressrock.membership.packets import MemberState, MemberUpdate, encoded_size
+from tests.membership.support import alive
+
+
+def suspect(name, accuser):
+    return MemberUpdate(name, 1, 0, MemberState.SUSPECT, accuser)
+
+
+@pytest.fixture
+def queue():
+    return BroadcastQueue()
+
+
+def test_the_least_sent_updates_go_first(queue):
+    queue.enqueue(alive("a"))
+    assert queue.next_updates(1000, 3) == [alive("a")]
+    queue.enqueue(alive("b"))
+    assert queue.next_updates(1000, 3) == [alive("b"), alive("a")]
+
+
+def test_an_update_is_dropped_after_its_last_transmission(queue):
+    queue.enqueue(alive("a"))
+    assert [len(queue.next_updates(1000, 2)) for _ in range(3)] == [1, 1, 0]
+    assert not queue and len(queue) == 0
+
+
+def test_updates_that_do_not_fit_wait_for_the_next_message(queue):
+    updates = [alive(name) for name in "abc"]
+    for update in updates:
+        queue.enqueue(update)
+    room = encoded_size(updates[0]) + encoded_size(updates[1])
+    assert queue.next_updates(room, 5) == updates[:2]
+    assert queue.next_updates(room, 5)[0] == updates[2]
+
+
+def test_a_newer_update_replaces_all_that_wait_about_its_member(queue):
+    queue.enqueue(suspect("a", "x"))
+    queue.enqueue_beside(suspect("a", "y"))
+    queue.enqueue(alive("b"))
+    queue.enqueue(alive("a", incarnation=1))
+    assert queue.next_updates(1000, 5) == [alive("b"), alive("a", incarnation=1)]
+
+
+def test_accusers_wait_side_by_side_and_each_once(queue):
+    queue.enqueue(suspect("a", "x"))
+    for accuser in ("y", "x", "y"):
+        queue.enqueue_beside(suspect("a", accuser))
+    assert queue.next_updates(1000, 5) == [suspect("a", "x"), suspect("a", "y")]
+    queue.discard("a")
+    assert not queue
