--- a/benchmarks/members.py
+++ b/benchmarks/members.py
@@ -42,7 +42,8 @@
         sim.run(
             at + 9 * PERIOD,
             lambda name=victim.name: all(
-                host.members._records[name].state is MemberState.DEAD for host in sim.hosts.values()
+                host.members.state.table.records[name].state is MemberState.DEAD
+                for host in sim.hosts.values()
             ),
         )
         for when, observer, event in sim.events[mark:]:
--- a/benchmarks/spread.py
+++ b/benchmarks/spread.py
@@ -99,19 +99,19 @@
         for _ in range(members // 10):
             s = n.spreads[n.source.randrange(members)]
             s.put(f"key/{n.source.randrange(ENTRIES)}", n.source.randbytes(40))
-            s.count("work")
+            s.increment("work")
         n.round()
     n.joined = lambda _a, _b: True
     before = sum(n.bytes.values())
-    total = sum(s.total("work") for s in n.spreads) / members
+    total = sum(s.counter_total("work") for s in n.spreads) / members
 
     rounds = until(n, lambda: n.behind() == 0)
     views = {
-        tuple(sorted((o, repr(sorted(h[2].items()))) for o, h in s.snapshot().items()))
+        tuple(sorted((o, tuple(sorted(h[2].items()))) for o, h in s.snapshot().items()))
         for s in n.spreads[::23]
     }
     assert len(views) == 1
-    assert n.spreads[0].total("work") == 40 * (members // 10) > total
+    assert n.spreads[0].counter_total("work") == 40 * (members // 10) > total
     return rounds, (sum(n.bytes.values()) - before) / members / rounds
 
 
@@ -127,9 +127,9 @@
     def write(s):
         for key in range(20):
             s.put(f"key/{key}", source.randbytes(40))
-            s.add("room", f"{s.me[0]}-{key}", b"x" * 20)
-        s.count("work", 3)
-        return s.full(None, 10**6)[0]
+            s.add_item("room", f"{s.local[0]}-{key}", b"x" * 20)
+        s.increment("work", 3)
+        return s.full_state(None, 10**6)[0]
 
     for s in stay:
         me.merge(write(s))
@@ -140,7 +140,7 @@
         s = GossipStore(f"comes-{life % 50}", life + 1, settings, random.Random(life))
         me.retain_origins([*admitted, s.local])
         me.merge(write(s))
-        me.discard("room", f"{s.local[0]}-3")
+        me.discard_item("room", f"{s.local[0]}-3")
         me.drain_changes()
         most = max(most, me.size_bytes())
         if life % 50 == 49:
@@ -156,7 +156,7 @@
 def cost():
     """Microseconds for each entry: a rumour of 10, a delta of 20, both as repeats; beside a plain dict."""
     found = {}
-    settings = GossipStoreSettings(max_rumours=1000)
+    settings = GossipStoreSettings(max_pending_changes=1000)
 
     def clock(call, jobs):
         best = math.inf
@@ -172,7 +172,7 @@
     for key in range(400):
         writer.put(f"key/{key}", b"v" * 40)
     rumours = []
-    while writer._rumours[0]:  # each once
+    while writer.broadcasts.has_unsent:  # each once
         rumours.append(writer.recent_changes(650))
     whole, cursor = [], None
     while True:
@@ -233,7 +233,7 @@
     for data in parcels:
         me.merge(data)
     me.drain_changes()
-    me._rumours, me._told = [{}], {}
+    me.broadcasts.clear()
     held = tracemalloc.get_traced_memory()[0] - before
     tracemalloc.stop()
     return held, me.size_bytes()
