--- a/tests/test_gateway.py
+++ b/tests/programs/test_gateway.py
@@ -378,7 +378,8 @@
 
     async def program(rig):
         from cressrock.lab.day import _Silent
-        from cressrock.programs.gateway import Environment, Gateway
+        from cressrock.programs.composition import Environment
+        from cressrock.programs.gateway import Gateway
 
         async def write():
             await rig.ask("PUT", "/demo/a", b"x", idempotency_key="k1", leave_after_ms=150)
