--- a/cressrock/edge/planner_session.py
+++ b/cressrock/edge/planner_session.py
@@ -28,9 +28,7 @@
 class PlannerSession:
     """What this edge has from its planner, and what it has still to send."""
 
-    def __init__(
-        self, grants: GrantFence, outbox: Outbox, history: AttemptHistory, *, tick_ms: float
-    ) -> None:
+    def __init__(self, grants: GrantFence, outbox: Outbox, history: AttemptHistory, tick_ms: float) -> None:
         """Start without a planner.  `tick_ms`: so often at least a planner is sent this edge's clock."""
         self.grants = grants
         self.outbox = outbox
@@ -77,9 +75,7 @@
         """Keep an order until the next batch; it is carried out if it is still valid then."""
         self._orders.append((planner, order))
 
-    def next_order(
-        self, now: float
-    ) -> messages.Grant | messages.FinalAnswer | messages.CancelAttempt | messages.ClockStamp | None:
+    def next_order(self, now: float) -> messages.OperationOrder | messages.ClockStamp | None:
         """Return the next order of this session, after all that concerns the session alone; None: no more."""
         while self._orders:
             planner, order = self._orders.popleft()
--- a/cressrock/errors/gossip.py
+++ b/cressrock/errors/gossip.py
@@ -18,9 +18,7 @@
     """A key, an item or a value of one's own is empty or larger than one datagram may carry of it."""
 
     code: ClassVar[str] = "spread-too-large"
-    remedy: ClassVar[str] = (
-        "keep less in one entry, or raise max_key or max_value in all processes alike"
-    )
+    remedy: ClassVar[str] = "keep less in one entry, or raise max_key or max_value in all processes alike"
 
 
 class OriginFullError(GossipError):
--- a/cressrock/lab/seat.py
+++ b/cressrock/lab/seat.py
@@ -17,9 +17,10 @@
 
 from cressrock import net
 from cressrock.consensus import decisions as d
-from cressrock.consensus.raft.progress import RaftSettings
-from cressrock.consensus.replica import ConsensusReplica, ReplicaSettings
-from cressrock.consensus.transport import Environment
+from cressrock.consensus.environment import Environment
+from cressrock.consensus.raft.settings import RaftSettings
+from cressrock.consensus.replica import ConsensusReplica
+from cressrock.consensus.settings import ReplicaSettings
 
 
 def say(line: dict[str, Any]) -> None:
@@ -38,7 +39,7 @@
         start=given.start,
         timing=RaftSettings(election_ms=given.election_ms, heartbeat_ms=given.heartbeat_ms),
         renewal_interval_ms=given.renew_ms,
-        max_log_entries=given.max_log_entries,
+        max_log_entries=given.max_log,
     )
     world = Environment(net.clock(), net.wall_ms, net.connect, random.Random())
 
--- a/cressrock/replication/known_set.py
+++ b/cressrock/replication/known_set.py
@@ -7,7 +7,7 @@
 
 from msgspec import Struct, field
 
-from cressrock.consensus.client import DecisionCache
+from cressrock.consensus.decision_cache import DecisionCache
 from cressrock.consensus.decisions import Expired
 from cressrock.errors.replication import InvalidSetError, UnknownSetVersionError
 from cressrock.replication.in_sync_set import InSyncSet, decode_set, set_topic
--- a/cressrock/replication/runtime.py
+++ b/cressrock/replication/runtime.py
@@ -5,7 +5,8 @@
 from collections.abc import Mapping
 from typing import Protocol
 
-from cressrock.consensus.client import ConsensusClient, DecisionCache
+from cressrock.consensus.client import ConsensusClient
+from cressrock.consensus.decision_cache import DecisionCache
 from cressrock.consensus.decisions import Decision
 from cressrock.errors.consensus import NoQuorumError
 from cressrock.gossip.messages import Origin
--- a/cressrock/rollout/interfaces.py
+++ b/cressrock/rollout/interfaces.py
@@ -6,7 +6,8 @@
 from typing import Protocol, TypeVar
 
 from cressrock.aggregation.channel import EvidenceChannel
-from cressrock.consensus.client import ConsensusClient, DecisionCache
+from cressrock.consensus.client import ConsensusClient
+from cressrock.consensus.decision_cache import DecisionCache
 from cressrock.gossip.messages import Origin
 from cressrock.gossip.store import GossipStore
 from cressrock.http.channel import Headers
--- a/cressrock/runtime/cluster.py
+++ b/cressrock/runtime/cluster.py
@@ -15,14 +15,16 @@
 from anyio.abc import TaskGroup, TaskStatus
 
 from cressrock.aggregation import messages
-from cressrock.aggregation.channel import EvidenceChannel
-from cressrock.consensus.client import ConsensusClient, DecisionCache
+from cressrock.aggregation.channel import ChannelSettings, EvidenceChannel
+from cressrock.consensus.client import ConsensusClient
+from cressrock.consensus.decision_cache import DecisionCache
 from cressrock.consensus.decisions import Decision, Expired
-from cressrock.consensus.raft.core import Role
-from cressrock.consensus.raft.progress import RaftSettings
-from cressrock.consensus.replica import ConsensusReplica, ReplicaSettings
-from cressrock.consensus.transport import Environment as ConsensusEnvironment
-from cressrock.consensus.transport import run_in_thread, run_inline
+from cressrock.consensus.environment import Environment as ConsensusEnvironment
+from cressrock.consensus.environment import run_in_thread, run_inline
+from cressrock.consensus.raft.settings import RaftSettings
+from cressrock.consensus.raft.state import Role
+from cressrock.consensus.replica import ConsensusReplica
+from cressrock.consensus.settings import ReplicaSettings
 from cressrock.gossip.anti_entropy import AntiEntropySettings
 from cressrock.gossip.messages import Origin
 from cressrock.gossip.settings import GossipStoreSettings
@@ -99,15 +101,17 @@
         self.is_collector = is_collector and council is not None and council.store is not None
         self.evidence = EvidenceChannel(
             (identity.name, identity.incarnation),
-            identity.fleet.zone,
+            ChannelSettings(
+                identity.fleet.zone,
+                replicas=tuple(council.seats) if council is not None else (),
+                sends_reports=identity.role == "edge",
+                is_collector=self.is_collector,
+                max_gossip_senders=identity.fleet.collect_from,
+            ),
             self.gossip,
             clock=clock,
             source=random.Random(f"{identity.name}/{identity.incarnation}/evidence"),
             log=log,
-            replicas=council.seats if council is not None else (),
-            sends_reports=identity.role == "edge",
-            is_collector=self.is_collector,
-            max_gossip_senders=identity.fleet.collect_from,
         )
         self._view_cache = ViewCache()
         self.membership: ClusterTransport | None = None
--- a/cressrock/runtime/decision_exchange.py
+++ b/cressrock/runtime/decision_exchange.py
@@ -11,7 +11,7 @@
 
 import anyio
 
-from cressrock.consensus.client import DecisionCache
+from cressrock.consensus.decision_cache import DecisionCache
 from cressrock.consensus.decision_gossip import (
     DECISION_PREFIX,
     RENEWAL_PREFIX,
--- a/tests/compatibility/rollout_cases.py
+++ b/tests/compatibility/rollout_cases.py
@@ -13,12 +13,12 @@
 import trio
 import trio.testing
 
-from cressrock.aggregation.channel import EvidenceChannel
+from cressrock.aggregation.channel import ChannelSettings, EvidenceChannel
 from cressrock.aggregation.collector import ReportCollector
 from cressrock.aggregation.summaries import MergedSummaries
 from cressrock.aggregation.timings import AggregationTimings
 from cressrock.consensus import decisions as d
-from cressrock.consensus.client import DecisionCache
+from cressrock.consensus.decision_cache import DecisionCache
 from cressrock.errors import CressrockError
 from cressrock.errors.consensus import DecisionConflictError, NoQuorumError
 from cressrock.errors.rollout import InvalidRulesError
@@ -597,7 +597,12 @@
         self.decision_cache = DecisionCache(None, clock)
         self.consensus = _Council(self.decision_cache)
         self.evidence = EvidenceChannel(
-            ("me", 1), "z0", self.gossip, clock=clock, source=source, log=_Log(), is_collector=collects
+            ("me", 1),
+            ChannelSettings("z0", is_collector=collects),
+            self.gossip,
+            clock=clock,
+            source=source,
+            log=_Log(),
         )
         self.on_gossip_change: list[Any] = []
         self.on_leaving: list[Any] = []
--- a/tests/compatibility/test_consensus.py
+++ b/tests/compatibility/test_consensus.py
@@ -4,11 +4,15 @@
 
 import pytest
 
-from cressrock.consensus import decision_gossip, decisions, recover, wire
-from cressrock.consensus.client import DecisionCache
+from cressrock.consensus import decision_gossip, decisions, frames, recover
+from cressrock.consensus.connection_protocol import Closed, ConnectionProtocol, LocalEndpoint
+from cressrock.consensus.decision_cache import DecisionCache
+from cressrock.consensus.decision_reader import DecisionReader
+from cressrock.consensus.decision_state import DecisionState
+from cressrock.consensus.frames import CloseNotice, Hello, Welcome
 from cressrock.consensus.raft import messages
-from cressrock.consensus.raft.log import HardState
 from cressrock.consensus.raft.messages import LogEntry
+from cressrock.consensus.raft.persistent_state import HardState
 from cressrock.consensus.store import ReplicaStore
 from cressrock.errors.consensus import ForeignStoreError, InvalidMessageError, StoreMissingError
 from cressrock.planner import epochs
@@ -29,8 +33,8 @@
 
 
 def test_every_recorded_example_is_still_built():
-    assert set(cases.seat_messages()) == set(WIRE["messages"])
-    assert set(cases.frames()) == set(WIRE["frames"])
+    assert set(cases.replica_messages()) == set(WIRE["messages"])
+    assert set(cases.frame_examples()) == set(WIRE["frames"])
     assert set(cases.commands()) == set(WIRE["commands"])
     assert set(cases.decision_examples()) == set(WIRE["decisions"])
     assert {name: set(map(str, seeds)) for name, (_, seeds) in STREAMS.items()} == {
@@ -40,7 +44,7 @@
 
 @pytest.mark.parametrize("name", WIRE["messages"])
 def test_a_message_between_replicas_has_its_recorded_bytes(name):
-    message, recorded = cases.seat_messages()[name], bytes.fromhex(WIRE["messages"][name])
+    message, recorded = cases.replica_messages()[name], bytes.fromhex(WIRE["messages"][name])
     assert messages.encode(cases.CLUSTER, cases.SENDER, cases.RECEIVER, message) == recorded
     assert messages.decode(recorded, cases.CLUSTER) == (cases.SENDER, cases.RECEIVER, message)
 
@@ -60,8 +64,8 @@
 
 @pytest.mark.parametrize("name", WIRE["frames"])
 def test_a_frame_has_its_recorded_bytes(name):
-    frame, recorded = cases.frames()[name], bytes.fromhex(WIRE["frames"][name])
-    assert wire.encode(frame) == recorded
+    frame, recorded = cases.frame_examples()[name], bytes.fromhex(WIRE["frames"][name])
+    assert frames.encode(frame) == recorded
     assert int.from_bytes(recorded[:4], "big") == len(recorded) - 4
     assert decoded(recorded) == frame
 
@@ -69,25 +73,24 @@
 def decoded(recorded):
     """Return the frame that a connection's end makes of the bytes; a greeting is shown by its event."""
     founders = (cases.SENDER, cases.RECEIVER)
-    me = wire.Me(cases.CLUSTER, "x#1", True, "", founders)
-    dialled = wire.Talk(True, me, 0.0)
-    accepting = wire.Talk(False, me, 0.0)
-    decoder = wire._decoder
-    frame = decoder.decode(recorded[4:])
+    me = LocalEndpoint(cases.CLUSTER, "x#1", True, "", founders)
+    dialled = ConnectionProtocol(True, me, 0.0)
+    accepting = ConnectionProtocol(False, me, 0.0)
+    frame = frames.decode_body(recorded[4:])
     match frame:
-        case wire.Hello():
+        case Hello():
             events = accepting.receive_data(recorded, 1.0)
-            assert [(event.who, event.seat, event.council, event.founders) for event in events] == [
-                (frame.who, frame.seat, frame.council, frame.founders)
-            ]
-        case wire.Welcome():
+            assert [
+                (event.peer, event.is_replica, event.group, event.initial_replicas) for event in events
+            ] == [(frame.sender, frame.is_replica, frame.group, frame.initial_replicas)]
+        case Welcome():
             events = dialled.receive_data(recorded, 1.0)
-            assert [(event.version, event.who, event.applied) for event in events] == [
-                (frame.version, frame.who, frame.applied)
+            assert [(event.version, event.peer, event.applied) for event in events] == [
+                (frame.version, frame.sender, frame.applied)
             ]
-        case wire.Parting():
+        case CloseNotice():
             events = accepting.receive_data(recorded, 1.0)
-            assert events == [wire.Closed(frame.code, frame.reason, ours=False)]
+            assert events == [Closed(frame.code, frame.reason, by_us=False)]
     return frame
 
 
@@ -106,21 +109,21 @@
 
 
 def test_what_is_published_by_gossip_has_its_recorded_keys_and_bytes():
-    assert cases.told_decisions() == WIRE["told"]
+    assert cases.published_decisions() == WIRE["told"]
     assert decisions.gossip_key("zone/a") == "decree/zone/a"
 
 
 def test_recorded_gossip_is_read_as_the_decisions_that_were_published():
-    taker = decision_gossip.DecisionSubscriber()
+    subscriber = decision_gossip.DecisionSubscriber()
     for step in WIRE["told"]:
         standing = [decisions.decode_decision(bytes.fromhex(data)) for data in step["standing"]]
         by_topic = {decree.topic: decree for decree in standing}
         for key, value in step["changes"]:
             if value is None:
                 continue
-            found, wanted = taker.receive_entry(key, bytes.fromhex(value))
+            found, wanted = subscriber.receive_entry(key, bytes.fromhex(value))
             for topic in wanted:
-                found = taker.receive_decision(by_topic[topic])
+                found = subscriber.receive_decision(by_topic[topic])
             for decree in found:
                 stands = by_topic[decree.topic]
                 assert (decree.version, decree.value, decree.lease_ms) == (
@@ -134,14 +137,14 @@
 def test_a_state_snapshot_has_its_recorded_bytes_and_is_restored_from_them():
     recorded = bytes.fromhex(WIRE["state"])
     assert cases.snapshot().snapshot() == recorded
-    assert decisions.DecisionState.restore(recorded).snapshot() == recorded
-    assert decisions.DecisionState.restore(recorded).all_decisions() == cases.snapshot().all_decisions()
+    assert DecisionState.restore(recorded).snapshot() == recorded
+    assert DecisionState.restore(recorded).all_decisions() == cases.snapshot().all_decisions()
 
 
 def test_a_readers_memory_has_its_recorded_bytes_and_is_read_from_them():
     recorded = bytes.fromhex(WIRE["seen"])
     assert cases.reader().to_bytes() == recorded
-    assert decisions.DecisionReader(recorded, max_topics=2).to_bytes() == recorded
+    assert DecisionReader(recorded, max_topics=2).to_bytes() == recorded
 
 
 # --- stored files
--- a/tests/planner/test_planner.py
+++ b/tests/planner/test_planner.py
@@ -37,7 +37,7 @@
     planner.leave("e", second)
     planner.step(3.0)
     scheduler = planner.decisions
-    in_flight = any(node.out for node in scheduler.nodes.values())
+    in_flight = any(endpoint.in_flight for endpoint in scheduler.endpoints.by_name.values())
     assert not planner.scheduled and not in_flight and not scheduler.requests
 
 
