--- a/cressrock/observe/metrics.py
+++ b/cressrock/observe/metrics.py
@@ -25,24 +25,28 @@
         self.log_requests = log_requests
         self.attempt_listeners: list[Callable[[int, Outcome], None]] = []  # called with shard and outcome
         self.registry = CollectorRegistry()
-        r = self.registry
+        registry = self.registry
         self.answers = Counter(
             "cressrock_answers_total",
             "Final answers of storage operations.",
             ["cls", "verdict", "reason"],
-            registry=r,
+            registry=registry,
         )
         self.seconds = Histogram(
-            "cressrock_operation_seconds", "From taken to answered.", ["cls"], buckets=SECONDS, registry=r
+            "cressrock_operation_seconds",
+            "From taken to answered.",
+            ["cls"],
+            buckets=SECONDS,
+            registry=registry,
         )
         self.attempts = Counter(
-            "cressrock_attempts_total", "Attempts by outcome.", ["node", "outcome"], registry=r
+            "cressrock_attempts_total", "Attempts by outcome.", ["node", "outcome"], registry=registry
         )
         self.fences = Counter(
             "cressrock_fence_trips_total",
             "Orders that would have broken a rule: each a defect.",
             ["fence"],
-            registry=r,
+            registry=registry,
         )
         for fence in Fence:
             self.fences.labels(fence.value)
@@ -50,43 +54,47 @@
             "cressrock_batch_late_seconds",
             "How long the oldest event of a batch waited.",
             buckets=SECONDS,
-            registry=r,
+            registry=registry,
         )
         self.act = Histogram(
             "cressrock_batch_seconds",
             "Time that the decisions and their carrying out took.",
             buckets=SECONDS,
-            registry=r,
+            registry=registry,
         )
-        self.events = Counter("cressrock_events_total", "Events handed to the decisions.", registry=r)
+        self.events = Counter("cressrock_events_total", "Events handed to the decisions.", registry=registry)
         self.requests = Counter(
             "cressrock_requests_total",
             "Client requests by method and status.",
             ["method", "status"],
-            registry=r,
+            registry=registry,
         )
         self.open_requests = Gauge(
-            "cressrock_open_operations", "Operations that are owed an answer.", registry=r
+            "cressrock_open_operations", "Operations that are owed an answer.", registry=registry
+        )
+        self.connections = Gauge("cressrock_connections", "Open connections.", ["side"], registry=registry)
+        self.stored = Gauge("cressrock_payload_bytes", "Payload bytes held in memory.", registry=registry)
+        self.list_age = Gauge(
+            "cressrock_node_list_age_seconds", "Since the list last answered.", registry=registry
+        )
+        self.nodes = Gauge("cressrock_nodes", "Nodes by state.", ["state"], registry=registry)
+        self.depth = Gauge(
+            "cressrock_node_depth", "The scheduler's D at a node.", ["node"], registry=registry
         )
-        self.connections = Gauge("cressrock_connections", "Open connections.", ["side"], registry=r)
-        self.stored = Gauge("cressrock_payload_bytes", "Payload bytes held in memory.", registry=r)
-        self.list_age = Gauge("cressrock_node_list_age_seconds", "Since the list last answered.", registry=r)
-        self.nodes = Gauge("cressrock_nodes", "Nodes by state.", ["state"], registry=r)
-        self.depth = Gauge("cressrock_node_depth", "The scheduler's D at a node.", ["node"], registry=r)
         self.waiting = Gauge(
-            "cressrock_shard_waiting", "Operations that wait for a shard.", ["shard"], registry=r
+            "cressrock_shard_waiting", "Operations that wait for a shard.", ["shard"], registry=registry
         )
         self._children: dict[tuple[Any, ...], Any] = {}
 
     def child(self, metric: Any, *labels: str) -> Any:
         """Return a metric's child; cached, since looking one up by its labels is expensive."""
         key = (id(metric), *labels)
-        found = self._children.get(key)
-        if found is None:
+        child = self._children.get(key)
+        if child is None:
             if len(self._children) >= MAX_CHILDREN:
                 self._children.clear()
-            found = self._children[key] = metric.labels(*labels)
-        return found
+            child = self._children[key] = metric.labels(*labels)
+        return child
 
     # --- the driver's observer
 
@@ -95,12 +103,14 @@
         self.fences.labels(trip.fence.value).inc()
         self.log.error("fence", fence=trip.fence.value, operation=trip.operation, detail=trip.detail)
 
-    def attempt_ended(self, attempt: Attempt, outcome: Outcome, lag_ms: float, text: str) -> None:
+    def attempt_ended(self, attempt: Attempt, outcome: Outcome, latency_ms: float, text: str) -> None:
         """Count an attempt, and call the listeners; what did not answer is logged."""
         name = attempt.node.name
         self.child(self.attempts, name, outcome.value).inc()
         if text:
-            self.log.debug("attempt", node=name, outcome=outcome.value, lag_ms=round(lag_ms, 1), text=text)
+            self.log.debug(
+                "attempt", node=name, outcome=outcome.value, lag_ms=round(latency_ms, 1), text=text
+            )
         for listener in self.attempt_listeners:
             listener(attempt.node.shard, outcome)
 
