--- a/cressrock/consensus/__init__.py
+++ b/cressrock/consensus/__init__.py
@@ -1,1 +1,1 @@
-"""What planners decide in common: a replicated log (pure), its store, decrees (pure), their carrier."""
+"""Decisions that planners make in common: the replicated log, its store, replicas and clients."""
--- a/cressrock/consensus/client.py
+++ b/cressrock/consensus/client.py
@@ -7,6 +7,7 @@
 from dataclasses import dataclass
 
 import anyio
+import msgspec
 from anyio.abc import TaskGroup
 
 from cressrock.consensus.connection_protocol import ConnectionLimits, LocalEndpoint
@@ -191,17 +192,7 @@
         )
         decode_command(encode(command))  # checks the bounds of its fields
         reply = await self._request(
-            lambda index: Decide(
-                command.topic,
-                command.value,
-                command.lease_ms,
-                command.author,
-                command.request_id,
-                index,
-                command.if_version,
-            ),
-            attempts,
-            timeout_ms,
+            lambda index: msgspec.structs.replace(command, asked_at_index=index), attempts, timeout_ms
         )
         if not isinstance(reply, CurrentDecision) or reply.decision is None:
             raise InvalidDecisionError(f"a replica answered {type(reply).__name__} to a decision")
--- a/cressrock/consensus/raft/messages.py
+++ b/cressrock/consensus/raft/messages.py
@@ -194,17 +194,20 @@
     return envelope.sender, envelope.to, envelope.body
 
 
-def encode_voters(seats: tuple[str, ...]) -> bytes:
+def encode_voters(voters: tuple[str, ...]) -> bytes:
     """Return the data of a `seats` entry."""
-    return _encoder.encode(seats)
+    return _encoder.encode(voters)
 
 
 def decode_voters(data: bytes) -> tuple[str, ...]:
-    """Return the seats of a `seats` entry; `MessageRefused` if the data are none, or name one twice."""
+    """Return the voters of a `seats` entry.
+
+    Raises InvalidMessageError if the data are none, or name one twice.
+    """
     try:
-        seats = _names.decode(data)
+        voters = _names.decode(data)
     except msgspec.DecodeError as error:
         raise InvalidMessageError(f"seats that are none: {error}", "malformed") from None
-    if not seats or len(set(seats)) != len(seats):
-        raise InvalidMessageError(f"seats that are none, or one of them twice: {seats}", "malformed")
-    return seats
+    if not voters or len(set(voters)) != len(voters):
+        raise InvalidMessageError(f"seats that are none, or one of them twice: {voters}", "malformed")
+    return voters
--- a/cressrock/consensus/replica.py
+++ b/cressrock/consensus/replica.py
@@ -36,6 +36,7 @@
 from cressrock.consensus.environment import Environment
 from cressrock.consensus.frames import (
     AddReplica,
+    CloseNotice,
     GetStatus,
     NotLeader,
     Operation,
@@ -262,12 +263,12 @@
         """Serve one accepted stream to its end."""
         await self._server.serve(stream)
 
-    def refusal(self) -> tuple[str, str] | None:
-        """Return code and reason if this replica serves nobody now."""
+    def refusal(self) -> CloseNotice | None:
+        """Return with what to close connections if this replica serves nobody now."""
         if self.failed is not None:
-            return self.failed.code, self.failed.text
+            return CloseNotice(self.failed.code, self.failed.text)
         if self.header is None:
-            return "council-starting", "the store is being opened"
+            return CloseNotice("council-starting", "the store is being opened")
         return None
 
     def applied(self) -> int:
--- a/cressrock/consensus/replica_server.py
+++ b/cressrock/consensus/replica_server.py
@@ -10,7 +10,7 @@
 
 from cressrock.consensus.connection_protocol import Closed, ConnectionProtocol, Event, LocalEndpoint
 from cressrock.consensus.environment import Environment
-from cressrock.consensus.frames import Operation, RaftFrame, Reply, Request, Response, RetryLater
+from cressrock.consensus.frames import CloseNotice, Operation, RaftFrame, Reply, Request, Response, RetryLater
 from cressrock.consensus.settings import ReplicaSettings
 from cressrock.consensus.transport import Connection
 from cressrock.http.channel import Stream
@@ -24,8 +24,8 @@
     def local_endpoint(self) -> LocalEndpoint:
         """Return who this replica is now."""
 
-    def refusal(self) -> tuple[str, str] | None:
-        """Return code and reason if nobody is served now."""
+    def refusal(self) -> CloseNotice | None:
+        """Return with what to close connections if nobody is served now."""
 
     def receive_raft(self, peer: str, data: bytes) -> None:
         """Take a replica's message."""
@@ -60,7 +60,7 @@
         self._connections.add(connection)
         try:
             if (refusal := self.handler.refusal()) is not None:
-                connection.close(*refusal)
+                connection.close(refusal.code, refusal.reason)
             elif len(self._connections) > settings.max_connections:
                 connection.close("council-crowded", f"{settings.max_connections} connections are open")
             await connection.run()
