--- a/cressrock/consensus/raft/messages.py
+++ b/cressrock/consensus/raft/messages.py
@@ -65,7 +65,7 @@
 
 
 class RequestVoteReply(Message, frozen=True, tag="voted", kw_only=True):
-    """The answer to a Vote of this `term`."""
+    """The answer to a RequestVote of this `term`."""
 
     granted: bool
 
@@ -166,13 +166,13 @@
 _names = msgspec.msgpack.Decoder(Names)
 
 
-def encode(cluster: str, sender: str, to: str, message: RaftMessage) -> bytes:
+def encode(cluster: str, sender: str, receiver: str, message: RaftMessage) -> bytes:
     """Return the bytes of one message, without a frame's length."""
-    return _encoder.encode(_Envelope(PROTOCOL_VERSION, cluster, sender, to, message))
+    return _encoder.encode(_Envelope(PROTOCOL_VERSION, cluster, sender, receiver, message))
 
 
 def decode(data: bytes, cluster: str) -> tuple[str, str, RaftMessage]:
-    """Return (sender, receiver, message); `MessageRefused` says why not, its `reason` is for a counter."""
+    """Return sender, receiver and message.  Raises InvalidMessageError, whose `reason` is for a counter."""
     if len(data) > MAX_MESSAGE_BYTES:
         raise InvalidMessageError(
             f"a message of {len(data)} bytes, at most {MAX_MESSAGE_BYTES} are taken", "size"
--- a/cressrock/lab/replica_store.py
+++ b/cressrock/lab/replica_store.py
@@ -1,4 +1,4 @@
-"""A council seat's store in memory, in the order that `Ready` asks for: for explorer and simulator."""
+"""A replica's store in memory, in the order that `Ready` asks for: for model checker and simulator."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class InMemoryReplicaStore:
-    """Keeps what a seat hands out; what was kept is never changed in place, so copies share it."""
+    """Keeps what a node hands out; what was kept is never changed in place, so copies share it."""
 
     __slots__ = ("hard", "snapshot", "entries")
 
@@ -23,7 +23,7 @@
         return InMemoryReplicaStore(self.load())
 
     def load(self) -> StoredState:
-        """Return what a seat starts from."""
+        """Return what a node starts from."""
         return StoredState(self.hard, self.snapshot, self.entries)
 
     def write(self, ready: Ready) -> None:
