--- a/cressrock/consensus/raft/messages.py
+++ b/cressrock/consensus/raft/messages.py
@@ -65,7 +65,7 @@
 
 
 class RequestVoteReply(Message, frozen=True, tag="voted", kw_only=True):
-    """The answer to a Vote of this `term`."""
+    """The answer to a RequestVote of this `term`."""
 
     granted: bool
 
@@ -166,13 +166,13 @@
 _names = msgspec.msgpack.Decoder(Names)
 
 
-def encode(cluster: str, sender: str, to: str, message: RaftMessage) -> bytes:
+def encode(cluster: str, sender: str, receiver: str, message: RaftMessage) -> bytes:
     """Return the bytes of one message, without a frame's length."""
-    return _encoder.encode(_Envelope(PROTOCOL_VERSION, cluster, sender, to, message))
+    return _encoder.encode(_Envelope(PROTOCOL_VERSION, cluster, sender, receiver, message))
 
 
 def decode(data: bytes, cluster: str) -> tuple[str, str, RaftMessage]:
-    """Return (sender, receiver, message); `MessageRefused` says why not, its `reason` is for a counter."""
+    """Return sender, receiver and message.  Raises InvalidMessageError, whose `reason` is for a counter."""
     if len(data) > MAX_MESSAGE_BYTES:
         raise InvalidMessageError(
             f"a message of {len(data)} bytes, at most {MAX_MESSAGE_BYTES} are taken", "size"
@@ -194,17 +194,20 @@
     return envelope.sender, envelope.to, envelope.body
 
 
-def encode_voters(seats: tuple[str, ...]) -> bytes:
+def encode_voters(voters: tuple[str, ...]) -> bytes:
     """Return the data of a `seats` entry."""
-    return _encoder.encode(seats)
+    return _encoder.encode(voters)
 
 
 def decode_voters(data: bytes) -> tuple[str, ...]:
-    """Return the seats of a `seats` entry; `MessageRefused` if the data are none, or name one twice."""
+    """Return the voters of a `seats` entry.
+
+    Raises InvalidMessageError if the data are none, or name one twice.
+    """
     try:
-        seats = _names.decode(data)
+        voters = _names.decode(data)
     except msgspec.DecodeError as error:
         raise InvalidMessageError(f"seats that are none: {error}", "malformed") from None
-    if not seats or len(set(seats)) != len(seats):
-        raise InvalidMessageError(f"seats that are none, or one of them twice: {seats}", "malformed")
-    return seats
+    if not voters or len(set(voters)) != len(voters):
+        raise InvalidMessageError(f"seats that are none, or one of them twice: {voters}", "malformed")
+    return voters
