--- a/tests/test_hollow.py
+++ b/tests/test_hollow.py
@@ -173,6 +173,6 @@
     assert len(hollow_turns.members_of(n, 1)[0].process_ids()) == n
     assert len(hollow_turns.spread_of(n).values(hollow_turns.WORD)) == n
     assert len(hollow_turns.heard_of(n).latest_intervals()) == n
-    assert len(hollow_turns.counts_of(n).lives) == n
+    assert len(hollow_turns.counts_of(n).by_origin) == n
     assert all(value >= 0 for value, _ in hollow_turns.turns(n, 1, time.process_time, 1).values())
     assert hollow_turns.state(n, 1)["spread.whole"][0] > 100 * n
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -637,7 +637,7 @@
         now[0] = 1020.0 + BOUNDS.stall_ms
         pool._ring()
         (ending,) = call.endings
-        assert (ending.outcome, ending.lag_ms, connection.transport.closed) == (Outcome.ERROR, 20.0, True)
+        assert (ending.outcome, ending.latency_ms, connection.transport.closed) == (Outcome.ERROR, 20.0, True)
 
     asyncio.run(test())
 
