--- a/cressrock/lab/localcost_rows.py
+++ b/cressrock/lab/localcost_rows.py
@@ -49,7 +49,7 @@
     Line(
         "server list, whole",
         "dispatcher",
-        "`platform/serverlist`, ledger, `Scheduler._assign`; one answer, taken in whole",
+        "`platform/serverlist`, ledger, `Scheduler._update_endpoints`; one answer, taken in whole",
         BOUND,
         "A whole list is {serverlist.whole.bytes} bytes and {serverlist.whole.cpu_ms} ms of "
         "processor time (JSON {serverlist.whole.json.cpu_ms}, `receive` "
@@ -62,7 +62,7 @@
     Line(
         "server list, one change",
         "dispatcher",
-        "discovery's changes by version; `Scheduler._assign` goes through all servers",
+        "discovery's changes by version; `Scheduler._update_endpoints` goes through all servers",
         BOUND,
         "A change of one server is {serverlist.change.bytes} bytes and flat on the wire and "
         "in the list ({serverlist.change.receive.steps} lines), but "
