--- a/cressrock/runtime/cluster.py
+++ b/cressrock/runtime/cluster.py
@@ -128,7 +128,7 @@
     async def run(self, *, task_status: TaskStatus[None] = anyio.TASK_STATUS_IGNORED) -> None:
         """Take part until cancelled; started once bound.
 
-        Raises BindError; errors.fleet.Fenced once a newer life of this name is heard of.
+        Raises BindError; FencedError once a newer incarnation of this name is heard of.
         """
         settings = self.identity.fleet
         async with anyio.create_task_group() as tasks:
