--- a/cressrock/platform/__init__.py
+++ b/cressrock/platform/__init__.py
@@ -1,1 +1,1 @@
-"""The dispatcher as the platform runs it: RESP2 in and out, discovery over HTTP, one core, little memory."""
+"""The dispatcher as the platform runs it: RESP2 for clients and servers, HTTP for discovery, on one core."""
--- a/cressrock/platform/config.py
+++ b/cressrock/platform/config.py
@@ -1,4 +1,4 @@
-"""The configuration file that a dispatcher is given, checked.  Pure."""
+"""Reads and checks a dispatcher's configuration file.  Pure."""
 
 from __future__ import annotations
 
@@ -20,10 +20,10 @@
 )
 from cressrock.interface import Settings
 
-LEAST_MB = 16  # the program alone takes about so much
-LEAST_SOCKETS = 48  # below it nothing is left beside what the program itself holds
-MOST = 2.0**31  # of either: more than the system can give, and all that is derived from it stays a number
-MOST_UNITS = 999_999_999.0  # what a request can name at all
+MIN_MEMORY_MB = 16  # the program alone takes about as much
+MIN_SOCKETS = 48  # with fewer, none is left beside those that the program itself uses
+MAX_LIMIT = 2.0**31  # of both limits: more than a system has, and all values derived from it stay finite
+MAX_UNITS = 999_999_999.0  # the most that a request can encode
 
 
 class ConfigError(ValueError):
@@ -32,7 +32,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Config:
-    """What a dispatcher is told.  Sizes in megabytes, times in milliseconds."""
+    """A dispatcher's checked configuration.  Sizes in megabytes, times in milliseconds."""
 
     name: str
     listen: tuple[str, int]
@@ -50,44 +50,44 @@
 
 
 def parse(text: str | bytes) -> Config:
-    """Read a configuration.  Raises ConfigError, and nothing else whatever the text is."""
+    """Read a configuration.  Raises ConfigError and nothing else, whatever the text is."""
     try:
         value = json.loads(text if isinstance(text, str) else text.decode())
     except RecursionError:
-        raise ConfigError("not JSON that can be read: nested too deeply") from None
-    except ValueError as wrong:
-        raise ConfigError(f"not JSON: {wrong}") from None
+        raise ConfigError("cannot be read as JSON: nested too deeply") from None
+    except ValueError as exc:
+        raise ConfigError(f"not JSON: {exc}") from None
     if not isinstance(value, dict):
-        raise ConfigError("not an object")
-    raw = _part(value, "settings", dict)
-    limits = _part(value, "limits", dict)
-    seed = _part(value, "seed", str)
+        raise ConfigError("the configuration is not a JSON object")
+    raw = _required(value, "settings", dict)
+    limits = _required(value, "limits", dict)
+    seed = _required(value, "seed", str)
     try:
-        random = int(seed, 16)
+        seed_number = int(seed, 16)
     except ValueError:
         raise ConfigError(f"seed: {describe_value(seed)} is not a hexadecimal number") from None
     try:
         settings = parse_settings(raw)
-        classes, plans = _names(raw, "profiles"), _names(raw, "policies")
-        _strict(raw, len(classes))
-        settings, idle_close_ms = _completed(raw, settings)
-        zones = _zones(raw)
-        shards = _whole(section(raw, "family_info", dict), "n_shards", "family_info.")
-    except ValueError as wrong:
-        raise ConfigError(f"settings.{wrong}") from None
+        classes, plans = _unique_names(raw, "profiles"), _unique_names(raw, "policies")
+        _check_platform_settings(raw, len(classes))
+        settings, idle_close_ms = _with_safe_defaults(raw, settings)
+        zones = _zone_names(raw)
+        shards = _whole_number(section(raw, "family_info", dict), "n_shards", "family_info.")
+    except ValueError as exc:
+        raise ConfigError(f"settings.{exc}") from None
     try:
-        memory_mb = _limit(limits, "memory_mb", LEAST_MB)
-        sockets = int(_limit(limits, "sockets", LEAST_SOCKETS))
-    except ValueError as wrong:
-        raise ConfigError(f"limits.{wrong}") from None
+        memory_mb = _limit(limits, "memory_mb", MIN_MEMORY_MB)
+        sockets = int(_limit(limits, "sockets", MIN_SOCKETS))
+    except ValueError as exc:
+        raise ConfigError(f"limits.{exc}") from None
     return Config(
-        name=_part(value, "name", str),
-        listen=address(_part(value, "listen", str), "listen"),
-        discovery=address(_part(value, "discovery", str), "discovery"),
-        seed=random,
+        name=_required(value, "name", str),
+        listen=address(_required(value, "listen", str), "listen"),
+        discovery=address(_required(value, "discovery", str), "discovery"),
+        seed=seed_number,
         memory_mb=memory_mb,
         sockets=sockets,
-        known=_part(value, "known", dict),
+        known=_required(value, "known", dict),
         settings=settings,
         classes=classes,
         plans=plans,
@@ -100,30 +100,31 @@
 def address(text: str, place: str) -> tuple[str, int]:
     """Read host:port.  Raises ConfigError."""
     host, _, port = text.rpartition(":")
-    # Danger: isdigit() takes digits that int() does not, and a name that no resolver can take raises no
-    # OSError where it is used: either would end the program in a stack trace.
-    good = port.isascii() and port.isdigit() and len(port) <= 5 and int(port) <= 65535
-    good = good and host.isascii() and host.isprintable() and " " not in host
+    # isdigit() alone accepts digits that int() rejects, and a name that a resolver cannot encode raises no
+    # OSError when it is used: either would end the program with a traceback.
+    is_valid = port.isascii() and port.isdigit() and len(port) <= 5 and int(port) <= 65535
+    is_valid = is_valid and host.isascii() and host.isprintable() and " " not in host
     labels = host.removesuffix(".").split(".")
-    if not good or not all(0 < len(label) < 64 for label in labels):
+    if not is_valid or not all(0 < len(label) < 64 for label in labels):
         raise ConfigError(f"{place}: {describe_value(text)} is not host:port")
     return host, int(port)
 
 
-def foreign(present: Config, found: Config) -> str | None:
-    """Name the first place in which a file that was read again is not this dispatcher's; None if it is.
+def find_foreign_setting(present: Config, found: Config) -> str | None:
+    """Name the first setting that shows a reloaded file to be another dispatcher's; None if there is none.
 
-    Danger: half a file that was meant for another dispatcher, such as its discovery, would lead this one to
-    servers of another customer.  Discovery, seed, the known list and limits may differ: the first is what a
-    new file is for, limits count from the next start on.  So may what the program does not read.
+    Using only parts of another dispatcher's file, such as its discovery address, would connect this one to
+    another customer's servers.  Discovery, seed, the known list and limits may differ: a new file is meant to
+    change the first, and limits apply from the next start on.  Fields that the program does not read may
+    differ too.
     """
-    here, there = dict(_places(present)), dict(_places(found))
-    for place in [*here, *(place for place in there if place not in here)]:
-        old, new = here.get(place), there.get(place)
+    old_settings, new_settings = dict(_identifying_settings(present)), dict(_identifying_settings(found))
+    for place in [*old_settings, *(place for place in new_settings if place not in old_settings)]:
+        old, new = old_settings.get(place), new_settings.get(place)
         if old != new:
-            return f"{place}: {describe_value(new)}, this dispatcher has {describe_value(old)}"
-    # Danger: a figure that is not among the places above must not slip through.
-    same = replace(
+            return f"{place}: the file has {describe_value(new)}, this dispatcher has {describe_value(old)}"
+    # Catches a difference in a setting that is not listed above.
+    allowed = replace(
         found,
         discovery=present.discovery,
         seed=present.seed,
@@ -131,18 +132,18 @@
         memory_mb=present.memory_mb,
         sockets=present.sockets,
     )
-    return None if same == present else "settings: not this dispatcher's"
+    return None if allowed == present else "settings: differ from this dispatcher's"
 
 
-def _places(config: Config) -> Iterator[tuple[str, Any]]:
-    """Everything that makes a configuration this dispatcher's, by its place in the file."""
+def _identifying_settings(config: Config) -> Iterator[tuple[str, Any]]:
+    """Yield every setting that must not change in a reload, by its place in the file."""
     yield "name", config.name
     yield "listen", config.listen
     for index, name in enumerate(config.classes):
         cls, place = config.settings.classes[index], f"settings.profiles[{index}]."
         yield f"{place}name", name
-        for theirs, ours in CLASS_FIELDS.items():
-            yield f"{place}{theirs}", getattr(cls, ours)
+        for key, attribute in CLASS_FIELDS.items():
+            yield f"{place}{key}", getattr(cls, attribute)
         yield f"{place}semantics", cls.idempotency.value
         yield f"{place}key_scope", cls.deduplication_scope.value
         yield f"{place}in_turn", cls.ordered
@@ -150,13 +151,13 @@
     for index, name in enumerate(config.plans):
         place = f"settings.policies[{index}]."
         yield f"{place}name", name
-        for theirs, ours in PLAN_FIELDS.items():
-            yield f"{place}{theirs}", getattr(config.settings.plans[index], ours)
+        for key, attribute in PLAN_FIELDS.items():
+            yield f"{place}{key}", getattr(config.settings.plans[index], attribute)
     for index, name in enumerate(config.zones):
         yield f"settings.zones[{index}]", name
     for part, names in SETTINGS_FIELDS.items():
-        for theirs, ours in names.items():
-            yield f"settings.{part}{'.' if part else ''}{theirs}", getattr(config.settings, ours)
+        for key, attribute in names.items():
+            yield f"settings.{part}{'.' if part else ''}{key}", getattr(config.settings, attribute)
     yield "settings.membership_mode", "ask" if config.settings.must_ask else "push"
     yield "settings.caps.cancel", config.settings.may_cancel
     yield "settings.caps.idle_close_ms", config.idle_close_ms
@@ -164,81 +165,81 @@
     yield "settings.family_info.n_shards", config.shards
 
 
-# --- what the platform alone demands
+# --- checks and defaults that only the platform needs
 
 
-def _strict(raw: dict[str, Any], classes: int) -> None:
-    """Refuse what would be taken for something else without a word.  Raises ValueError."""
-    # Danger: without it the dispatcher takes itself for the only one: it gives a cold server all that
-    # this bears from the whole fleet, and turns away each volume that comes through several.
+def _check_platform_settings(raw: dict[str, Any], classes: int) -> None:
+    """Reject settings that would silently be misread.  Raises ValueError."""
+    # Without the count the dispatcher would take itself for the only one: it would send a cold server as much
+    # load as the whole fleet may, and reject every volume that comes through several dispatchers.
     if raw.get("balancers") is None:
         raise ValueError("balancers: missing")
-    _whole(raw, "balancers")
+    _whole_number(raw, "balancers")
     caps, family = section(raw, "caps", dict), section(raw, "family_info", dict)
-    _whole(caps, "max_attempts", "caps.")
-    _flag(caps.get("cancel"), "caps.cancel")
-    _flag(family.get("counts_others"), "family_info.counts_others")
+    _whole_number(caps, "max_attempts", "caps.")
+    _check_flag(caps.get("cancel"), "caps.cancel")
+    _check_flag(family.get("counts_others"), "family_info.counts_others")
     for index, profile in enumerate(section_list(raw, "profiles")):
-        _flag(profile.get("in_turn"), f"profiles[{index}].in_turn")
+        _check_flag(profile.get("in_turn"), f"profiles[{index}].in_turn")
     writes = section(family, "writes", list, "family_info.")
-    # One for each class, in their order.  Danger: with one too few, nobody knows which class it lacks.
-    # Without the list no class writes, and a write is refused at the door.
+    # One entry per class, in their order: with one too few, it is unknown which class it belongs to.  Without
+    # the list no class writes, and every write request is rejected on arrival.
     if writes and len(writes) != classes:
-        raise ValueError(f"family_info.writes: one for each of {classes} classes, not {len(writes)}")
+        raise ValueError(f"family_info.writes: one for each of {classes} classes expected, not {len(writes)}")
     for index, entry in enumerate(writes):
-        _flag(entry, f"family_info.writes[{index}]")
+        _check_flag(entry, f"family_info.writes[{index}]")
 
 
-def _completed(raw: dict[str, Any], settings: Settings) -> tuple[Settings, float]:
-    """Put what is safe for the rules where a figure is absent; return idle_close_ms besides.
+def _with_safe_defaults(raw: dict[str, Any], settings: Settings) -> tuple[Settings, float]:
+    """Fill in safe values where a setting is absent; return the settings and idle_close_ms.
 
-    What is not named here is safe by its absence: no grace for a draining server, no slack for an answer, no
-    second attempt, no repeat of a keyed class, no time in a refusal, lists asked for each second, nothing
-    for a server that is cold; or the feature itself is absent, such as a limit or a budget.
+    Other settings are safe when absent: no grace for a draining server, no slack for an answer, no second
+    attempt, no repeat of a keyed class, no time in a rejection, lists requested every second, no load for a
+    cold server; or the feature itself is off, such as a limit or a budget.
     """
     caps, safety = section(raw, "caps", dict), section(raw, "safety", dict)
-    least_aim = min(cls.latency_objective_ms for cls in settings.classes)
+    min_objective_ms = min(cls.latency_objective_ms for cls in settings.classes)
     changes: dict[str, Any] = {
-        # A connection that is not up within the least aim cannot serve it.
-        "connect_timeout_ms": settings.connect_timeout_ms or least_aim,
+        # A connection that is not established within the shortest objective cannot meet it.
+        "connect_timeout_ms": settings.connect_timeout_ms or min_objective_ms,
     }
-    # Danger: a repeat in the wrong group runs twice.  With no group named a keyed class is never repeated.
+    # A repeat outside the key's scope would run twice: a keyed class without a scope is never repeated.
     changes["classes"] = tuple(
         cls if profile.get("key_scope") is not None else replace(cls, deduplication_window_ms=0.0)
         for cls, profile in zip(settings.classes, section_list(raw, "profiles"), strict=True)
     )
-    # Danger: a bound for cold servers, and no time in which they warm up, must not mean that they are warm.
-    # Nothing says that the bound ever grows or ends.
+    # Without a warm-up time, a limit for cold servers would never apply, as each would count as warm at once.
+    # Nothing says that the limit grows or ends, so it stays.
     if settings.cold_window_ms and settings.cold_bears and safety.get("warm_up_ms") is None:
         changes |= {"cold_from": 1.0, "warm_up_ms": sys.float_info.max}
-    # Danger: parts of a budget that name no window would be no budget.  Without further attempts it is kept.
+    # A retry budget without a window would not limit anything.  With a single attempt it is not exceeded.
     if (settings.budget_free or settings.budget_share) and not settings.budget_window_ms:
         changes["max_attempts"] = 1
-    # Danger: the interface's default for the largest request would turn away all that are larger than one.
+    # The interface's default for the largest request would reject every request of more than one unit.
     if section(raw, "family_info", dict).get("most_units") is None:
-        changes["most_units"] = MOST_UNITS
-    # A connection that idles longer than its server allows is reset under the next request.  Not told how
-    # long, connections are used on only where requests follow each other at once: the price is handshakes.
+        changes["most_units"] = MAX_UNITS
+    # A connection that is idle for longer than its server allows is reset under the next request.  Without
+    # that limit, connections are reused only between requests in close succession, at the cost of handshakes.
     idle = caps.get("idle_close_ms")
-    idle_close_ms = least_aim if idle is None else float(checked_number(idle, "caps.idle_close_ms"))
+    idle_close_ms = min_objective_ms if idle is None else float(checked_number(idle, "caps.idle_close_ms"))
     return replace(settings, **changes), idle_close_ms
 
 
-def _part(value: dict[str, Any], name: str, kind: type) -> Any:
+def _required(value: dict[str, Any], name: str, kind: type) -> Any:
     found = value.get(name)
     if not isinstance(found, kind):
-        raise ConfigError(f"{name}: missing or no {kind.__name__}")
+        raise ConfigError(f"{name}: missing or not of type {kind.__name__}")
     return found
 
 
 def _limit(limits: dict[str, Any], name: str, least: float) -> float:
     found = checked_number(limits.get(name), name, least)
-    if found > MOST:
-        raise ValueError(f"{name}: at most {MOST:g} was expected, not {describe_value(found)}")
+    if found > MAX_LIMIT:
+        raise ValueError(f"{name}: at most {MAX_LIMIT:g} was expected, not {describe_value(found)}")
     return float(found)
 
 
-def _whole(owner: dict[str, Any], name: str, place: str = "") -> int:
+def _whole_number(owner: dict[str, Any], name: str, place: str = "") -> int:
     """Read a whole number, 0 where it is absent.  Raises ValueError."""
     found = owner.get(name)
     if found is None:
@@ -248,37 +249,37 @@
     return int(found)
 
 
-def _flag(found: Any, place: str) -> None:
-    # Danger: the text "false" is true to Python.
+def _check_flag(found: Any, place: str) -> None:
+    # Any text would count as true, "false" too.
     if found is not None and not (isinstance(found, (bool, int)) and found in (0, 1)):
         raise ValueError(f"{place}: true or false was expected, not {describe_value(found)}")
 
 
-def _text(found: Any, place: str) -> str:
+def _checked_name(found: Any, place: str) -> str:
     try:
         if isinstance(found, str) and found.encode():
             return found
-    except UnicodeEncodeError:  # half a surrogate pair, which no client can send
+    except UnicodeEncodeError:  # an unpaired surrogate, which no client can send
         pass
     raise ValueError(f"{place}: a name was expected, not {describe_value(found)}")
 
 
-def _names(raw: dict[str, Any], place: str) -> tuple[str, ...]:
+def _unique_names(raw: dict[str, Any], place: str) -> tuple[str, ...]:
     """Read the names of classes or plans.  Raises ValueError."""
     names: list[str] = []
     for index, entry in enumerate(section_list(raw, place)):
-        here = f"{place}[{index}].name"
-        name = _text(entry.get("name"), here)
-        # Danger: of two under one name the first would be served by the other's rules.
+        name_place = f"{place}[{index}].name"
+        name = _checked_name(entry.get("name"), name_place)
+        # Of two entries under one name, requests for the first would be served by the rules of the other.
         if name in names:
-            raise ValueError(f"{here}: {describe_value(name)} is there already")
+            raise ValueError(f"{name_place}: the name {describe_value(name)} is used twice")
         names.append(name)
     if not names:
         raise ValueError(f"{place}: at least one was expected")
     return tuple(names)
 
 
-def _zones(raw: dict[str, Any]) -> tuple[str, ...]:
-    """Read the zones' names; the same one twice is one zone.  Raises ValueError."""
+def _zone_names(raw: dict[str, Any]) -> tuple[str, ...]:
+    """Read the zones' names; one that is listed twice is one zone.  Raises ValueError."""
     found = section(raw, "zones", list)
-    return tuple(dict.fromkeys(_text(name, f"zones[{index}]") for index, name in enumerate(found)))
+    return tuple(dict.fromkeys(_checked_name(name, f"zones[{index}]") for index, name in enumerate(found)))
--- a/cressrock/platform/program.py
+++ b/cressrock/platform/program.py
@@ -1,6 +1,6 @@
-"""The dispatcher as the platform starts it: configuration, parts, signals.
+"""The dispatcher as the platform starts it: reads the configuration, assembles the parts, handles signals.
 
-It listens on the address that it was given, on nothing else, and ends on SIGTERM once it owes nothing.
+It listens on the configured address only, and on SIGTERM it exits once every request is answered.
 """
 
 from __future__ import annotations
@@ -23,9 +23,9 @@
 from cressrock.dispatch.reasons import Reason
 from cressrock.interface import NodeList, Outcome
 from cressrock.platform import watchclock
-from cressrock.platform.config import Config, ConfigError, foreign, parse
+from cressrock.platform.config import Config, ConfigError, find_foreign_setting, parse
 from cressrock.platform.serverlist import ListError, ServerList
-from cressrock.platform.stopping import Stop
+from cressrock.platform.stopping import StopSchedule
 from cressrock.platform.turns import Turns
 from cressrock.platform.watch import Watch
 from cressrock.resp.codec import MAX_VALUE
@@ -38,126 +38,130 @@
 from cressrock.scheduler.beliefs import endpoint_beliefs
 from cressrock.scheduler.scheduler import Scheduler
 
-# Descriptors beside those that are counted as connections to clients and servers: the process's own (the
-# listener, two for discovery, three each for the event loop and the standard streams, one for a file, two
-# more), and those of clients' connections that are just coming or going.
+# Descriptors that are not available for established connections to clients and servers: SPARE in all, of
+# which OWN are the process's (the listener, two for discovery, three each for the event loop and the standard
+# streams, one for a file, two more); the rest is for client connections that are being accepted or closed.
 SPARE, OWN = 32, 12
-# Of the others storage servers get a quarter and no fewer than this: D keeps to a few tens in all.  Clients
-# get the rest: a third of all holds requests, and idle connections and silent peers come on top.
-NODES, NODES_LEAST = 0.25, 64
-ASKING = 0.25  # of all descriptors: clients hold at most a third for requests, and must be able to come back
-# Storage servers were seen to serve whole values of 400 KB, past the 64 KiB that the platform names and its
-# clients keep to.  What bounds an answer is the memory here: one takes so much of it at most, and all that
-# clients have not read yet an eighth.
-ANSWER = 1 / 64
-UNREAD = 1 / 8
-STALL = 0.1  # of the least aim: a broken answer is given up while another attempt can make the aim
-LINGER_MS = 2000.0  # the platform lets a connection without an open request be closed after so long
-LINGER_BYTES = 16 * MAX_VALUE  # of one peer: what a client that was ended has on its way is far less
-LINGERING = 1 / 8  # of the clients' connections
-SLACK_MS = 50.0  # by which every time limit is longer on sockets
-STEP_S = 0.01  # between two looks at what the stop waits for
-REPORT_MS = 5000.0  # between two lines on the state
-LOG_LINES = 400  # of a kind, in a life
+# Storage servers get a quarter of the others, but at least this many: D stays at a few tens in all.  Clients
+# get the rest: a third of all descriptors holds requests, and idle connections and silent peers come on top.
+NODE_SOCKETS_FRACTION, MIN_NODE_SOCKETS = 0.25, 64
+# Of all descriptors.  Clients hold at most a third for requests, and must be able to reconnect.
+MAX_ASKING_FRACTION = 0.25
+# Storage servers may serve whole values of 400 KB, although the platform documents 64 KiB and clients keep
+# to that.  An answer is therefore limited by this dispatcher's memory: one may take 1/64 of it, and all data
+# that clients have not read yet an eighth.
+MAX_ANSWER_MEMORY_FRACTION = 1 / 64
+MAX_UNREAD_MEMORY_FRACTION = 1 / 8
+# Of the shortest latency objective: a stalled answer is abandoned while another attempt can still meet it.
+STALL_OBJECTIVE_FRACTION = 0.1
+LINGER_MS = 2000.0  # after it, the platform allows a connection without an open request to be closed
+LINGER_BYTES = 16 * MAX_VALUE  # per peer: far more than a client has in flight when its connection is ended
+LINGERING_FRACTION = 1 / 8  # of the client connections
+SOCKET_SLACK_MS = 50.0  # every time limit is longer by this on real sockets
+STOP_POLL_S = 0.01  # interval of the checks while stopping
+REPORT_INTERVAL_MS = 5000.0  # between two reports of the state in the log
+MAX_LOG_LINES_PER_KIND = 400  # in the lifetime of a process
 
 
 def clock() -> float:
-    """Return monotonic milliseconds, by the standard library's clock."""
+    """Return the standard library's monotonic clock in milliseconds."""
     return time.monotonic() * 1000
 
 
 def wall_ms() -> float:
-    """Return Unix milliseconds."""
+    """Return Unix time in milliseconds."""
     return time.time() * 1000
 
 
 def _readable(descriptor: int) -> bool:
-    """Tell whether something waits to be read, or accepted, at a descriptor."""
+    """Return whether data or a connection waits at a descriptor."""
     poll = select.poll()
     poll.register(descriptor, select.POLLIN)
     return bool(poll.poll(0))
 
 
 class Log:
-    """Lines for the on-call staff on standard error, bounded in number by their kind."""
+    """Writes lines for the on-call staff to standard error, up to a limit for each kind."""
 
     def __init__(self, name: str) -> None:
-        """`name` is the dispatcher's."""
+        """`name` is the dispatcher's; it is part of every line."""
         self.name = name
         self.lines: Counter[str] = Counter()
 
     def __call__(self, text: str, kind: str = "event") -> None:
-        """Write a line."""
+        """Write a line of a kind; discard it once the limit of the kind is reached."""
         self.lines[kind] += 1
-        if self.lines[kind] <= LOG_LINES:
+        if self.lines[kind] <= MAX_LOG_LINES_PER_KIND:
             print(f"{wall_ms():.0f} {self.name} {kind}: {text}", file=sys.stderr, flush=True)
 
 
 class Observer:
-    """Counts what the driver did."""
+    """Counts the driver's attempts, answers and batches for the log's reports."""
 
     def __init__(self, log: Log) -> None:
-        """Start with nothing counted."""
+        """Set all counters to zero; `log` takes the lines."""
         self.log = log
         self.outcomes: Counter[str] = Counter()
         self.answers: Counter[str] = Counter()
         self.events = 0
         self.act_ms = 0.0
         self.longest_act_ms = 0.0
-        self.late_ms = 0.0
+        self.max_queued_ms = 0.0
 
     def fence_tripped(self, trip: FenceTrip) -> None:
-        """Log a fence; each is a defect of what gave the order."""
+        """Log a tripped fence; each is a defect in the component that made the decision."""
         self.log(f"{trip.fence.value} {trip.operation}: {trip.detail}", "fence")
 
-    def attempt_ended(self, attempt: Attempt, outcome: Outcome, lag_ms: float, text: str) -> None:
-        """Count an outcome; the text of one that is no answer is logged."""
+    def attempt_ended(self, attempt: Attempt, outcome: Outcome, latency_ms: float, text: str) -> None:
+        """Count an outcome, and log its text if it is not an answer."""
         self.outcomes[outcome.value] += 1
         if text:
-            self.log(f"{attempt.node.name} {outcome.value} after {lag_ms:.0f} ms: {text}", "attempt")
+            self.log(f"{attempt.node.name} {outcome.value} after {latency_ms:.0f} ms: {text}", "attempt")
 
     def answered(self, request_class: int, verdict: Verdict, reason: Reason | None, ms: float) -> None:
         """Count a final answer."""
         self.answers[f"{request_class}:{verdict.value}"] += 1
 
-    def batch_processed(self, events: int, late_ms: float, act_ms: float) -> None:
-        """Measure a batch."""
+    def batch_processed(self, events: int, queued_ms: float, act_ms: float) -> None:
+        """Add up a batch's events and times."""
         self.events += events
         self.act_ms += act_ms
         self.longest_act_ms = max(self.longest_act_ms, act_ms)
-        self.late_ms = max(self.late_ms, late_ms)
+        self.max_queued_ms = max(self.max_queued_ms, queued_ms)
 
     def line(self, text: str) -> None:
-        """Pass on a line of the decision module."""
+        """Log a line of the scheduler."""
         self.log(text, "scheduler")
 
 
 class Program:
-    """One dispatcher on the platform."""
+    """One dispatcher process on the platform: assembles the parts, runs and stops them."""
 
     def __init__(self, config: Config, path: str) -> None:
-        """`path` is the configuration file's, which SIGHUP reads again."""
+        """`path` is the configuration file's, which is reloaded on SIGHUP."""
         self.config = config
         self.path = path
         self.log = Log(config.name)
         self.observer = Observer(self.log)
         settings = config.settings
-        source = random.Random(config.seed)
-        room = config.sockets - SPARE
-        most_clients = max(1, room - max(int(room * NODES), min(NODES_LEAST, room // 2)))
+        rng = random.Random(config.seed)
+        sockets = config.sockets - SPARE
+        max_clients = max(
+            1, sockets - max(int(sockets * NODE_SOCKETS_FRACTION), min(MIN_NODE_SOCKETS, sockets // 2))
+        )
         self.servers = ServerList(config.zones)
         self.transport = RespTransport(
             PoolBounds(
-                max_connections=room - most_clients,
+                max_connections=sockets - max_clients,
                 connect_timeout_ms=settings.connect_timeout_ms,
                 idle_close_ms=config.idle_close_ms,
-                max_answer=int(config.memory_mb * ANSWER * (1 << 20)),
-                stall_ms=STALL * min(cls.latency_objective_ms for cls in settings.classes),
+                max_answer=int(config.memory_mb * MAX_ANSWER_MEMORY_FRACTION * (1 << 20)),
+                stall_ms=STALL_OBJECTIVE_FRACTION * min(cls.latency_objective_ms for cls in settings.classes),
             ),
             clock,
             self.servers.dials.get,
         )
-        self.brain = Scheduler(settings, source.getrandbits(62), clock())
+        self.brain = Scheduler(settings, rng.getrandbits(62), clock())
         self.driver = Driver(
             self.brain,
             Ledger(
@@ -174,193 +178,203 @@
             Reader(settings, list(config.classes), list(config.plans), config.shards),
             self.driver,
             FrontBounds(
-                max_connections=most_clients,
-                max_asking=int(config.sockets * ASKING),
-                max_unread=int(config.memory_mb * UNREAD * (1 << 20)),
-                linger=LingerBounds(LINGER_MS, LINGER_BYTES, max(1, int(most_clients * LINGERING))),
+                max_connections=max_clients,
+                max_asking=int(config.sockets * MAX_ASKING_FRACTION),
+                max_unread=int(config.memory_mb * MAX_UNREAD_MEMORY_FRACTION * (1 << 20)),
+                linger=LingerBounds(LINGER_MS, LINGER_BYTES, max(1, int(max_clients * LINGERING_FRACTION))),
             ),
             clock,
         )
-        pushed_grace_ms = 0.0 if settings.must_ask else settings.drain_grace_ms + SLACK_MS
+        pushed_grace_ms = 0.0 if settings.must_ask else settings.drain_grace_ms + SOCKET_SLACK_MS
         self.watch = Watch(
             self.servers,
             config.discovery,
-            watchclock.WatchClock(
+            watchclock.WatchSchedule(
                 clock(),
-                random.Random(source.getrandbits(62)).random,
+                random.Random(rng.getrandbits(62)).random,
                 ask_every_ms=settings.ask_every_ms,
                 pushed_grace_ms=pushed_grace_ms,
             ),
-            listed=self._listed,
+            on_report=self._apply_report,
             clock=clock,
             wall_ms=wall_ms,
             log=self.log,
-            stands=not settings.must_ask,
+            subscribed=not settings.must_ask,
         )
         self.driver.subscribe = self.watch.subscribe
         self.turns: Turns | None = None
         self.listener: Listener | None = None
-        self.address: tuple[str, int] | None = None  # where clients are served, once they are
+        self.address: tuple[str, int] | None = None  # the listener's, None until clients are served
 
-    def _listed(self, report: NodeList) -> None:
+    def _apply_report(self, report: NodeList) -> None:
         self.driver.receive_node_list(report)
-        for name in self.servers.moved:
+        for name in self.servers.replaced:
             self.transport.forget(name)
-        self.servers.moved = []
+        self.servers.replaced = []
 
     async def run(self) -> None:
-        """Serve until SIGTERM, then until nothing is owed."""
+        """Serve until SIGTERM, then until every request is answered."""
         loop, settings = asyncio.get_running_loop(), self.config.settings
         self.turns = Turns(self.driver, loop)
         try:
-            self._listed(self.servers.receive(self.config.known, clock(), wall_ms(), cached=True))
-            if self.servers.left_out:
-                self.log(f"known: {len(self.servers.left_out)} left out; {self.servers.left_out[0]}")
-        except ListError as wrong:
-            self.log(f"known: {wrong}")
-        stopped = asyncio.Event()
-        loop.add_signal_handler(signal.SIGTERM, stopped.set)
-        loop.add_signal_handler(signal.SIGINT, stopped.set)
+            self._apply_report(self.servers.receive(self.config.known, clock(), wall_ms(), cached=True))
+            if self.servers.rejected_entries:
+                self.log(
+                    f"known: {len(self.servers.rejected_entries)} entries of the configured list ignored; "
+                    f"the first: {self.servers.rejected_entries[0]}"
+                )
+        except ListError as exc:
+            self.log(f"known: the configured list cannot be used: {exc}")
+        stop_requested = asyncio.Event()
+        loop.add_signal_handler(signal.SIGTERM, stop_requested.set)
+        loop.add_signal_handler(signal.SIGINT, stop_requested.set)
         loop.add_signal_handler(signal.SIGHUP, self.reload)
-        if _early:
+        if _early_sighups:
             self.reload()
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(self.watch.run)
             tasks.start_soon(self._sweep)
             if not settings.must_ask:
-                # Danger: where lists are pushed, a drain counts as told from a new process's first moment on,
-                # and the list that it is started with may be older.
-                with anyio.move_on_after(watchclock.start_ms() / 1000):
-                    await self.watch.heard.wait()
+                # Where lists are pushed, a new process counts as informed of drains from its first moment on,
+                # but its configured list may be older: it waits for discovery's before it serves clients.
+                with anyio.move_on_after(watchclock.first_list_timeout_ms() / 1000):
+                    await self.watch.answered.wait()
             with net.binding("listen", ":".join(map(str, self.config.listen))):
                 self.listener = listener = Listener(
                     self.config.listen, self.front.protocol, accepted_at_once(SPARE - OWN)
                 )
             host, port = self.address = listener.address()
-            # What stands now stays: the collector need not go through it again and again.
+            # Objects created so far live until exit; frozen, they are not scanned in every collection.
             gc.collect()
             gc.freeze()
             self.log(f"serving at {host}:{port}")
             try:
-                await stopped.wait()
+                await stop_requested.wait()
                 await self._stop(listener)
             finally:
                 listener.close()
             tasks.cancel_scope.cancel()
 
     async def _stop(self, listener: Listener) -> None:
-        """End in the platform's time: nothing is owed then, and no answer is on its way.
+        """Stop within the platform's time limit, with every request answered and every answer delivered.
 
-        Clients go on using what they have open, and nobody else can serve them here: each connection is
-        used as long as its answers are sure to be out before the end.
+        Clients go on using their open connections, and no other dispatcher can serve those: each is kept in
+        use as long as its answers are certain to be sent before the process exits.
         """
-        stop = Stop(clock(), max(cls.deadline_ms for cls in self.config.settings.classes))
-        self.log(f"stopping, {self.front.owes()} owed")
+        stop = StopSchedule(clock(), max(cls.deadline_ms for cls in self.config.settings.classes))
+        self.log(f"stopping with {self.front.owes()} open requests")
         self._report()
-        self.front.end_by(stop.last)
-        await asyncio.sleep(max(0.0, stop.unlisten_at - clock()) / 1000)
-        await self._unlisten(listener, stop.last)
-        while not self.front.ended() and clock() < stop.last:
-            if clock() >= stop.leave_at:
+        self.front.end_by(stop.answer_by_ms)
+        await asyncio.sleep(max(0.0, stop.unlisten_at_ms - clock()) / 1000)
+        await self._unlisten(listener, stop.answer_by_ms)
+        while not self.front.ended() and clock() < stop.answer_by_ms:
+            if clock() >= stop.close_idle_at_ms:
                 self.front.leave()
-            await asyncio.sleep(STEP_S)
-        # Danger: what came before SIGTERM with more patience than the platform has is lost unanswered.
-        self.log(f"stopped, {self.front.owes()} owed")
+            await asyncio.sleep(STOP_POLL_S)
+        # Requests from before SIGTERM whose deadline is later than the platform waits are answered here:
+        # otherwise they would be lost.
+        self.log(f"stopped, aborting {self.front.owes()} open requests")
         self.driver.abort_pending()
         if self.turns is not None:
             self.turns.end()
         self.front.finish()
-        # Danger: an answer that the kernel has not delivered yet goes with a connection that is closed over
-        # unread bytes, and so with the process.
-        while not self.front.ended() and clock() < stop.exit_at:
-            await asyncio.sleep(STEP_S)
+        # An answer that the kernel has not delivered yet is lost if its connection is closed with unread
+        # bytes, and so if the process exits.
+        while not self.front.ended() and clock() < stop.exit_at_ms:
+            await asyncio.sleep(STOP_POLL_S)
 
-    async def _unlisten(self, listener: Listener, last: float) -> None:
-        """Close the listener.
+    async def _unlisten(self, listener: Listener, answer_by_ms: float) -> None:
+        """Close the listener once no connection is waiting, or at `answer_by_ms`.
 
-        Danger: a connection that the kernel has accepted and the loop has not is reset with it, and so is
-        one that the loop accepts in this round: it is only taken up in the next.
+        Closing it resets connections that the kernel has accepted and the loop has not.  It also resets one
+        that the loop accepts in this iteration, since it is handled only in the next: hence two idle ones.
         """
-        still = 0
-        while still < 2 and clock() < last:
-            still = 0 if _readable(listener.fileno()) else still + 1
+        idle_iterations = 0
+        while idle_iterations < 2 and clock() < answer_by_ms:
+            idle_iterations = 0 if _readable(listener.fileno()) else idle_iterations + 1
             await asyncio.sleep(0)
         listener.close()
         self.front.welcome = False
 
     def reload(self) -> None:
-        """Read the configuration again: discovery's address can change while the program runs.
+        """Reload the configuration: discovery's address may change while the program runs.
 
-        A file is taken whole or refused whole, and the log names the place.
+        A file is accepted or rejected as a whole; for one that is rejected, the log names the setting.
         """
         try:
             with open(self.path, "rb") as file:
                 found = parse(file.read())
-        except (OSError, ConfigError) as wrong:
-            self.log(f"configuration not taken over: {wrong}")
+        except (OSError, ConfigError) as exc:
+            self.log(f"new configuration rejected, the old one stays in use: {exc}")
             return
-        # Danger: half of a file that was meant for another dispatcher would lead this one to its servers.
-        if (place := foreign(self.config, found)) is not None:
-            self.log(f"configuration not taken over, it is not this dispatcher's: {place}")
+        # Using parts of another dispatcher's file would connect this one to that one's servers.
+        if (difference := find_foreign_setting(self.config, found)) is not None:
+            self.log(f"new configuration rejected, it is for another dispatcher: {difference}")
             return
         if (found.memory_mb, found.sockets) != (self.config.memory_mb, self.config.sockets):
-            self.log("limits count from the next start on")
-        self.log(f"discovery is {found.discovery[0]}:{found.discovery[1]}")
+            self.log("changed limits apply from the next start of the process")
+        self.log(f"discovery is at {found.discovery[0]}:{found.discovery[1]}")
         self.watch.move(found.discovery)
 
     async def _sweep(self) -> None:
         bounds = self.front.bounds
-        report_at = clock() + REPORT_MS
+        report_at_ms = clock() + REPORT_INTERVAL_MS
         while True:
             await asyncio.sleep(bounds.sweep_ms / 1000)
             self.front.sweep()
             self.transport.sweep()
             if self.listener is not None:
                 self.listener.resume()
-            if clock() >= report_at:
-                report_at += REPORT_MS
+            if clock() >= report_at_ms:
+                report_at_ms += REPORT_INTERVAL_MS
                 self._report()
 
     def _report(self) -> None:
-        """Write what the dispatcher believes and holds."""
-        o, t, f = self.observer, self.transport, self.front
-        turns = self.turns.turns if self.turns is not None else 0
+        """Log the counters, and the scheduler's estimates for the servers in use."""
+        observer, transport, front = self.observer, self.transport, self.front
+        turns = self.turns.count if self.turns is not None else 0
         self.log(
-            f"clients={len(f.clients)} lingering={len(f.lingering)} asking={f.asking} "
-            f"owed={f.owes()} evicted={f.evicted} yielded={f.yielded} left_unread={f.left_unread} "
+            f"clients={len(front.clients)} lingering={len(front.lingering)} asking={front.asking} "
+            f"owed={front.owes()} evicted={front.evicted} yielded={front.yielded} "
+            f"left_unread={front.left_unread} "
             f"exhausted={self.listener.exhausted if self.listener is not None else 0} "
-            f"malformed={f.malformed} refused={f.refused_commands} "
-            f"calls={self.watch.calls} failed={self.watch.failed} doubted={self.watch.doubted} "
-            f"nodes={len(t.open)} opened={t.opened} reused={t.reused} "
-            f"spoilt={t.spoilt} surplus={t.surplus} turns={turns} events={o.events} act={o.act_ms:.0f} "
-            f"longest={o.longest_act_ms:.1f} late={o.late_ms:.1f} cpu={time.process_time():.2f} "
-            f"outcomes={dict(o.outcomes)} answers={dict(o.answers)}",
+            f"malformed={front.malformed} refused={front.refused_commands} "
+            f"calls={self.watch.calls} failed={self.watch.failed} doubted={self.watch.parallel_calls} "
+            f"nodes={len(transport.open)} opened={transport.opened} reused={transport.reused} "
+            f"spoilt={transport.spoilt} surplus={transport.surplus} turns={turns} "
+            f"events={observer.events} act={observer.act_ms:.0f} "
+            f"longest={observer.longest_act_ms:.1f} late={observer.max_queued_ms:.1f} "
+            f"cpu={time.process_time():.2f} "
+            f"outcomes={dict(observer.outcomes)} answers={dict(observer.answers)}",
             "state",
         )
-        o.longest_act_ms = o.late_ms = 0.0
+        observer.longest_act_ms = observer.max_queued_ms = 0.0
         used = [
             f"{b.name}:{b.state.value} D={b.window:.1f} out={b.in_flight}+{b.presumed_lost} wait={b.waiting} "
             f"lag={b.latency_ms:.0f} base={b.uncrowded_ms:.0f} ratio={b.wait_ratio:.2f} rest={b.rest_ms:.0f}"
             for b in endpoint_beliefs(self.brain, clock())
         ]
-        # Of hundreds of servers a dispatcher of a large fleet uses a few.
+        # A dispatcher of a large fleet uses a few of hundreds of servers, so the others are only counted.
         unused = len(self.brain.endpoints.by_name) - len(used)
         self.log("; ".join([*used, f"{unused} not used yet"]), "belief")
 
 
-_early: list[int] = []  # SIGHUPs that came before the loop could take them
+_early_sighups: list[int] = []  # signals received before the event loop handled them
 
 
 def main() -> int:
-    """Run by the platform's environment; 1 and one line where its configuration cannot be used."""
-    # Danger: a SIGHUP that nothing handles ends the process, and one that is ignored loses what it tells.
-    signal.signal(signal.SIGHUP, lambda number, _: _early.append(number))
+    """Run with the configuration that LB_CONFIG names; return the exit code.
+
+    1, after one line on standard error, if the configuration cannot be used or the system raises OSError.
+    """
+    # An unhandled SIGHUP ends the process, and an ignored one loses the request for a reload.
+    signal.signal(signal.SIGHUP, lambda number, _: _early_sighups.append(number))
     path = os.environ.get("LB_CONFIG", "")
     try:
         with open(path, "rb") as file:
             config = parse(file.read())
-    except (OSError, ConfigError) as wrong:
-        print(f"cressrock platform: LB_CONFIG {path!r}: {wrong}", file=sys.stderr)
+    except (OSError, ConfigError) as exc:
+        print(f"cressrock platform: LB_CONFIG {path!r}: {exc}", file=sys.stderr)
         return 1
     program = Program(config, path)
     failed: list[BaseException] = []
--- a/cressrock/platform/stopping.py
+++ b/cressrock/platform/stopping.py
@@ -1,30 +1,30 @@
-"""When what has to happen after SIGTERM, by the platform's figures.  Pure.
+"""The schedule of a graceful stop, from the platform's time limits.  Pure.
 
-SIGTERM         new connections come for up to 0.4 s more, open ones are used up to SIGKILL
-unlisten_at     no new connection comes any more: the listener is closed
-leave_at        connections that owe nothing are ended
-last            everything that is still owed is answered
-exit_at         the process ends, whatever its peers still hold back
-SIGKILL         no sooner than the longest deadline, and what is added to it, after SIGTERM
+SIGTERM           new connections arrive for up to 0.4 s more; open ones may be used until SIGKILL
+unlisten_at_ms    the listener is closed: new connections no longer arrive
+close_idle_at_ms  connections without open requests are closed
+answer_by_ms      every open request has been answered
+exit_at_ms        the process exits, whatever its peers have not read yet
+SIGKILL           at the earliest the longest deadline plus a fixed allowance after SIGTERM
 """
 
 from __future__ import annotations
 
-NEW_MS = 500.0  # after SIGTERM new connections keep coming for 400 ms; a fifth more for what is under way
-COUNTED_MS = 3000.0  # the longest deadline that the platform waits for after SIGTERM, and what it adds to it
+NEW_MS = 500.0  # new connections arrive for 400 ms after SIGTERM; a fifth more for those under way
+COUNTED_MS = 3000.0  # the platform waits for the longest deadline up to this, then for ADDED_MS
 ADDED_MS = 700.0
-AHEAD_MS = 150.0  # of SIGKILL everything is answered
-EXIT_MS = 50.0  # of SIGKILL the process ends by itself
-CLOSING_MS = 200.0  # before the last answers connections are ended as they owe nothing: answers take less
+AHEAD_MS = 150.0  # every request is answered this long before SIGKILL
+EXIT_MS = 50.0  # the process exits this long before SIGKILL
+CLOSE_IDLE_LEAD_MS = 200.0  # idle connections close this long before answer_by_ms; answers take less
 
 
-class Stop:
-    """The instants of one stop, on the clock of `now`; all in milliseconds."""
+class StopSchedule:
+    """The instants of one stop in milliseconds, on the clock of `now`."""
 
     def __init__(self, now: float, longest_ms: float) -> None:
-        """`now` is SIGTERM's time, `longest_ms` the longest deadline of the settings' classes."""
-        kill = now + min(longest_ms, COUNTED_MS) + ADDED_MS
-        self.last = kill - AHEAD_MS
-        self.exit_at = kill - EXIT_MS
-        self.leave_at = self.last - CLOSING_MS
-        self.unlisten_at = min(now + NEW_MS, self.leave_at)
+        """`now` is the time of SIGTERM, `longest_ms` the longest deadline of the settings' classes."""
+        kill_at_ms = now + min(longest_ms, COUNTED_MS) + ADDED_MS
+        self.answer_by_ms = kill_at_ms - AHEAD_MS
+        self.exit_at_ms = kill_at_ms - EXIT_MS
+        self.close_idle_at_ms = self.answer_by_ms - CLOSE_IDLE_LEAD_MS
+        self.unlisten_at_ms = min(now + NEW_MS, self.close_idle_at_ms)
--- a/cressrock/platform/turns.py
+++ b/cressrock/platform/turns.py
@@ -1,4 +1,4 @@
-"""When the driver gets its turns on an event loop: one for all that a round of sockets brought."""
+"""Runs the driver on an event loop: one batch for all events of a loop iteration."""
 
 from __future__ import annotations
 
@@ -8,48 +8,48 @@
 
 
 class Turns:
-    """Calls `turn` once in a loop round after something happened, and when a timer is due."""
+    """Runs a batch of the driver once per loop iteration if it asked for one, and when its timer is due."""
 
     def __init__(self, driver: Driver, loop: asyncio.AbstractEventLoop) -> None:
-        """Take over the driver's `wake`."""
+        """Set the driver's `request_wakeup`."""
         self.driver = driver
         self.loop = loop
-        self.turns = 0
-        self._soon = False
+        self.count = 0  # batches run
+        self._scheduled = False
         self._ended = False
         self._timer: asyncio.TimerHandle | None = None
-        self._rings_at = FOREVER
-        driver.request_wakeup = self.wake
+        self._timer_due_ms = FOREVER
+        driver.request_wakeup = self.schedule
 
-    def wake(self) -> None:
-        """Ask for a turn once this round's sockets have been heard."""
-        if not self._soon:
-            self._soon = True
-            self.loop.call_soon(self._turn)
+    def schedule(self) -> None:
+        """Schedule one batch after the socket events of this loop iteration."""
+        if not self._scheduled:
+            self._scheduled = True
+            self.loop.call_soon(self._run_batch)
 
     def end(self) -> None:
-        """Take no further turn: everything is answered, and nothing may be ordered after that."""
+        """Run no further batch: every request is answered, and no new attempt may start."""
         self._ended = True
         if self._timer is not None:
             self._timer.cancel()
 
-    def _turn(self) -> None:
-        self._soon = False
+    def _run_batch(self) -> None:
+        self._scheduled = False
         if self._ended:
             return
-        self.turns += 1
+        self.count += 1
         try:
             self.driver.process_batch()
         finally:
-            due = self.driver.next_batch_ms()
-            if due < self._rings_at:
+            due_ms = self.driver.next_batch_ms()
+            if due_ms < self._timer_due_ms:
                 if self._timer is not None:
                     self._timer.cancel()
-                self._rings_at = due
-                # A timer falls due at its time or after it, never before: a microsecond covers the rounding.
-                wait = max(0.0, due - self.driver.clock()) / 1000 + 1e-6
-                self._timer = self.loop.call_later(wait, self._ring)
-
-    def _ring(self) -> None:
-        self._timer, self._rings_at = None, FOREVER
-        self.wake()
+                self._timer_due_ms = due_ms
+                # One microsecond more covers rounding, so that the timer never fires before its due time.
+                wait_s = max(0.0, due_ms - self.driver.clock()) / 1000 + 1e-6
+                self._timer = self.loop.call_later(wait_s, self._on_timer)
+
+    def _on_timer(self) -> None:
+        self._timer, self._timer_due_ms = None, FOREVER
+        self.schedule()
--- a/cressrock/platform/watchclock.py
+++ b/cressrock/platform/watchclock.py
@@ -1,17 +1,19 @@
-"""When the list of storage servers is asked for, from one failure to the next.  Pure.
-
-The one owner of this time: a change counts as told 6 s after discovery had it and could be reached, whatever
-call failed, was refused or given up.  Discovery serves calls in turn and turns away one that waits for over
-2 s, so of the 6 s the last 2 belong to the queue there: by then a call has to be out that can be answered.
-
-    call         by what is known of it        the next one is made
-    answered     the list is as new as it      at once, as the watch goes on
-    failed       503, reset, refused, spoilt   after a pause, drawn, that grows up to a sixth of the 6 s
-    late         nothing was heard             beside it, at an instant that its start alone decides
-
-The last line holds for each call: no failure, however late, puts the next call off behind it.  A watch may
-fall silent as its call begins: it waits for half of the 6 s, a sixth is for noticing, the rest for the queue.
-What dispatchers decide at one instant, such as all whose watches were reset, each does at a drawn one.
+"""The schedule of calls to discovery for the list of storage servers, retries included.  Pure.
+
+`WatchSchedule` alone decides when to call.  The dispatcher counts as informed of a change 6 s after discovery
+had it and could be reached, whichever calls failed, were rejected or were abandoned.  Discovery serves calls
+in order and rejects one that waits for over 2 s.  The last 2 of the 6 s are therefore left for that queue:
+when they begin, a call that can be answered has to be outstanding.
+
+    call         meaning                             the next call
+    answered     the list is as new as the answer    at once, to continue the watch
+    failed       503, reset, refused or malformed    after a random pause that grows up to a sixth of the 6 s
+    late         nothing was received                in parallel, at a time set when the late call started
+
+The last line applies to every call: no failure, however late, postpones the next call beyond that time.
+A watch may fail silently as its call begins: the call waits for half of the 6 s, a sixth is for detecting the
+silence, and the rest is for the queue.  Times at which many dispatchers would act at once, for example after
+a reset of all their watches, are randomized.
 """
 
 from __future__ import annotations
@@ -19,135 +21,149 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-TOLD_MS = 6000.0  # what discovery has and could tell counts as told
-MOVED_MS = 4000.0  # the same after SIGHUP, at the new address
-QUEUE_MS = 2000.0  # a call that waits for longer at discovery is turned away
-FOURFOLD = 4  # of the time between two askings: for so long a list counts after a call that failed
-ASK_MS = 1000.0  # between two askings, where the settings name no time
+CHANGE_DEADLINE_MS = 6000.0  # after it, a change that a reachable discovery has counts as known
+MOVE_DEADLINE_MS = 4000.0  # the same after SIGHUP, for the new address
+MAX_QUEUE_MS = 2000.0  # discovery rejects a call that would queue for longer
+LIST_VALID_INTERVALS = 4  # intervals between calls for which a list counts as valid after a failed call
+DEFAULT_INTERVAL_MS = 1000.0  # between two calls, where the settings name none
 
 
 @dataclass(frozen=True, slots=True)
 class Call:
-    """One call to discovery; `wait_ms` is how long it may wait for news there, 0 asks what there is."""
+    """One call to discovery; `wait_ms` is how long it may wait there for changes, 0 to answer at once."""
 
     number: int
     started_ms: float
     wait_ms: float
 
     @property
-    def lost_ms(self) -> float:
-        """The instant at which it must have been answered or turned away, with a quarter for the way."""
-        return self.started_ms + self.wait_ms + QUEUE_MS * 1.25
+    def reply_due_ms(self) -> float:
+        """When it must have been answered or rejected; a quarter of the queue time is added for transit."""
+        return self.started_ms + self.wait_ms + MAX_QUEUE_MS * 1.25
 
 
 @dataclass(frozen=True, slots=True)
-class Order:
-    """Make `call` now; `given_up` are the numbers of calls that have to be ended for it."""
+class CallOrder:
+    """Make `call` now, and cancel the calls whose numbers are in `abandoned`."""
 
     call: Call
-    given_up: tuple[int, ...]
+    abandoned: tuple[int, ...]
 
 
-class WatchClock:
-    """What calls are out, how the last ones ended, and at which instant the next one is made.
+class WatchSchedule:
+    """Tracks the outstanding calls and how the last ones ended, and decides when the next one is made.
 
-    All times in milliseconds on one clock that never goes back.
+    All times are in milliseconds on one monotonic clock.
     """
 
     def __init__(
         self, now_ms: float, draw: Callable[[], float], *, ask_every_ms: float, pushed_grace_ms: float
     ) -> None:
-        """`draw` gives numbers from 0 up to 1.
+        """`draw` returns random numbers in [0, 1).
 
-        `ask_every_ms` is the settings' time between two askings, 0 if they name none; `pushed_grace_ms` is
+        `ask_every_ms` is the settings' interval between two calls, 0 if they name none; `pushed_grace_ms` is
         the drain grace where lists are pushed, else 0.
         """
         self.draw = draw
         self.pushed_grace_ms = pushed_grace_ms
-        fourfold = TOLD_MS if pushed_grace_ms else FOURFOLD * (ask_every_ms or ASK_MS)
-        self.told_ms = min(TOLD_MS, fourfold)
-        self.due_ms = now_ms  # the next call
-        self.out: dict[int, Call] = {}  # by number, in the order of their starts; two at most
+        valid_ms = (
+            CHANGE_DEADLINE_MS
+            if pushed_grace_ms
+            else LIST_VALID_INTERVALS * (ask_every_ms or DEFAULT_INTERVAL_MS)
+        )
+        self.change_deadline_ms = min(CHANGE_DEADLINE_MS, valid_ms)
+        self.due_ms = now_ms  # of the next call
+        self.outstanding: dict[int, Call] = {}  # by number, in order of their starts; at most two
         self.failures = 0  # since the last answer
-        self._calls = 0
-        self._moved = False  # and nothing was heard at the new address yet
-        self._goes_on = False  # the next call continues a watch
+        self._call_count = 0
+        self._awaits_new_address = False  # the address changed and the new one has not answered yet
+        self._continues_watch = False  # the next call waits for changes
 
     @property
-    def _horizon(self) -> float:
-        return min(self.told_ms, MOVED_MS) if self._moved else self.told_ms
+    def _deadline_ms(self) -> float:
+        return (
+            min(self.change_deadline_ms, MOVE_DEADLINE_MS)
+            if self._awaits_new_address
+            else self.change_deadline_ms
+        )
+
+    def next_call(self, now_ms: float) -> CallOrder | None:
+        """Return the next call if it is due, else None.
 
-    def call(self, now_ms: float) -> Order | None:
-        """Make the next call if it is due.  A late one stays out beside it, a second late one is given up."""
+        One late call stays outstanding beside it; where two are late, the older one is abandoned.
+        """
         if now_ms < self.due_ms:
             return None
-        given_up: tuple[int, ...] = ()
-        if len(self.out) > 1:
-            given_up = (next(iter(self.out)),)
-            del self.out[given_up[0]]
-        wait_ms = TOLD_MS / 2 if self._goes_on else 0.0
-        self._goes_on = False
-        self._calls += 1
-        call = self.out[self._calls] = Call(self._calls, now_ms, wait_ms)
-        self.due_ms = now_ms + self._doubt(wait_ms)
-        if len(self.out) > 1:
-            # Danger: where the horizon is short, each call would be given up while it stands in the queue.
-            self.due_ms = max(self.due_ms, next(iter(self.out.values())).lost_ms)
-        return Order(call, given_up)
-
-    def answered(self, number: int, now_ms: float) -> tuple[int, ...] | None:
-        """Take in a usable answer; return the other calls, which have to be ended.
-
-        None: the call was given up, or its address left, before; nothing it brings may be taken in.
+        abandoned: tuple[int, ...] = ()
+        if len(self.outstanding) > 1:
+            abandoned = (next(iter(self.outstanding)),)
+            del self.outstanding[abandoned[0]]
+        wait_ms = CHANGE_DEADLINE_MS / 2 if self._continues_watch else 0.0
+        self._continues_watch = False
+        self._call_count += 1
+        call = self.outstanding[self._call_count] = Call(self._call_count, now_ms, wait_ms)
+        self.due_ms = now_ms + self._parallel_call_delay_ms(wait_ms)
+        if len(self.outstanding) > 1:
+            # With a short deadline, each call would otherwise be abandoned while it is in discovery's queue.
+            self.due_ms = max(self.due_ms, next(iter(self.outstanding.values())).reply_due_ms)
+        return CallOrder(call, abandoned)
+
+    def record_answer(self, number: int, now_ms: float) -> tuple[int, ...] | None:
+        """Record a usable answer; return the numbers of the other calls, which have to be cancelled.
+
+        None if the call was abandoned before, or its address replaced: its answer must be discarded.
         """
-        if number not in self.out:
+        if number not in self.outstanding:
             return None
-        others = tuple(other for other in self.out if other != number)
-        self.out = {}
-        self.failures, self._moved, self._goes_on = 0, False, True
+        others = tuple(other for other in self.outstanding if other != number)
+        self.outstanding = {}
+        self.failures, self._awaits_new_address, self._continues_watch = 0, False, True
         self.due_ms = now_ms
         return others
 
-    def failed(self, number: int, now_ms: float) -> bool:
-        """Take in that a call failed, in whichever way; return whether none is out any more."""
-        if number not in self.out:
+    def record_failure(self, number: int, now_ms: float) -> bool:
+        """Record that a call failed, for any reason; return whether no call is outstanding any more.
+
+        False for a call that was abandoned before.
+        """
+        if number not in self.outstanding:
             return False
-        latest = next(reversed(self.out)) == number
-        del self.out[number]
+        is_latest = next(reversed(self.outstanding)) == number
+        del self.outstanding[number]
         self.failures += 1
-        if latest:
-            # Danger: a call that fails just before it would be late must not put the next one off.
-            self.due_ms = min(self.due_ms, now_ms + self._pause())
-        return not self.out
-
-    def moved(self, now_ms: float) -> tuple[int, ...]:
-        """Take in that discovery has another address: ask there at once; return what has to be ended."""
-        others = tuple(self.out)
-        self.out = {}
-        self.failures, self._moved, self._goes_on = 0, True, False
+        if is_latest:
+            # A call that fails just before it would be late must not postpone the next one.
+            self.due_ms = min(self.due_ms, now_ms + self._retry_delay_ms())
+        return not self.outstanding
+
+    def record_move(self, now_ms: float) -> tuple[int, ...]:
+        """Record a new discovery address, to be called at once; return the calls that must be cancelled."""
+        others = tuple(self.outstanding)
+        self.outstanding = {}
+        self.failures, self._awaits_new_address, self._continues_watch = 0, True, False
         self.due_ms = now_ms
         return others
 
-    def _pause(self) -> float:
+    def _retry_delay_ms(self) -> float:
         """Return how long after a failure the next call is made."""
         if self.pushed_grace_ms:
-            # Danger: there, what discovery gets to know at its return counts as told at once, so that a call
-            # has to stand within the grace that is left then.
+            # With pushed lists, the dispatcher counts as informed at once of what discovery learns when it is
+            # back, so that a call has to be waiting there within the drain grace.
             return self.pushed_grace_ms / 2 * (1 + self.draw()) / 2
-        longest = self._horizon / 6
-        grown: float = longest / 4 * (1 << min(self.failures - 1, 10))
-        return min(longest, grown) * (1 + 3 * self.draw()) / 4
+        longest_ms = self._deadline_ms / 6
+        backoff_ms: float = longest_ms / 4 * (1 << min(self.failures - 1, 10))
+        return min(longest_ms, backoff_ms) * (1 + 3 * self.draw()) / 4
 
-    def _doubt(self, wait_ms: float) -> float:
-        """Return how long after its start a call that was not answered is made anew beside itself."""
+    def _parallel_call_delay_ms(self, wait_ms: float) -> float:
+        """Return how long after the start of a call a parallel one is made if it has not been answered."""
         if wait_ms:
-            return wait_ms + TOLD_MS / 6 * (1 + self.draw()) / 2
-        # Not in the time that it may stand in the queue, where the horizon leaves room for two of them:
-        # a second place there is one that another dispatcher lacks.
-        horizon = self._horizon
-        return max(horizon / 4, horizon * 5 / 6 - QUEUE_MS) * (5 + self.draw()) / 6
+            return wait_ms + CHANGE_DEADLINE_MS / 6 * (1 + self.draw()) / 2
+        # Not while the call may be in discovery's queue, where the deadline leaves time for two queue waits:
+        # a second place there is taken from another dispatcher.
+        deadline_ms = self._deadline_ms
+        return max(deadline_ms / 4, deadline_ms * 5 / 6 - MAX_QUEUE_MS) * (5 + self.draw()) / 6
 
 
-def start_ms() -> float:
-    """Return how long a start waits for its first list where lists are pushed."""
-    return TOLD_MS / 2
+def first_list_timeout_ms() -> float:
+    """Return how long startup waits for the first list where lists are pushed."""
+    return CHANGE_DEADLINE_MS / 2
--- a/tests/test_platform_config.py
+++ b/tests/test_platform_config.py
@@ -15,7 +15,7 @@
 from cressrock.interface import DeduplicationScope, Idempotency, Outcome
 from cressrock.lab.platform import Discovery, StorageServer, config, echo
 from cressrock.platform import program
-from cressrock.platform.config import ConfigError, foreign, parse
+from cressrock.platform.config import ConfigError, find_foreign_setting, parse
 from cressrock.platform.program import Program
 from cressrock.platform.serverlist import ServerList
 from cressrock.resp import codec
@@ -428,7 +428,7 @@
         assert not seen & set(here.values())
         seen |= set(here.values())
         listed(servers, (f"s{day}", f"z{day}", "left"), seq=2 * day + 1, whole=False)
-        assert len(servers._others) <= 2 and len(servers._sites) <= 2
+        assert len(servers._extra_zones) <= 2 and len(servers._zone_keys) <= 2
     assert listed(servers, ("s0", "z0"), seq=999)["s0"] not in seen  # back after its number was forgotten
 
 
@@ -468,7 +468,7 @@
     ],
 )
 def test_a_new_configuration_of_this_dispatcher_is_known_as_its_own(path, what):
-    assert foreign(read(), read((path, what))) is None
+    assert find_foreign_setting(read(), read((path, what))) is None
 
 
 @pytest.mark.parametrize(
@@ -503,9 +503,9 @@
 )
 def test_the_place_in_which_a_file_is_anothers_is_named(path, what):
     present, found = read(), read((path, what))
-    assert foreign(present, found).startswith(f"{path}: ")
-    assert foreign(found, present).startswith(f"{path}: ")
-    assert len(foreign(present, found).splitlines()) == 1
+    assert find_foreign_setting(present, found).startswith(f"{path}: ")
+    assert find_foreign_setting(found, present).startswith(f"{path}: ")
+    assert len(find_foreign_setting(present, found).splitlines()) == 1
 
 
 def test_more_or_fewer_classes_plans_and_zones_are_anothers():
@@ -514,28 +514,32 @@
     value["settings"]["family_info"]["writes"].append(True)
     more = parse(json.dumps(value))
     for pair in ((read(), more), (more, read())):
-        assert foreign(*pair).startswith("settings.profiles[2].name: ")
+        assert find_foreign_setting(*pair).startswith("settings.profiles[2].name: ")
     swapped = read(("settings.policies", made()["settings"]["policies"][::-1]))
-    assert foreign(read(), swapped).startswith("settings.policies[0].name: ")
+    assert find_foreign_setting(read(), swapped).startswith("settings.policies[0].name: ")
     for changed in ([], ["a", "b"]):
-        assert foreign(read(), read(("settings.zones", changed))).startswith("settings.zones[")
+        assert find_foreign_setting(read(), read(("settings.zones", changed))).startswith("settings.zones[")
 
 
 def test_no_figure_of_the_settings_can_differ_unseen():
     present = read()
     for field in fields(present):
         if field.name not in ("discovery", "seed", "known", "memory_mb", "sockets", "settings"):
-            assert foreign(present, replace(present, **{field.name: other(getattr(present, field.name))}))
+            assert find_foreign_setting(
+                present, replace(present, **{field.name: other(getattr(present, field.name))})
+            )
     for field in fields(present.settings):
         if field.name not in ("classes", "plans"):
             changed = {field.name: other(getattr(present.settings, field.name))}
-            assert foreign(present, replace(present, settings=replace(present.settings, **changed)))
+            assert find_foreign_setting(
+                present, replace(present, settings=replace(present.settings, **changed))
+            )
     for part in ("classes", "plans"):
         first, *rest = getattr(present.settings, part)
         for field in fields(first):
             if field.name not in ("idempotency", "deduplication_scope"):
                 new = replace(first, **{field.name: other(getattr(first, field.name))})
-                assert foreign(
+                assert find_foreign_setting(
                     present, replace(present, settings=replace(present.settings, **{part: (new, *rest)}))
                 )
 
--- a/tests/test_platform_parts.py
+++ b/tests/test_platform_parts.py
@@ -8,7 +8,7 @@
 from cressrock.lab.platform import Discovery, config
 from cressrock.platform.config import ConfigError, parse
 from cressrock.platform.serverlist import ListError, ServerList
-from cressrock.platform.watch import MAX_LIST
+from cressrock.platform.watch import MAX_ANSWER_BYTES
 
 
 def made(**changes):
@@ -76,7 +76,7 @@
     report = servers.receive(answer(entry("s1", born_ms=1e12 - 400), seq=2), 6000, 1e12 + 99000)
     assert report.nodes[0].started_at_ms == 4600  # the wall clock was stepped in between
     report = servers.receive(answer(entry("s1", born_ms=1e12 + 99500), seq=3), 7000, 1e12 + 100000)
-    assert report.nodes[0].started_at_ms == 6500 and servers.moved == ["s1"]
+    assert report.nodes[0].started_at_ms == 6500 and servers.replaced == ["s1"]
 
 
 def test_changes_are_told_as_changes_and_what_left_is_forgotten():
@@ -84,7 +84,7 @@
     servers.receive(answer(entry("s1"), entry("s2")), 0, 1e12, cached=True)
     report = servers.receive(answer(entry("s1", dial="", health="left"), seq=3, whole=False), 0, 1e12)
     assert report.kind is ListKind.CHANGES and report.nodes[0].state is NodeState.GONE
-    assert set(servers.dials) == {"s2"} and servers.moved == ["s1"] and servers.version == 3
+    assert set(servers.dials) == {"s2"} and servers.replaced == ["s1"] and servers.version == 3
     report = servers.receive(answer(entry("s3"), seq=4), 0, 1e12)
     assert report.kind is ListKind.COMPLETE and set(servers.dials) == {"s3"}
 
@@ -131,15 +131,15 @@
         ("s1", NodeState.DRAINING),
         ("s3", NodeState.READY),
     ]
-    (named,) = servers.left_out
+    (named,) = servers.rejected_entries
     assert named.startswith("hosts[1]")
-    assert servers.receive(answer(seq=3, whole=False), 0, 1e12).nodes == () and servers.left_out == []
+    assert servers.receive(answer(seq=3, whole=False), 0, 1e12).nodes == () and servers.rejected_entries == []
 
 
 def test_a_list_of_1024_servers_is_held_whole_and_a_list_of_none_too():
     fleet = [entry(f"s{i}", dial=f"10.1.{i // 250}.{i % 250 + 1}:6379", block=i) for i in range(1024)]
     servers = ServerList(("a",))
     assert len(servers.receive(answer(*fleet), 0, 1e12).nodes) == len(servers.dials) == 1024
-    assert len(json.dumps(answer(*fleet))) * 4 < MAX_LIST
+    assert len(json.dumps(answer(*fleet))) * 4 < MAX_ANSWER_BYTES
     assert servers.receive(answer(seq=2), 0, 1e12).nodes == () and not servers.dials
-    assert len(servers.moved) == 1024
+    assert len(servers.replaced) == 1024
--- a/tests/test_platform_watch.py
+++ b/tests/test_platform_watch.py
@@ -20,9 +20,9 @@
 
 def hurry(monkeypatch):
     """Keep the clock's order, at a fraction of its length."""
-    monkeypatch.setattr(watchclock, "TOLD_MS", 900.0)
-    monkeypatch.setattr(watchclock, "MOVED_MS", 600.0)
-    monkeypatch.setattr(watchclock, "QUEUE_MS", 300.0)
+    monkeypatch.setattr(watchclock, "CHANGE_DEADLINE_MS", 900.0)
+    monkeypatch.setattr(watchclock, "MOVE_DEADLINE_MS", 600.0)
+    monkeypatch.setattr(watchclock, "MAX_QUEUE_MS", 300.0)
 
 
 @on_sockets
@@ -34,7 +34,7 @@
         s.discovery.fall_silent()
         s.discovery.put("s0", s.servers[0].address, 0, health="leaving")
         await s.until(lambda: nodes["s0"].state is NodeState.DRAINING)
-        assert watch.doubted and not watch.failed  # the subscription stands
+        assert watch.parallel_calls and not watch.failed  # the subscription stands
         s.discovery.put("s9", s.servers[0].address, 3)  # and goes on, on the new connection
         await s.until(lambda: "s9" in nodes)
 
@@ -48,7 +48,7 @@
         s.discovery.halved = True
         s.discovery.put("s0", s.servers[0].address, 0, health="leaving")
         await s.until(lambda: nodes["s0"].state is NodeState.DRAINING)
-        assert watch.doubted and not watch.failed and not s.discovery.halved
+        assert watch.parallel_calls and not watch.failed and not s.discovery.halved
 
 
 @on_sockets
@@ -59,7 +59,7 @@
         s.discovery.reset()
         s.discovery.put("s0", s.servers[0].address, 0, health="leaving")
         await s.until(lambda: nodes["s0"].state is NodeState.DRAINING)
-        assert s.program.watch.failed == 1 and not s.program.watch.doubted
+        assert s.program.watch.failed == 1 and not s.program.watch.parallel_calls
 
 
 @on_sockets
@@ -82,7 +82,7 @@
         s.discovery.put("s0", s.servers[0].address, 0, health="leaving")
         s.discovery.failing = True  # for the second call; the first is out
         calls = s.discovery.calls
-        await s.until(lambda: watch.doubted and s.discovery.calls > calls)
+        await s.until(lambda: watch.parallel_calls and s.discovery.calls > calls)
         await asyncio.sleep(0.05)  # its failure is there, were it to end both
         assert not watch.failed
         s.discovery.failing = False
@@ -123,7 +123,9 @@
 
     discovery._after = never
     discovery.fall_silent()
-    await until(lambda: watch.doubted and held)  # the call made beside the silent watch is silent as well
+    await until(
+        lambda: watch.parallel_calls and held
+    )  # the call made beside the silent watch is silent as well
     discovery._after = whole
 
 
@@ -186,9 +188,9 @@
         await s.until(lambda: watch.failed >= 3)
         other = await Discovery().start()
         other.version = s.discovery.version
-        asked = watch.pace.due_ms
+        asked = watch.schedule.due_ms
         watch.move(parse(json.dumps(config(other))).discovery)
-        assert watch.pace.due_ms <= watch.clock() < asked
+        assert watch.schedule.due_ms <= watch.clock() < asked
         await s.until(lambda: other.calls >= 2)
 
 
@@ -214,11 +216,11 @@
         other = await Discovery().start()
         other.version, other.failing = s.discovery.version, True
         reported = []
-        watch.listed = reported.append
+        watch.on_report = reported.append
         watch.move(parse(json.dumps(config(other))).discovery)
         await s.until(lambda: watch.failed >= 2)
         assert not reported  # nobody is asked to back off
-        watch.listed = s.program._listed
+        watch.on_report = s.program._apply_report
         other.failing = False
         other.put("s5", s.servers[0].address, 2)
         await s.until(lambda: "s5" in nodes)
@@ -355,7 +357,7 @@
             counted[0] = s.program.log.lines["event"]
             lines = capsys.readouterr().err.splitlines()
             if place is not None:
-                assert len(lines) == 1 and "not taken over" in lines[0] and place in lines[0]
+                assert len(lines) == 1 and "configuration rejected" in lines[0] and place in lines[0]
                 assert f"{s.program.watch.address[0]}:{s.program.watch.address[1]}" == s.discovery.address
         await s.until(lambda: other.calls >= 2)
 
