--- a/tests/test_platform_config.py
+++ b/tests/test_platform_config.py
@@ -1,4 +1,4 @@
-"""The platform's configuration: all of it from the file, no unsafe default, nothing of another customer's."""
+"""The platform's configuration: complete, with safe defaults, and without any value of another customer."""
 
 import asyncio
 import json
@@ -25,34 +25,34 @@
 ABSENT = object()
 
 
-def made():
+def example_config():
     return config(Discovery(address="127.0.0.1:8500"), listen="127.0.0.1:6379")
 
 
-def put(value, path, what):
-    """Put something at a place such as settings.profiles[1].give_up_ms; ABSENT takes it away."""
+def set_at(value, path, new_value):
+    """Set the value at a path such as settings.profiles[1].give_up_ms; ABSENT deletes it."""
     steps = path.replace("[", ".").replace("]", "").split(".")
-    *way, last = [int(step) if step.isdigit() else step for step in steps]
-    for step in way:
+    *parents, last = [int(step) if step.isdigit() else step for step in steps]
+    for step in parents:
         value = value[step]
-    if what is ABSENT:
+    if new_value is ABSENT:
         del value[last]
     else:
-        value[last] = what
+        value[last] = new_value
 
 
-def with_(*changes):
-    value = made()
-    for path, what in changes:
-        put(value, path, what)
+def config_with(*changes):
+    value = example_config()
+    for path, new_value in changes:
+        set_at(value, path, new_value)
     return value
 
 
-def read(*changes):
-    return parse(json.dumps(with_(*changes)))
+def parse_with(*changes):
+    return parse(json.dumps(config_with(*changes)))
 
 
-FIGURES = [
+NUMERIC_SETTINGS = [
     "settings.balancers",
     "settings.period_ms",
     "settings.profiles[1].give_up_ms",
@@ -78,7 +78,7 @@
     "limits.memory_mb",
     "limits.sockets",
 ]
-OVER_ZERO = [
+POSITIVE_SETTINGS = [
     "settings.balancers",
     "settings.period_ms",
     "settings.profiles[1].give_up_ms",
@@ -89,12 +89,17 @@
     "settings.family_info.most_units",
     "settings.family_info.usual_units",
 ]
-NO_FIGURES = [-1, float("nan"), float("inf"), -float("inf"), True, False, "480", [], {}, 10**400]
-BAD = [
-    *((path, what) for path in FIGURES for what in NO_FIGURES if what not in ([], {})),
-    *((path, {"a": 1}) for path in FIGURES),
-    *((path, 0) for path in OVER_ZERO),
-    *((f"limits.{name}", what) for name in ("memory_mb", "sockets") for what in (1e300, None)),
+INVALID_NUMBERS = [-1, float("nan"), float("inf"), -float("inf"), True, False, "480", [], {}, 10**400]
+INVALID_SETTINGS = [
+    *(
+        (path, new_value)
+        for path in NUMERIC_SETTINGS
+        for new_value in INVALID_NUMBERS
+        if new_value not in ([], {})
+    ),
+    *((path, {"a": 1}) for path in NUMERIC_SETTINGS),
+    *((path, 0) for path in POSITIVE_SETTINGS),
+    *((f"limits.{name}", new_value) for name in ("memory_mb", "sockets") for new_value in (1e300, None)),
     *((f"settings.{name}", 2.5) for name in ("balancers", "caps.max_attempts", "family_info.n_shards")),
     ("settings.balancers", ABSENT),
     ("settings.balancers", None),
@@ -147,8 +152,11 @@
 
 
 @pytest.fixture
-def main(tmp_path, monkeypatch, capsys):
-    """Return what starts the program with a file, its exit code and its lines.  It never comes to serve."""
+def run_main(tmp_path, monkeypatch, capsys):
+    """Return a function that runs main() on a configuration text without serving.
+
+    It returns the exit code and the lines on standard error.
+    """
 
     def start(text):
         file = tmp_path / "config.json"
@@ -161,26 +169,26 @@
     return start
 
 
-def test_main_takes_the_example(main):
-    assert main(json.dumps(made())) == (0, [])
+def test_main_accepts_the_example(run_main):
+    assert run_main(json.dumps(example_config())) == (0, [])
 
 
-@pytest.mark.parametrize("path, what", BAD)
-def test_main_names_the_place_of_what_cannot_be_used_in_one_line(path, what, main):
-    code, (line,) = main(json.dumps(with_((path, what))))
+@pytest.mark.parametrize("path, new_value", INVALID_SETTINGS)
+def test_main_reports_an_invalid_setting_with_its_place_in_one_line(path, new_value, run_main):
+    code, (line,) = run_main(json.dumps(config_with((path, new_value))))
     assert code == 1
     assert f"{path}: " in line and "Traceback" not in line and len(line) < 400
 
 
 @pytest.mark.parametrize("text", ["", "[]", "7", "{", '{"a":1}', "[" * 100_000, "9" * 5000, "\ufeff{}"])
-def test_main_says_in_one_line_that_a_file_is_no_configuration(text, main):
-    code, (line,) = main(text)
+def test_main_reports_a_file_that_is_no_configuration_in_one_line(text, run_main):
+    code, (line,) = run_main(text)
     assert code == 1 and "Traceback" not in line
 
 
-def test_the_process_ends_in_one_line_that_names_the_place(tmp_path):
+def test_the_process_reports_an_invalid_setting_with_its_place_in_one_line_and_exits(tmp_path):
     file = tmp_path / "config.json"
-    file.write_text(json.dumps(with_(("settings.profiles[1].give_up_ms", "4 s"))))
+    file.write_text(json.dumps(config_with(("settings.profiles[1].give_up_ms", "4 s"))))
     done = subprocess.run(
         [sys.executable, "-m", "cressrock", "platform"],
         env=os.environ | {"LB_CONFIG": str(file)},
@@ -193,21 +201,21 @@
     assert "settings.profiles[1].give_up_ms: a number was expected, not '4 s'" in line
 
 
-def test_bytes_that_are_no_text_are_refused():
+def test_bytes_that_are_not_utf_8_are_rejected():
     with pytest.raises(ConfigError, match="not JSON"):
-        parse(json.dumps(made()).encode().replace(b"gold", b"g\xffld"))
-    assert parse(json.dumps(made()).encode()) == parse(json.dumps(made()))
+        parse(json.dumps(example_config()).encode().replace(b"gold", b"g\xffld"))
+    assert parse(json.dumps(example_config()).encode()) == parse(json.dumps(example_config()))
 
 
-def places(value, path=()):
-    """Name every place of an object, inner ones too."""
+def all_places(value, path=()):
+    """Return the path of every value in a nested object, those of inner objects and lists included."""
     found = [path] if path else []
     for step, inner in value.items() if isinstance(value, dict) else enumerate(value):
-        found += places(inner, (*path, step)) if isinstance(inner, (dict, list)) else [(*path, step)]
+        found += all_places(inner, (*path, step)) if isinstance(inner, (dict, list)) else [(*path, step)]
     return found
 
 
-JUNK = st.recursive(
+ARBITRARY_VALUES = st.recursive(
     st.none()
     | st.booleans()
     | st.integers()
@@ -217,104 +225,113 @@
     lambda inner: st.lists(inner, max_size=3) | st.dictionaries(st.text(max_size=4), inner, max_size=3),
     max_leaves=5,
 )
-CHANGE = st.tuples(st.sampled_from(places(made())), st.sampled_from(["put", "drop", "twice"]), JUNK)
+CHANGES = st.tuples(
+    st.sampled_from(all_places(example_config())), st.sampled_from(["put", "drop", "twice"]), ARBITRARY_VALUES
+)
 
 
 @settings(derandomize=True, max_examples=1500, deadline=None)
-@given(st.lists(CHANGE, min_size=1, max_size=3))
-def test_a_configuration_changed_anywhere_is_taken_or_refused_in_one_line(changes):
-    value = made()
-    for (*way, last), how, what in changes:
+@given(st.lists(CHANGES, min_size=1, max_size=3))
+def test_a_configuration_changed_anywhere_is_accepted_or_rejected_in_one_line(changes):
+    value = example_config()
+    for (*parents, last), how, new_value in changes:
         try:
             inner = value
-            for step in way:
+            for step in parents:
                 inner = inner[step]
             if how == "drop":
                 del inner[last]
             elif how == "twice" and isinstance(inner, list):
                 inner.append(inner[last])
             else:
-                inner[last] = what
+                inner[last] = new_value
         except (KeyError, IndexError, TypeError):
-            continue  # an earlier change took the place away
+            continue  # an earlier change removed the path
     try:
         found = parse(json.dumps(value))
-    except ConfigError as wrong:
-        assert len(str(wrong).splitlines()) == 1 and len(str(wrong)) < 300
+    except ConfigError as exc:
+        assert len(str(exc).splitlines()) == 1 and len(str(exc)) < 300
     else:
-        Program(found, "")  # what is taken can be started with
+        Program(found, "")  # an accepted configuration can be used
 
 
 @settings(derandomize=True, max_examples=300, deadline=None)
 @given(st.integers(0, 3000), st.integers(0, 40), st.binary(max_size=6))
-def test_a_configuration_changed_in_its_bytes_is_taken_or_refused(at, taken, put_in):
-    text = json.dumps(made()).encode()
+def test_a_configuration_with_changed_bytes_is_accepted_or_rejected(at, removed, inserted):
+    text = json.dumps(example_config()).encode()
     try:
-        parse(text[:at] + put_in + text[at + taken :])
-    except ConfigError as wrong:
-        assert len(str(wrong).splitlines()) == 1
+        parse(text[:at] + inserted + text[at + removed :])
+    except ConfigError as exc:
+        assert len(str(exc).splitlines()) == 1
 
 
-# --- what may be absent
+# --- optional settings
 
 
-def test_what_is_absent_is_safe_for_the_rules():
-    group = read(("settings.profiles[1].key_scope", ABSENT)).settings.classes[1]
-    assert group.idempotency is Idempotency.KEYED and group.deduplication_window_ms == 0  # never repeated
-    assert read(("settings.profiles[1].key_scope", None)).settings.classes[1] == group
+def test_the_defaults_of_absent_settings_are_safe():
+    keyed = parse_with(("settings.profiles[1].key_scope", ABSENT)).settings.classes[1]
+    assert keyed.idempotency is Idempotency.KEYED and keyed.deduplication_window_ms == 0  # never repeated
+    assert parse_with(("settings.profiles[1].key_scope", None)).settings.classes[1] == keyed
     assert (
-        read(("settings.profiles[1].repeat_window_ms", ABSENT)).settings.classes[1].deduplication_window_ms
+        parse_with(("settings.profiles[1].repeat_window_ms", ABSENT))
+        .settings.classes[1]
+        .deduplication_window_ms
         == 0
     )
-    assert read(("settings.profiles[1].semantics", None)).settings.classes[1].idempotency is Idempotency.NEVER
-    assert read(("settings.safety.drain_grace_ms", ABSENT)).settings.drain_grace_ms == 0
-    assert read(("settings.caps.max_attempts", ABSENT)).settings.max_attempts == 1
-    assert read(("settings.family_info.most_units", ABSENT)).settings.most_units == 999_999_999
-    unused = read().settings.classes[0]  # a class without keys names no group
+    assert (
+        parse_with(("settings.profiles[1].semantics", None)).settings.classes[1].idempotency
+        is Idempotency.NEVER
+    )
+    assert parse_with(("settings.safety.drain_grace_ms", ABSENT)).settings.drain_grace_ms == 0
+    assert parse_with(("settings.caps.max_attempts", ABSENT)).settings.max_attempts == 1
+    assert parse_with(("settings.family_info.most_units", ABSENT)).settings.most_units == 999_999_999
+    unused = parse_with().settings.classes[0]  # a class without keys needs no scope
     assert unused.idempotency is Idempotency.ALWAYS and unused.deduplication_scope is DeduplicationScope.SHARD
 
 
-def test_a_cold_servers_bound_without_a_warm_up_neither_grows_nor_ends():
-    found = read(("settings.safety.warm_up_ms", ABSENT)).settings
+def test_a_cold_servers_limit_without_a_warm_up_time_neither_grows_nor_ends():
+    found = parse_with(("settings.safety.warm_up_ms", ABSENT)).settings
     assert found.cold_from == 1 and found.warm_up_ms > 1e300
-    told = read(("settings.safety.warm_up_ms", 0)).settings  # warm at once, as the file says
-    assert told.warm_up_ms == 0 and told.cold_from == 0.2
-    no_rule = read(("settings.safety.warm_up_ms", ABSENT), ("settings.safety.tip_after_ms", ABSENT)).settings
-    assert no_rule.warm_up_ms == 0
+    zero = parse_with(("settings.safety.warm_up_ms", 0)).settings  # warm at once, as configured
+    assert zero.warm_up_ms == 0 and zero.cold_from == 0.2
+    no_limit = parse_with(
+        ("settings.safety.warm_up_ms", ABSENT), ("settings.safety.tip_after_ms", ABSENT)
+    ).settings
+    assert no_limit.warm_up_ms == 0
 
 
-def test_a_budget_without_its_window_allows_no_further_attempt():
-    assert read(("settings.safety.extra_free", 3)).settings.max_attempts == 1
-    found = read(("settings.safety.extra_free", 3), ("settings.safety.look_back_ms", 2000)).settings
+def test_a_retry_budget_without_a_window_allows_no_second_attempt():
+    assert parse_with(("settings.safety.extra_free", 3)).settings.max_attempts == 1
+    found = parse_with(("settings.safety.extra_free", 3), ("settings.safety.look_back_ms", 2000)).settings
     assert (found.max_attempts, found.budget_free, found.budget_window_ms) == (3, 3, 2000)
 
 
-def test_absent_times_of_connections_come_from_the_aims():
-    found = read(
+def test_absent_connection_times_default_to_the_shortest_latency_objective():
+    found = parse_with(
         ("settings.caps", {}),
         ("settings.profiles[0].goal_time_ms", 730.0),
         ("settings.profiles[1].goal_time_ms", 910.0),
     )
     assert found.idle_close_ms == found.settings.connect_timeout_ms == 730.0
-    assert read().idle_close_ms == 15000 and read().settings.connect_timeout_ms == 250
+    assert parse_with().idle_close_ms == 15000 and parse_with().settings.connect_timeout_ms == 250
 
 
-def test_an_aim_above_its_deadline_stands():
-    cls = read(("settings.profiles[0].goal_time_ms", 9000)).settings.classes[0]
+def test_a_latency_objective_above_the_deadline_is_kept():
+    cls = parse_with(("settings.profiles[0].goal_time_ms", 9000)).settings.classes[0]
     assert (cls.latency_objective_ms, cls.deadline_ms) == (9000, 5000)
 
 
-def test_a_zone_that_is_named_twice_is_one():
-    assert read(("settings.zones", ["a", "b", "a"])).zones == ("a", "b")
+def test_a_zone_that_is_listed_twice_counts_once():
+    assert parse_with(("settings.zones", ["a", "b", "a"])).zones == ("a", "b")
 
 
 @pytest.mark.parametrize("mode", ["push", "ask", None, ABSENT])
-def test_a_watch_is_opened_however_the_settings_say_that_lists_come(mode):
-    """Danger: pushed lists count as told; a dispatcher that waits for them without a call hears no drain."""
+def test_discovery_is_watched_in_every_membership_mode(mode):
+    """Where lists are pushed too: a dispatcher that only waits for them would miss a drain."""
 
     @on_sockets
     async def test():
-        async with stage(settings=with_(("settings.membership_mode", mode))["settings"]) as s:
+        async with stage(settings=config_with(("settings.membership_mode", mode))["settings"]) as s:
             await s.until(lambda: s.discovery.calls >= 2)
             s.discovery.put("s9", s.servers[0].address, 2, health="leaving")
             await s.until(lambda: "s9" in s.program.driver.ledger.withdrawn_at_ms)
@@ -325,12 +342,12 @@
 # --- names
 
 
-def reader(*changes):
-    found = read(*changes)
+def make_reader(*changes):
+    found = parse_with(*changes)
     return Reader(found.settings, list(found.classes), list(found.plans), found.shards)
 
 
-def words(command="IO.IN", body=(), **changes):
+def request_words(command="IO.IN", body=(), **changes):
     names = {
         "c": "read",
         "t": "gold",
@@ -344,20 +361,22 @@
     return [command.encode(), b"7f3a9c21e0b4d655", b"9b1f03aa5c7e2d41", text.encode(), *body]
 
 
-def test_names_of_any_letters_are_the_bytes_that_clients_send():
-    made_of = reader(("settings.profiles[0].name", "lecture à 100 %"), ("settings.policies[1].name", "金"))
-    found = made_of.read(words(c="lecture à 100 %", t="金"))
+def test_names_may_contain_any_unicode_letters():
+    reader = make_reader(
+        ("settings.profiles[0].name", "lecture à 100 %"), ("settings.policies[1].name", "金")
+    )
+    found = reader.read(request_words(c="lecture à 100 %", t="金"))
     assert (found.request_class, found.plan) == (0, 1)
     with pytest.raises(InvalidCommandError, match="unknown class"):
-        made_of.read(words(c="lecture a 100 %", t="金"))
+        reader.read(request_words(c="lecture a 100 %", t="金"))
 
 
-def test_writes_are_told_by_the_classes_order():
-    one, other = reader(), reader(("settings.family_info.writes", [True, False]))
-    assert one.read(words()).request_class == 0
+def test_the_list_of_writes_follows_the_order_of_the_classes():
+    default, swapped = make_reader(), make_reader(("settings.family_info.writes", [True, False]))
+    assert default.read(request_words()).request_class == 0
     with pytest.raises(InvalidCommandError, match="command"):
-        other.read(words())
-    assert other.read(words("IO.OUT", [b"x"])).request_class == 0
+        swapped.read(request_words())
+    assert swapped.read(request_words("IO.OUT", [b"x"])).request_class == 0
 
 
 @pytest.mark.parametrize(
@@ -380,61 +399,69 @@
         {"d": "inf"},
     ],
 )
-def test_what_the_settings_do_not_name_or_bound_is_refused(changes):
-    assert reader().read(words())
+def test_a_request_outside_the_settings_is_rejected(changes):
+    assert make_reader().read(request_words())
     with pytest.raises(InvalidCommandError):
-        reader().read(words(**changes))
+        make_reader().read(request_words(**changes))
 
 
 # --- zones
 
 
-def listed(servers, *hosts, seq=1, whole=True, cached=False):
-    """Hand a list of name, zone and perhaps health to a ServerList; return its numbers by name."""
+def receive_hosts(servers, *hosts, seq=1, whole=True, cached=False):
+    """Apply a list of (name, zone[, health]) to a ServerList; return the zone numbers by name."""
     entries = []
     for name, site, *health in hosts:
-        found = {"host": name, "dial": "127.0.0.1:7001", "block": 0, "health": (*health, "active")[0]}
-        entries.append(found if site is ABSENT else found | {"site": site})
+        entry = {"host": name, "dial": "127.0.0.1:7001", "block": 0, "health": (*health, "active")[0]}
+        entries.append(entry if site is ABSENT else entry | {"site": site})
     value = {"seq": seq, "whole": whole, "hosts": entries}
     return {node.name: node.zone for node in servers.receive(value, 0, 1e12, cached=cached).nodes}
 
 
-def test_no_two_zones_have_one_number():
+def test_no_two_zones_share_a_number():
     servers = ServerList(("a", "b"))
-    first = listed(servers, ("s1", "a"), ("s2", "x"), ("s3", "y"), ("s4", "x"), ("s5", "b"), cached=True)
+    first = receive_hosts(
+        servers, ("s1", "a"), ("s2", "x"), ("s3", "y"), ("s4", "x"), ("s5", "b"), cached=True
+    )
     assert first["s1"] == 0 and first["s5"] == 1 and first["s2"] == first["s4"]
     assert len({first[name] for name in ("s1", "s2", "s3", "s5")}) == 4
-    # The same zone keeps its number from list to list, and no other has it.
-    later = listed(servers, ("s4", "x"), ("s6", "z"), ("s3", "y"), seq=2, whole=False)
+    # A zone keeps its number from list to list, and no other zone gets it.
+    later = receive_hosts(servers, ("s4", "x"), ("s6", "z"), ("s3", "y"), seq=2, whole=False)
     assert later["s4"] == first["s2"] and later["s3"] == first["s3"]
     assert later["s6"] not in first.values()
 
 
-def test_a_server_that_names_no_zone_is_in_none_of_the_others():
+def test_a_server_without_a_zone_shares_no_zone_number():
     servers = ServerList(("a", "b"))
-    found = listed(servers, ("s1", ABSENT), ("s2", None), ("s3", ""), ("s4", "a"), ("s5", "host s1"))
+    found = receive_hosts(servers, ("s1", ABSENT), ("s2", None), ("s3", ""), ("s4", "a"), ("s5", "host s1"))
     assert len(set(found.values())) == 5
-    assert listed(servers, ("s1", ABSENT), seq=2, whole=False)["s1"] == found["s1"]
-    # Without zones there is nothing to tell apart, until a server names one.
-    assert listed(ServerList(()), ("s1", ABSENT), ("s2", "")) == {"s1": 0, "s2": 0}
-    assert len(set(listed(ServerList(()), ("s1", ABSENT), ("s2", "x"), ("s3", "y")).values())) == 3
+    assert receive_hosts(servers, ("s1", ABSENT), seq=2, whole=False)["s1"] == found["s1"]
+    # Without configured zones all servers share one number, until one of them names a zone.
+    assert receive_hosts(ServerList(()), ("s1", ABSENT), ("s2", "")) == {"s1": 0, "s2": 0}
+    assert len(set(receive_hosts(ServerList(()), ("s1", ABSENT), ("s2", "x"), ("s3", "y")).values())) == 3
 
 
-def test_a_zones_number_is_never_given_again_and_what_is_gone_is_forgotten():
-    """Danger: an attempt that is out remembers the number of a zone whose last server is gone."""
+def test_a_zone_number_is_never_reused_and_unused_zones_are_forgotten():
+    """An attempt in flight may remember the number of a zone whose last server is gone."""
     servers, seen = ServerList(("a", "b")), set()
     for day in range(300):
-        here = listed(servers, (f"s{day}", f"z{day}"), (f"t{day}", ABSENT), seq=2 * day, whole=day % 2 == 0)
-        assert not seen & set(here.values())
-        seen |= set(here.values())
-        listed(servers, (f"s{day}", f"z{day}", "left"), seq=2 * day + 1, whole=False)
+        numbers = receive_hosts(
+            servers, (f"s{day}", f"z{day}"), (f"t{day}", ABSENT), seq=2 * day, whole=day % 2 == 0
+        )
+        assert not seen & set(numbers.values())
+        seen |= set(numbers.values())
+        receive_hosts(servers, (f"s{day}", f"z{day}", "left"), seq=2 * day + 1, whole=False)
         assert len(servers._extra_zones) <= 2 and len(servers._zone_keys) <= 2
-    assert listed(servers, ("s0", "z0"), seq=999)["s0"] not in seen  # back after its number was forgotten
+    assert (
+        receive_hosts(servers, ("s0", "z0"), seq=999)["s0"] not in seen
+    )  # back after its number was forgotten
 
 
-def test_a_keyed_request_is_not_repeated_in_a_zone_that_the_settings_do_not_name():
-    """Rule 2: the group is the zone; one zone's server fails, and that of another must not be asked."""
-    value = with_(("settings.profiles[1].key_scope", "zone"), ("settings.zones", ["a", "b"]))["settings"]
+def test_a_keyed_request_is_not_repeated_across_zones_that_the_settings_do_not_name():
+    """Rule 2: the key scope is the zone, so a request that failed in one must not be sent to another."""
+    value = config_with(("settings.profiles[1].key_scope", "zone"), ("settings.zones", ["a", "b"]))[
+        "settings"
+    ]
     ledger = Ledger(drain_grace_ms=0, answer_slack_ms=0, max_open=8)
     servers = ServerList(("a", "b"))
     entries = [
@@ -443,7 +470,7 @@
     ]
     report = servers.receive({"seq": 1, "whole": True, "hosts": entries}, 0, 1e12)
     ledger.update_nodes(report.nodes, 0, complete=True)
-    cls = parse(json.dumps(made() | {"settings": value})).settings.classes[1]
+    cls = parse(json.dumps(example_config() | {"settings": value})).settings.classes[1]
     for number, (first, other, allowed) in enumerate([(0, 1, False), (1, 2, False), (1, 3, True)]):
         ledger.accept(f"r{number}", "e", cls, 5000, 0)
         assert isinstance(ledger.send(f"r{number}", f"s{first}", 0), Attempt)
@@ -451,11 +478,11 @@
         assert isinstance(ledger.send(f"r{number}", f"s{other}", 1), Attempt) is allowed
 
 
-# --- a file that is read again
+# --- reload
 
 
 @pytest.mark.parametrize(
-    "path, what",
+    "path, new_value",
     [
         ("discovery", "127.0.0.1:8501"),
         ("seed", "00"),
@@ -467,12 +494,12 @@
         ("name", "d0"),
     ],
 )
-def test_a_new_configuration_of_this_dispatcher_is_known_as_its_own(path, what):
-    assert find_foreign_setting(read(), read((path, what))) is None
+def test_settings_that_may_change_in_a_reload_are_accepted(path, new_value):
+    assert find_foreign_setting(parse_with(), parse_with((path, new_value))) is None
 
 
 @pytest.mark.parametrize(
-    "path, what",
+    "path, new_value",
     [
         ("name", "d1"),
         ("listen", "127.0.0.1:6380"),
@@ -501,36 +528,38 @@
         ("settings.family_info.counts_others", False),
     ],
 )
-def test_the_place_in_which_a_file_is_anothers_is_named(path, what):
-    present, found = read(), read((path, what))
+def test_the_setting_that_shows_a_file_to_be_another_dispatchers_is_named(path, new_value):
+    present, found = parse_with(), parse_with((path, new_value))
     assert find_foreign_setting(present, found).startswith(f"{path}: ")
     assert find_foreign_setting(found, present).startswith(f"{path}: ")
     assert len(find_foreign_setting(present, found).splitlines()) == 1
 
 
-def test_more_or_fewer_classes_plans_and_zones_are_anothers():
-    value = made()
+def test_more_fewer_or_swapped_classes_plans_and_zones_are_another_dispatchers():
+    value = example_config()
     value["settings"]["profiles"].append(value["settings"]["profiles"][1] | {"name": "third"})
     value["settings"]["family_info"]["writes"].append(True)
     more = parse(json.dumps(value))
-    for pair in ((read(), more), (more, read())):
+    for pair in ((parse_with(), more), (more, parse_with())):
         assert find_foreign_setting(*pair).startswith("settings.profiles[2].name: ")
-    swapped = read(("settings.policies", made()["settings"]["policies"][::-1]))
-    assert find_foreign_setting(read(), swapped).startswith("settings.policies[0].name: ")
+    swapped = parse_with(("settings.policies", example_config()["settings"]["policies"][::-1]))
+    assert find_foreign_setting(parse_with(), swapped).startswith("settings.policies[0].name: ")
     for changed in ([], ["a", "b"]):
-        assert find_foreign_setting(read(), read(("settings.zones", changed))).startswith("settings.zones[")
+        assert find_foreign_setting(parse_with(), parse_with(("settings.zones", changed))).startswith(
+            "settings.zones["
+        )
 
 
-def test_no_figure_of_the_settings_can_differ_unseen():
-    present = read()
+def test_a_difference_in_any_other_setting_is_detected():
+    present = parse_with()
     for field in fields(present):
         if field.name not in ("discovery", "seed", "known", "memory_mb", "sockets", "settings"):
             assert find_foreign_setting(
-                present, replace(present, **{field.name: other(getattr(present, field.name))})
+                present, replace(present, **{field.name: different_value(getattr(present, field.name))})
             )
     for field in fields(present.settings):
         if field.name not in ("classes", "plans"):
-            changed = {field.name: other(getattr(present.settings, field.name))}
+            changed = {field.name: different_value(getattr(present.settings, field.name))}
             assert find_foreign_setting(
                 present, replace(present, settings=replace(present.settings, **changed))
             )
@@ -538,14 +567,14 @@
         first, *rest = getattr(present.settings, part)
         for field in fields(first):
             if field.name not in ("idempotency", "deduplication_scope"):
-                new = replace(first, **{field.name: other(getattr(first, field.name))})
+                new = replace(first, **{field.name: different_value(getattr(first, field.name))})
                 assert find_foreign_setting(
                     present, replace(present, settings=replace(present.settings, **{part: (new, *rest)}))
                 )
 
 
-def other(value):
-    """Return another value of the same kind."""
+def different_value(value):
+    """Return another value of the same type."""
     if isinstance(value, bool):
         return not value
     if isinstance(value, tuple):
@@ -556,8 +585,8 @@
 # --- two customers
 
 
-def customer(discovery, **names):
-    """Return a configuration that differs in every word and figure which a client meets."""
+def other_customer_config(discovery, **names):
+    """Return a configuration in which all names and limits that clients see are different."""
     value = config(discovery, name="elsewhere")
     s = value["settings"]
     s["profiles"] = [
@@ -571,13 +600,13 @@
     return value
 
 
-def asked(ident, command="IO.IN", body=(), **changes):
-    found = words(command, body, **{"shard": 0} | changes)
+def encode_request(ident, command="IO.IN", body=(), **changes):
+    found = request_words(command, body, **{"shard": 0} | changes)
     return codec.command(found[0], found[1], f"{ident:016x}".encode(), *found[3:])
 
 
-async def one_answer(address, command):
-    """Ask on a connection of its own: one that rests is closed, however long the test was held up."""
+async def ask_once(address, command):
+    """Send a request on a new connection, since idle ones are closed if the test is delayed."""
     client = Client(*await asyncio.open_connection(*address))
     try:
         return await client.ask(command)
@@ -585,12 +614,12 @@
         client.writer.transport.abort()
 
 
-def test_two_customers_processes_side_by_side_know_nothing_of_each_other(tmp_path):
+def test_processes_of_two_customers_on_one_host_are_isolated(tmp_path):
     @on_sockets
     async def test():
         servers, processes, addresses = [], [], []
         try:
-            for index, make in enumerate((config, customer)):
+            for index, make in enumerate((config, other_customer_config)):
                 server = await StorageServer(echo).start()
                 servers.append(server)
                 discovery = await Discovery().start()
@@ -612,33 +641,37 @@
                     assert line, "the process ended"
                 host, _, port = line.split()[-1].rpartition(":")
                 addresses.append((host, int(port)))
-            ours = [
-                asked(1, c="read", t="gold", d=20000),
-                asked(2, "IO.OUT", [b"x"], c="write", t="silver", d=20000, k="0" * 16),
-                asked(3, c="read", t="gold", units=7, hosts=2, d=20000),
+            first = [
+                encode_request(1, c="read", t="gold", d=20000),
+                encode_request(2, "IO.OUT", [b"x"], c="write", t="silver", d=20000, k="0" * 16),
+                encode_request(3, c="read", t="gold", units=7, hosts=2, d=20000),
             ]
-            theirs = [
-                asked(1, "IO.OUT", [b"x"], c="deposito", t="ente", d=29000),
-                asked(2, c="consulta", t="studio", units=5, hosts=5, d=29000),
+            second = [
+                encode_request(1, "IO.OUT", [b"x"], c="deposito", t="ente", d=29000),
+                encode_request(2, c="consulta", t="studio", units=5, hosts=5, d=29000),
             ]
-            mixed = [  # a name of one, a name or figure of the other
-                [asked(4, c="read", t="ente"), asked(5, c="consulta", t="gold"), asked(6, hosts=5)],
+            mixed = [  # a name of one customer with a name or a number of the other
+                [
+                    encode_request(4, c="read", t="ente"),
+                    encode_request(5, c="consulta", t="gold"),
+                    encode_request(6, hosts=5),
+                ],
                 [
-                    asked(4, c="consulta", t="gold"),
-                    asked(5, c="read", t="ente"),
-                    asked(6, c="consulta", t="ente", units=7),
-                    asked(7, c="consulta", t="ente", shard=3),
+                    encode_request(4, c="consulta", t="gold"),
+                    encode_request(5, c="read", t="ente"),
+                    encode_request(6, c="consulta", t="ente", units=7),
+                    encode_request(7, c="consulta", t="ente", shard=3),
                 ],
             ]
-            for own, others, address in zip((ours, theirs), (theirs, ours), addresses, strict=True):
+            for own, others, address in zip((first, second), (second, first), addresses, strict=True):
                 for command in own:
-                    assert (await one_answer(address, command)).startswith(b"value of ")
+                    assert (await ask_once(address, command)).startswith(b"value of ")
                 for command in others:
-                    assert (await one_answer(address, command)).text.startswith("ERR ")
+                    assert (await ask_once(address, command)).text.startswith("ERR ")
             for commands, address in zip(mixed, addresses, strict=True):
                 for command in commands:
-                    assert (await one_answer(address, command)).text.startswith("ERR ")
-            # What was refused never reached a server, and what did bears its own customer's deadline.
+                    assert (await ask_once(address, command)).text.startswith("ERR ")
+            # Rejected requests never reached a server, and the others have their own customer's deadline.
             for server, names, count in zip(
                 servers, (b"c=read c=write", b"c=deposito c=consulta"), (3, 2), strict=True
             ):
