--- a/tests/test_platform_parts.py
+++ b/tests/test_platform_parts.py
@@ -1,4 +1,4 @@
-"""The platform's configuration and its list of storage servers: read, checked, put on the module's clock."""
+"""The platform's configuration and its list of storage servers: parsing, checks and start times."""
 
 import json
 
@@ -11,13 +11,13 @@
 from cressrock.platform.watch import MAX_ANSWER_BYTES
 
 
-def made(**changes):
+def example_config(**changes):
     value = config(Discovery(address="127.0.0.1:8500"), listen="127.0.0.1:6379") | changes
     return value
 
 
-def test_a_configuration_is_read():
-    found = parse(json.dumps(made()))
+def test_a_valid_configuration_is_parsed():
+    found = parse(json.dumps(example_config()))
     assert found.listen == ("127.0.0.1", 6379) and found.seed == 0x8C1F30D27A5BE964
     assert found.classes == ("read", "write") and found.plans == ("silver", "gold")
     assert (found.sockets, found.memory_mb, found.shards, found.idle_close_ms) == (256, 192, 4, 15000)
@@ -39,15 +39,15 @@
         ({"settings": {"profiles": [{"goal_time_ms": 1, "give_up_ms": 2}]}}, "profiles[0].name"),
     ],
 )
-def test_an_unusable_configuration_names_the_place(change, place):
+def test_the_error_of_an_invalid_configuration_names_the_setting(change, place):
     with pytest.raises(ConfigError) as found:
-        parse(json.dumps(made(**change)))
+        parse(json.dumps(example_config(**change)))
     assert place in str(found.value)
 
 
-def test_a_configuration_that_is_cut_off_is_refused():
+def test_a_truncated_configuration_is_rejected():
     with pytest.raises(ConfigError):
-        parse(json.dumps(made())[:-40])
+        parse(json.dumps(example_config())[:-40])
 
 
 def entry(host, dial="127.0.0.1:7001", block=0, health="active", born_ms=0, site="a"):
@@ -58,7 +58,7 @@
     return {"seq": seq, "whole": whole, "hosts": list(hosts)}
 
 
-def test_the_list_is_told_under_the_hosts_names():
+def test_reports_identify_servers_by_host():
     servers = ServerList(("x", "a"))
     known = answer(entry("s1", block=2), entry("s2", health="leaving"))
     report = servers.receive(known, 5000, 1e12, cached=True)
@@ -70,7 +70,7 @@
     assert servers.dials["s1"] == ("127.0.0.1", 7001)
 
 
-def test_a_start_is_put_on_the_modules_clock_once():
+def test_a_start_time_is_converted_to_the_schedulers_clock_once():
     servers = ServerList(("a",))
     servers.receive(answer(entry("s1", born_ms=1e12 - 400)), 5000, 1e12, cached=True)
     report = servers.receive(answer(entry("s1", born_ms=1e12 - 400), seq=2), 6000, 1e12 + 99000)
@@ -79,7 +79,7 @@
     assert report.nodes[0].started_at_ms == 6500 and servers.replaced == ["s1"]
 
 
-def test_changes_are_told_as_changes_and_what_left_is_forgotten():
+def test_partial_lists_are_reported_as_changes_and_removed_servers_are_forgotten():
     servers = ServerList(("a",))
     servers.receive(answer(entry("s1"), entry("s2")), 0, 1e12, cached=True)
     report = servers.receive(answer(entry("s1", dial="", health="left"), seq=3, whole=False), 0, 1e12)
@@ -90,7 +90,7 @@
 
 
 @pytest.mark.parametrize(
-    "bad",
+    "unusable",
     [
         [],
         {},
@@ -101,16 +101,16 @@
         answer(entry("s"), seq=0),
     ],
 )
-def test_an_unusable_answer_changes_nothing(bad):
+def test_an_unusable_answer_leaves_the_list_unchanged(unusable):
     servers = ServerList(("a",))
     servers.receive(answer(entry("s1")), 0, 1e12)
     with pytest.raises(ListError):
-        servers.receive(bad, 0, 1e12)
+        servers.receive(unusable, 0, 1e12)
     assert set(servers.dials) == {"s1"} and servers.version == 1
 
 
 @pytest.mark.parametrize(
-    "bad",
+    "unusable",
     [
         "x",
         entry(""),
@@ -121,22 +121,24 @@
         entry("s", born_ms="x"),
     ],
 )
-def test_an_entry_that_cannot_be_used_is_left_out_and_named(bad):
-    """Danger: one bad line in a list of hundreds would hide the drain that is told beside it."""
+def test_an_unusable_entry_is_ignored_and_its_place_kept_for_the_log(unusable):
+    """Otherwise one unusable entry in a list of hundreds would hide a drain reported beside it."""
     servers = ServerList(("a",))
     servers.receive(answer(entry("s1"), entry("s2")), 0, 1e12)
-    told = answer(entry("s1", health="leaving"), bad, entry("s3") | {"colour": "red"}, seq=2, whole=False)
-    report = servers.receive(told, 0, 1e12)
+    changes = answer(
+        entry("s1", health="leaving"), unusable, entry("s3") | {"colour": "red"}, seq=2, whole=False
+    )
+    report = servers.receive(changes, 0, 1e12)
     assert [(n.name, n.state) for n in report.nodes] == [
         ("s1", NodeState.DRAINING),
         ("s3", NodeState.READY),
     ]
-    (named,) = servers.rejected_entries
-    assert named.startswith("hosts[1]")
+    (problem,) = servers.rejected_entries
+    assert problem.startswith("hosts[1]")
     assert servers.receive(answer(seq=3, whole=False), 0, 1e12).nodes == () and servers.rejected_entries == []
 
 
-def test_a_list_of_1024_servers_is_held_whole_and_a_list_of_none_too():
+def test_a_list_of_1024_servers_and_an_empty_list_are_accepted():
     fleet = [entry(f"s{i}", dial=f"10.1.{i // 250}.{i % 250 + 1}:6379", block=i) for i in range(1024)]
     servers = ServerList(("a",))
     assert len(servers.receive(answer(*fleet), 0, 1e12).nodes) == len(servers.dials) == 1024
--- a/tests/test_platform_watch.py
+++ b/tests/test_platform_watch.py
@@ -1,4 +1,4 @@
-"""A watch that dies: silent from its first byte, reset, answered by half, discovery gone and back."""
+"""The watch of discovery under failures: silence, resets, truncated answers, outages, moves and reloads."""
 
 import asyncio
 import json
@@ -18,30 +18,30 @@
 from tests.test_platform_parts import answer, entry
 
 
-def hurry(monkeypatch):
-    """Keep the clock's order, at a fraction of its length."""
+def shorten_deadlines(monkeypatch):
+    """Shorten the schedule's times, which keep their order."""
     monkeypatch.setattr(watchclock, "CHANGE_DEADLINE_MS", 900.0)
     monkeypatch.setattr(watchclock, "MOVE_DEADLINE_MS", 600.0)
     monkeypatch.setattr(watchclock, "MAX_QUEUE_MS", 300.0)
 
 
 @on_sockets
-async def test_a_drain_told_while_the_watch_is_silent_is_heard_by_another_call(monkeypatch):
-    hurry(monkeypatch)
+async def test_a_parallel_call_reports_a_drain_while_the_watch_is_silent(monkeypatch):
+    shorten_deadlines(monkeypatch)
     async with stage() as s:
         nodes, watch = s.program.driver.ledger.nodes, s.program.watch
         await s.until(lambda: s.discovery.calls >= 2)
         s.discovery.fall_silent()
         s.discovery.put("s0", s.servers[0].address, 0, health="leaving")
         await s.until(lambda: nodes["s0"].state is NodeState.DRAINING)
-        assert watch.parallel_calls and not watch.failed  # the subscription stands
-        s.discovery.put("s9", s.servers[0].address, 3)  # and goes on, on the new connection
+        assert watch.parallel_calls and not watch.failed  # the subscription is active
+        s.discovery.put("s9", s.servers[0].address, 3)  # watched on the new connection
         await s.until(lambda: "s9" in nodes)
 
 
 @on_sockets
-async def test_half_an_answer_is_no_news_and_the_whole_is_heard_by_another_call(monkeypatch):
-    hurry(monkeypatch)
+async def test_a_truncated_answer_is_ignored_and_a_parallel_call_gets_the_whole(monkeypatch):
+    shorten_deadlines(monkeypatch)
     async with stage() as s:
         nodes, watch = s.program.driver.ledger.nodes, s.program.watch
         await s.until(lambda: s.discovery.calls >= 2)
@@ -52,7 +52,7 @@
 
 
 @on_sockets
-async def test_a_watch_that_is_reset_is_opened_anew():
+async def test_a_reset_watch_is_reopened():
     async with stage() as s:
         nodes = s.program.driver.ledger.nodes
         await s.until(lambda: s.discovery.calls >= 2)
@@ -63,30 +63,30 @@
 
 
 @on_sockets
-async def test_a_late_answer_counts_beside_a_second_call_that_fails(monkeypatch):
-    """Discovery may only be busy: the call that is out is not given up for the one made beside it."""
-    hurry(monkeypatch)
+async def test_a_late_answer_counts_although_a_parallel_call_failed(monkeypatch):
+    """Discovery may only be busy, so the late call is not abandoned for the one made beside it."""
+    shorten_deadlines(monkeypatch)
     async with stage() as s:
         nodes, watch = s.program.driver.ledger.nodes, s.program.watch
         await s.until(lambda: s.discovery.calls >= 2)
-        held, after = [], s.discovery._after
+        held, original = [], s.discovery._after
 
-        async def slow(query):
+        async def delayed(query):
             held.append(query)
-            await go.wait()
-            return await after(query)
+            await release.wait()
+            return await original(query)
 
-        go = asyncio.Event()
-        s.discovery._after = slow
+        release = asyncio.Event()
+        s.discovery._after = delayed
         await s.until(lambda: held)
         s.discovery.put("s0", s.servers[0].address, 0, health="leaving")
-        s.discovery.failing = True  # for the second call; the first is out
+        s.discovery.failing = True  # for the second call; the first is outstanding
         calls = s.discovery.calls
         await s.until(lambda: watch.parallel_calls and s.discovery.calls > calls)
-        await asyncio.sleep(0.05)  # its failure is there, were it to end both
+        await asyncio.sleep(0.05)  # by now its failure would have ended both calls
         assert not watch.failed
         s.discovery.failing = False
-        go.set()
+        release.set()
         await s.until(lambda: nodes["s0"].state is NodeState.DRAINING)
         assert not watch.failed
 
@@ -94,16 +94,16 @@
 async def busy(discovery, watch, until):
     discovery.failing = True
     discovery.reset()
-    await until(lambda: watch.failed >= 3)  # the watch's end, and 503 twice
+    await until(lambda: watch.failed >= 3)  # the reset of the watch, and 503 twice
     discovery.failing = False
 
 
-async def resetting(discovery, watch, until):
+async def resets(discovery, watch, until):
     for failed in (1, 2, 3):
         calls = discovery.calls
         discovery.reset()
         await until(lambda failed=failed: watch.failed >= failed)
-        await until(lambda calls=calls: discovery.calls >= calls + 2)  # asked anew, and the watch stands
+        await until(lambda calls=calls: discovery.calls >= calls + 2)  # called again, and the watch is open
 
 
 async def refused(discovery, watch, until):
@@ -115,53 +115,51 @@
 
 
 async def silent_twice(discovery, watch, until):
-    whole, held = discovery._after, []
+    original, held = discovery._after, []
 
-    async def never(query):
+    async def unanswered(query):
         held.append(query)
         await asyncio.Event().wait()
 
-    discovery._after = never
+    discovery._after = unanswered
     discovery.fall_silent()
-    await until(
-        lambda: watch.parallel_calls and held
-    )  # the call made beside the silent watch is silent as well
-    discovery._after = whole
+    await until(lambda: watch.parallel_calls and held)  # the parallel call is not answered either
+    discovery._after = original
 
 
 async def silent_then_busy(discovery, watch, until):
     discovery.fall_silent()
     discovery.failing = True
     calls = discovery.calls
-    await until(lambda: discovery.calls >= calls + 2)  # beside a call that is out and hears nothing
+    await until(lambda: discovery.calls >= calls + 2)  # beside an outstanding call without an answer
     discovery.failing = False
 
 
-async def spoilt(discovery, watch, until):
-    whole = discovery._after
+async def malformed(discovery, watch, until):
+    original = discovery._after
     discovery._after = lambda query: asyncio.sleep(0, {"hosts": None})
     discovery.put("s8", "127.0.0.1:1", 1)
     await until(lambda: watch.failed >= 2)
-    discovery._after = whole
+    discovery._after = original
 
 
-async def nested(discovery, watch, until):
-    """An answer nested deeper than can be read would end the process, if nobody took that for a failure."""
-    whole = discovery._after
+async def nested_too_deeply(discovery, watch, until):
+    """Parsing JSON that is nested too deeply raises RecursionError, which must not end the process."""
+    original = discovery._after
     discovery._after = lambda query: asyncio.sleep(0, b"[" * 200_000)
     discovery.put("s8", "127.0.0.1:1", 1)
     await until(lambda: watch.failed >= 2)
-    discovery._after = whole
+    discovery._after = original
 
 
-DISORDERS = [busy, resetting, refused, silent_twice, silent_then_busy, spoilt, nested]
+FAULTS = [busy, resets, refused, silent_twice, silent_then_busy, malformed, nested_too_deeply]
 
 
-@pytest.mark.parametrize("disorder", DISORDERS)
-def test_a_drain_told_behind_calls_that_failed_is_heard_without_the_schedulers_asking(monkeypatch, disorder):
-    """Danger: its pause after a failure may be 7.5 s, and the drain counts as told after 6."""
-    if disorder in (silent_twice, silent_then_busy):
-        hurry(monkeypatch)
+@pytest.mark.parametrize("fault", FAULTS)
+def test_a_drain_after_failed_calls_is_reported_without_a_new_subscription(monkeypatch, fault):
+    """The scheduler may pause for 7.5 s after a failure, but the drain counts as known after 6 s."""
+    if fault in (silent_twice, silent_then_busy):
+        shorten_deadlines(monkeypatch)
 
     @on_sockets
     async def test():
@@ -169,7 +167,7 @@
             nodes, watch = s.program.driver.ledger.nodes, s.program.watch
             await s.until(lambda: s.discovery.calls >= 2)
             s.program.driver.subscribe = lambda: None
-            await disorder(s.discovery, watch, s.until)
+            await fault(s.discovery, watch, s.until)
             s.discovery.put("s0", s.servers[0].address, 0, health="leaving")
             await s.until(lambda: nodes["s0"].state is NodeState.DRAINING)
 
@@ -177,8 +175,8 @@
 
 
 @on_sockets
-async def test_a_move_while_a_call_fails_again_and_again_is_taken_at_once():
-    """Danger: a pause that the old address earned would stand between the new one and its first call."""
+async def test_after_a_move_the_new_address_is_called_at_once():
+    """The backoff for failures of the old address must not delay the first call to the new one."""
     async with stage() as s:
         watch = s.program.watch
         await s.until(lambda: s.discovery.calls >= 2)
@@ -188,14 +186,14 @@
         await s.until(lambda: watch.failed >= 3)
         other = await Discovery().start()
         other.version = s.discovery.version
-        asked = watch.schedule.due_ms
+        old_due_ms = watch.schedule.due_ms
         watch.move(parse(json.dumps(config(other))).discovery)
-        assert watch.schedule.due_ms <= watch.clock() < asked
+        assert watch.schedule.due_ms <= watch.clock() < old_due_ms
         await s.until(lambda: other.calls >= 2)
 
 
 @on_sockets
-async def test_discoverys_end_and_return_with_changes_in_between(monkeypatch):
+async def test_changes_during_a_discovery_outage_are_reported_after_it(monkeypatch):
     async with stage() as s:
         nodes = s.program.driver.ledger.nodes
         await s.until(lambda: s.discovery.calls >= 2)
@@ -208,8 +206,8 @@
 
 
 @on_sockets
-async def test_a_new_address_that_fails_at_first_is_asked_again_without_the_old_ones_backoff():
-    """Danger: what it has to tell counts 4 s after SIGHUP, whatever backoff the old address had earned."""
+async def test_a_new_address_that_fails_at_first_is_retried_without_the_old_ones_backoff():
+    """Its changes count as known 4 s after SIGHUP, whatever the backoff of the old address was."""
     async with stage() as s:
         nodes, watch = s.program.driver.ledger.nodes, s.program.watch
         await s.until(lambda: s.discovery.calls >= 2)
@@ -219,7 +217,7 @@
         watch.on_report = reported.append
         watch.move(parse(json.dumps(config(other))).discovery)
         await s.until(lambda: watch.failed >= 2)
-        assert not reported  # nobody is asked to back off
+        assert not reported  # no failure is reported, so the scheduler does not back off
         watch.on_report = s.program._apply_report
         other.failing = False
         other.put("s5", s.servers[0].address, 2)
@@ -227,60 +225,62 @@
 
 
 @on_sockets
-async def test_an_answer_that_comes_as_the_address_is_changed_is_news_still():
-    """Danger: its version is held from then on, so no later answer brings it again."""
+async def test_an_answer_that_arrives_during_an_address_change_is_reported():
+    """The list has that answer's version from then on, so no later answer repeats its changes."""
     async with stage() as s:
         nodes, watch, servers = s.program.driver.ledger.nodes, s.program.watch, s.program.servers
         await s.until(lambda: s.discovery.calls >= 2)
         other = await Discovery().start()
         receive = servers.receive
 
-        def receiving(*what, **more):
+        def receive_and_move(*args, **kwargs):
             servers.receive = receive
-            report = receive(*what, **more)
-            watch.move(parse(json.dumps(config(other))).discovery)  # SIGHUP, in the same round of the loop
+            report = receive(*args, **kwargs)
+            # As on SIGHUP, in the same iteration of the event loop.
+            watch.move(parse(json.dumps(config(other))).discovery)
             return report
 
-        servers.receive = receiving
+        servers.receive = receive_and_move
         s.discovery.put("s0", s.servers[0].address, 0, health="leaving")
         await s.until(lambda: other.calls)
         assert nodes["s0"].state is NodeState.DRAINING
-        assert not s.discovery.open or await closed(s.discovery)  # the old one is not asked any more
+        # The old address is not called any more.
+        assert not s.discovery.open or await ends_without_calls(s.discovery)
 
 
-async def closed(discovery):
+async def ends_without_calls(discovery):
     calls = discovery.calls
     while discovery.open:
         await asyncio.sleep(0.005)
     return discovery.calls == calls
 
 
-def pushed(discovery):
+def pushed_config(discovery):
     value = config(discovery)
     value["settings"]["membership_mode"] = "push"
     return value
 
 
 @on_sockets
-async def test_where_lists_are_pushed_the_watch_stands_by_itself_and_before_clients_are_served():
-    """Danger: there a drain counts as told from a new process's first moment on."""
-    async with stage() as s:  # only for its server
+async def test_with_pushed_lists_discovery_is_watched_without_a_subscription_and_before_serving():
+    """There, a drain counts as known from the start of a process on."""
+    async with stage() as s:  # only its storage server is used
         discovery = await Discovery().start()
         discovery.put("s0", s.servers[0].address, 0)
-        value = pushed(discovery)
-        discovery.put("s0", s.servers[0].address, 0, health="leaving")  # after the list that it is given
-        answering, after = asyncio.Event(), discovery._after
+        value = pushed_config(discovery)
+        discovery.put("s0", s.servers[0].address, 0, health="leaving")  # newer than the configured list
+        release, original = asyncio.Event(), discovery._after
 
-        async def late(query):
-            await answering.wait()
-            return await after(query)
+        async def delayed(query):
+            await release.wait()
+            return await original(query)
 
-        discovery._after = late
+        discovery._after = delayed
         program = Program(parse(json.dumps(value)), "")
         task = asyncio.create_task(program.run())
         await s.until(lambda: discovery.calls)
         assert program.address is None and program.driver.ledger.nodes["s0"].state is NodeState.READY
-        answering.set()
+        release.set()
         await s.until(lambda: program.address is not None)
         assert program.driver.ledger.nodes["s0"].state is NodeState.DRAINING
         await s.until(lambda: discovery.calls == 2)
@@ -292,13 +292,13 @@
 
 
 @on_sockets
-async def test_a_discovery_that_is_down_does_not_keep_a_pushed_dispatcher_from_starting(monkeypatch):
-    hurry(monkeypatch)
+async def test_with_pushed_lists_a_dispatcher_starts_although_discovery_is_down(monkeypatch):
+    shorten_deadlines(monkeypatch)
     async with stage() as s:
         discovery = await Discovery().start()
         discovery.put("s0", s.servers[0].address, 0)
         discovery.failing = True
-        program = Program(parse(json.dumps(pushed(discovery))), "")
+        program = Program(parse(json.dumps(pushed_config(discovery))), "")
         task = asyncio.create_task(program.run())
         await s.until(lambda: program.address is not None)
         s.program.address = program.address
@@ -308,14 +308,15 @@
         await asyncio.gather(task, return_exceptions=True)
 
 
-def test_a_discovery_that_begins_to_count_anew_is_heard_and_un_tells_no_drain():
+def test_a_restarted_version_count_is_accepted_and_revokes_no_drain():
     servers = ServerList(("a",))
     first = answer(entry("s1", health="leaving"), entry("s2"), entry("s3"), seq=50)
     servers.receive(first, 0, 1e12)
     servers.receive(answer(entry("s3", health="left"), seq=51, whole=False), 0, 1e12)
     with pytest.raises(ListError):
-        servers.receive(answer(entry("s2"), seq=7, whole=False), 0, 1e12)  # changes since something else
-    assert servers.version == 51 and servers.after == -1  # the whole list is asked for
+        # Changes since a version of the new count, which this list is not based on.
+        servers.receive(answer(entry("s2"), seq=7, whole=False), 0, 1e12)
+    assert servers.version == 51 and servers.after == -1  # the whole list is requested
     report = servers.receive(answer(entry("s1"), entry("s3"), entry("s4"), seq=7), 0, 1e12)
     assert report.kind is ListKind.COMPLETE and servers.version == 7
     assert {node.name: node.state for node in report.nodes} == {
@@ -323,38 +324,38 @@
         "s3": NodeState.GONE,
         "s4": NodeState.READY,
     }
-    # A server that started again is another one: its drain is over.
+    # A drain ends with a new start of the server.
     report = servers.receive(answer(entry("s1", born_ms=1e12), seq=7), 0, 1e12)
     assert report.nodes[0].state is NodeState.READY
 
 
-def files(s, other):
-    """A file that is this dispatcher's with another discovery, and files that are not."""
-    mine = config(s.discovery) | {"discovery": other.address, "seed": "ff", "known": other.whole()}
-    theirs = json.loads(json.dumps(mine))
-    theirs["settings"]["profiles"][0]["give_up_ms"] = 700.0
-    yield "settings.profiles[0].give_up_ms", json.dumps(theirs)
-    yield "name", json.dumps(mine | {"name": "d1"})
-    yield "listen", json.dumps(mine | {"listen": "127.0.0.2:6379"})
-    yield "not JSON", json.dumps(mine)[:-9]
-    yield None, json.dumps(mine)
+def reload_files(s, other):
+    """Yield files to reject, each with the place that the log names, and at last one with a new discovery."""
+    own = config(s.discovery) | {"discovery": other.address, "seed": "ff", "known": other.whole()}
+    changed = json.loads(json.dumps(own))
+    changed["settings"]["profiles"][0]["give_up_ms"] = 700.0
+    yield "settings.profiles[0].give_up_ms", json.dumps(changed)
+    yield "name", json.dumps(own | {"name": "d1"})
+    yield "listen", json.dumps(own | {"listen": "127.0.0.2:6379"})
+    yield "not JSON", json.dumps(own)[:-9]
+    yield None, json.dumps(own)
 
 
 @on_sockets
-async def test_a_file_that_is_not_this_dispatchers_moves_nothing(tmp_path, capsys):
-    """Danger: its discovery would lead to another customer's servers."""
+async def test_a_file_of_another_dispatcher_is_rejected_in_a_reload(tmp_path, capsys):
+    """Its discovery would connect this dispatcher to another customer's servers."""
     async with stage() as s:
         await s.until(lambda: s.discovery.calls >= 2)
         other = await Discovery().start()
         other.version = s.discovery.version
         s.program.path = str(tmp_path / "config.json")
         capsys.readouterr()
-        counted = [s.program.log.lines["event"]]
-        for place, text in files(s, other):
+        line_count = [s.program.log.lines["event"]]
+        for place, text in reload_files(s, other):
             (tmp_path / "config.json").write_text(text)
             os.kill(os.getpid(), signal.SIGHUP)
-            await s.until(lambda: s.program.log.lines["event"] > counted[0])
-            counted[0] = s.program.log.lines["event"]
+            await s.until(lambda: s.program.log.lines["event"] > line_count[0])
+            line_count[0] = s.program.log.lines["event"]
             lines = capsys.readouterr().err.splitlines()
             if place is not None:
                 assert len(lines) == 1 and "configuration rejected" in lines[0] and place in lines[0]
@@ -362,8 +363,8 @@
         await s.until(lambda: other.calls >= 2)
 
 
-def test_a_sighup_before_the_program_can_take_it_is_taken_then(tmp_path):
-    """Danger: it ends a process that does not handle it yet."""
+def test_a_sighup_during_startup_is_handled_once_the_program_runs(tmp_path):
+    """Without an early handler it would end the process."""
     path = tmp_path / "config.json"
 
     @on_sockets
@@ -372,7 +373,7 @@
         with socket_free() as port:
             value = config(discovery, listen=f"127.0.0.1:{port}")
         path.write_text(json.dumps(value))
-        # The signal comes while the configuration is read: the file is replaced and the process told.
+        # The file is replaced, and SIGHUP is sent, while the old configuration is being read.
         code = (
             "import json, os, pathlib, signal, sys\n"
             "from cressrock.platform import program\n"
