--- a/cressrock/net.py
+++ b/cressrock/net.py
@@ -1,4 +1,4 @@
-"""Loopback and other TCP sockets as the streams that carriers take, and the clock that goes with them."""
+"""TCP streams and UDP sockets for the transports, and the clocks used with them."""
 
 from __future__ import annotations
 
@@ -19,24 +19,24 @@
 
 
 class TcpStream(asyncio.Protocol):
-    """A TCP connection that hands its bytes over as they come; it can be read by `receive` as well."""
+    """A TCP connection that passes received bytes to a callback (`attach`) or to a reader (`receive`)."""
 
     def __init__(self, connected: Callable[[TcpStream], None] | None = None) -> None:
-        """`connected` is called when the connection stands."""
+        """`connected` is called when the connection is established."""
         self._connected = connected
         self._transport: asyncio.Transport | None = None
         self._feed: Callable[[bytes], None] | None = None
         self._end: Callable[[], None] | None = None
         self._early: deque[bytes] = deque()
-        self._ended = False
-        self._lost = False
-        self._news: asyncio.Event | None = None
+        self._has_ended = False
+        self._is_lost = False
+        self._data_available: asyncio.Event | None = None
         self._writable: asyncio.Event | None = None
 
-    # --- asyncio's side
+    # --- called by asyncio
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Take the transport; small writes leave at once."""
+        """Store the transport, and disable Nagle's algorithm so that small writes are sent at once."""
         self._transport = cast(asyncio.Transport, transport)
         raw = transport.get_extra_info("socket")
         with suppress(OSError, AttributeError):
@@ -45,61 +45,61 @@
             self._connected(self)
 
     def data_received(self, data: bytes) -> None:
-        """Hand bytes on, or keep them until somebody takes them."""
+        """Pass bytes to the callback, or buffer them; reading pauses above 64 KiB of buffered bytes."""
         if self._feed is not None:
             self._feed(data)
             return
         self._early.append(data)
         if self._transport is not None and sum(map(len, self._early)) > 65536:
             self._transport.pause_reading()
-        if self._news is not None:
-            self._news.set()
+        if self._data_available is not None:
+            self._data_available.set()
 
     def eof_received(self) -> bool:
-        """Keep the way out open: an answer may still be owed."""
-        self._finish()
+        """Keep the write side open, since an answer may still be due."""
+        self._mark_ended()
         return True
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """End both directions."""
-        self._lost = True
-        self._finish()
+        """Mark both directions as ended, and wake readers and writers."""
+        self._is_lost = True
+        self._mark_ended()
         if self._writable is not None:
             self._writable.set()
 
     def pause_writing(self) -> None:
-        """Hold writers back."""
+        """Make `send` wait until the transport can take more."""
         self._writable = asyncio.Event()
 
     def resume_writing(self) -> None:
-        """Let writers go on."""
+        """Wake writers that wait in `send`."""
         if self._writable is not None:
             self._writable.set()
             self._writable = None
 
-    def _finish(self) -> None:
-        if self._ended:
+    def _mark_ended(self) -> None:
+        if self._has_ended:
             return
-        self._ended = True
+        self._has_ended = True
         if self._end is not None:
             self._end()
-        if self._news is not None:
-            self._news.set()
+        if self._data_available is not None:
+            self._data_available.set()
 
-    # --- the carriers' side
+    # --- called by the transports
 
     def attach(self, feed: Callable[[bytes], None], end: Callable[[], None]) -> None:
-        """Hand over what has come and all that will, then the end, once."""
+        """Pass buffered and future bytes to `feed`; call `end` once when the peer has ended."""
         self._feed, self._end = feed, end
         while self._early:
             feed(self._early.popleft())
-        if self._ended:
+        if self._has_ended:
             end()
         elif self._transport is not None:
             self._transport.resume_reading()
 
     def hold(self, held: bool) -> None:
-        """Stop or go on taking bytes from the peer."""
+        """Pause (`held`) or resume reading from the peer."""
         if self._transport is None or self._transport.is_closing():
             return
         if held:
@@ -108,12 +108,12 @@
             self._transport.resume_reading()
 
     async def receive(self, max_bytes: int = 65536) -> bytes:
-        """Return some bytes; raise EndOfStream at the end."""
+        """Return at least one and at most `max_bytes` bytes.  Raises EndOfStream at the end."""
         while not self._early:
-            if self._ended:
+            if self._has_ended:
                 raise anyio.EndOfStream
-            self._news = asyncio.Event()
-            await self._news.wait()
+            self._data_available = asyncio.Event()
+            await self._data_available.wait()
         data = self._early.popleft()
         if len(data) > max_bytes:
             self._early.appendleft(data[max_bytes:])
@@ -123,18 +123,18 @@
         return data
 
     async def send(self, item: bytes) -> None:
-        """Send bytes, waiting while the peer holds back.  Raises BrokenResourceError."""
-        if self._lost or self._transport is None or self._transport.is_closing():
+        """Send bytes; wait while the write buffer is full.  Raises BrokenResourceError."""
+        if self._is_lost or self._transport is None or self._transport.is_closing():
             raise anyio.BrokenResourceError
         self._transport.write(item)
         if self._writable is not None:
             await self._writable.wait()
-            if self._lost:
+            if self._is_lost:
                 raise anyio.BrokenResourceError
 
     async def aclose(self) -> None:
-        """Close both directions; what was written still leaves, unless the peer holds it back."""
-        if self._transport is not None and not self._lost:
+        """Close both directions.  Pending output is sent first, but discarded if the write buffer is full."""
+        if self._transport is not None and not self._is_lost:
             if self._writable is not None:
                 self._transport.abort()
             else:
@@ -142,59 +142,68 @@
 
 
 async def connect(host: str, port: int) -> Stream:
-    """Open a TCP connection without Nagle's delay.  Raises OSError."""
+    """Open a TCP connection with Nagle's algorithm disabled.  Raises OSError."""
     loop = asyncio.get_running_loop()
     _, stream = await loop.create_connection(TcpStream, host, port)
     return stream
 
 
 class BindError(OSError):
-    """An address could not be bound; the text, in one line, names the setting, the address and the way out.
+    """An address could not be bound; the one-line text names the setting, the address and a remedy.
 
-    `errors.listening.AddressUnavailable` is its form on the command line.  Not that type itself: the
-    platform's process opens its listener by this one, and loads none of the gateway's errors.
+    The command line reports it as `errors.listening.AddressUnavailableError`.  It is a separate type because
+    the platform's process uses this module but must not load the gateway's errors.
     """
 
-    def __init__(self, setting: str, address: str, wrong: Exception) -> None:
-        """`setting` is the place in the settings file or the option; `wrong` is what the system said."""
-        cause: BaseException = wrong
-        # Danger: of a datagram socket uvloop says only "could not bind"; why stands in what that is from.
+    def __init__(self, setting: str, address: str, error: Exception) -> None:
+        """`setting` is the path in the settings file or the option; `error` is the system's error."""
+        cause: BaseException = error
+        # For datagram sockets uvloop raises only "could not bind"; the reason is in the cause.
         while not (isinstance(cause, OSError) and cause.errno) and cause.__cause__ is not None:
             cause = cause.__cause__
-        unknown = isinstance(cause, socket.gaierror)  # whose numbers are the resolver's own
-        number = cause.errno if isinstance(cause, OSError) and not unknown else None
+        is_resolver_error = isinstance(
+            cause, socket.gaierror
+        )  # its errno is the resolver's, not the system's
+        number = cause.errno if isinstance(cause, OSError) and not is_resolver_error else None
         if number == errno.EADDRINUSE:
-            what, way = "another process has it", f"end that one, or set {setting} to an address of its own"
-        elif number == errno.EADDRNOTAVAIL or unknown:
-            what, way = "this machine has no such address", f"set {setting} to one that it has"
+            reason, remedy = (
+                "another process has it",
+                f"end that one, or set {setting} to an address of its own",
+            )
+        elif number == errno.EADDRNOTAVAIL or is_resolver_error:
+            reason, remedy = "this machine has no such address", f"set {setting} to one that it has"
         elif number in (errno.EACCES, errno.EPERM):
-            what, way = "this user may not open that port", f"set {setting} to a port from 1024 on"
+            reason, remedy = "this user may not open that port", f"set {setting} to a port from 1024 on"
         else:
-            # Danger: a text of several lines would hide the setting from who reads the last one.
-            said = os.strerror(number) if number else " ".join(str(wrong).split())
-            what, way = said, f"set {setting} to host:port, with a port that can be opened"
-        super().__init__(f"{setting}: cannot listen at {address}: {what}; {way}")
+            # One line: readers of only the last line of a longer text would miss the setting.
+            system_text = os.strerror(number) if number else " ".join(str(error).split())
+            reason, remedy = system_text, f"set {setting} to host:port, with a port that can be opened"
+        super().__init__(f"{setting}: cannot listen at {address}: {reason}; {remedy}")
         self.setting, self.address, self.errno = setting, address, number
 
 
-def _place(address: str) -> tuple[str, int]:
-    """Read host:port.  Raises ValueError."""
+def _parse_address(address: str) -> tuple[str, int]:
+    """Parse host:port.  Raises ValueError."""
     host, _, port = address.rpartition(":")
-    # Danger: uvloop listens at the port's lowest 16 bits and says nothing.
+    # uvloop would silently use the port's lowest 16 bits.
     if not 0 <= int(port) <= 65535:
-        raise ValueError("a port is a number up to 65535")
+        raise ValueError("a port is a number from 0 to 65535")
     return host, int(port)
 
 
 @contextmanager
 def binding(setting: str, address: str) -> Iterator[None]:
-    """Around whatever binds an address of a setting: raises BindError for all that can fail there."""
+    """Wrap code that binds the address of a setting; turns every failure into a BindError."""
     try:
         yield
     except BindError:
         raise
-    except (OSError, ValueError, OverflowError) as wrong:  # also a port that is no number, or past 65535
-        raise BindError(setting, address, wrong) from wrong
+    except (
+        OSError,
+        ValueError,
+        OverflowError,
+    ) as error:  # also a port that is not a number or is above 65535
+        raise BindError(setting, address, error) from error
 
 
 async def listen(
@@ -205,10 +214,10 @@
     setting: str = "address",
     log: Any = None,
 ) -> tuple[str, Callable[[], Awaitable[None]]]:
-    """Serve connections at host:port in a task group; returns the bound address and what closes it.
+    """Serve connections at host:port in a task group; return the bound address and a close function.
 
-    Raises BindError, which names the setting.  While descriptors are used up accepting waits and goes on by
-    itself; open connections are not touched.
+    Raises BindError, which names the setting.  While no descriptor is free, accepting pauses and resumes by
+    itself; open connections are not affected.
     """
     loop = asyncio.get_running_loop()
 
@@ -216,7 +225,9 @@
         tasks.start_soon(serve, stream)
 
     with binding(setting, address):
-        server = await loop.create_server(lambda: TcpStream(connected), *_place(address), backlog=4096)
+        server = await loop.create_server(
+            lambda: TcpStream(connected), *_parse_address(address), backlog=4096
+        )
     bound = server.sockets[0].getsockname()
 
     async def close() -> None:
@@ -226,43 +237,43 @@
 
 
 class UdpSocket(asyncio.DatagramProtocol):
-    """A bound UDP socket; what waits to be taken is bounded, beyond it the newest is dropped."""
+    """A bound UDP socket with a bounded receive queue; datagrams that arrive at a full queue are dropped."""
 
     def __init__(self, queue: int = 4096) -> None:
-        """`queue` bounds the datagrams that wait."""
+        """`queue` is the maximum number of queued datagrams."""
         self.dropped = 0
-        self._most = queue
+        self._max_queued = queue
         self._waiting: deque[tuple[bytes, str]] = deque()
-        self._news = asyncio.Event()
+        self._data_available = asyncio.Event()
         self._transport: asyncio.DatagramTransport | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Take the transport."""
+        """Store the transport."""
         self._transport = cast(asyncio.DatagramTransport, transport)
 
     def datagram_received(self, data: bytes, addr: tuple[Any, ...]) -> None:
-        """Queue a datagram."""
-        if len(self._waiting) >= self._most:
+        """Queue a datagram, or count it as dropped if the queue is full."""
+        if len(self._waiting) >= self._max_queued:
             self.dropped += 1
             return
         self._waiting.append((data, f"{addr[0]}:{addr[1]}"))
-        self._news.set()
+        self._data_available.set()
 
     def error_received(self, exc: Exception) -> None:
-        """Pass over what the network says of single datagrams: their loss is expected."""
+        """Ignore errors of single datagrams: their loss is expected."""
 
     def send(self, address: str, data: bytes) -> None:
-        """Send one datagram to ip:port; one that cannot leave is lost like any other."""
+        """Send one datagram to ip:port; one that cannot be sent is lost without an error."""
         host, _, port = address.rpartition(":")
         if self._transport is not None and not self._transport.is_closing():
             with suppress(OSError, ValueError):
                 self._transport.sendto(data, (host.strip("[]"), int(port)))
 
     async def receive(self) -> tuple[bytes, str]:
-        """Return the next datagram and the address it came from."""
+        """Return the next datagram and its source address; waits for one."""
         while not self._waiting:
-            self._news.clear()
-            await self._news.wait()
+            self._data_available.clear()
+            await self._data_available.wait()
         return self._waiting.popleft()
 
     def close(self) -> None:
@@ -278,18 +289,18 @@
     *,
     setting: str = "address",
 ) -> tuple[str, UdpSocket, Callable[[], Awaitable[None]]]:
-    """Bind TCP and UDP at one host:port, with port 0 at one that is free for both.
+    """Bind TCP and UDP at one host:port; port 0 selects one that is free for both.
 
-    Returns the bound address, the datagrams, and what closes both.  Raises BindError.
+    Returns the bound address, the UDP socket, and a function that closes both.  Raises BindError.
     """
     host, _, port = address.rpartition(":")
     loop = asyncio.get_running_loop()
     while True:
         bound, close_tcp = await listen(address, serve, tasks, setting=setting)
         try:
-            at = (host, int(bound.rpartition(":")[2]))
+            local_address = (host, int(bound.rpartition(":")[2]))
             with binding(setting, f"{address} (UDP)"):
-                _, datagrams = await loop.create_datagram_endpoint(UdpSocket, local_addr=at)
+                _, datagrams = await loop.create_datagram_endpoint(UdpSocket, local_addr=local_address)
             break
         except OSError:
             await close_tcp()
@@ -304,7 +315,7 @@
 
 
 def clock() -> Callable[[], float]:
-    """Return the running event loop's monotonic clock, in milliseconds; trio's too."""
+    """Return the monotonic clock of the running event loop (asyncio or trio), in milliseconds."""
     try:
         read = asyncio.get_running_loop().time
     except RuntimeError:
@@ -313,5 +324,5 @@
 
 
 def wall_ms() -> float:
-    """Return epoch milliseconds."""
+    """Return the wall clock, in milliseconds since the epoch."""
     return time.time() * 1000
--- a/cressrock/resp/__init__.py
+++ b/cressrock/resp/__init__.py
@@ -1,1 +1,1 @@
-"""RESP2 (the Redis serialization protocol): codec, the front for clients, connections to storage servers."""
+"""RESP2 (the Redis serialization protocol): codec, client connections, and connections to storage servers."""
--- a/cressrock/resp/codec.py
+++ b/cressrock/resp/codec.py
@@ -1,38 +1,38 @@
-"""RESP2 on a byte stream, for either role.  Pure: bytes in, commands or replies out.
+"""RESP2 on a byte stream, for client and server.  Pure: bytes in, commands or replies out.
 
-Form: the Redis serialization protocol specification, version 2.  A peer may send anything.  Every length is
-held against its bound when its digits are read, before a byte of what it announces is kept, so that what a
-parser holds stays under one command or reply and one read of the socket.
+The format is the Redis serialization protocol specification, version 2.  Input is untrusted.  Every announced
+length is checked against its limit as soon as its digits are read, before any of the payload is kept, so a
+parser never buffers more than one command or reply and one read of the socket.
 """
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 
-MAX_VALUE = 65536  # bytes of a value: the platform's bound
-MAX_WORD = 512  # bytes of any other word of a command
-MAX_WORDS = 8  # of a command
-MAX_LINE = 512  # bytes of a line: error and status texts, announced lengths
-MAX_PARTS = 8  # of an array in a reply
-MAX_LENGTH_DIGITS = 8  # of an announced length
+MAX_VALUE = 65536  # bytes of a value; the platform's limit
+MAX_WORD_BYTES = 512  # of any other word of a command
+MAX_WORDS = 8  # in a command
+MAX_LINE_BYTES = 512  # of a line: error and status texts, announced lengths
+MAX_ARRAY_ITEMS = 8  # in an array of a reply
+MAX_LENGTH_DIGITS = 8  # in an announced length
 
 CRLF = b"\r\n"
 
 
 class ProtocolError(Exception):
-    """Bytes that are not RESP2 or pass a bound; nothing after them on the stream can be read."""
+    """Input that is not RESP2 or exceeds a limit; the rest of the stream cannot be parsed."""
 
 
 @dataclass(frozen=True, slots=True)
 class ErrorLine:
-    """An error reply, without its sign."""
+    """An error reply, without its leading `-`."""
 
     text: str
 
 
 @dataclass(frozen=True, slots=True)
 class Status:
-    """A status reply, without its sign."""
+    """A status reply, without its leading `+`."""
 
     text: str
 
@@ -41,112 +41,114 @@
 
 
 class _IncompleteMessageError(Exception):
-    """More bytes are needed: so many in all, as far as is known."""
+    """The buffer must hold `needed_bytes` in all, as far as is known, before parsing can go on."""
 
-    def __init__(self, need: int) -> None:
-        self.need = need
+    def __init__(self, needed_bytes: int) -> None:
+        self.needed_bytes = needed_bytes
 
 
 class _Parser:
-    """The buffer both roles share.  A message that is not whole is parsed anew once enough has come."""
+    """The shared buffer.  An incomplete message is parsed again from its start once enough bytes arrive."""
 
-    def __init__(self, max_value: int = MAX_VALUE) -> None:
-        """Start at the beginning of a stream.  `max_value` bounds its largest string, in bytes."""
-        self.max_value = max_value
+    def __init__(self, max_value_bytes: int = MAX_VALUE) -> None:
+        """Start at the beginning of a stream.  `max_value_bytes` limits the length of one string."""
+        self.max_value_bytes = max_value_bytes
         self._buffer = bytearray()
-        self._at = 0
-        self._need = 1
+        self._position = 0
+        self._needed_bytes = 1
 
     @property
-    def partial(self) -> bool:
-        """Whether bytes wait that do not make up a whole message yet."""
+    def is_partial(self) -> bool:
+        """Whether the buffer holds an incomplete message."""
         return bool(self._buffer)
 
     def _line(self) -> bytes:
-        """Take a line, without its end."""
-        end = self._buffer.find(CRLF, self._at, self._at + MAX_LINE + 2)
+        """Consume a line and return it without its CRLF."""
+        end = self._buffer.find(CRLF, self._position, self._position + MAX_LINE_BYTES + 2)
         if end < 0:
-            if len(self._buffer) - self._at >= MAX_LINE + 2:
-                raise ProtocolError(f"a line of over {MAX_LINE} bytes")
+            if len(self._buffer) - self._position >= MAX_LINE_BYTES + 2:
+                raise ProtocolError(f"a line of over {MAX_LINE_BYTES} bytes")
             raise _IncompleteMessageError(len(self._buffer) + 1)
-        line = bytes(self._buffer[self._at : end])
-        self._at = end + 2
+        line = bytes(self._buffer[self._position : end])
+        self._position = end + 2
         return line
 
-    def _length(self, line: bytes, most: int, what: str) -> int:
-        """Read an announced length; -1 stands for null."""
+    def _length(self, line: bytes, max_length: int, kind: str) -> int:
+        """Parse an announced length; -1 means null."""
         digits = line[1:]
         if digits == b"-1":
             return -1
-        if not digits.isdigit() or len(digits) > MAX_LENGTH_DIGITS or int(digits) > most:
+        if not digits.isdigit() or len(digits) > MAX_LENGTH_DIGITS or int(digits) > max_length:
             raise ProtocolError(
-                f"{what} of {digits[:24].decode('ascii', 'replace')!r}; at most {most} is taken"
+                f"{kind} of {digits[:24].decode('ascii', 'replace')!r}; at most {max_length} is taken"
             )
         return int(digits)
 
     def _bulk(self, length: int) -> bytes:
-        """Take a bulk string of a length that was checked, and the end of its line."""
-        end = self._at + length
+        """Consume a bulk string of a checked length and its CRLF."""
+        end = self._position + length
         if len(self._buffer) < end + 2:
-            # A mismatch shows as soon as the bytes are there; one byte behind the value is enough for it.
+            # Detect a wrong length early: the one byte after the value is enough.
             if len(self._buffer) > end and self._buffer[end] != 13:
                 raise ProtocolError("a bulk string longer than announced")
             raise _IncompleteMessageError(end + 2)
         if self._buffer[end : end + 2] != CRLF:
             raise ProtocolError("a bulk string longer than announced")
-        value = bytes(self._buffer[self._at : end])
-        self._at = end + 2
+        value = bytes(self._buffer[self._position : end])
+        self._position = end + 2
         return value
 
 
 class Commands(_Parser):
-    """What a server reads: commands as arrays of bulk strings."""
+    """Parses what a client sends: commands as arrays of bulk strings."""
 
-    more = False  # the last call stopped at its bound: `feed(b"")` goes on
+    has_more = False  # the last call reached `max_commands`; call `feed(b"")` to go on
 
-    def feed(self, data: bytes, most: int = 1 << 30) -> tuple[list[list[bytes]], ProtocolError | None]:
-        """Take bytes; return up to `most` commands that are whole now, and what made the rest unreadable.
+    def feed(
+        self, data: bytes, max_commands: int = 1 << 30
+    ) -> tuple[list[list[bytes]], ProtocolError | None]:
+        """Add bytes; return up to `max_commands` complete commands, and the error in the rest, if any.
 
-        After a Malformed nothing more may be fed.
+        After a ProtocolError `feed` must not be called again.
         """
         self._buffer += data
-        self.more = False
-        found: list[list[bytes]] = []
-        if len(self._buffer) < self._need:
-            return found, None
+        self.has_more = False
+        commands: list[list[bytes]] = []
+        if len(self._buffer) < self._needed_bytes:
+            return commands, None
         start = 0
         try:
             while start < len(self._buffer):
-                if len(found) >= most:
-                    self.more = True
+                if len(commands) >= max_commands:
+                    self.has_more = True
                     break
-                self._at = start
-                found.append(self._command())
-                start = self._at
-            self._need = 1
-        except _IncompleteMessageError as short:
-            self._need = short.need - start
-        except ProtocolError as wrong:
+                self._position = start
+                commands.append(self._command())
+                start = self._position
+            self._needed_bytes = 1
+        except _IncompleteMessageError as exc:
+            self._needed_bytes = exc.needed_bytes - start
+        except ProtocolError as exc:
             self._buffer.clear()
-            return found, wrong
+            return commands, exc
         del self._buffer[:start]
-        return found, None
+        return commands, None
 
     def _command(self) -> list[bytes]:
-        if self._buffer[self._at] != 42:  # "*"
+        if self._buffer[self._position] != 42:  # "*"
             raise ProtocolError("expected an array of bulk strings")
         count = self._length(self._line(), MAX_WORDS, "a command")
         if count < 1:
             raise ProtocolError("an empty command")
         words: list[bytes] = []
         for _ in range(count):
-            if self._at >= len(self._buffer):
+            if self._position >= len(self._buffer):
                 raise _IncompleteMessageError(len(self._buffer) + 1)
-            if self._buffer[self._at] != 36:  # "$"
+            if self._buffer[self._position] != 36:  # "$"
                 raise ProtocolError("expected a bulk string")
-            # Only the last of a command's words may be a value.
-            most = self.max_value if len(words) == count - 1 and count > 1 else MAX_WORD
-            length = self._length(self._line(), most, "a bulk string")
+            # Only the last word of a command may be a value.
+            limit = self.max_value_bytes if len(words) == count - 1 and count > 1 else MAX_WORD_BYTES
+            length = self._length(self._line(), limit, "a bulk string")
             if length < 0:
                 raise ProtocolError("a null word")
             words.append(self._bulk(length))
@@ -154,45 +156,45 @@
 
 
 class Replies(_Parser):
-    """What a client reads: replies, one for each command."""
+    """Parses what a server sends: one reply for each command."""
 
     def feed(self, data: bytes) -> None:
-        """Take bytes."""
+        """Add bytes to the buffer."""
         self._buffer += data
 
     def next(self) -> tuple[Reply] | None:
-        """Return the next whole reply in a tuple, None if it is not whole yet.  Raises Malformed."""
-        if len(self._buffer) < self._need or not self._buffer:
+        """Return the next reply in a 1-tuple, or None while it is incomplete.  Raises ProtocolError."""
+        if len(self._buffer) < self._needed_bytes or not self._buffer:
             return None
-        self._at = 0
+        self._position = 0
         try:
             reply = self._reply(0)
-        except _IncompleteMessageError as short:
-            self._need = short.need
+        except _IncompleteMessageError as exc:
+            self._needed_bytes = exc.needed_bytes
             return None
-        self._need = 1
-        del self._buffer[: self._at]
+        self._needed_bytes = 1
+        del self._buffer[: self._position]
         return (reply,)
 
     def _reply(self, depth: int) -> Reply:
-        if self._at >= len(self._buffer):
+        if self._position >= len(self._buffer):
             raise _IncompleteMessageError(len(self._buffer) + 1)
-        sign = self._buffer[self._at]
-        if sign not in b"$*+-:":
-            raise ProtocolError(f"a reply cannot begin with {chr(sign)!r}")
+        type_byte = self._buffer[self._position]
+        if type_byte not in b"$*+-:":
+            raise ProtocolError(f"a reply cannot begin with {chr(type_byte)!r}")
         line = self._line()
-        if sign == 36:  # "$"
-            length = self._length(line, self.max_value, "a bulk string")
+        if type_byte == 36:  # "$"
+            length = self._length(line, self.max_value_bytes, "a bulk string")
             return None if length < 0 else self._bulk(length)
-        if sign == 42:  # "*"
-            count = self._length(line, MAX_PARTS, "an array")
+        if type_byte == 42:  # "*"
+            count = self._length(line, MAX_ARRAY_ITEMS, "an array")
             if count > 0 and depth:
                 raise ProtocolError("an array in an array")
             return None if count < 0 else [self._reply(depth + 1) for _ in range(count)]
         text = line[1:].decode("ascii", "replace")
-        if sign == 43:  # "+"
+        if type_byte == 43:  # "+"
             return Status(text)
-        if sign == 45:  # "-"
+        if type_byte == 45:  # "-"
             return ErrorLine(text)
         digits = line[1:].removeprefix(b"-")
         if not digits.isdigit() or len(digits) > 18:
@@ -201,7 +203,7 @@
 
 
 def command(*words: bytes) -> bytes:
-    """Write a command."""
+    """Encode a command."""
     parts = [b"*%d\r\n" % len(words)]
     for word in words:
         parts.append(b"$%d\r\n%b\r\n" % (len(word), word))
@@ -209,15 +211,15 @@
 
 
 def bulk(value: bytes) -> bytes:
-    """Write a bulk string."""
+    """Encode a bulk string."""
     return b"$%d\r\n%b\r\n" % (len(value), value)
 
 
 def error(text: str) -> bytes:
-    """Write an error reply; what could end its line early is taken out."""
+    """Encode an error reply; CR and LF in the text become spaces, since they would end the line early."""
     return b"-%b\r\n" % text.encode("ascii", "replace").replace(b"\r", b" ").replace(b"\n", b" ")
 
 
 def status(text: str) -> bytes:
-    """Write a status reply."""
+    """Encode a status reply."""
     return b"+%b\r\n" % text.encode("ascii", "replace")
--- a/cressrock/resp/front.py
+++ b/cressrock/resp/front.py
@@ -1,8 +1,8 @@
-"""The front for clients that speak RESP2: a carrier.
+"""Serves clients that speak RESP2.
 
-Commands of a connection are answered in their order.  A connection costs one protocol object and a request
-one callback; nothing waits in a task.  Connections that ask nothing are closed by one sweep, so that peers
-which connect and stay silent cannot use up the descriptors.
+A connection's commands are answered in order.  A connection costs one protocol object and a request one
+callback; neither has a task.  A periodic sweep closes connections that send no commands, so that silent peers
+cannot exhaust the descriptors.
 """
 
 from __future__ import annotations
@@ -23,193 +23,204 @@
 from cressrock.resp import codec
 from cressrock.resp.lingering import LingerBounds, Lingering
 from cressrock.resp.request import READ, WRITE, InvalidCommandError, Reader
-from cressrock.resp.room import give_up_unread, leaves_first
+from cressrock.resp.room import choose_eviction, choose_unread
 
 
 @dataclass(frozen=True, slots=True)
 class FrontBounds:
-    """Bounds of the clients' side; times in milliseconds."""
+    """Limits on client connections; times in milliseconds."""
 
     max_connections: int
-    max_asking: int  # connections that have asked: above it those idle longest are closed
-    max_unread: int  # bytes of answers that clients have not read, all together
-    linger: LingerBounds = LingerBounds(2000.0, 1 << 20, 64)  # once ended here, until the peer ends too
-    max_pipeline: int = 64  # open requests of one connection; more are refused
-    silent_ms: float = 2100.0  # without an open request: closed; the platform allows it from 2 s on
-    stuck_ms: float = 5000.0  # with an answer that its client does not read: closed
-    newcomer_ms: float = 250.0  # in which a new connection should ask; given up only after all others
+    max_asking: int  # connections that have sent a command; above it the longest idle is closed
+    max_unread: int  # bytes of answers that clients have not read, over all connections
+    linger: LingerBounds = LingerBounds(2000.0, 1 << 20, 64)  # after this side has ended
+    max_pipeline: int = 64  # open requests per connection; more are refused
+    idle_timeout_ms: float = 2100.0  # without an open request; the platform permits closing after 2 s
+    write_timeout_ms: float = 5000.0  # until the client must have read pending answers
+    new_connection_ms: float = 250.0  # a connection younger than this is evicted only after all others
     sweep_ms: float = 200.0
 
 
 class _Pending:
-    """A command's place in its connection's order of answers."""
+    """A command's entry in its connection's queue of answers."""
 
-    __slots__ = ("name", "wire_id", "data")
+    __slots__ = ("name", "client_id", "data")
 
     def __init__(self, data: bytes | None = None) -> None:
-        self.name = ""  # the driver's, while the request is open
-        self.wire_id = ""
+        self.name = ""  # the driver's name for the request while it is open, else empty
+        self.client_id = ""
         self.data = data
 
 
 class _Client(asyncio.Protocol):
-    """One client's connection."""
-
-    __slots__ = ("front", "transport", "parser", "queue", "since", "asked", "stuck_at", "closing")
+    """One client connection."""
+
+    __slots__ = (
+        "front",
+        "transport",
+        "parser",
+        "queue",
+        "active_at",
+        "has_sent_command",
+        "blocked_since",
+        "is_ending",
+    )
 
     def __init__(self, front: Front) -> None:
         self.front = front
         self.transport: asyncio.Transport = cast(asyncio.Transport, None)
         self.parser = codec.Commands()
         self.queue: deque[_Pending] = deque()
-        self.since = front.clock()  # of the last command's begin or end, of an answer, or of connecting
-        self.asked = False  # a command was whole
-        self.stuck_at: float | None = None
-        self.closing = False  # nothing more is taken; what is owed is still answered
+        self.active_at = front.clock()  # last start or end of a command, last answer, or connecting
+        self.has_sent_command = False  # a complete one
+        self.blocked_since: float | None = None
+        self.is_ending = False  # no more input is accepted; open requests are still answered
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(asyncio.Transport, transport)
         raw = transport.get_extra_info("socket")
         with suppress(OSError):
             raw.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        self.front._connected(self)
+        self.front._on_connected(self)
 
     def data_received(self, data: bytes) -> None:
-        if self.closing:
-            # Read on, though nothing of it counts: else the client's leaving would not be seen either.
-            self.front._discarded(self, len(data))
+        if self.is_ending:
+            # Keep reading and discard the input; without reading, a disconnect would go unnoticed.
+            self.front._on_discarded(self, len(data))
             return
-        self._take(data)
+        self._process(data)
 
-    def _take(self, data: bytes) -> None:
-        """Take what is whole, a bounded number of commands in one round of the loop.
+    def _process(self, data: bytes) -> None:
+        """Process complete commands, a bounded number per iteration of the event loop.
 
-        Danger: one read holds thousands of short commands, and every other client's answer waits for them.
+        One read can hold thousands of short commands.  Without the bound, they would delay the answers to
+        all other clients.
         """
         front, now = self.front, self.front.clock()
-        if self.asked and not self.parser.partial:
-            # Danger: a command that comes in pieces begins when its connection has rested almost too long.
-            # One that never asked has its time from connecting on: the platform bounds that.
-            self.since = now
-        commands, wrong = self.parser.feed(data, front.bounds.max_pipeline)
+        if self.has_sent_command and not self.parser.is_partial:
+            # The first bytes of a command restart the idle timeout.  Otherwise a command that arrives in
+            # pieces could be cut off if it began shortly before the timeout.  Before the first command, the
+            # timeout counts from connecting, as the platform requires.
+            self.active_at = now
+        commands, exc = self.parser.feed(data, front.bounds.max_pipeline)
         for words in commands:
-            self.since = now
-            if not self.asked:
-                self.asked = True
+            self.active_at = now
+            if not self.has_sent_command:
+                self.has_sent_command = True
                 front.asking += 1
-                front.silent.pop(self, None)
-            front.resting.pop(self, None)
+                front.silent_clients.pop(self, None)
+            front.idle_clients.pop(self, None)
             self.queue.append(front._command(self, words, now))
-        if wrong is not None:
+        if exc is not None:
             front.malformed += 1
-            self.queue.append(_Pending(codec.error(f"ERR Protocol error: {wrong}")))
-            self.closing = True
-            front.resting.pop(self, None)
-        elif not self.asked:
-            front.silent[self] = None
-        elif self.parser.more and not self.transport.is_closing():
+            self.queue.append(_Pending(codec.error(f"ERR Protocol error: {exc}")))
+            self.is_ending = True
+            front.idle_clients.pop(self, None)
+        elif not self.has_sent_command:
+            front.silent_clients[self] = None
+        elif self.parser.has_more and not self.transport.is_closing():
             self.transport.pause_reading()
-            asyncio.get_running_loop().call_soon(self._go_on)
+            asyncio.get_running_loop().call_soon(self._process_more)
         self.flush()
 
-    def _go_on(self) -> None:
-        if self.closing or self.transport.is_closing():
+    def _process_more(self) -> None:
+        if self.is_ending or self.transport.is_closing():
             return
-        self._take(b"")
-        if not self.parser.more:
+        self._process(b"")
+        if not self.parser.has_more:
             self._resume()
 
     def _resume(self) -> None:
-        """Read on, unless what was read waits or the peer does not read its answers."""
-        if self.stuck_at is None and not self.parser.more and not self.transport.is_closing():
+        """Resume reading, unless buffered commands remain or the peer does not read its answers."""
+        if self.blocked_since is None and not self.parser.has_more and not self.transport.is_closing():
             self.transport.resume_reading()
 
-    def _events(self) -> int:
+    def _poll_events(self) -> int:
         poll = select.poll()
         poll.register(self.transport.get_extra_info("socket").fileno(), select.POLLIN | select.POLLRDHUP)
         return sum(event for _, event in poll.poll(0))
 
-    def heard(self) -> bool:
-        """Whether bytes wait to be read here that its open peer has sent."""
-        return self._events() == select.POLLIN
+    def has_unread_input(self) -> bool:
+        """Return whether the kernel holds unread input and the peer has not closed."""
+        return self._poll_events() == select.POLLIN
 
-    def hung_up(self) -> bool:
-        """Whether its peer has ended, read or not."""
-        return bool(self._events() & ~select.POLLIN)
+    def peer_has_closed(self) -> bool:
+        """Return whether the peer has closed, even if that has not been read yet."""
+        return bool(self._poll_events() & ~select.POLLIN)
 
-    def present(self) -> bool:
-        """Whether its peer is still there, as the kernel knows it, however much of it is unread here."""
+    def is_connected(self) -> bool:
+        """Ask the kernel whether the peer is still connected, regardless of unread input."""
         if self.transport.is_closing():
             return False
-        if self.hung_up():
+        if self.peer_has_closed():
             self.front.left_unread += 1
             return False
         return True
 
-    def flushed(self) -> bool:
-        """Whether all that was written to it is with the kernel."""
+    def is_flushed(self) -> bool:
+        """Return whether the kernel has taken everything that was written."""
         return not self.transport.get_write_buffer_size()
 
     def eof_received(self) -> bool:
-        # A client that closes has gone away.  Danger: its connection stands until what was written to it has
-        # left, which may be long; what it waits for is given up now.
-        self.front._gone(self)
+        # The client has disconnected.  Its requests are cancelled now: the connection itself stays open until
+        # all that was written has been sent, which can take long.
+        self.front._on_client_left(self)
         return False
 
     def connection_lost(self, exc: Exception | None) -> None:
-        self.closing = True
-        self.front._lost(self)
+        self.is_ending = True
+        self.front._on_lost(self)
 
     def pause_writing(self) -> None:
-        self.stuck_at = self.front.clock()
+        self.blocked_since = self.front.clock()
         self.transport.pause_reading()
-        self.front._bound_unread()
+        self.front._limit_unread()
 
     def resume_writing(self) -> None:
-        self.stuck_at = None
+        self.blocked_since = None
         self._resume()
 
     def flush(self) -> None:
-        """Write the answers whose turn has come."""
+        """Write the completed answers at the head of the queue."""
         queue = self.queue
         ready = []
         while queue and queue[0].data is not None:
             ready.append(queue.popleft().data)
         if ready and not self.transport.is_closing():
-            self.since = self.front.clock()
+            self.active_at = self.front.clock()
             self.transport.write(cast(bytes, ready[0]) if len(ready) == 1 else b"".join(cast(Any, ready)))
-        if not queue and not self.parser.more:
-            if self.closing or (self.front.leaving and not self.parser.partial):
+        if not queue and not self.parser.has_more:
+            if self.is_ending or (self.front.is_leaving and not self.parser.is_partial):
                 self.end()
             elif ready:
-                self.front._rests(self)
+                self.front._keep_idle(self)
 
-    def quiet(self) -> bool:
-        """Whether it owes nothing, and nothing more has come as far as was read."""
-        return not self.queue and not self.closing and not self.parser.more
+    def has_nothing_due(self) -> bool:
+        """Return whether no answer is due and no command is buffered; the kernel may hold unread input."""
+        return not self.queue and not self.is_ending and not self.parser.has_more
 
-    def resting(self) -> bool:
-        """Whether it owes nothing, and its peer has sent nothing that could become a request."""
-        return self.quiet() and not self.parser.partial and not self.heard()
+    def is_idle(self) -> bool:
+        """Return whether no answer is due and the peer has sent no part of a further command."""
+        return self.has_nothing_due() and not self.parser.is_partial and not self.has_unread_input()
 
     def end(self) -> None:
-        """End a connection that owes nothing: shut its write side, and linger until its peer ends too."""
-        self.closing = True
+        """Shut the write side once no answer is due, and linger until the peer closes too."""
+        self.is_ending = True
         if self in self.front.lingering or self.transport.is_closing():
             return
         self.front._linger(self)
         with suppress(OSError):
-            self.transport.write_eof()  # behind all that was written
-        self.transport.resume_reading()  # to throw away what still comes
+            self.transport.write_eof()  # after all pending output
+        self.transport.resume_reading()  # to discard further input
 
 
 class Front:
-    """All clients of one dispatcher."""
+    """All client connections of one dispatcher."""
 
     def __init__(
         self, reader: Reader, driver: Driver, bounds: FrontBounds, clock: Callable[[], float]
     ) -> None:
-        """`clock` is the driver's."""
+        """`clock` is the driver's, in milliseconds."""
         self.reader = reader
         self.driver = driver
         self.bounds = bounds
@@ -217,170 +228,173 @@
         self.clients: dict[_Client, None] = {}
         self.lingering: Lingering[_Client] = Lingering(bounds.linger)
         self.open_ids: set[str] = set()
-        self.asking = 0  # connections that have asked, and those of them that rest, idle longest first
-        self.resting: dict[_Client, None] = {}
-        self.silent: dict[_Client, None] = {}  # those that never asked, as far as was read; oldest first
+        self.asking = 0  # connections that have sent a command
+        # Idle connections that have sent a command, longest idle first.
+        self.idle_clients: dict[_Client, None] = {}
+        self.silent_clients: dict[_Client, None] = {}  # have sent no command yet, oldest first
         self.welcome = True  # new connections can still be opened
-        self.leaving = False
-        self.last = FOREVER  # when the last answer has to be out
-        self.count = 0
+        self.is_leaving = False
+        self.answers_due_at = FOREVER  # deadline of all answers
+        self.submitted_count = 0
         self.malformed = 0
         self.refused_commands = 0
         self.evicted = 0
         self.yielded = 0
-        self.left_unread = 0  # attempts not begun, as their client's end was with the kernel alone
+        self.left_unread = 0  # times the kernel reported a disconnect before it was read
 
     def protocol(self) -> _Client:
-        """Return what serves a new connection."""
+        """Return the protocol object for a new connection."""
         return _Client(self)
 
     def sweep(self) -> None:
-        """End what asks nothing, and give up what does not read its answers."""
+        """Close idle and lingering connections, and those whose client does not read its answers."""
         now = self.clock()
-        for client in self.lingering.over(now):
-            # Its time begins when all that was written has left; that has to end as well.
-            if client.flushed() or now - client.since > self.bounds.stuck_ms:
+        for client in self.lingering.expired(now):
+            # Output still being sent gets more time, but no longer than the write timeout.
+            if client.is_flushed() or now - client.active_at > self.bounds.write_timeout_ms:
                 self._close(client)
         for client in list(self.clients):
-            if client.stuck_at is not None:
-                if client.hung_up():
-                    self._gone(client)
-                if now - client.stuck_at > self.bounds.stuck_ms:
+            if client.blocked_since is not None:
+                if client.peer_has_closed():
+                    self._on_client_left(client)
+                if now - client.blocked_since > self.bounds.write_timeout_ms:
                     client.transport.abort()
             elif client.transport.is_closing():
-                # Danger: a connection that is closed with bytes its peer never reads would stand for ever.
-                if now - client.since > self.bounds.stuck_ms:
+                # A closed connection whose peer never reads the rest would otherwise stay forever.
+                if now - client.active_at > self.bounds.write_timeout_ms:
                     client.transport.abort()
-            elif self.last < FOREVER or not client.quiet():
-                pass  # no connection can be opened any more: what is open is used to the last
-            elif now - client.since > self.bounds.silent_ms and not client.heard():
-                if client.parser.partial:
+            elif self.answers_due_at < FOREVER or not client.has_nothing_due():
+                pass  # during shutdown clients cannot reconnect, so open connections stay usable
+            elif now - client.active_at > self.bounds.idle_timeout_ms and not client.has_unread_input():
+                if client.parser.is_partial:
                     client.transport.write(codec.error("ERR Protocol error: half a command"))
                 client.end()
 
-    def end_by(self, last: float) -> None:
-        """Take requests on, but promise none of them an answer after a time on the driver's clock."""
-        self.last = last
+    def end_by(self, answers_due_at: float) -> None:
+        """Go on accepting requests, but limit their deadlines to `answers_due_at` on the driver's clock."""
+        self.answers_due_at = answers_due_at
 
     def leave(self) -> None:
-        """End every connection as soon as it owes nothing; what has come before that is still taken."""
-        self.leaving = True
+        """End each connection once it is idle; commands received before that are still served."""
+        self.is_leaving = True
         for client in list(self.clients):
-            if client.resting():
+            if client.is_idle():
                 client.end()
 
     def finish(self) -> None:
-        """Take nothing more, and end every connection; what was owed has been answered."""
+        """End every connection; called once all requests have been answered."""
         self.leave()
         for client in list(self.clients):
             if not client.transport.is_closing():
                 client.end()
 
     def ended(self) -> bool:
-        """Tell whether every connection has ended on both sides."""
+        """Return whether every connection has been closed by both sides."""
         return not self.clients and not len(self.lingering)
 
     def owes(self) -> int:
-        """Count the requests without an answer."""
+        """Return the number of unanswered requests."""
         return len(self.open_ids)
 
-    # --- a connection's events
+    # --- connection events
 
-    def _connected(self, client: _Client) -> None:
+    def _on_connected(self, client: _Client) -> None:
         if len(self.clients) + len(self.lingering) >= self.bounds.max_connections and not self._make_room():
-            client.closing = True
+            client.is_ending = True
             client.transport.abort()
             return
         self.clients[client] = None
-        self.silent[client] = None
+        self.silent_clients[client] = None
 
     def _make_room(self) -> bool:
-        """Close a connection that lingers, else one that asks nothing; False where there is none."""
+        """Close a lingering connection, else an idle one; return whether one was closed."""
         if self._close_lingering(1):
             return True
-        newcomers, unflushed = self.clock() - self.bounds.newcomer_ms, []
+        new_since, unflushed = self.clock() - self.bounds.new_connection_ms, []
         while True:
-            # Of either kind the first leaves first.  Danger: crowds come by the hundred in one round of the
-            # loop, and each of them would go through all that are there.
-            heads = [next(iter(group)) for group in (self.silent, self.resting) if group]
-            worst = leaves_first(heads, newcomers)
-            if worst is None or (worst.quiet() and worst.flushed() and not worst.heard()):
+            # Only the first of each kind can be the choice.  Hundreds of connections may arrive in one
+            # iteration of the loop; scanning all the others for each of them would be too slow.
+            candidates = [next(iter(group)) for group in (self.silent_clients, self.idle_clients) if group]
+            candidate = choose_eviction(candidates, new_since)
+            if candidate is None or (
+                candidate.has_nothing_due() and candidate.is_flushed() and not candidate.has_unread_input()
+            ):
                 break
-            # Danger: connections are accepted by the hundred before any of them is read.  What has sent
-            # something comes back here once it was read.
-            (self.resting if worst.asked else self.silent).pop(worst)
-            if not worst.flushed():
-                unflushed.append(worst)
-        self.resting |= dict.fromkeys(unflushed)
-        if worst is None:
+            # Hundreds of connections may be accepted before any of them is read.  One with unread input is
+            # not idle; it is added again once its input has been read.
+            (self.idle_clients if candidate.has_sent_command else self.silent_clients).pop(candidate)
+            if not candidate.is_flushed():
+                unflushed.append(candidate)
+        self.idle_clients |= dict.fromkeys(unflushed)
+        if candidate is None:
             return False
         self.evicted += 1
-        # Its descriptor is wanted now.  Nothing that it has sent is unread, so nothing is reset.
-        self._close(worst)
+        # Its descriptor is needed now, so it does not linger.  It has no unread input, so it is not reset.
+        self._close(candidate)
         return True
 
     def _close(self, client: _Client) -> None:
-        """Close a connection at once."""
+        """Close a connection at once, without lingering."""
         self._drop(client)
-        client.closing = True
+        client.is_ending = True
         client.transport.abort()
 
     def _linger(self, client: _Client) -> None:
-        """Take a connection that is ended here out of those that are served."""
+        """Move a connection whose write side is shut from the served to the lingering connections."""
         self._drop(client)
-        self._close_lingering(self.lingering.begin(client, self.clock()))
+        self._close_lingering(self.lingering.add(client, self.clock()))
 
     def _close_lingering(self, count: int) -> bool:
-        """Close so many connections that linger, shut longest first; False where there are fewer."""
+        """Close `count` lingering connections, shut longest ago first; return whether there were enough."""
         for client in self.lingering:
-            if count and client.flushed():
+            if count and client.is_flushed():
                 self._close(client)
                 count -= 1
         return not count
 
-    def _discarded(self, client: _Client, size: int) -> None:
-        if client in self.lingering and self.lingering.heard(client, size):
+    def _on_discarded(self, client: _Client, size: int) -> None:
+        if client in self.lingering and self.lingering.record_discarded(client, size):
             self._close(client)
 
-    def _rests(self, client: _Client) -> None:
-        """Keep an idle connection, and close another if more are kept than clients can open.
+    def _keep_idle(self, client: _Client) -> None:
+        """Keep an idle connection, and close the longest idle one if there are too many.
 
-        Danger: clients that ask once and keep their connection use up what all clients may hold open here;
-        the others then find no connection left, while the dispatcher sees nothing but a quiet front.
+        Otherwise clients that send one request and keep their connection would use up the limit on
+        connections, and other clients could not connect although the dispatcher has no load.
         """
-        self.resting[client] = None
+        self.idle_clients[client] = None
         if self.asking > self.bounds.max_asking and self.welcome:
-            # Danger: one whose next command has come in just now is at rest only as far as was read.
-            for other in self.resting:
-                if other.resting():
+            # The kernel may hold the next command of a connection that looks idle here.
+            for other in self.idle_clients:
+                if other.is_idle():
                     self.yielded += 1
                     other.end()
                     break
 
     def _drop(self, client: _Client) -> None:
-        self.lingering.ended(client)
-        self.silent.pop(client, None)
+        self.lingering.remove(client)
+        self.silent_clients.pop(client, None)
         if self.clients.pop(client, self) is None:
-            self.resting.pop(client, None)
-            self.asking -= client.asked
-
-    def _bound_unread(self) -> None:
-        """Keep what clients have not read within its bound."""
-        stuck = (c for c in (*self.clients, *self.lingering) if c.stuck_at is not None)
-        held = {c: c.transport.get_write_buffer_size() for c in stuck}
-        for client in give_up_unread(held, self.bounds.max_unread):
+            self.idle_clients.pop(client, None)
+            self.asking -= client.has_sent_command
+
+    def _limit_unread(self) -> None:
+        """Close connections until the total of unread answers is within its limit."""
+        blocked = (c for c in (*self.clients, *self.lingering) if c.blocked_since is not None)
+        unread_bytes = {c: c.transport.get_write_buffer_size() for c in blocked}
+        for client in choose_unread(unread_bytes, self.bounds.max_unread):
             client.transport.abort()
 
-    def _lost(self, client: _Client) -> None:
+    def _on_lost(self, client: _Client) -> None:
         self._drop(client)
-        self._gone(client)
+        self._on_client_left(client)
 
-    def _gone(self, client: _Client) -> None:
-        """Take in that a client has left: nobody waits for what its connection still owes."""
-        client.closing = True
+    def _on_client_left(self, client: _Client) -> None:
+        """Handle a client's disconnect: cancel its open requests."""
+        client.is_ending = True
         for pending in client.queue:
             if name := pending.name:
-                self._forget(pending)  # which takes the name away
+                self._forget(pending)  # clears pending.name
                 self.driver.client_left(name)
         client.queue.clear()
 
@@ -391,31 +405,31 @@
         if verb == READ or verb == WRITE:
             try:
                 request = self.reader.read(words)
-            except InvalidCommandError as wrong:
+            except InvalidCommandError as exc:
                 self.refused_commands += 1
-                return _Pending(codec.error(f"ERR {wrong}"))
+                return _Pending(codec.error(f"ERR {exc}"))
             if request.name in self.open_ids:
-                # Danger: at a storage server it would pass for a second copy of the request that is open.
+                # A storage server would take it for a duplicate of the open request.
                 self.refused_commands += 1
                 return _Pending(codec.error("ERR the id is open already"))
             if len(client.queue) >= self.bounds.max_pipeline:
                 return _Pending(codec.error("BUSY"))
             pending = _Pending()
-            self.count += 1
-            pending.name = f"{self.count:x}"
-            pending.wire_id = request.name
+            self.submitted_count += 1
+            pending.name = f"{self.submitted_count:x}"
+            pending.client_id = request.name
             denied = self.driver.submit(
                 pending.name,
                 pending.name,
                 request,
-                min(now + request.patience_ms, self.last),
+                min(now + request.patience_ms, self.answers_due_at),
                 partial(self._answer, client, pending),
                 since=now,
-                present=client.present,
+                present=client.is_connected,
             )
             if denied is not None:
                 pending.name = ""
-                pending.data = _denial(denied)
+                pending.data = _encode_denial(denied)
             else:
                 self.open_ids.add(request.name)
             return pending
@@ -428,16 +442,16 @@
 
     def _answer(self, client: _Client, pending: _Pending, result: Any) -> None:
         self._forget(pending)
-        pending.data = _denial(result) if isinstance(result, Denial) else codec.bulk(result)
+        pending.data = _encode_denial(result) if isinstance(result, Denial) else codec.bulk(result)
         client.flush()
 
     def _forget(self, pending: _Pending) -> None:
         pending.name = ""
-        self.open_ids.discard(pending.wire_id)
+        self.open_ids.discard(pending.client_id)
 
 
-def _denial(denied: Denial) -> bytes:
-    """Write a refusal or a failure; a time to come back is written rounded up, in whole milliseconds."""
+def _encode_denial(denied: Denial) -> bytes:
+    """Encode a refusal or a failure; the retry delay is rounded up to whole milliseconds."""
     if denied.verdict is not Verdict.REJECTED:
         return codec.error(f"ERR failed {denied.reason.value}")
     after = -int(-denied.retry_after_ms // 1)
--- a/cressrock/resp/listener.py
+++ b/cressrock/resp/listener.py
@@ -1,8 +1,8 @@
-"""Accepts clients' connections, a few in one round of the loop: a carrier.
+"""Accepts client connections, a bounded number per iteration of the event loop.
 
-Danger: asyncio's own server accepts in one round as many as its backlog holds.  Each takes a descriptor, and
-the front hears of the first of them two rounds later: a crowd takes every descriptor of the process before
-the front can give up anybody, and then there is none for discovery or a storage server.
+asyncio's own server accepts up to its whole backlog in one iteration.  Each connection takes a descriptor,
+and the front learns of the first one only two iterations later.  A burst would take every descriptor of the
+process before the front could close any connection, leaving none for discovery or storage servers.
 """
 
 from __future__ import annotations
@@ -11,62 +11,68 @@
 import socket
 from collections.abc import Callable
 
-BACKLOG = 1024  # connections that wait in the kernel
+BACKLOG = 1024  # connections waiting in the kernel
 
 
 class Listener:
-    """One listening socket; `count` connections are accepted in a round at most."""
+    """One listening socket."""
 
     def __init__(
-        self, address: tuple[str, int], protocol: Callable[[], asyncio.BaseProtocol], count: int
+        self,
+        address: tuple[str, int],
+        protocol_factory: Callable[[], asyncio.BaseProtocol],
+        max_accepts: int,
     ) -> None:
-        """Listen on the running loop.  Raises OSError where the address cannot be had."""
-        self.protocol = protocol
-        self.count = count
+        """Listen on the running loop; accept at most `max_accepts` connections per iteration of it.
+
+        Raises OSError if the address cannot be bound.
+        """
+        self.protocol_factory = protocol_factory
+        self.max_accepts = max_accepts
         self.loop = asyncio.get_running_loop()
-        self.exhausted = 0  # times at which the process had no descriptor for a connection
+        self.exhausted = 0  # how often accept failed, as when no descriptor was free
         self._tasks: set[asyncio.Task[object]] = set()
-        self._paused = False
+        self._is_paused = False
         family = socket.AF_INET6 if ":" in address[0] else socket.AF_INET
         self.socket = socket.create_server(address, family=family, backlog=BACKLOG)
         self.socket.setblocking(False)
         self.loop.add_reader(self.socket, self._accept)
 
     def address(self) -> tuple[str, int]:
-        """Return where it listens."""
+        """Return the bound host and port."""
         host, port = self.socket.getsockname()[:2]
         return host, port
 
     def fileno(self) -> int:
-        """Return its descriptor; -1 once it is closed."""
+        """Return the socket's descriptor; -1 after `close`."""
         return self.socket.fileno()
 
     def is_serving(self) -> bool:
-        """Whether connections can still come."""
+        """Return whether the listening socket is open."""
         return self.socket.fileno() >= 0
 
     def close(self) -> None:
-        """Accept nothing more; what was accepted goes on."""
+        """Stop accepting; accepted connections are not affected."""
         if self.is_serving():
             self.loop.remove_reader(self.socket)
             self.socket.close()
 
     def resume(self) -> None:
-        """Try again, where no descriptor was left at the last try."""
-        if self._paused and self.is_serving():
-            self._paused = False
+        """Accept again if accepting was paused for lack of a descriptor."""
+        if self._is_paused and self.is_serving():
+            self._is_paused = False
             self.loop.add_reader(self.socket, self._accept)
 
     def _accept(self) -> None:
-        for _ in range(self.count):
+        for _ in range(self.max_accepts):
             try:
                 accepted, _ = self.socket.accept()
             except (BlockingIOError, InterruptedError, ConnectionAbortedError):
                 return
             except OSError:
-                # Danger: what waits in the kernel would wake the loop again and again.
+                # Without the pause, connections waiting in the kernel would wake the loop continuously.
                 self.exhausted += 1
-                self._paused = True
+                self._is_paused = True
                 self.loop.remove_reader(self.socket)
                 return
             accepted.setblocking(False)
@@ -76,6 +82,6 @@
 
     async def _serve(self, accepted: socket.socket) -> None:
         try:
-            await self.loop.connect_accepted_socket(self.protocol, accepted)
+            await self.loop.connect_accepted_socket(self.protocol_factory, accepted)
         except OSError:
             accepted.close()
--- a/cressrock/resp/pace.py
+++ b/cressrock/resp/pace.py
@@ -1,57 +1,66 @@
-"""How long an answer that was begun may take to become whole.  Pure.
+"""Decides when a partly received answer is given up.  Pure.
 
-Two limits.  Silence: a server writes an answer at once, so one that is not gone on with is broken.  Pace: one
-that goes on has to be whole by its deadline at the pace at which it came so far; of one that is not, a byte
-now and then would else hold its attempt, and the request's other attempts with it, until the deadline.
+Two limits apply.  Stall: a server writes an answer at once, so an answer that stops arriving is broken.
+Rate: an answer that keeps arriving must be complete by its deadline at its average rate so far.  Without the
+second limit, a server that sends single bytes would occupy the attempt until the deadline, and delay the
+request's other attempts.
 """
 
 from __future__ import annotations
 
 
-class Pace:
-    """One answer that is not whole yet.  Times in milliseconds."""
+class ReplyProgress:
+    """The progress of one partly received answer.  Times in milliseconds."""
 
-    __slots__ = ("begun_at", "deadline", "stall_ms", "heard_at", "check_at", "held", "need")
+    __slots__ = (
+        "started_at",
+        "deadline",
+        "stall_ms",
+        "last_data_at",
+        "check_at",
+        "received_bytes",
+        "expected_bytes",
+    )
 
     def __init__(self, now: float, deadline: float, stall_ms: float) -> None:
-        """Begin with its first bytes; it is owed by `deadline`."""
-        self.begun_at = now
+        """Start when the first bytes arrive; the answer is due by `deadline`."""
+        self.started_at = now
         self.deadline = deadline
         self.stall_ms = stall_ms
-        self.heard_at = now
+        self.last_data_at = now
         self.check_at = (now + deadline) / 2
-        self.held = 0
-        self.need = 0
+        self.received_bytes = 0
+        self.expected_bytes = 0
 
-    def heard(self, now: float, held: int, need: int) -> None:
-        """Take in that `held` bytes are here, of `need` in all as far as is known.
+    def record(self, now: float, received_bytes: int, expected_bytes: int) -> None:
+        """Record that `received_bytes` have arrived, of `expected_bytes` as far as is known.
 
-        Where a line is not whole all that is known is that one byte more has to come.  Lines are short: such
-        an answer has to be whole when half of the time is over.
+        In the middle of a line it is only known that at least one more byte must come.  Lines are short, so
+        such an answer must be complete when half of the time has passed.
         """
-        self.heard_at = now
-        self.held = held
-        if need > held + 1:
-            self.need = need
-        elif need != self.need:
-            self.need = 0
+        self.last_data_at = now
+        self.received_bytes = received_bytes
+        if expected_bytes > received_bytes + 1:
+            self.expected_bytes = expected_bytes
+        elif expected_bytes != self.expected_bytes:
+            self.expected_bytes = 0
 
-    def gives_up_at(self) -> float:
-        """Return when `broken` has to be asked next."""
-        return min(self.heard_at + self.stall_ms, self.check_at)
+    def next_check_at(self) -> float:
+        """Return when `is_broken` must be called next."""
+        return min(self.last_data_at + self.stall_ms, self.check_at)
 
-    def broken(self, now: float) -> bool:
-        """Whether the answer is given up now.  At a check that it passes the next one is set.
+    def is_broken(self, now: float) -> bool:
+        """Return whether to give the answer up now; if a due check passes, schedule the next one.
 
-        Checks halve what is left of the time, so that a pace that falls off is found soon after.
+        Each check is due after half of the remaining time, so that a dropping rate is detected soon.
         """
-        if now >= self.heard_at + self.stall_ms:
+        if now >= self.last_data_at + self.stall_ms:
             return True
         if now >= self.check_at:
-            span = self.deadline - self.begun_at
-            part = (self.check_at - self.begun_at) / span if span > 0 else 1.0
-            if not self.need or self.held < part * self.need:
+            span_ms = self.deadline - self.started_at
+            elapsed_fraction = (self.check_at - self.started_at) / span_ms if span_ms > 0 else 1.0
+            if not self.expected_bytes or self.received_bytes < elapsed_fraction * self.expected_bytes:
                 return True
-            near = self.deadline - now <= self.stall_ms  # from here on silence says as much
-            self.check_at = self.deadline if near else (now + self.deadline) / 2
+            is_near = self.deadline - now <= self.stall_ms  # the stall limit covers the rest
+            self.check_at = self.deadline if is_near else (now + self.deadline) / 2
         return False
--- a/cressrock/resp/quiet.py
+++ b/cressrock/resp/quiet.py
@@ -1,45 +1,46 @@
-"""How long a connection has to stay quiet after an answer before it is used again.  Pure.
+"""How long a connection must receive nothing after an answer before it is reused.  Pure.
 
-Danger: a server may write a second copy of an answer, or noise, some milliseconds behind it.  On a connection
-that already carries the next request the copy reads as that request's answer, and a client is served a value
-that was made for somebody else.
+A server may send a duplicate of an answer, or other bytes, some milliseconds after the answer.  If the
+connection already carried the next request, the duplicate would be read as that request's answer, and a
+client would be served another request's value.
 """
 
 from __future__ import annotations
 
-# The platform speaks of 'some milliseconds': a number of one digit, rounded up.  It is a start and a least;
-# what is seen to come later raises it.
-LEAST_MS = 10.0
-SMOOTH = 0.3  # weight of the newest connect time
+# The platform specifies "some milliseconds": a one-digit number, rounded up.  This is the initial delay and
+# its minimum; bytes that arrive later raise it.
+MIN_DELAY_MS = 10.0
+CONNECT_TIME_WEIGHT = 0.3  # of the newest connect time in the moving average
 
 
-class Quiet:
-    """What was learnt of late bytes.  Times in milliseconds."""
+class ReuseDelay:
+    """The delay before reuse, adapted to late bytes.  Times in milliseconds."""
 
-    def __init__(self, most_ms: float) -> None:
-        """`most_ms` bounds what can be learnt: bytes that come later still belong to no answer."""
-        self.most_ms = max(LEAST_MS, most_ms)
-        self.rest_ms = LEAST_MS
-        self.connect_ms = 0.0  # smoothed: what it takes until a new connection is up
+    def __init__(self, max_delay_ms: float) -> None:
+        """Start at the minimum; the delay never grows beyond `max_delay_ms` (at least the minimum)."""
+        self.max_delay_ms = max(MIN_DELAY_MS, max_delay_ms)
+        self.delay_ms = MIN_DELAY_MS
+        self.connect_ms = 0.0  # moving average of the time to open a connection
 
-    def heard(self, late_ms: float) -> None:
-        """Take in that bytes nobody asked for came so long after an answer."""
-        # Twice the latest: it is one of a few draws, and the next may come later than all of them.
-        self.rest_ms = max(self.rest_ms, min(self.most_ms, 2 * late_ms))
+    def record_late_bytes(self, late_ms: float) -> None:
+        """Record that unrequested bytes arrived `late_ms` after an answer."""
+        # Twice the largest observation: it is one of a few samples, and the next may be larger than all.
+        self.delay_ms = max(self.delay_ms, min(self.max_delay_ms, 2 * late_ms))
 
     def ready_at(self, answered_at: float) -> float:
-        """Return when a connection whose last answer was whole then may be used again."""
-        return answered_at + self.rest_ms
+        """Return when a connection whose last answer was complete at `answered_at` may be reused."""
+        return answered_at + self.delay_ms
 
-    def connected(self, ms: float) -> None:
-        """Take in how long a connection took to come up."""
-        self.connect_ms += (ms - self.connect_ms) * (SMOOTH if self.connect_ms else 1.0)
+    def record_connect_time(self, ms: float) -> None:
+        """Record how long it took to open a connection."""
+        self.connect_ms += (ms - self.connect_ms) * (CONNECT_TIME_WEIGHT if self.connect_ms else 1.0)
 
-    def worth_waiting(self, ready_at: float, now: float, *, full: bool = False) -> bool:
-        """Whether to wait for a connection that is ready then, and open no other.
+    def should_wait(self, ready_at: float, now: float, *, full: bool = False) -> bool:
+        """Return whether to wait for a connection that is ready at `ready_at` instead of opening another.
 
-        Danger: an attempt that waits holds one of its server's places without being there.  So only where a
-        new connection would be up no sooner; more are open then, and one of them has rested.  `full`: another
-        would have to be closed for a new one, so the least rest is waited for as well, but no long one.
+        An attempt that waits here counts against its server's limit without reaching the server, so it waits
+        only if a new connection would not be open sooner.  Otherwise more connections get opened, and one
+        of them is then ready.  `full`: another connection would have to be closed for a new one, so the
+        minimum delay is waited for as well, but no longer one.
         """
-        return ready_at - now <= max(self.connect_ms, LEAST_MS if full else 0.0)
+        return ready_at - now <= max(self.connect_ms, MIN_DELAY_MS if full else 0.0)
--- a/cressrock/resp/room.py
+++ b/cressrock/resp/room.py
@@ -1,4 +1,4 @@
-"""Which of a front's connections have to go when there is no room for all.  Pure."""
+"""Chooses which client connections to close when a limit is reached.  Pure."""
 
 from __future__ import annotations
 
@@ -6,49 +6,50 @@
 from typing import Protocol, TypeVar
 
 
-class Standing(Protocol):
-    """What is to be known of a connection that is owed nothing."""
+class IdleConnection(Protocol):
+    """What the choice needs to know of a connection without pending answers."""
 
-    asked: bool  # it has sent a whole command
-    since: float  # when it last asked or was answered, or came; milliseconds
+    has_sent_command: bool  # it has sent a complete command
+    active_at: float  # its last command or answer, or else its connecting; milliseconds
 
 
-S = TypeVar("S", bound=Standing)
+S = TypeVar("S", bound=IdleConnection)
 
-# A connection is accepted in one round of the loop, its transport is made in the next, its front hears of it
-# in the third and may give another one up for it, whose descriptor is closed in the fourth.
-ROUNDS = 4
+# Iterations of the event loop from accepting a connection until a descriptor is freed for it: it is accepted
+# in the first, its transport is created in the second, the front learns of it in the third and may evict
+# another, whose descriptor is closed in the fourth.
+LOOP_ITERATIONS = 4
 
 
 def accepted_at_once(spare: int) -> int:
-    """Return how many connections a round of the loop may accept, at least one.
+    """Return how many connections to accept per iteration of the event loop, at least one.
 
-    `spare` descriptors are kept for those that no bound counts yet, or that are being closed for them.
+    `spare` descriptors are reserved for connections that no limit counts yet, or that are being closed.
     """
-    return max(1, spare // ROUNDS)
+    return max(1, spare // LOOP_ITERATIONS)
 
 
-def leaves_first(quiet: Iterable[S], newcomers_since: float) -> S | None:
-    """Choose the connection to close for a new one: one that never asked, else the one idle longest.
+def choose_eviction(idle: Iterable[S], new_since: float) -> S | None:
+    """Choose the connection to close for a new one: one that never sent a command, else the longest idle.
 
-    Danger: a client that has just connected (after `newcomers_since`) asks in a moment.  Closed first, as the
-    newest of a crowd, it loses its request and comes back at once, to be closed again; one that has asked
-    before loses nothing but a connection.
+    A connection opened after `new_since` is about to send its first command and is chosen last.  If the
+    newest of a burst were closed first, its client would lose the request, reconnect and be closed again; a
+    client that has already been answered loses only the connection.
     """
 
     def rank(connection: S) -> tuple[int, float]:
-        newcomer = 2 if connection.since > newcomers_since else 0
-        return (1 if connection.asked else newcomer, connection.since)
+        new_rank = 2 if connection.active_at > new_since else 0
+        return (1 if connection.has_sent_command else new_rank, connection.active_at)
 
-    return min(quiet, key=rank, default=None)
+    return min(idle, key=rank, default=None)
 
 
-def give_up_unread(held: dict[S, int], most: int) -> list[S]:
-    """Choose whose unread answers to give up, the largest first, until the others' bytes fit the bound."""
-    total, chosen = sum(held.values()), []
-    for connection in sorted(held, key=lambda c: (-held[c], c.since)):
-        if total <= most:
+def choose_unread(unread_bytes: dict[S, int], max_bytes: int) -> list[S]:
+    """Choose the connections to close, most unread bytes first, until the rest is within the limit."""
+    total, chosen = sum(unread_bytes.values()), []
+    for connection in sorted(unread_bytes, key=lambda c: (-unread_bytes[c], c.active_at)):
+        if total <= max_bytes:
             break
-        total -= held[connection]
+        total -= unread_bytes[connection]
         chosen.append(connection)
     return chosen
--- a/tests/compatibility/resp_cases.py
+++ b/tests/compatibility/resp_cases.py
@@ -7,7 +7,7 @@
 
 from cressrock.interface import DeduplicationScope, Idempotency, Plan, RequestClass, Settings
 from cressrock.resp import codec
-from cressrock.resp.answers import load_of, outcome_of
+from cressrock.resp.answers import parse_load, parse_outcome
 from cressrock.resp.request import InvalidCommandError, Reader
 from tests.compatibility.canonical import canonical
 
@@ -213,7 +213,7 @@
     parser, results = codec.Commands(), []
     for piece in pieces:
         commands, error = parser.feed(piece)
-        results.append([canonical(commands), None if error is None else str(error), parser.partial])
+        results.append([canonical(commands), None if error is None else str(error), parser.is_partial])
         if error is not None:
             break
     return results
@@ -223,8 +223,8 @@
     """Feed a server's parser three commands of which it may give two at a time."""
     parser = codec.Commands()
     first = parser.feed(codec.command(b"PING") * 3, 2)
-    more = parser.more
-    return canonical([first, more, parser.feed(b"", 2), parser.more])
+    more = parser.has_more
+    return canonical([first, more, parser.feed(b"", 2), parser.has_more])
 
 
 def parsed_replies(pieces: list[bytes]) -> Any:
@@ -237,7 +237,7 @@
                 replies.append(canonical(reply, LABELS))
     except codec.ProtocolError as error:
         return [replies, str(error)]
-    return [replies, parser.partial]
+    return [replies, parser.is_partial]
 
 
 def read_request(reader: Reader, words: list[bytes]) -> Any:
@@ -257,7 +257,7 @@
         "commands": [parsed_commands(pieces) for pieces in COMMAND_INPUTS],
         "steps": parsed_in_steps(),
         "replies": [parsed_replies(pieces) for pieces in REPLY_INPUTS],
-        "answers": [canonical([outcome_of(reply), load_of(reply)]) for reply in ANSWERS],
+        "answers": [canonical([parse_outcome(reply), parse_load(reply)]) for reply in ANSWERS],
         "requests": [read_request(READER, words) for words in REQUESTS],
         "requests_without_shards": [read_request(OPEN_READER, words) for words in REQUESTS],
     }
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -25,7 +25,7 @@
 from cressrock.resp.codec import ErrorLine, Status
 from cressrock.resp.front import Front, FrontBounds
 from cressrock.resp.lingering import LingerBounds
-from cressrock.resp.nodes import PoolBounds, RespTransport, _Connection, _Flight
+from cressrock.resp.nodes import PoolBounds, RespTransport, _Connection, _InFlightAttempt
 from cressrock.resp.request import Reader
 
 PIECE = b"7f3a9c21e0b4d655"
@@ -136,7 +136,7 @@
         assert await client.ask(codec.command(b"PING")) == Status("PONG")
         assert await client.ask(read(1)) == b"value of " + ident(1)
         pool = s.program.transport
-        rested = pool.quiet.ready_at(next(iter(pool.open)).idle_since)
+        rested = pool.reuse_delay.ready_at(next(iter(pool.open)).idle_since)
         await s.until(lambda: pool.clock() >= rested)  # it rests after an answer
         assert await client.ask(write(2, b"x" * 65536)) == b"value of " + ident(2)
         first, second = s.servers[0].seen
@@ -212,7 +212,7 @@
         silent, half, waiting = [await s.client() for _ in range(3)]
         half.send(read(1)[:30])
         waiting.send(read(2))
-        await s.until(lambda: s.servers[0].seen and any(c.parser.partial for c in s.program.front.clients))
+        await s.until(lambda: s.servers[0].seen and any(c.parser.is_partial for c in s.program.front.clients))
         clock = s.program.front.clock
         s.program.front.clock = lambda: clock() + 3000
         s.program.front.sweep()
@@ -621,7 +621,7 @@
     pool = RespTransport(BOUNDS, lambda: now[0], lambda name: None)
     connection, call = _Connection(pool, "s0"), Call()
     connection.transport = Pipe()
-    flight = _Flight(pool, call)
+    flight = _InFlightAttempt(pool, call)
     pool._write(connection, flight)
     return pool, connection, call
 
@@ -635,7 +635,7 @@
         now[0] = 1020.0
         connection.data_received(b"*3\r\n$10\r\n0123")
         now[0] = 1020.0 + BOUNDS.stall_ms
-        pool._ring()
+        pool._on_timer()
         (ending,) = call.endings
         assert (ending.outcome, ending.latency_ms, connection.transport.closed) == (Outcome.ERROR, 20.0, True)
 
@@ -650,7 +650,7 @@
         for byte in whole[:-1]:
             connection.data_received(bytes([byte]))
             now[0] += BOUNDS.stall_ms - 1
-            pool._ring()
+            pool._on_timer()
         assert not call.endings
         connection.data_received(whole[-1:])
         assert call.endings[0].reply == b"0123456789"
@@ -719,13 +719,13 @@
     def come(asked=False):
         client = front.protocol()
         client.transport = Pipe()
-        client.asked = asked
+        client.has_sent_command = asked
         front.asking += asked
-        front._connected(client)
+        front._on_connected(client)
         return client
 
     silent, idle = come(), come(asked=True)
-    now[0] = bounds.newcomer_ms + 1
+    now[0] = bounds.new_connection_ms + 1
     first = come()
     second, third, fourth = come(), come(), come()
     # The one that was silent for long goes first, the idle one next, and a newcomer only after both.
@@ -746,15 +746,15 @@
     front = Front(Reader(*READER), SimpleNamespace(left=lambda name: True), bounds, lambda: now[0])
     client = front.protocol()
     client.transport = Pipe()
-    front._connected(client)
+    front._on_connected(client)
     client.data_received(b"*x\r\n")
     written = len(client.transport.written)
     assert client.transport.shut and front.lingering
     client.transport.held = written  # the error line is still on its way
-    now[0] = bounds.stuck_ms - 1
+    now[0] = bounds.write_timeout_ms - 1
     front.sweep()
     assert not client.transport.closed and len(client.transport.written) == written == 1
-    now[0] = bounds.stuck_ms + 1
+    now[0] = bounds.write_timeout_ms + 1
     front.sweep()
     assert client.transport.closed and not front.lingering
 
@@ -767,7 +767,7 @@
     for _ in range(4):
         client = front.protocol()
         client.transport = Pipe()
-        front._connected(client)
+        front._on_connected(client)
         client.data_received(b"*x\r\n")
         clients.append(client)
         now[0] += 1
@@ -777,7 +777,7 @@
     assert not clients[2].transport.closed
     clients[2].data_received(b"x" * 101)
     assert clients[2].transport.closed
-    now[0] = 3 + bounds.linger.ms
+    now[0] = 3 + bounds.linger.timeout_ms
     front.sweep()
     assert not clients[3].transport.closed
     now[0] += 1
@@ -792,7 +792,7 @@
     for _ in range(3):
         client = front.protocol()
         client.transport = Pipe()
-        front._connected(client)
+        front._on_connected(client)
         clients.append(client)
         if len(clients) == 1:
             client.data_received(b"*x\r\n")
@@ -840,7 +840,7 @@
     flight.stop()
     assert await way.ended(hung) is Outcome.CANCELLED
     assert [await way.ended(call) for call in waiting] == [Outcome.OK] * 4
-    assert len(way.pool.open) == 1 and not way.pool.queue and not way.pool.opening
+    assert len(way.pool.open) == 1 and not way.pool.queue and not way.pool.connecting_count
     for server in servers:
         await server.stop()
 
--- a/tests/test_platform_endings.py
+++ b/tests/test_platform_endings.py
@@ -20,7 +20,7 @@
 from cressrock.resp.codec import ErrorLine, Status
 from cressrock.resp.front import Front, FrontBounds
 from cressrock.resp.request import Reader
-from cressrock.resp.room import leaves_first
+from cressrock.resp.room import choose_eviction
 from tests.test_platform import READER, Client, Pipe, ident, on_sockets, read, stage, write
 
 
@@ -100,7 +100,9 @@
         await client.writer.drain()
         assert await ends(client) == []  # an end, no reset: its client asks anew elsewhere
         client.send(read(3))
-        await s.until(lambda: s.program.front.lingering._read[side(s, client)] == len(read(2) + read(3)))
+        await s.until(
+            lambda: s.program.front.lingering._discarded_bytes[side(s, client)] == len(read(2) + read(3))
+        )
         client.writer.close()
         await s.until(lambda: s.program.front.ended())
         assert [words[2] for words in s.servers[0].seen] == [ident(1)]
@@ -125,8 +127,8 @@
             front.leave()
         else:
             object.__setattr__(front.bounds, "max_asking", 1)
-            front._rests(side(s, other))
-        assert not mine.closing
+            front._keep_idle(side(s, other))
+        assert not mine.is_ending
         assert await client.reply() == b"value of " + ident(2)
         client.writer.close()
 
@@ -139,12 +141,12 @@
         client, silent = await s.client(), await s.client()
         assert await client.ask(read(1)) == b"value of " + ident(1)
         silent.send(read(2)[:20])
-        await s.until(lambda: side(s, silent) and side(s, silent).parser.partial)
-        front.clock = lambda: clock() + front.bounds.silent_ms - 100
+        await s.until(lambda: side(s, silent) and side(s, silent).parser.is_partial)
+        front.clock = lambda: clock() + front.bounds.idle_timeout_ms - 100
         client.send(read(3)[:40])
         silent.send(read(2)[20:40])
-        await s.until(lambda: side(s, client).parser.partial and len(side(s, silent).parser._buffer) == 40)
-        front.clock = lambda: clock() + front.bounds.silent_ms + 100
+        await s.until(lambda: side(s, client).parser.is_partial and len(side(s, silent).parser._buffer) == 40)
+        front.clock = lambda: clock() + front.bounds.idle_timeout_ms + 100
         front.sweep()
         client.send(read(3)[40:])
         assert await client.reply() == b"value of " + ident(3)
@@ -156,7 +158,7 @@
     async with stage() as s:
         client = await s.client()
         client.send(read(1)[:40])
-        await s.until(lambda: side(s, client).parser.partial)
+        await s.until(lambda: side(s, client).parser.is_partial)
         s.program.front.leave()
         client.send(read(1)[40:])
         assert await ends(client) == [b"value of " + ident(1)]
@@ -171,7 +173,7 @@
         front = s.program.front
         slow = await narrow(s)
         slow.sendall(read(1))
-        await s.until(lambda: s.servers[0].seen and any(not c.flushed() for c in front.clients))
+        await s.until(lambda: s.servers[0].seen and any(not c.is_flushed() for c in front.clients))
         crowd = [raw(s) for _ in range(2 * front.bounds.max_connections)]
         await s.until(lambda: front.evicted >= front.bounds.max_connections)
         client = await opened(s, slow)
@@ -192,7 +194,7 @@
         front = s.program.front
         sock = await narrow(s)
         sock.sendall(read(1) + read(2, shard=1))
-        await s.until(lambda: front.owes() == 1 and any(c.stuck_at is not None for c in front.clients))
+        await s.until(lambda: front.owes() == 1 and any(c.blocked_since is not None for c in front.clients))
         sock.shutdown(socket.SHUT_WR)
         await s.until(lambda: not front.owes())
         assert s.program.driver.ledger.answer_counts[Verdict.LEFT] == 1 and not s.program.driver.pending
@@ -235,7 +237,7 @@
         loop = asyncio.get_running_loop()
 
         def look():
-            mine = [c for c in s.program.front.clients if c.parser.more]
+            mine = [c for c in s.program.front.clients if c.parser.has_more]
             taken.append(bool(mine))
             if all(words[2] != ident(1) for words in s.servers[0].seen):
                 loop.call_soon(look)
@@ -256,11 +258,11 @@
         front, took, seen = s.program.front, s.program.front._command, []
 
         def leave():
-            seen.append([c.parser.more for c in front.clients])
+            seen.append([c.parser.has_more for c in front.clients])
             front.leave()
 
         def taking(*what):
-            if front.count == 0 and not seen:
+            if front.submitted_count == 0 and not seen:
                 seen.append(None)
                 asyncio.get_running_loop().call_soon(leave)  # behind the first part of the flood
             return took(*what)
@@ -269,7 +271,7 @@
         sock = raw(s)
         sock.sendall(codec.command(b"PING") * 1000 + read(1))
         await s.until(lambda: len(seen) == 2)
-        assert seen[1] == [True] and not any(c.closing for c in front.clients)
+        assert seen[1] == [True] and not any(c.is_ending for c in front.clients)
         told = await ends(await opened(s, sock))
         assert len(told) == 1001 and told[-1] == b"value of " + ident(1)
 
@@ -280,10 +282,10 @@
     first, second = front.protocol(), front.protocol()
     for client in (first, second):
         client.transport = Pipe()
-    front._connected(first)
+    front._on_connected(first)
     first.data_received(codec.command(b"PING") * 100)
-    assert first.parser.more and first.queue == second.queue  # all that was taken is answered
-    front._connected(second)
+    assert first.parser.has_more and first.queue == second.queue  # all that was taken is answered
+    front._on_connected(second)
     assert second.transport.closed and not first.transport.closed
 
 
@@ -293,15 +295,15 @@
 
     def counted(heads, newcomers):
         looked.append(len(heads))
-        return leaves_first(heads, newcomers)
+        return choose_eviction(heads, newcomers)
 
-    monkeypatch.setattr(front_module, "leaves_first", counted)
+    monkeypatch.setattr(front_module, "choose_eviction", counted)
     bounds = FrontBounds(max_connections=100, max_asking=99, max_unread=100)
     front = Front(Reader(*READER), None, bounds, lambda: 0.0)
     for _ in range(300):
         client = front.protocol()
         client.transport = Pipe()
-        front._connected(client)
+        front._on_connected(client)
     assert front.evicted == 200 and len(front.clients) == 100
     assert len(looked) == 200 and max(looked) <= 2
 
@@ -314,7 +316,7 @@
     def come():
         client = front.protocol()
         client.transport = Pipe()
-        front._connected(client)
+        front._on_connected(client)
         return client
 
     first, second = come(), come()
@@ -351,7 +353,7 @@
     async with stage(lambda words: answer(large)) as s:
         sock = await narrow(s)
         sock.sendall(read(1))
-        await s.until(lambda: any(not c.flushed() for c in s.program.front.clients))
+        await s.until(lambda: any(not c.is_flushed() for c in s.program.front.clients))
         os.kill(os.getpid(), signal.SIGTERM)
         await s.until(lambda: s.program.turns._ended)  # all is answered, and the process only waits
         await asyncio.wait([s.task], timeout=0.2)  # a process that does not wait would be gone by now
--- a/tests/test_platform_leaving.py
+++ b/tests/test_platform_leaving.py
@@ -40,7 +40,7 @@
 
 async def ready(s, shard=0):
     """Have an idle connection to a server on which the next attempt is begun at once."""
-    s.program.transport.quiet.ready_at = lambda since: since
+    s.program.transport.reuse_delay.ready_at = lambda since: since
     await served_on(s, shard=shard)
 
 
@@ -87,7 +87,7 @@
         sock = raw(s)
         sock.sendall(read(1) + read(2))
         leave(sock)
-        await s.until(lambda: s.program.front.count == 3 and not s.program.front.owes())
+        await s.until(lambda: s.program.front.submitted_count == 3 and not s.program.front.owes())
         await served_on(s)
         assert not asked(s, 1) and not asked(s, 2)
         assert s.program.driver.ledger.answer_counts[Verdict.LEFT] == 2
@@ -101,7 +101,7 @@
         sock = raw(s)
         sock.sendall(read(1))
         leave(sock)
-        await s.until(lambda: s.program.front.count == 1 and not s.program.front.owes())
+        await s.until(lambda: s.program.front.submitted_count == 1 and not s.program.front.owes())
         await served_on(s)
         assert s.program.transport.opened == s.servers[0].connections == 1
         assert s.program.driver.ledger.answer_counts[Verdict.LEFT] == 1
@@ -117,7 +117,7 @@
         tell(s, "s1", 1, NodeState.DRAINING)
         sock = await narrow(s)
         sock.sendall(read(1) + read(2, shard=1))
-        await s.until(lambda: any(c.stuck_at is not None for c in s.program.front.clients))
+        await s.until(lambda: any(c.blocked_since is not None for c in s.program.front.clients))
         assert s.program.front.owes() == 1
         leave(sock)
         tell(s, "s1", 1, NodeState.READY)
@@ -145,7 +145,7 @@
         await ready(s, shard=1)
         sock = await narrow(s)
         sock.sendall(read(1) + read(2, shard=1))
-        await s.until(lambda: out and any(c.stuck_at is not None for c in s.program.front.clients))
+        await s.until(lambda: out and any(c.blocked_since is not None for c in s.program.front.clients))
         assert s.program.front.owes() == 1
         leave(sock)
         (writer,) = s.servers[1].open
@@ -165,7 +165,7 @@
     async with stage(script, echo) as s:
         pool, driver = s.program.transport, s.program.driver
         if way == "rest":
-            pool.quiet.worth_waiting = lambda at, now, *, full: True
+            pool.reuse_delay.should_wait = lambda at, now, *, full: True
             await served_on(s)
         elif way == "descriptor":
             object.__setattr__(pool.bounds, "max_connections", 1)
@@ -176,7 +176,7 @@
             await served_on(s, shard=1)
         sock = raw(s)
         sock.sendall(read(2, shard=int(way == "descriptor")))
-        begin, begun = pool._begin, []
+        begin, begun = pool._write_if_allowed, []
 
         def late(connection, flight):
             if flight.call.op.name == ident(2).decode():
@@ -184,7 +184,7 @@
                 leave(sock)
             begin(connection, flight)
 
-        pool._begin = late
+        pool._write_if_allowed = late
         if way == "descriptor":
             await s.until(lambda: pool.queue)
             (writer,) = s.servers[0].open
@@ -223,9 +223,9 @@
         await ready(s)
         sock = raw(s)
         sock.sendall(codec.command(b"PING") * 2000 + b"".join(read(n) for n in range(1, 41)))
-        await s.until(lambda: any(c.parser.more for c in s.program.front.clients))
+        await s.until(lambda: any(c.parser.has_more for c in s.program.front.clients))
         half_closes(sock)
-        await s.until(lambda: s.program.front.count == 41 and not s.program.front.owes())
+        await s.until(lambda: s.program.front.submitted_count == 41 and not s.program.front.owes())
         await served_on(s)
         assert not any(asked(s, number) for number in range(1, 41))
         sock.close()
@@ -248,7 +248,7 @@
         await s.until(lambda: s.program.servers.dials["s0"] == peer.address)
         client = await s.client()
         client.send(write(1, b"x" * 65536))
-        await s.until(lambda: any(c.unsent for c in s.program.transport.open))
+        await s.until(lambda: any(c.has_unsent for c in s.program.transport.open))
         end = peer.accept()
         client.writer.close()
         await s.until(lambda: not s.program.driver.in_flight)
@@ -284,13 +284,13 @@
         for client in crowd:
             await client.ask(codec.command(b"PING"))
         looks, kind = [], type(next(iter(s.program.front.clients)))
-        hung_up = kind.hung_up
+        peer_has_closed = kind.peer_has_closed
         try:
-            kind.hung_up = lambda client: looks.append(client) or hung_up(client)
+            kind.peer_has_closed = lambda client: looks.append(client) or peer_has_closed(client)
             client = Client(*await asyncio.open_connection(*s.program.address))
             s.clients.append(client)
             assert await client.ask(read(1)) == b"value of " + ident(1)
             s.program.front.sweep()
             assert len(looks) == 2 and len(set(looks)) == 1
         finally:
-            kind.hung_up = hung_up
+            kind.peer_has_closed = peer_has_closed
--- a/tests/test_platform_nodes.py
+++ b/tests/test_platform_nodes.py
@@ -20,8 +20,8 @@
 from cressrock.lab.platform import answer
 from cressrock.resp import codec, nodes
 from cressrock.resp.nodes import RespTransport
-from cressrock.resp.pace import Pace
-from cressrock.resp.quiet import LEAST_MS, Quiet
+from cressrock.resp.pace import ReplyProgress
+from cressrock.resp.quiet import MIN_DELAY_MS, ReuseDelay
 from tests.test_platform import BOUNDS, Call, carried, on_sockets
 
 FAR = 60000.0
@@ -104,7 +104,7 @@
 
     def move(self, ms):
         self.now[0] += ms
-        self.pool._ring()
+        self.pool._on_timer()
 
     async def ended(self, call):
         while not call.endings:
@@ -182,7 +182,7 @@
     call, _ = bench.start(HUGE)
     end = await bench.peer.accepted()
     connection = await bench.written()
-    assert connection.unsent
+    assert connection.has_unsent
     end.shutdown(socket.SHUT_WR)
     assert (await bench.ended(call)).outcome is Outcome.NO_CONNECTION
     await asyncio.sleep(0)
@@ -224,11 +224,11 @@
     """Danger: a reset between the last look at a connection and the write; unsafe work would be lost."""
     end = await bench.served()
     bench.move(FAR / 10)
-    connection = bench.pool._idle("s0")
+    connection = bench.pool._take_idle("s0")
     reset(end)
     waits(connection)
     call = Call()
-    bench.pool._write(connection, nodes._Flight(bench.pool, call))
+    bench.pool._write(connection, nodes._InFlightAttempt(bench.pool, call))
     assert (await bench.ended(call)).outcome is Outcome.NO_CONNECTION
 
 
@@ -237,11 +237,11 @@
     """The safe side: the kernel took it, and a server may go on reading after its end."""
     end = await bench.served()
     bench.move(FAR / 10)
-    connection = bench.pool._idle("s0")
+    connection = bench.pool._take_idle("s0")
     end.shutdown(socket.SHUT_WR)
     waits(connection)
     call = Call()
-    bench.pool._write(connection, nodes._Flight(bench.pool, call))
+    bench.pool._write(connection, nodes._InFlightAttempt(bench.pool, call))
     assert (await bench.ended(call)).outcome is Outcome.RESET
 
 
@@ -335,7 +335,7 @@
         end = await bench.peer.accepted()
         await asyncio.to_thread(got, end, len(request))
         connection = await bench.written()
-        while connection.unsent:
+        while connection.has_unsent:
             await asyncio.sleep(0)
         bench.move(1000)
         assert not call.endings
@@ -355,7 +355,7 @@
     call, _ = bench.start(leave_by=bench.now[0] + 50)
     bench.move(50)  # no step of the loop yet
     assert (await bench.ended(call)).outcome is Outcome.ABANDONED
-    while bench.pool.opening:
+    while bench.pool.connecting_count:
         await asyncio.sleep(0)
     assert not bench.pool.open
 
@@ -404,11 +404,11 @@
             call, flight = bench.start()
             ending = await bench.ended(call)
             assert ending.outcome is (Outcome.ABANDONED if order == "stop" else Outcome.NO_CONNECTION)
-            while bench.pool.opening:
+            while bench.pool.connecting_count:
                 await asyncio.sleep(0)
             await asyncio.sleep(0)
             assert raws[0].fileno() == -1 and not bench.pool.open and not bench.pool.idle
-            assert drained(bench.peer.accept()) == 0 and bench.pool.opening == 0
+            assert drained(bench.peer.accept()) == 0 and bench.pool.connecting_count == 0
 
         test()
 
@@ -454,7 +454,7 @@
         connection.data_received(begin)
         while not call.endings and now[0] < call.deadline:
             now[0] += BOUNDS.stall_ms - 1
-            pool._ring()
+            pool._on_timer()
             if not call.endings:
                 connection.data_received(b"x")
         (ending,) = call.endings
@@ -466,24 +466,24 @@
 
 def test_a_long_answer_in_pieces_is_waited_for_as_long_as_its_pace_can_make_it():
     for per_piece, whole in ((4200, True), (3800, False)):  # 4000 of them a stall time apart make it
-        pace = Pace(0.0, 5000.0, 50.0)
+        pace = ReplyProgress(0.0, 5000.0, 50.0)
         now, held, need = 0.0, 0, 400000
         while now < 5000 and held < need:
             held += per_piece
-            pace.heard(now, held, need)
+            pace.record(now, held, need)
             now += 49.9
-            if now >= pace.gives_up_at() and pace.broken(now):
+            if now >= pace.next_check_at() and pace.is_broken(now):
                 break
         assert (held >= need) is whole
         assert whole or now < 2600  # found when half of the time is over
 
 
 def test_a_pace_that_falls_off_is_found_at_the_next_check():
-    pace = Pace(0.0, 4000.0, 50.0)
-    pace.heard(0.0, 70, 100)
+    pace = ReplyProgress(0.0, 4000.0, 50.0)
+    pace.record(0.0, 70, 100)
     now = 0.0
-    while now < 4000 and not pace.broken(now):
-        pace.heard(now, 70, 100)  # never silent for the whole stall time, and no further
+    while now < 4000 and not pace.is_broken(now):
+        pace.record(now, 70, 100)  # never silent for the whole stall time, and no further
         now += 49
     assert 3000 <= now < 3100
 
@@ -529,12 +529,12 @@
         gone.append(weakref.ref(call))
         flight.stop()
         del call, flight
-    while bench.pool.opening:
+    while bench.pool.connecting_count:
         await asyncio.sleep(0)
-    bench.pool._admit()
+    bench.pool._process_queue()
     gc.collect()
     assert not [ref for ref in gone if ref() is not None]
-    assert len(bench.pool._limits) <= 70 and bench.pool.live == 0
+    assert len(bench.pool._checks) <= 70 and bench.pool.active_count == 0
 
 
 # --- a connection rests after an answer
@@ -554,7 +554,7 @@
 async def test_the_late_copy_of_an_answer_is_never_the_next_requests_answer(bench):
     """Danger: a client is served the value that was made for another request."""
     first = await bench.served(b"of the first")
-    bench.pool.quiet.connect_ms = LEAST_MS  # a handshake takes no less
+    bench.pool.reuse_delay.connect_ms = MIN_DELAY_MS  # a handshake takes no less
     call, _ = bench.start()
     await rounds()
     first.sendall(answer(b"of the first"))  # some milliseconds later, by the clock of the pool
@@ -574,7 +574,7 @@
     assert await read(second, 7) == b"request" and silent(first)
     second.sendall(answer(b"two"))
     assert (await bench.ended(call)).reply == b"two"
-    bench.move(LEAST_MS)
+    bench.move(MIN_DELAY_MS)
     bench.start()  # both have rested: no third is opened
     assert await read(second, 7) == b"request" and bench.pool.opened == 2
 
@@ -582,16 +582,16 @@
 @on_bench()
 async def test_a_connection_that_stayed_quiet_is_used_again_at_once(bench):
     first = await bench.served()
-    bench.pool.quiet.connect_ms = LEAST_MS  # a handshake takes no less
+    bench.pool.reuse_delay.connect_ms = MIN_DELAY_MS  # a handshake takes no less
     call, _ = bench.start()
-    bench.move(LEAST_MS - 0.1)
+    bench.move(MIN_DELAY_MS - 0.1)
     await rounds()
-    assert silent(first) and not bench.pool.opening
+    assert silent(first) and not bench.pool.connecting_count
     bench.move(0.1)
     assert await read(first, 7) == b"request"
     first.sendall(answer(b"two"))
     assert (await bench.ended(call)).reply == b"two"
-    bench.move(LEAST_MS)
+    bench.move(MIN_DELAY_MS)
     call, _ = bench.start()
     assert await read(first, 7) == b"request"
     assert bench.pool.opened == 1 and bench.pool.reused == 2
@@ -600,19 +600,19 @@
 @on_bench()
 async def test_one_waits_for_a_resting_connection_and_the_next_opens_its_own(bench):
     first = await bench.served()
-    bench.pool.quiet.connect_ms = LEAST_MS  # a handshake takes no less
+    bench.pool.reuse_delay.connect_ms = MIN_DELAY_MS  # a handshake takes no less
     waiting, _ = bench.start()
     other, _ = bench.start()
     second = await bench.peer.accepted()
     assert await read(second, 7) == b"request" and silent(first)
-    bench.move(LEAST_MS)
+    bench.move(MIN_DELAY_MS)
     assert await read(first, 7) == b"request"
     second.sendall(answer(b"2"))
     await bench.ended(other)
     bench.move(1)
     first.sendall(answer(b"1"))
     await bench.ended(waiting)
-    bench.move(LEAST_MS - 1)  # the one used last still rests
+    bench.move(MIN_DELAY_MS - 1)  # the one used last still rests
     bench.start()
     assert await read(second, 7) == b"request" and silent(first)
     bench.pool.forget("s0")
@@ -626,7 +626,7 @@
     (connection,) = bench.pool.open
     first.sendall(answer(b"one"))
     waits(connection)
-    bench.move(LEAST_MS)  # in one step of the loop with their coming
+    bench.move(MIN_DELAY_MS)  # in one step of the loop with their coming
     second = await bench.peer.accepted()
     assert await read(second, 7) == b"request"
     second.sendall(answer(b"two"))
@@ -640,7 +640,7 @@
     first.sendall(b"x")
     while bench.pool.open:
         await asyncio.sleep(0)
-    assert bench.pool.quiet.rest_ms == 40
+    assert bench.pool.reuse_delay.delay_ms == 40
     second = await bench.served()
     call, _ = bench.start()
     third = await bench.peer.accepted()
@@ -655,21 +655,21 @@
 
 
 def test_what_is_learnt_of_late_bytes_is_bounded_and_kept():
-    quiet = Quiet(50.0)
-    assert quiet.ready_at(100.0) == 100 + LEAST_MS
-    quiet.heard(2.0)
-    assert quiet.rest_ms == LEAST_MS
-    quiet.heard(12.0)
-    quiet.heard(7.0)
-    assert quiet.rest_ms == 24 and not quiet.worth_waiting(24.0, 0.0)
+    quiet = ReuseDelay(50.0)
+    assert quiet.ready_at(100.0) == 100 + MIN_DELAY_MS
+    quiet.record_late_bytes(2.0)
+    assert quiet.delay_ms == MIN_DELAY_MS
+    quiet.record_late_bytes(12.0)
+    quiet.record_late_bytes(7.0)
+    assert quiet.delay_ms == 24 and not quiet.should_wait(24.0, 0.0)
     # So long as a new connection takes is waited, and no longer; the least rest too, where none is left.
-    assert not quiet.worth_waiting(24.0, 23.0) and quiet.worth_waiting(24.0, 14.0, full=True)
-    assert not quiet.worth_waiting(24.0, 13.9, full=True)
-    quiet.connected(2.0)
-    assert quiet.worth_waiting(24.0, 22.0) and not quiet.worth_waiting(24.0, 21.9)
-    quiet.heard(9000.0)
-    assert quiet.rest_ms == 50
-    assert Quiet(1.0).rest_ms == LEAST_MS  # a bound under the least changes nothing
+    assert not quiet.should_wait(24.0, 23.0) and quiet.should_wait(24.0, 14.0, full=True)
+    assert not quiet.should_wait(24.0, 13.9, full=True)
+    quiet.record_connect_time(2.0)
+    assert quiet.should_wait(24.0, 22.0) and not quiet.should_wait(24.0, 21.9)
+    quiet.record_late_bytes(9000.0)
+    assert quiet.delay_ms == 50
+    assert ReuseDelay(1.0).delay_ms == MIN_DELAY_MS  # a bound under the least changes nothing
 
 
 def test_an_attempt_given_up_while_its_connection_rests_was_never_sent():
@@ -678,18 +678,18 @@
         @on_bench()
         async def test(bench, order=order):
             first = await bench.served()
-            bench.pool.quiet.connect_ms = LEAST_MS  # a handshake takes no less
-            at = bench.now[0] + LEAST_MS / 2
+            bench.pool.reuse_delay.connect_ms = MIN_DELAY_MS  # a handshake takes no less
+            at = bench.now[0] + MIN_DELAY_MS / 2
             limits = {order: at} if order in ("deadline", "leave_by") else {}
             call, flight = bench.start(**limits)
             call.may_leave = lambda: order != "may_leave"
-            bench.move(LEAST_MS / 2)
+            bench.move(MIN_DELAY_MS / 2)
             if order == "stop":
                 flight.stop()
             if order == "may_leave":
-                bench.move(LEAST_MS / 2)
+                bench.move(MIN_DELAY_MS / 2)
             assert (await bench.ended(call)).outcome is Outcome.ABANDONED
-            bench.move(LEAST_MS / 2)
+            bench.move(MIN_DELAY_MS / 2)
             assert silent(first)
             call, _ = bench.start()  # its rest has gone on
             assert await read(first, 7) == b"request" and bench.pool.opened == 1
--- a/tests/test_platform_room.py
+++ b/tests/test_platform_room.py
@@ -17,17 +17,22 @@
 from cressrock.resp import codec
 from cressrock.resp.codec import Status
 from cressrock.resp.listener import Listener
-from cressrock.resp.room import ROUNDS, accepted_at_once
+from cressrock.resp.room import LOOP_ITERATIONS, accepted_at_once
 from tests.test_platform import Client, ident, on_sockets, read, socket_free, stage
 
 LIMIT = 64
 
 
 def test_what_is_accepted_on_its_way_to_the_front_fits_the_spare_descriptors():
-    for spare in range(ROUNDS, 200):
-        assert 0 < ROUNDS * accepted_at_once(spare) <= spare < ROUNDS * (accepted_at_once(spare) + 1)
+    for spare in range(LOOP_ITERATIONS, 200):
+        assert (
+            0
+            < LOOP_ITERATIONS * accepted_at_once(spare)
+            <= spare
+            < LOOP_ITERATIONS * (accepted_at_once(spare) + 1)
+        )
     assert accepted_at_once(0) == 1
-    assert program.SPARE - program.OWN >= ROUNDS
+    assert program.SPARE - program.OWN >= LOOP_ITERATIONS
 
 
 class Standing(asyncio.Protocol):
@@ -52,7 +57,7 @@
     while len(made) < len(crowd):
         await asyncio.sleep(0)
         ways.append(len(os.listdir("/proc/self/fd")) - files - len(made))
-    assert 0 < max(ways) <= count * (ROUNDS - 1)
+    assert 0 < max(ways) <= count * (LOOP_ITERATIONS - 1)
     listener.close()
     assert not listener.is_serving()
     for transport in made:
@@ -104,7 +109,7 @@
         other = await s.client()
         with pytest.raises((EOFError, ConnectionError)):
             await other.ask(read(2))
-        assert s.program.front.count == 1 and len(s.program.front.clients) == 1
+        assert s.program.front.submitted_count == 1 and len(s.program.front.clients) == 1
         for writer in s.servers[0].open:
             writer.write(echo(s.servers[0].seen[0]))
         assert await client.reply() == b"value of " + ident(1)
--- a/tests/test_resp.py
+++ b/tests/test_resp.py
@@ -8,10 +8,10 @@
 
 from cressrock.interface import DeduplicationScope, Idempotency, Outcome, Plan, RequestClass, Settings
 from cressrock.resp import codec
-from cressrock.resp.answers import load_of, outcome_of
+from cressrock.resp.answers import parse_load, parse_outcome
 from cressrock.resp.codec import Commands, ErrorLine, ProtocolError, Replies, Status
 from cressrock.resp.request import InvalidCommandError, Reader
-from cressrock.resp.room import give_up_unread, leaves_first
+from cressrock.resp.room import choose_eviction, choose_unread
 
 WORD = st.binary(max_size=40)
 
@@ -29,7 +29,7 @@
         found, wrong = parser.feed(part)
         assert wrong is None
         got += found
-    assert got == commands and not parser.partial
+    assert got == commands and not parser.is_partial
 
 
 REPLY = st.one_of(
@@ -54,7 +54,7 @@
         parser.feed(part)
         while (found := parser.next()) is not None:
             got += found
-    assert got == replies and not parser.partial
+    assert got == replies and not parser.is_partial
 
 
 @given(st.binary(max_size=300), st.lists(st.integers(0, 10**6), max_size=5))
@@ -94,7 +94,7 @@
     parser = Commands()
     found, wrong = parser.feed(data)
     assert not found and isinstance(wrong, ProtocolError)
-    assert not parser.partial  # nothing of it is kept
+    assert not parser.is_partial  # nothing of it is kept
 
 
 def test_what_came_before_the_unreadable_is_still_a_command():
@@ -137,9 +137,9 @@
 
 
 def test_answers_read_as_outcomes():
-    assert outcome_of([b"v", None, None]) == (Outcome.OK, b"v", "")
-    assert outcome_of([b"", b"used=1", b"inflight=2"])[:2] == (Outcome.OK, b"")
-    assert outcome_of(ErrorLine("BUSY"))[0] is Outcome.FULL
+    assert parse_outcome([b"v", None, None]) == (Outcome.OK, b"v", "")
+    assert parse_outcome([b"", b"used=1", b"inflight=2"])[:2] == (Outcome.OK, b"")
+    assert parse_outcome(ErrorLine("BUSY"))[0] is Outcome.FULL
     for other in (
         ErrorLine("ERR failed"),
         ErrorLine("BUSYBODY"),
@@ -152,16 +152,16 @@
         [b"v"],
         [b"v", None, None, None],
     ):
-        assert outcome_of(other)[:2] == (Outcome.ERROR, None)
+        assert parse_outcome(other)[:2] == (Outcome.ERROR, None)
 
 
 def test_figures_on_use_are_read_and_what_is_no_figure_counts_as_none():
-    assert load_of([b"v", b"used=37,cost=4", None]) == (38, 4.0)
-    assert load_of([b"v", b"used=0", None]) == (1, 0.0)  # nothing used is told; 0 would be untold
-    assert load_of([b"v", b"cost=2.5", b"inflight=3"]) == (0, 2.5)
-    assert load_of(ErrorLine("ERR failed used=12,cost=3 inflight=7")) == (13, 3.0)
+    assert parse_load([b"v", b"used=37,cost=4", None]) == (38, 4.0)
+    assert parse_load([b"v", b"used=0", None]) == (1, 0.0)  # nothing used is told; 0 would be untold
+    assert parse_load([b"v", b"cost=2.5", b"inflight=3"]) == (0, 2.5)
+    assert parse_load(ErrorLine("ERR failed used=12,cost=3 inflight=7")) == (13, 3.0)
     for noise in (None, b"used=", b"used=x,cost=-3", b"xused=5", b"\xff" * 30, b"used=1e9", b"used=5" * 100):
-        assert load_of([b"v", noise, None]) == (0, 0.0)
+        assert parse_load([b"v", noise, None]) == (0, 0.0)
 
 
 # --- requests
@@ -273,7 +273,7 @@
 
 
 def standing(asked, since):
-    return SimpleNamespace(asked=asked, since=since)
+    return SimpleNamespace(has_sent_command=asked, active_at=since)
 
 
 def test_who_leaves_for_a_new_connection():
@@ -282,18 +282,18 @@
     everyone = [newcomer, idle, silent, idler]
     order = []
     while everyone:
-        worst = leaves_first(everyone, newcomers_since=50)
+        worst = choose_eviction(everyone, new_since=50)
         everyone.remove(worst)
         order.append(worst)
-    assert order == [silent, idler, idle, newcomer] and leaves_first([], 50) is None
+    assert order == [silent, idler, idle, newcomer] and choose_eviction([], 50) is None
 
 
 def test_the_largest_unread_answers_are_given_up_and_no_more_than_needed():
     class Peer:
-        since = 0.0
+        active_at = 0.0
 
     a, b, c = Peer(), Peer(), Peer()
     held = {a: 60, b: 30, c: 50}
-    assert give_up_unread(held, 140) == []
-    assert give_up_unread(held, 90) == [a]
-    assert give_up_unread(held, 0) == [a, c, b]
+    assert choose_unread(held, 140) == []
+    assert choose_unread(held, 90) == [a]
+    assert choose_unread(held, 0) == [a, c, b]
