--- a/tests/compatibility/record_resp.py
+++ b/tests/compatibility/record_resp.py
@@ -1,4 +1,4 @@
-"""Record RESP2 as it is read and written: `python -m tests.compatibility.record_resp`."""
+"""Record how RESP2 is parsed and encoded: `python -m tests.compatibility.record_resp`."""
 
 from tests.compatibility import canonical, resp_cases
 
--- a/tests/compatibility/resp_cases.py
+++ b/tests/compatibility/resp_cases.py
@@ -1,4 +1,4 @@
-"""RESP2 as clients and storage servers speak it: values and bytes, commands, answers, every kind of error."""
+"""Recorded RESP2 cases: encoded bytes, commands, answers, and every kind of error."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 WRITE_NAMES = f"c=write,t=gold,d=480,k={HEX},volume={HEX},units=2,shard=5,hosts=3"
 CLIENT_WORDS = [b"PING", b"SELECT", b"IO.IN", b"IO.OUT", b"", b"a b", b"\r\n", b"\xff\x00", b"x" * 512]
 
-# What a parser is fed, piece by piece; recorded is what it makes of them.
+# Parser inputs as lists of pieces; the parsed results are recorded.
 COMMAND_INPUTS: list[list[bytes]] = [
     [codec.command(b"PING")],
     [codec.command(b"PING") * 3],
@@ -85,7 +85,7 @@
     [b"-" + b"x" * 511 + b"\r\n"],
     [b"\x00\x01"],
 ]
-# Reply of a storage server -> outcome, value, text, figures on use.
+# Replies of a storage server; recorded are outcome, value, text and load.
 ANSWERS: list[codec.Reply] = [
     [b"v", None, None],
     [b"", b"used=1", b"inflight=2"],
@@ -183,7 +183,7 @@
 
 
 def encoded() -> list[str]:
-    """Return what is written for commands, strings, error and status lines."""
+    """Return the encoded commands, strings, error and status lines, in hex."""
     rng = random.Random(5)
     written = [
         codec.command(*(rng.choice(CLIENT_WORDS) for _ in range(rng.randint(1, 8)))) for _ in range(20)
@@ -209,7 +209,7 @@
 
 
 def parsed_commands(pieces: list[bytes]) -> Any:
-    """Feed a server's parser; return its commands, the error's text, and whether bytes wait."""
+    """Parse commands; return for each piece the commands, the error text, and whether input is incomplete."""
     parser, results = codec.Commands(), []
     for piece in pieces:
         commands, error = parser.feed(piece)
@@ -220,7 +220,7 @@
 
 
 def parsed_in_steps() -> Any:
-    """Feed a server's parser three commands of which it may give two at a time."""
+    """Parse three commands with a limit of two per call."""
     parser = codec.Commands()
     first = parser.feed(codec.command(b"PING") * 3, 2)
     more = parser.has_more
@@ -228,7 +228,7 @@
 
 
 def parsed_replies(pieces: list[bytes]) -> Any:
-    """Feed a client's parser; return its replies, the error's text, and whether bytes wait."""
+    """Parse replies; return them with the error text, or with whether input is incomplete."""
     parser, replies = codec.Replies(), []
     try:
         for piece in pieces:
@@ -241,7 +241,7 @@
 
 
 def read_request(reader: Reader, words: list[bytes]) -> Any:
-    """Read a client's command; return its values and what a storage server gets, or the error's text."""
+    """Parse a client's command; return the request and its encodings for a server, or the error text."""
     try:
         request = reader.read(words)
     except InvalidCommandError as error:
@@ -251,7 +251,7 @@
 
 
 def content() -> dict[str, Any]:
-    """Return everything that is recorded, computed by the present code."""
+    """Return everything that is recorded, computed by the current code."""
     return {
         "encoded": encoded(),
         "commands": [parsed_commands(pieces) for pieces in COMMAND_INPUTS],
--- a/tests/compatibility/test_resp.py
+++ b/tests/compatibility/test_resp.py
@@ -1,4 +1,4 @@
-"""RESP2 is read and written as recorded: bytes, values, requests, answers, and the texts of errors."""
+"""RESP2 is parsed and encoded as recorded: bytes, values, requests, answers and error texts."""
 
 import pytest
 
@@ -8,14 +8,14 @@
 
 
 @pytest.fixture(scope="module")
-def present():
+def current():
     return resp_cases.content()
 
 
 @pytest.mark.parametrize("part", RECORDED)
-def test_a_part_of_the_protocol_is_as_recorded(part, present):
-    assert present[part] == RECORDED[part]
+def test_each_part_of_the_protocol_matches_the_record(part, current):
+    assert current[part] == RECORDED[part]
 
 
-def test_every_part_was_recorded(present):
-    assert present.keys() == RECORDED.keys()
+def test_every_part_was_recorded(current):
+    assert current.keys() == RECORDED.keys()
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -1,4 +1,4 @@
-"""The dispatcher on the platform, on loopback sockets; clients, servers and discovery are scripted."""
+"""The platform's dispatcher over loopback sockets, with scripted clients, servers and discovery."""
 
 import asyncio
 import json
@@ -64,7 +64,7 @@
         self.writer.write(b"".join(data))
 
     async def reply(self):
-        """Return the next reply; raises EOFError at the end."""
+        """Return the next reply.  Raises EOFError at the end of the connection."""
         while (found := self.parser.next()) is None:
             data = await self.reader.read(65536)
             if not data:
@@ -78,7 +78,7 @@
 
 
 class Stage:
-    """Discovery, storage servers by shard, and a program."""
+    """Discovery, one storage server per shard, and a running program."""
 
     def __init__(self, discovery, servers, program, task):
         self.discovery, self.servers, self.program, self.task = discovery, servers, program, task
@@ -116,7 +116,7 @@
 
 
 def on_sockets(test):
-    """Run an async test; a hang ends it, which no verdict but that rests on."""
+    """Run an async test with a 30 s limit; the limit only ends tests that hang."""
 
     @wraps(test)
     def run(**fixtures):
@@ -130,24 +130,24 @@
 
 
 @on_sockets
-async def test_a_read_and_a_write_go_through_with_their_words_unchanged():
+async def test_a_read_and_a_write_are_forwarded_with_their_words_unchanged():
     async with stage() as s:
         client = await s.client()
         assert await client.ask(codec.command(b"PING")) == Status("PONG")
         assert await client.ask(read(1)) == b"value of " + ident(1)
         pool = s.program.transport
-        rested = pool.reuse_delay.ready_at(next(iter(pool.open)).idle_since)
-        await s.until(lambda: pool.clock() >= rested)  # it rests after an answer
+        reusable_at = pool.reuse_delay.ready_at(next(iter(pool.open)).idle_since)
+        await s.until(lambda: pool.clock() >= reusable_at)  # the delay before reuse
         assert await client.ask(write(2, b"x" * 65536)) == b"value of " + ident(2)
         first, second = s.servers[0].seen
         assert first[:3] == [b"IO.IN", PIECE, ident(1)] and len(first) == 4
         assert second[0] == b"IO.OUT" and second[4] == b"x" * 65536
         assert b",k=" + ident(2) in second[3]
-        assert s.servers[0].connections == 1  # the second attempt used the first one's connection
+        assert s.servers[0].connections == 1  # the second attempt reused the first connection
 
 
 @on_sockets
-async def test_answers_come_in_the_order_of_the_commands():
+async def test_answers_are_in_the_order_of_the_commands():
     held = []
 
     def slow(words):
@@ -171,7 +171,7 @@
 
 
 @on_sockets
-async def test_an_id_that_is_open_is_never_sent_a_second_time():
+async def test_a_request_with_an_open_id_is_refused():
     async with stage(lambda words: None) as s:
         first, second = await s.client(), await s.client()
         first.send(read(1))
@@ -182,7 +182,7 @@
 
 
 @on_sockets
-async def test_what_cannot_be_read_is_answered_with_an_error_and_a_close():
+async def test_invalid_input_is_answered_with_an_error_and_a_close():
     async with stage() as s:
         for bad in (b"GET / HTTP/1.1\r\n\r\n", b"*2\r\n$1\r\na\r\n$62914560\r\n", b"*-7\r\n", b"x" * 100000):
             client = await s.client()
@@ -195,7 +195,7 @@
 
 
 @on_sockets
-async def test_a_command_that_is_none_gets_an_error_and_never_a_value():
+async def test_an_invalid_command_gets_an_error():
     async with stage() as s:
         client = await s.client()
         others = (codec.command(b"IO.IN"), codec.command(b"FLUSHALL"))
@@ -207,7 +207,7 @@
 
 
 @on_sockets
-async def test_silent_and_half_commands_are_closed_and_waiting_ones_are_not():
+async def test_silent_connections_are_closed_and_those_with_open_requests_are_not():
     async with stage(lambda words: None) as s:
         silent, half, waiting = [await s.client() for _ in range(3)]
         half.send(read(1)[:30])
@@ -224,7 +224,7 @@
 
 
 @on_sockets
-async def test_silent_connections_make_room_for_new_ones():
+async def test_silent_connections_are_evicted_for_new_ones():
     async with stage(limits={"sockets": 60, "memory_mb": 64}) as s:
         most = s.program.front.bounds.max_connections
         for _ in range(2 * most):
@@ -235,8 +235,8 @@
 
 
 @on_sockets
-async def test_a_crowd_of_silent_connections_costs_nobody_who_has_asked_its_answer():
-    """Danger: all are accepted before any is read, and who has written looks as silent as the crowd."""
+async def test_a_burst_of_silent_connections_does_not_evict_clients_with_requests():
+    """All are accepted before any is read, so clients with a request look as silent as the others."""
     async with stage(limits={"sockets": 60, "memory_mb": 64}) as s:
         most = s.program.front.bounds.max_connections
         raw = []
@@ -257,8 +257,8 @@
 
 
 @on_sockets
-async def test_what_is_still_owed_as_the_platforms_time_is_up_is_answered(monkeypatch):
-    """Danger: a request with more patience than the platform leaves after SIGTERM ends without an answer."""
+async def test_requests_open_at_the_end_of_the_shutdown_are_answered(monkeypatch):
+    """Otherwise a request whose deadline is after the platform's time limit for SIGTERM gets no answer."""
     for name, value in (("NEW_MS", 20.0), ("COUNTED_MS", 100.0), ("ADDED_MS", 150.0), ("AHEAD_MS", 50.0)):
         monkeypatch.setattr(stopping, name, value)
     async with stage(lambda words: None) as s:
@@ -268,16 +268,16 @@
         await s.until(lambda: s.servers[0].seen and s.program.front.owes() == 2)
         os.kill(os.getpid(), signal.SIGTERM)
         await s.task
-        assert s.program.front.owes() == 0  # the process may be gone from here on
-        told = [await client.reply(), await other.reply()]
-        assert [reply.text.split()[0] for reply in told] == ["ERR", "BUSY"]
+        assert s.program.front.owes() == 0  # the process may exit at any time from here on
+        replies = [await client.reply(), await other.reply()]
+        assert [reply.text.split()[0] for reply in replies] == ["ERR", "BUSY"]
         with pytest.raises(EOFError):
             await client.reply()
 
 
 @on_sockets
-async def test_the_log_tells_beliefs_of_the_servers_that_are_used(capsys):
-    """Danger: a line with hundreds of servers, of which a dispatcher uses a few, hides those."""
+async def test_the_log_lists_beliefs_only_for_servers_in_use(capsys):
+    """Otherwise the few servers in use are hard to find among hundreds in the log line."""
     async with stage(echo, echo, echo) as s:
         client = await s.client()
         await client.ask(read(1, shard=1))
@@ -286,22 +286,22 @@
         assert "s1:ready" in line and "s0:" not in line and line.endswith("2 not used yet")
 
 
-SPOILT = {
+INVALID_ANSWERS = {
     "noise": b"\x8f\x02\xff noise\r\n",
     "an endless line": b"+" + b"x" * 4000,
     "a value of 3 GB": b"*3\r\n$3000000000\r\nxxxxxxxx",
     "a length too short": answer(b"0123456789").replace(b"$10", b"$4"),
     "no value": b"*3\r\n$-1\r\n$-1\r\n$-1\r\n",
-    "another form": b"$5\r\nvalue\r\n",
-    "a line of another kind": b"+OK\r\n",
-    "begun and not gone on with": b"*3\r\n$10\r\n0123",
+    "a bulk string instead of an array": b"$5\r\nvalue\r\n",
+    "a status line": b"+OK\r\n",
+    "incomplete": b"*3\r\n$10\r\n0123",
 }
 
 
-@pytest.mark.parametrize("kind", SPOILT)
-def test_a_spoilt_answer_is_a_failed_attempt_and_nothing_of_it_is_served(kind):
+@pytest.mark.parametrize("kind", INVALID_ANSWERS)
+def test_an_invalid_answer_is_a_failed_attempt_and_is_not_served(kind):
     def script(words):
-        return SPOILT[kind] if len(server[0].seen) == 1 else echo(words)
+        return INVALID_ANSWERS[kind] if len(server[0].seen) == 1 else echo(words)
 
     server = []
 
@@ -310,15 +310,15 @@
         async with stage(script) as s:
             server.append(s.servers[0])
             client = await s.client()
-            assert await client.ask(read(1)) == b"value of " + ident(1)  # by a second attempt
+            assert await client.ask(read(1)) == b"value of " + ident(1)  # from a second attempt
             assert s.program.observer.outcomes["error"] == 1
-            assert s.servers[0].connections == 2  # the spoilt connection was of no further use
+            assert s.servers[0].connections == 2  # the connection with the invalid answer was not reused
 
     test()
 
 
 @pytest.mark.parametrize("more", [echo([b"", b"", ident(1)]), b"noise", b"$-1\r\n"])
-def test_what_comes_behind_an_answer_is_not_the_next_requests(more):
+def test_bytes_after_an_answer_are_not_read_as_the_next_answer(more):
     @on_sockets
     async def test():
         async with stage(lambda words: echo(words) + more) as s:
@@ -331,7 +331,7 @@
 
 
 @on_sockets
-async def test_bytes_that_come_while_a_connection_idles_end_it():
+async def test_bytes_on_an_idle_connection_close_it():
     async with stage() as s:
         client = await s.client()
         assert await client.ask(read(1)) == b"value of " + ident(1)
@@ -342,7 +342,7 @@
 
 
 @on_sockets
-async def test_a_write_that_may_have_run_is_failed_where_no_attempt_is_left_and_busy_is_refused():
+async def test_a_write_that_may_have_run_fails_and_one_answered_busy_is_refused():
     failed, busy = codec.error("ERR failed used=5,cost=1"), codec.error("BUSY")
     async with stage(lambda words: failed, lambda words: busy) as s:
         client = await s.client()
@@ -354,7 +354,7 @@
 
 
 @on_sockets
-async def test_a_client_that_leaves_is_owed_nothing_and_its_attempt_is_given_up():
+async def test_a_disconnected_clients_attempt_is_cancelled():
     async with stage(lambda words: None) as s:
         client = await s.client()
         client.send(read(1))
@@ -363,14 +363,14 @@
         await s.until(lambda: not s.servers[0].open)
         driver = s.program.driver
         assert not driver.pending and not driver.ledger.entries and not s.program.front.owes()
-        # Danger: without the driver's being told, all this comes true as well, at the request's deadline.
+        # Without the notification to the driver, the above would hold only at the request's deadline.
         assert driver.ledger.answer_counts[Verdict.LEFT] == 1
         assert s.program.observer.outcomes["cancelled"] == 1 and not s.program.observer.outcomes["timeout"]
 
 
 @on_sockets
-async def test_a_request_whose_client_left_while_it_waited_is_never_sent_on():
-    """Whatever keeps it here: a server's turn, the connection to come up, a descriptor."""
+async def test_a_waiting_request_of_a_disconnected_client_is_never_sent():
+    """A request can wait for a server, a connection or a descriptor; here its only server is draining."""
     async with stage(lambda words: None) as s:
         first, second = await s.client(), await s.client()
         first.send(read(1))
@@ -401,7 +401,7 @@
 
 
 @on_sockets
-async def test_no_answer_leaves_in_silence_and_the_dispatcher_is_clean_after_it():
+async def test_an_unanswered_request_gets_an_error_and_leaves_no_state():
     async with stage(lambda words: None) as s:
         client = await s.client()
         assert isinstance(await client.ask(read(1, d=150)), ErrorLine)
@@ -410,12 +410,12 @@
 
 
 @on_sockets
-async def test_news_of_discovery_reach_the_scheduler_and_a_new_address_is_used():
+async def test_changes_in_discovery_reach_the_scheduler_and_a_new_address_is_used():
     async with stage(echo, echo) as s:
         nodes = s.program.driver.ledger.nodes
         s.discovery.put("s1", s.servers[1].address, 1, health="leaving")
         await s.until(lambda: nodes["s1"].state is NodeState.DRAINING)
-        s.discovery.put("s0", s.servers[1].address, 0)  # another machine behind the name
+        s.discovery.put("s0", s.servers[1].address, 0)  # the name now refers to another machine
         await s.until(lambda: s.program.servers.dials["s0"][1] == int(s.servers[1].address.split(":")[1]))
         client = await s.client()
         assert await client.ask(read(1)) == b"value of " + ident(1)
@@ -423,11 +423,11 @@
 
 
 @on_sockets
-async def test_a_discovery_that_fails_is_asked_again():
+async def test_a_failed_call_to_discovery_is_retried():
     async with stage() as s:
         await s.until(lambda: s.discovery.calls >= 2)
         s.discovery.failing = True
-        s.discovery.put("s0", s.servers[0].address, 0)  # ends the watch; the next call fails
+        s.discovery.put("s0", s.servers[0].address, 0)  # completes the watch; the next call fails
         await s.until(lambda: s.program.watch.failed)
         s.discovery.failing = False
         s.discovery.put("s9", s.servers[0].address, 3)
@@ -435,9 +435,9 @@
 
 
 @on_sockets
-async def test_sighups_new_discovery_is_followed_at_once():
+async def test_a_new_discovery_address_is_used_at_once():
     async with stage() as s:
-        await s.until(lambda: s.discovery.calls >= 2)  # the watch waits
+        await s.until(lambda: s.discovery.calls >= 2)  # the watch is pending
         other = await Discovery().start()
         other.version = s.discovery.version
         s.program.watch.move(parse(json.dumps(config(other))).discovery)
@@ -447,7 +447,7 @@
         assert not s.program.watch.failed
 
 
-def test_a_configuration_that_is_missing_or_broken_ends_with_one_line(tmp_path):
+def test_a_missing_or_invalid_configuration_is_reported_in_one_line(tmp_path):
     broken = tmp_path / "config.json"
     broken.write_text("{")
     for path in (str(broken), str(tmp_path / "none")):
@@ -461,7 +461,7 @@
         assert done.returncode == 1 and len(done.stderr.splitlines()) == 1 and path in done.stderr
 
 
-def test_the_process_takes_sighup_and_answers_all_before_it_ends_on_sigterm(tmp_path):
+def test_the_process_reloads_on_sighup_and_answers_all_requests_after_sigterm(tmp_path):
     path = tmp_path / "config.json"
 
     @on_sockets
@@ -506,7 +506,8 @@
                 writer.write(echo(held[0]))
             assert await client.reply() == b"value of " + ident(1)
             server.script = echo
-            assert await client.ask(read(2, d=3000)) == b"value of " + ident(2)  # still served on this one
+            # Open connections are still served.
+            assert await client.ask(read(2, d=3000)) == b"value of " + ident(2)
             with pytest.raises((EOFError, ConnectionError)):
                 await client.reply()
             assert await process.wait() == 0
@@ -520,7 +521,7 @@
 
 
 class socket_free:  # noqa: N801
-    """Find a port that nobody listens on."""
+    """Return a TCP port that is not in use."""
 
     def __enter__(self):
         import socket
@@ -533,7 +534,7 @@
         pass
 
 
-HEAVY = (
+FORBIDDEN_MODULES = (
     "msgspec",
     "lxml",
     "rjsonnet",
@@ -546,21 +547,21 @@
 )
 
 
-def test_the_process_loads_none_of_the_gateways_libraries():
+def test_the_process_does_not_load_the_gateways_libraries():
     code = (
         "import sys, cressrock.cli.start, cressrock.platform.program\n"
-        f"print([name for name in {HEAVY!r} if name in sys.modules])"
+        f"print([name for name in {FORBIDDEN_MODULES!r} if name in sys.modules])"
     )
     done = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True, timeout=60)
     assert done.stdout.strip() == "[]"
 
 
-class Pipe:
-    """A transport that keeps what is written, and can refuse to take it."""
+class RecordingTransport:
+    """A transport that records writes; `held` is the reported size of its write buffer."""
 
     def __init__(self):
         self.written, self.closed, self.held = [], False, 0
-        self.ends = socket.socketpair()  # a peer that says nothing
+        self.ends = socket.socketpair()  # a silent peer
 
     def __del__(self):
         for end in self.ends:
@@ -616,22 +617,22 @@
 )
 
 
-def carried(now):
-    """Return a pool, a connection with an attempt on it, and its call; `now[0]` is the time."""
+def pool_with_attempt(now):
+    """Return a pool, a connection that carries an attempt, and its call; `now[0]` is the time."""
     pool = RespTransport(BOUNDS, lambda: now[0], lambda name: None)
     connection, call = _Connection(pool, "s0"), Call()
-    connection.transport = Pipe()
+    connection.transport = RecordingTransport()
     flight = _InFlightAttempt(pool, call)
     pool._write(connection, flight)
     return pool, connection, call
 
 
-def test_a_broken_answers_silence_is_not_the_servers_load():
-    """Danger: the time we waited for the rest would pass for a jam, and narrow D at a sound server."""
+def test_latency_of_a_broken_answer_excludes_the_stall():
+    """Otherwise the wait for the rest would look like congestion and lower D at a healthy server."""
 
     async def test():
         now = [1000.0]
-        pool, connection, call = carried(now)
+        pool, connection, call = pool_with_attempt(now)
         now[0] = 1020.0
         connection.data_received(b"*3\r\n$10\r\n0123")
         now[0] = 1020.0 + BOUNDS.stall_ms
@@ -642,10 +643,10 @@
     asyncio.run(test())
 
 
-def test_an_answer_that_goes_on_is_not_broken():
+def test_an_answer_that_keeps_arriving_is_not_broken():
     async def test():
         now = [1000.0]
-        pool, connection, call = carried(now)
+        pool, connection, call = pool_with_attempt(now)
         whole = answer(b"0123456789")
         for byte in whole[:-1]:
             connection.data_received(bytes([byte]))
@@ -658,11 +659,11 @@
     asyncio.run(test())
 
 
-def test_what_was_not_written_whole_never_ran():
+def test_a_request_not_completely_written_never_ran():
     for unsent, outcome in ((True, Outcome.NO_CONNECTION), (False, Outcome.RESET)):
 
         async def test(unsent=unsent, outcome=outcome):
-            _, connection, call = carried([1000.0])
+            _, connection, call = pool_with_attempt([1000.0])
             if unsent:
                 connection.pause_writing()
             connection.connection_lost(None)
@@ -671,23 +672,23 @@
         asyncio.run(test())
 
 
-def test_a_value_over_the_bound_is_given_up_at_its_length():
+def test_a_value_over_the_limit_is_rejected_at_its_length():
     async def test():
-        _, connection, call = carried([1000.0])
+        _, connection, call = pool_with_attempt([1000.0])
         connection.data_received(b"*3\r\n$1001\r\n")
         assert call.endings[0].outcome is Outcome.ERROR and connection.transport.closed
 
     asyncio.run(test())
 
 
-def test_unread_answers_are_bounded_and_the_largest_go_first():
+def test_the_connection_with_most_unread_bytes_is_closed_first():
     driver = SimpleNamespace(left=lambda name: True)
     bounds = FrontBounds(max_connections=9, max_asking=9, max_unread=100)
     front = Front(Reader(*READER), driver, bounds, lambda: 0.0)
     clients = []
     for held in (60, 30, 50):
         client = front.protocol()
-        client.transport = Pipe()
+        client.transport = RecordingTransport()
         client.transport.held = held
         front.clients[client] = None
         client.pause_writing()
@@ -696,39 +697,39 @@
 
 
 @on_sockets
-async def test_clients_that_ask_once_and_stay_leave_room_for_the_others():
-    """Danger: what all clients may hold open here is used up by connections that ask nothing any more."""
+async def test_idle_connections_over_the_limit_are_closed():
+    """Otherwise idle connections would use up the limit on connections."""
     async with stage(limits={"sockets": 100, "memory_mb": 64}) as s:
         most = s.program.front.bounds.max_asking
         clients = [await s.client() for _ in range(most + 5)]
         for number, client in enumerate(clients):
             assert await client.ask(read(number)) == b"value of " + ident(number)
-        for client in clients[:5]:  # those idle longest
+        for client in clients[:5]:  # the longest idle
             with pytest.raises((EOFError, ConnectionError)):
                 await client.reply()
         assert await clients[5].ask(read(99)) == b"value of " + ident(99)
         await s.until(lambda: s.program.front.asking == most)
 
 
-def test_a_newcomer_is_given_up_after_all_others():
+def test_a_new_connection_is_evicted_after_all_others():
     now = [0.0]
     driver = SimpleNamespace(left=lambda name: True)
     bounds = FrontBounds(max_connections=3, max_asking=9, max_unread=100)
     front = Front(Reader(*READER), driver, bounds, lambda: now[0])
 
-    def come(asked=False):
+    def connect(asked=False):
         client = front.protocol()
-        client.transport = Pipe()
+        client.transport = RecordingTransport()
         client.has_sent_command = asked
         front.asking += asked
         front._on_connected(client)
         return client
 
-    silent, idle = come(), come(asked=True)
+    silent, idle = connect(), connect(asked=True)
     now[0] = bounds.new_connection_ms + 1
-    first = come()
-    second, third, fourth = come(), come(), come()
-    # The one that was silent for long goes first, the idle one next, and a newcomer only after both.
+    first = connect()
+    second, third, fourth = connect(), connect(), connect()
+    # Evicted first is the one silent for long, then the idle one, and a new one only after both.
     assert [c.transport.closed for c in (silent, idle, first, second, third, fourth)] == [
         True,
         True,
@@ -740,17 +741,17 @@
     assert front.asking == 0 and len(front.clients) == 3
 
 
-def test_a_closed_connection_whose_peer_never_reads_does_not_stand_for_ever():
+def test_a_closed_connection_whose_peer_never_reads_is_closed_after_the_write_timeout():
     now = [0.0]
     bounds = FrontBounds(max_connections=9, max_asking=9, max_unread=100)
     front = Front(Reader(*READER), SimpleNamespace(left=lambda name: True), bounds, lambda: now[0])
     client = front.protocol()
-    client.transport = Pipe()
+    client.transport = RecordingTransport()
     front._on_connected(client)
     client.data_received(b"*x\r\n")
     written = len(client.transport.written)
     assert client.transport.shut and front.lingering
-    client.transport.held = written  # the error line is still on its way
+    client.transport.held = written  # the error line has not been sent yet
     now[0] = bounds.write_timeout_ms - 1
     front.sweep()
     assert not client.transport.closed and len(client.transport.written) == written == 1
@@ -759,19 +760,19 @@
     assert client.transport.closed and not front.lingering
 
 
-def test_a_peer_that_never_ends_is_waited_for_so_long_and_no_longer():
+def test_lingering_is_limited_in_time_bytes_and_connections():
     now = [0.0]
     bounds = FrontBounds(max_connections=9, max_asking=9, max_unread=100, linger=LingerBounds(2000.0, 500, 2))
     front = Front(Reader(*READER), SimpleNamespace(left=lambda name: True), bounds, lambda: now[0])
     clients = []
     for _ in range(4):
         client = front.protocol()
-        client.transport = Pipe()
+        client.transport = RecordingTransport()
         front._on_connected(client)
         client.data_received(b"*x\r\n")
         clients.append(client)
         now[0] += 1
-    # No more than two linger, those shut longest go first; each has bounded bytes and a bounded time.
+    # At most two linger, the one shut longest ago is closed first; bytes and time of each are limited.
     assert [c.transport.closed for c in clients] == [True, True, False, False]
     clients[2].data_received(b"x" * 400)
     assert not clients[2].transport.closed
@@ -785,13 +786,13 @@
     assert clients[3].transport.closed and not front.lingering and not front.clients
 
 
-def test_a_connection_that_lingers_is_the_first_to_make_room():
+def test_a_lingering_connection_is_evicted_first():
     bounds = FrontBounds(max_connections=2, max_asking=9, max_unread=100)
     front = Front(Reader(*READER), SimpleNamespace(left=lambda name: True), bounds, lambda: 0.0)
     clients = []
     for _ in range(3):
         client = front.protocol()
-        client.transport = Pipe()
+        client.transport = RecordingTransport()
         front._on_connected(client)
         clients.append(client)
         if len(clients) == 1:
@@ -799,8 +800,8 @@
     assert [c.transport.closed for c in clients] == [True, False, False] and not front.evicted
 
 
-class Way:
-    """A pool with one descriptor on the way to real listeners, and calls by it."""
+class LimitedPool:
+    """A pool limited to `most` connections (one by default) to real listeners."""
 
     def __init__(self, servers, most=1):
         self.addresses = {f"s{i}": server.address for i, server in enumerate(servers)}
@@ -812,10 +813,10 @@
         host, _, port = self.addresses[name].rpartition(":")
         return host, int(port)
 
-    def call(self, server, *, may_leave=lambda: True, ahead=20000.0):
+    def call(self, server, *, may_leave=lambda: True, timeout_ms=20000.0):
         call = Call()
         call.attempt = Attempt(0, Node(f"s{server}", server), self.clock())
-        call.deadline, call.may_leave = self.clock() + ahead, may_leave
+        call.deadline, call.may_leave = self.clock() + timeout_ms, may_leave
         return call, self.pool.start(call)
 
     async def ended(self, call):
@@ -825,61 +826,66 @@
 
 
 @on_sockets
-async def test_attempts_wait_for_a_descriptor_instead_of_using_up_their_tries():
-    """Danger: a cut holds every descriptor with attempts that hang; work for sound servers is refused."""
+async def test_attempts_wait_for_a_descriptor_instead_of_failing():
+    """In a network partition, hanging attempts can hold every descriptor; healthy servers still get work."""
     servers = [await StorageServer(script).start() for script in (lambda words: None, echo, echo)]
-    way = Way(servers)
-    hung, flight = way.call(0)
-    waiting = [way.call(server)[0] for server in (1, 2, 1, 2)]
-    gone, leaver = way.call(1)
+    limited_pool = LimitedPool(servers)
+    hung, flight = limited_pool.call(0)
+    waiting = [limited_pool.call(server)[0] for server in (1, 2, 1, 2)]
+    cancelled, cancelled_flight = limited_pool.call(1)
     while not servers[0].seen:
         await asyncio.sleep(0.001)
-    assert not any(call.endings for call in waiting) and len(way.pool.queue) == 5
-    leaver.stop()
-    assert await way.ended(gone) is Outcome.ABANDONED
+    assert not any(call.endings for call in waiting) and len(limited_pool.pool.queue) == 5
+    cancelled_flight.stop()
+    assert await limited_pool.ended(cancelled) is Outcome.ABANDONED
     flight.stop()
-    assert await way.ended(hung) is Outcome.CANCELLED
-    assert [await way.ended(call) for call in waiting] == [Outcome.OK] * 4
-    assert len(way.pool.open) == 1 and not way.pool.queue and not way.pool.connecting_count
+    assert await limited_pool.ended(hung) is Outcome.CANCELLED
+    assert [await limited_pool.ended(call) for call in waiting] == [Outcome.OK] * 4
+    assert (
+        len(limited_pool.pool.open) == 1
+        and not limited_pool.pool.queue
+        and not limited_pool.pool.connecting_count
+    )
     for server in servers:
         await server.stop()
 
 
 @on_sockets
-async def test_what_found_no_descriptor_in_time_says_nothing_of_its_server():
+async def test_an_attempt_that_got_no_descriptor_does_not_count_against_the_server():
     servers = [await StorageServer(lambda words: None).start()]
-    way = Way(servers)
-    way.call(0)
-    late, _ = way.call(0, ahead=30.0)
-    assert await way.ended(late) is Outcome.ABANDONED
+    limited_pool = LimitedPool(servers)
+    limited_pool.call(0)
+    late, _ = limited_pool.call(0, timeout_ms=30.0)
+    assert await limited_pool.ended(late) is Outcome.ABANDONED
     await servers[0].stop()
 
 
 @on_sockets
-async def test_an_attempt_whose_connection_comes_up_too_late_is_not_written():
-    """Danger: a drain's grace, or the time in which a key's repeat is dropped, ends while it connects."""
+async def test_an_attempt_that_may_not_be_sent_any_more_is_not_written():
+    """A drain's grace period or a key's deduplication window can end while the connection is opened."""
     servers = [await StorageServer(echo).start()]
-    way = Way(servers)
-    late, _ = way.call(0, may_leave=lambda: False)
-    assert await way.ended(late) is Outcome.ABANDONED
-    call, _ = way.call(0)
-    assert await way.ended(call) is Outcome.OK
-    assert len(servers[0].seen) == 1 and way.pool.opened == 1  # the connection is kept for the next
+    limited_pool = LimitedPool(servers)
+    late, _ = limited_pool.call(0, may_leave=lambda: False)
+    assert await limited_pool.ended(late) is Outcome.ABANDONED
+    call, _ = limited_pool.call(0)
+    assert await limited_pool.ended(call) is Outcome.OK
+    # The connection is kept for the next attempt.
+    assert len(servers[0].seen) == 1 and limited_pool.pool.opened == 1
     await servers[0].stop()
 
 
 @on_sockets
-async def test_what_is_given_up_is_reset_so_that_the_kernel_sends_nothing_after():
-    """Danger: bytes that a cut holds back arrive seconds later, beside a limit that has filled again."""
+async def test_a_cancelled_attempt_resets_its_connection():
+    """Otherwise buffered bytes arrive after a partition ends, when the limit is used by other attempts."""
     servers = [await StorageServer(lambda words: None).start()]
-    way = Way(servers)
-    call, flight = way.call(0)
+    limited_pool = LimitedPool(servers)
+    call, flight = limited_pool.call(0)
     while not servers[0].seen:
         await asyncio.sleep(0.001)
-    (connection,) = way.pool.open
+    (connection,) = limited_pool.pool.open
     raw = connection.transport.get_extra_info("socket")
     linger = raw.getsockopt(socket.SOL_SOCKET, socket.SO_LINGER, 8)
     assert struct.unpack("ii", linger) == (1, 0)
     flight.stop()
-    assert await way.ended(call) is Outcome.CANCELLED
+    assert await limited_pool.ended(call) is Outcome.CANCELLED
     await servers[0].stop()
--- a/tests/test_platform_endings.py
+++ b/tests/test_platform_endings.py
@@ -1,6 +1,6 @@
-"""What ends, and what may still be owed in that instant: the clients' side, over real loopback sockets.
+"""Client connections that end while answers or requests are pending, over loopback sockets.
 
-Each order is forced: what a test sends synchronously is in the kernel before the loop can read it.
+The order of events is forced: what a test sends synchronously is in the kernel before the loop reads it.
 """
 
 import asyncio
@@ -21,11 +21,11 @@
 from cressrock.resp.front import Front, FrontBounds
 from cressrock.resp.request import Reader
 from cressrock.resp.room import choose_eviction
-from tests.test_platform import READER, Client, Pipe, ident, on_sockets, read, stage, write
+from tests.test_platform import READER, Client, RecordingTransport, ident, on_sockets, read, stage, write
 
 
-def raw(s, **options):
-    """Connect by a plain socket: the kernel accepts it, the loop has not run."""
+def connect_raw(s, **options):
+    """Connect a plain socket; the kernel has accepted it, but the event loop has not run."""
     sock = socket.socket()
     for option, value in options.items():
         sock.setsockopt(socket.SOL_SOCKET, getattr(socket, option), value)
@@ -33,9 +33,9 @@
     return sock
 
 
-async def narrow(s):
-    """Connect by a plain socket on which next to nothing fits: an answer stays where it is written."""
-    sock = raw(s, SO_RCVBUF=4096)
+async def connect_with_small_buffers(s):
+    """Connect a plain socket with tiny buffers, so that a large answer stays in the write buffer."""
+    sock = connect_raw(s, SO_RCVBUF=4096)
     name = sock.getsockname()
 
     def found():
@@ -46,16 +46,16 @@
     return sock
 
 
-async def opened(s, sock):
-    """Go on with a plain socket as a client."""
+async def as_client(s, sock):
+    """Wrap a connected plain socket in a Client."""
     client = Client(*await asyncio.open_connection(sock=sock))
     client.parser = codec.Replies(1 << 21)
     s.clients.append(client)
     return client
 
 
-async def ends(client):
-    """Read up to the connection's end; a reset raises."""
+async def read_until_end(client):
+    """Return the replies up to the end of the connection; a reset fails the test."""
     rest = []
     with pytest.raises(EOFError):
         while True:
@@ -63,45 +63,47 @@
     return rest
 
 
-def served(client):
-    """The front's side of a client."""
+def peername(client):
+    """Return the client's socket address, by which the front knows it."""
     return client.writer.get_extra_info("sockname")
 
 
-def side(s, client):
+def front_client(s, client):
     for found in (*s.program.front.clients, *s.program.front.lingering):
-        if found.transport.get_extra_info("peername") == served(client):
+        if found.transport.get_extra_info("peername") == peername(client):
             return found
     return None
 
 
 @on_sockets
-async def test_an_answer_behind_which_unread_bytes_stand_is_not_reset():
-    """Danger: a close over unread bytes is a reset, which takes along the answers that are on their way."""
+async def test_an_answer_is_not_lost_to_a_reset_over_unread_input():
+    """Closing a socket with unread input resets the connection, which discards answers in transit."""
     async with stage() as s:
-        sock = raw(s)
-        # More than one read of the loop: when the error line is written, bytes stand in the kernel.
+        sock = connect_raw(s)
+        # More than one read: when the error line is written, the kernel still holds input.
         ping = codec.command(b"PING")
         await asyncio.to_thread(sock.sendall, ping + b"GET / HTTP/1.1\r\n" + b"x" * 700_000)
-        client = await opened(s, sock)
-        told = await ends(client)
-        assert told[0] == Status("PONG") and isinstance(told[1], ErrorLine) and len(told) == 2
+        client = await as_client(s, sock)
+        replies = await read_until_end(client)
+        assert replies[0] == Status("PONG") and isinstance(replies[1], ErrorLine) and len(replies) == 2
         client.writer.close()
         await s.until(lambda: s.program.front.ended())
 
 
 @on_sockets
-async def test_what_is_read_after_the_shutdown_is_not_sent_on():
+async def test_a_request_read_after_the_shutdown_is_not_sent():
     async with stage() as s:
         client = await s.client()
         assert await client.ask(read(1)) == b"value of " + ident(1)
-        side(s, client).end()
-        client.send(read(2))  # crosses the shutdown
+        front_client(s, client).end()
+        client.send(read(2))  # sent before the client reads the end
         await client.writer.drain()
-        assert await ends(client) == []  # an end, no reset: its client asks anew elsewhere
+        assert await read_until_end(client) == []  # an end without a reset: the client can retry elsewhere
         client.send(read(3))
         await s.until(
-            lambda: s.program.front.lingering._discarded_bytes[side(s, client)] == len(read(2) + read(3))
+            lambda: (
+                s.program.front.lingering._discarded_bytes[front_client(s, client)] == len(read(2) + read(3))
+            )
         )
         client.writer.close()
         await s.until(lambda: s.program.front.ended())
@@ -110,14 +112,15 @@
 
 @pytest.mark.parametrize("ending", ["sweep", "leave", "yield"])
 @on_sockets
-async def test_a_request_in_the_kernel_as_its_connection_would_be_ended_is_served(ending):
+async def test_a_request_in_the_kernel_keeps_its_connection_from_being_ended(ending):
     async with stage() as s:
         front = s.program.front
         client, other = await s.client(), await s.client()
         assert await client.ask(read(1)) == b"value of " + ident(1)
         assert await other.ask(codec.command(b"PING")) == Status("PONG")
-        mine = side(s, client)
-        client.writer.get_extra_info("socket")._sock.send(read(2))  # in the kernel; the loop has not run
+        mine = front_client(s, client)
+        # The request is in the kernel; the event loop has not run.
+        client.writer.get_extra_info("socket")._sock.send(read(2))
         if ending == "sweep":
             clock = front.clock
             front.clock = lambda: clock() + 60_000
@@ -127,64 +130,70 @@
             front.leave()
         else:
             object.__setattr__(front.bounds, "max_asking", 1)
-            front._keep_idle(side(s, other))
+            front._keep_idle(front_client(s, other))
         assert not mine.is_ending
         assert await client.reply() == b"value of " + ident(2)
         client.writer.close()
 
 
 @on_sockets
-async def test_a_command_that_comes_in_pieces_has_its_time_from_its_first_byte_on():
-    """Danger: it begins when its connection has rested almost for too long, and is cut off half-way."""
+async def test_the_idle_timeout_restarts_with_the_first_byte_of_a_command():
+    """Otherwise a command that begins shortly before the idle timeout is cut off."""
     async with stage() as s:
         front, clock = s.program.front, s.program.front.clock
         client, silent = await s.client(), await s.client()
         assert await client.ask(read(1)) == b"value of " + ident(1)
         silent.send(read(2)[:20])
-        await s.until(lambda: side(s, silent) and side(s, silent).parser.is_partial)
+        await s.until(lambda: front_client(s, silent) and front_client(s, silent).parser.is_partial)
         front.clock = lambda: clock() + front.bounds.idle_timeout_ms - 100
         client.send(read(3)[:40])
         silent.send(read(2)[20:40])
-        await s.until(lambda: side(s, client).parser.is_partial and len(side(s, silent).parser._buffer) == 40)
+        await s.until(
+            lambda: (
+                front_client(s, client).parser.is_partial
+                and len(front_client(s, silent).parser._buffer) == 40
+            )
+        )
         front.clock = lambda: clock() + front.bounds.idle_timeout_ms + 100
         front.sweep()
         client.send(read(3)[40:])
         assert await client.reply() == b"value of " + ident(3)
-        assert isinstance((await ends(silent))[0], ErrorLine)  # that never asked: bounded from connecting on
+        # This client had sent no command before, so its timeout counts from connecting.
+        assert isinstance((await read_until_end(silent))[0], ErrorLine)
 
 
 @on_sockets
-async def test_half_a_command_is_waited_for_while_the_process_leaves():
+async def test_an_incomplete_command_is_waited_for_during_shutdown():
     async with stage() as s:
         client = await s.client()
         client.send(read(1)[:40])
-        await s.until(lambda: side(s, client).parser.is_partial)
+        await s.until(lambda: front_client(s, client).parser.is_partial)
         s.program.front.leave()
         client.send(read(1)[40:])
-        assert await ends(client) == [b"value of " + ident(1)]
+        assert await read_until_end(client) == [b"value of " + ident(1)]
 
 
 @on_sockets
-async def test_an_evicted_connection_is_never_one_with_bytes_of_an_answer_left():
-    """Danger: closed at once, it would lose the rest of an answer that its client is still reading."""
+async def test_a_connection_with_unsent_output_is_not_evicted():
+    """Closing at once would discard the rest of an answer that its client is still reading."""
     large = b"y" * 1_500_000
 
     async with stage(lambda words: answer(large), limits={"sockets": 60, "memory_mb": 192}) as s:
         front = s.program.front
-        slow = await narrow(s)
+        slow = await connect_with_small_buffers(s)
         slow.sendall(read(1))
         await s.until(lambda: s.servers[0].seen and any(not c.is_flushed() for c in front.clients))
-        crowd = [raw(s) for _ in range(2 * front.bounds.max_connections)]
+        others = [connect_raw(s) for _ in range(2 * front.bounds.max_connections)]
         await s.until(lambda: front.evicted >= front.bounds.max_connections)
-        client = await opened(s, slow)
+        client = await as_client(s, slow)
         assert await client.reply() == large
-        for sock in crowd:
+        for sock in others:
             sock.close()
 
 
 @on_sockets
-async def test_a_client_that_leaves_while_answers_before_its_own_are_unread_is_seen_to_leave():
-    """Danger: reading is paused while a client does not read, and its end is not seen by itself."""
+async def test_a_disconnect_is_detected_while_reading_is_paused():
+    """Reading is paused while a client does not read its answers, so its end must be polled for."""
     large = b"y" * 1_500_000
 
     def script(words):
@@ -192,7 +201,7 @@
 
     async with stage(script, lambda words: None) as s:
         front = s.program.front
-        sock = await narrow(s)
+        sock = await connect_with_small_buffers(s)
         sock.sendall(read(1) + read(2, shard=1))
         await s.until(lambda: front.owes() == 1 and any(c.blocked_since is not None for c in front.clients))
         sock.shutdown(socket.SHUT_WR)
@@ -202,7 +211,7 @@
 
 
 @on_sockets
-async def test_a_client_that_leaves_behind_something_unreadable_is_seen_to_leave():
+async def test_a_disconnect_after_invalid_input_is_detected():
     async with stage(lambda words: None) as s:
         client = await s.client()
         client.send(read(1), b"GET / HTTP/1.1\r\n\r\n")
@@ -213,7 +222,7 @@
 
 
 @on_sockets
-async def test_a_client_that_resets_leaves_all_that_it_had_in_one_connection():
+async def test_a_reset_cancels_all_requests_of_the_connection():
     async with stage(lambda words: None) as s:
         client = await s.client()
         client.send(*(read(number, shard=number % 2) for number in range(1, 9)))
@@ -226,169 +235,173 @@
 
 
 @on_sockets
-async def test_a_flood_of_commands_is_taken_in_parts_and_whole():
-    """Danger: one read holds thousands of commands, and every other client's answer waits for them."""
+async def test_many_commands_in_one_read_are_all_processed_in_parts():
+    """One read can hold thousands of commands, which must not delay the other clients' answers."""
     async with stage() as s:
-        sock = raw(s)
+        sock = connect_raw(s)
         other = await s.client()
         number = 5000
         await asyncio.to_thread(sock.sendall, codec.command(b"PING") * number + read(1))
-        taken = []
+        had_more = []
         loop = asyncio.get_running_loop()
 
-        def look():
+        def sample():
             mine = [c for c in s.program.front.clients if c.parser.has_more]
-            taken.append(bool(mine))
+            had_more.append(bool(mine))
             if all(words[2] != ident(1) for words in s.servers[0].seen):
-                loop.call_soon(look)
+                loop.call_soon(sample)
 
-        look()
+        sample()
         assert await other.ask(read(2)) == b"value of " + ident(2)
-        client = await opened(s, sock)
+        client = await as_client(s, sock)
         for _ in range(number):
             assert await client.reply() == Status("PONG")
         assert await client.reply() == b"value of " + ident(1)
-        # Between the parts the loop went round, again and again.
-        assert sum(taken) >= number // s.program.front.bounds.max_pipeline // 2
+        # The event loop ran between the parts.
+        assert sum(had_more) >= number // s.program.front.bounds.max_pipeline // 2
 
 
 @on_sockets
-async def test_a_flood_whose_connection_is_not_quiet_yet_is_not_ended():
+async def test_a_connection_with_buffered_commands_is_not_ended():
     async with stage() as s:
-        front, took, seen = s.program.front, s.program.front._command, []
+        front, original, seen = s.program.front, s.program.front._command, []
 
         def leave():
             seen.append([c.parser.has_more for c in front.clients])
             front.leave()
 
-        def taking(*what):
+        def process_command(*args):
             if front.submitted_count == 0 and not seen:
                 seen.append(None)
-                asyncio.get_running_loop().call_soon(leave)  # behind the first part of the flood
-            return took(*what)
+                asyncio.get_running_loop().call_soon(leave)  # after the first part of the commands
+            return original(*args)
 
-        front._command = taking
-        sock = raw(s)
+        front._command = process_command
+        sock = connect_raw(s)
         sock.sendall(codec.command(b"PING") * 1000 + read(1))
         await s.until(lambda: len(seen) == 2)
         assert seen[1] == [True] and not any(c.is_ending for c in front.clients)
-        told = await ends(await opened(s, sock))
-        assert len(told) == 1001 and told[-1] == b"value of " + ident(1)
+        replies = await read_until_end(await as_client(s, sock))
+        assert len(replies) == 1001 and replies[-1] == b"value of " + ident(1)
 
 
 @on_sockets
-async def test_a_connection_whose_commands_were_read_and_not_taken_yet_is_not_evicted():
+async def test_a_connection_with_buffered_commands_is_not_evicted():
     front = Front(Reader(*READER), None, FrontBounds(max_connections=1, max_asking=9, max_unread=100), float)
     first, second = front.protocol(), front.protocol()
     for client in (first, second):
-        client.transport = Pipe()
+        client.transport = RecordingTransport()
     front._on_connected(first)
     first.data_received(codec.command(b"PING") * 100)
-    assert first.parser.has_more and first.queue == second.queue  # all that was taken is answered
+    assert first.parser.has_more and first.queue == second.queue  # every processed command has been answered
     front._on_connected(second)
     assert second.transport.closed and not first.transport.closed
 
 
-def test_a_crowd_does_not_go_through_all_that_are_there_for_each_that_comes(monkeypatch):
-    """Danger: hundreds come in one round of the loop, and the answers that are due in it wait for them."""
-    looked = []
+def test_an_eviction_does_not_scan_all_connections(monkeypatch):
+    """Hundreds may arrive in one iteration of the event loop, and must not delay the answers due in it."""
+    scanned_counts = []
 
-    def counted(heads, newcomers):
-        looked.append(len(heads))
-        return choose_eviction(heads, newcomers)
+    def counting(candidates, new_since):
+        scanned_counts.append(len(candidates))
+        return choose_eviction(candidates, new_since)
 
-    monkeypatch.setattr(front_module, "choose_eviction", counted)
+    monkeypatch.setattr(front_module, "choose_eviction", counting)
     bounds = FrontBounds(max_connections=100, max_asking=99, max_unread=100)
     front = Front(Reader(*READER), None, bounds, lambda: 0.0)
     for _ in range(300):
         client = front.protocol()
-        client.transport = Pipe()
+        client.transport = RecordingTransport()
         front._on_connected(client)
     assert front.evicted == 200 and len(front.clients) == 100
-    assert len(looked) == 200 and max(looked) <= 2
+    assert len(scanned_counts) == 200 and max(scanned_counts) <= 2
 
 
 @on_sockets
-async def test_what_was_heard_as_room_was_sought_is_found_again_when_it_was_read():
+async def test_a_connection_skipped_for_unread_input_can_be_evicted_after_it_was_read():
     bounds = FrontBounds(max_connections=2, max_asking=9, max_unread=100)
     front = Front(Reader(*READER), None, bounds, lambda: 0.0)
 
-    def come():
+    def connect():
         client = front.protocol()
-        client.transport = Pipe()
+        client.transport = RecordingTransport()
         front._on_connected(client)
         return client
 
-    first, second = come(), come()
+    first, second = connect(), connect()
     first.transport.ends[1].send(b"x")
-    third = come()
+    third = connect()
     assert second.transport.closed and not first.transport.closed and not third.transport.closed
-    first.data_received(first.transport.ends[0].recv(9).replace(b"x", b"*1"))  # half a command
+    first.data_received(first.transport.ends[0].recv(9).replace(b"x", b"*1"))  # part of a command
     third.transport.ends[1].send(b"x")
-    assert not come().transport.closed and first.transport.closed and not third.transport.closed
+    assert not connect().transport.closed and first.transport.closed and not third.transport.closed
 
 
-def short(monkeypatch, **figures):
-    for name, value in figures.items():
+def set_stopping_times(monkeypatch, **times):
+    for name, value in times.items():
         monkeypatch.setattr(stopping, name, value)
 
 
 @on_sockets
-async def test_a_connection_in_the_backlog_as_the_listener_closes_is_served(monkeypatch):
+async def test_a_connection_in_the_backlog_is_served_when_the_listener_closes(monkeypatch):
     async with stage() as s:
         listener, last = s.program.listener, s.program.front.clock() + 10_000
-        sock = raw(s)  # accepted by the kernel alone
+        sock = connect_raw(s)  # accepted by the kernel, not by the process
         sock.sendall(read(1))
         await s.program._unlisten(listener, last)
-        client = await opened(s, sock)
+        client = await as_client(s, sock)
         assert await client.reply() == b"value of " + ident(1)
         assert not listener.is_serving()
 
 
 @on_sockets
-async def test_an_answer_that_is_still_leaving_as_the_process_ends_is_waited_for(monkeypatch):
-    """Danger: what the loop or the kernel holds of an answer goes with the process."""
-    short(monkeypatch, NEW_MS=0.0, COUNTED_MS=100.0, ADDED_MS=20_000.0, AHEAD_MS=19_900.0, EXIT_MS=0.0)
+async def test_the_process_waits_for_unsent_answers_before_it_exits(monkeypatch):
+    """Output buffered in the process or the kernel could be lost when the process exits."""
+    set_stopping_times(
+        monkeypatch, NEW_MS=0.0, COUNTED_MS=100.0, ADDED_MS=20_000.0, AHEAD_MS=19_900.0, EXIT_MS=0.0
+    )
     large = b"y" * 1_500_000
     async with stage(lambda words: answer(large)) as s:
-        sock = await narrow(s)
+        sock = await connect_with_small_buffers(s)
         sock.sendall(read(1))
         await s.until(lambda: any(not c.is_flushed() for c in s.program.front.clients))
         os.kill(os.getpid(), signal.SIGTERM)
-        await s.until(lambda: s.program.turns._ended)  # all is answered, and the process only waits
-        await asyncio.wait([s.task], timeout=0.2)  # a process that does not wait would be gone by now
+        await s.until(lambda: s.program.turns._ended)  # all requests are answered; only output is pending
+        await asyncio.wait([s.task], timeout=0.2)  # without the wait the task would be done by now
         assert not s.task.done()
-        client = await opened(s, sock)
-        assert await ends(client) == [large]
+        client = await as_client(s, sock)
+        assert await read_until_end(client) == [large]
         client.writer.close()
         await s.task
 
 
 @on_sockets
-async def test_sigterm_twice_and_while_requests_wait_and_are_out_answers_each_once(monkeypatch):
-    short(monkeypatch, NEW_MS=10.0, COUNTED_MS=100.0, ADDED_MS=400.0, AHEAD_MS=100.0, EXIT_MS=0.0)
+async def test_each_open_request_is_answered_once_after_two_sigterms(monkeypatch):
+    set_stopping_times(
+        monkeypatch, NEW_MS=10.0, COUNTED_MS=100.0, ADDED_MS=400.0, AHEAD_MS=100.0, EXIT_MS=0.0
+    )
 
     def half(words):
         return echo(words)[:12] if words[2] == ident(3) else None
 
     async with stage(half) as s:
         s.discovery.put("s9", "127.0.0.1:1", 3, health="leaving")
-        out, waits, begun, resting, halved = [await s.client() for _ in range(5)]
-        out.send(write(1, b"x"))
-        waits.send(read(2, shard=3))
+        sent, waiting, begun, idle, incomplete = [await s.client() for _ in range(5)]
+        sent.send(write(1, b"x"))
+        waiting.send(read(2, shard=3))
         begun.send(write(3, b"y"))
-        halved.send(read(4)[:30])
-        assert await resting.ask(codec.command(b"PING")) == Status("PONG")
+        incomplete.send(read(4)[:30])
+        assert await idle.ask(codec.command(b"PING")) == Status("PONG")
         await s.until(lambda: s.program.front.owes() == 3 and len(s.servers[0].seen) == 2)
         os.kill(os.getpid(), signal.SIGTERM)
         await asyncio.sleep(0)
         os.kill(os.getpid(), signal.SIGTERM)
         await asyncio.sleep(0)
-        # A client that rests is served on; the process is not gone before its time.
-        assert isinstance(await resting.ask(codec.command(b"SELECT", b"0")), Status)
-        told = [await ends(client) for client in (out, waits, begun, resting, halved)]
-        assert [len(replies) for replies in told] == [1, 1, 1, 0, 0]
-        assert [told[i][0].text.split()[0] for i in range(3)] == ["ERR", "BUSY", "ERR"]
+        # An idle client is still served: the process does not exit early.
+        assert isinstance(await idle.ask(codec.command(b"SELECT", b"0")), Status)
+        all_replies = [await read_until_end(client) for client in (sent, waiting, begun, idle, incomplete)]
+        assert [len(replies) for replies in all_replies] == [1, 1, 1, 0, 0]
+        assert [all_replies[i][0].text.split()[0] for i in range(3)] == ["ERR", "BUSY", "ERR"]
         assert not s.program.front.owes()
         for client in s.clients:
             client.writer.close()
@@ -396,7 +409,7 @@
 
 
 @on_sockets
-async def test_nothing_is_ordered_once_all_is_answered():
+async def test_no_attempt_is_started_after_all_requests_were_answered():
     async with stage(lambda words: None) as s:
         s.discovery.put("s0", s.servers[0].address, 0, health="leaving")
         await s.until(lambda: s.program.driver.ledger.nodes["s0"].state is NodeState.DRAINING)
@@ -405,7 +418,7 @@
         await s.until(lambda: s.program.front.owes() == 1)
         s.program.driver.abort_pending()
         s.program.turns.end()
-        s.discovery.put("s0", s.servers[0].address, 0)  # the decision module would send now
+        s.discovery.put("s0", s.servers[0].address, 0)  # the scheduler would start the request now
         await s.until(lambda: s.program.driver.ledger.nodes["s0"].state is NodeState.READY)
         await asyncio.sleep(0)
         assert not s.servers[0].seen and not s.program.driver.ledger.fence_trips
--- a/tests/test_platform_leaving.py
+++ b/tests/test_platform_leaving.py
@@ -1,7 +1,7 @@
-"""A client that leaves is asked of the kernel just before each attempt: nothing more is begun for it.
+"""No attempt is started for a client that has disconnected; the kernel is asked just before each attempt.
 
-Each order is forced over real sockets: the client's end is with the kernel, and what reads the client has
-not run since, is held up by answers that nobody reads, or is behind the attempt in its round of the loop.
+The order of events is forced over real sockets: the kernel knows of the disconnect, but the front has not
+read it.  It has not run, or reading is paused, or it runs later in the same loop iteration.
 """
 
 import asyncio
@@ -15,8 +15,8 @@
 from cressrock.lab.platform import answer, echo
 from cressrock.resp import codec
 from tests.test_platform import Client, ident, on_sockets, read, stage, write
-from tests.test_platform_endings import narrow, raw
-from tests.test_platform_nodes import Peer, as_it_comes_up, drained
+from tests.test_platform_endings import connect_raw, connect_with_small_buffers
+from tests.test_platform_nodes import ManualServer, patch_connection_made, read_to_end
 
 LARGE = b"y" * 1_500_000
 
@@ -38,71 +38,71 @@
 leaving = pytest.mark.parametrize("leave", LEAVING, ids=lambda leave: leave.__name__)
 
 
-async def ready(s, shard=0):
-    """Have an idle connection to a server on which the next attempt is begun at once."""
+async def prepare_idle_connection(s, shard=0):
+    """Open an idle connection to a server, and remove the delay before its reuse."""
     s.program.transport.reuse_delay.ready_at = lambda since: since
-    await served_on(s, shard=shard)
+    await serve_other_client(s, shard=shard)
 
 
-def unread(s):
-    """Leave the clients' ends to whoever reads them: the sweep's look comes too late."""
+def disable_sweep(s):
+    """Disable the front's sweep, which would also detect disconnects."""
     s.program.front.sweep = lambda: None
 
 
-async def served_on(s, **more):
-    """Have another client served, so that all that was ordered before has been carried out."""
+async def serve_other_client(s, **more):
+    """Serve a request of another client, so that everything started before is complete."""
     client = await s.client()
     assert await client.ask(read(900, **more)) == b"value of " + ident(900)
 
 
-def asked(s, number):
-    """Count the attempts of a request that came to servers."""
+def count_attempts(s, number):
+    """Return the number of attempts of a request that reached servers."""
     return sum(words[2] == ident(number) for server in s.servers for words in server.seen)
 
 
-def held_back(*numbers):
-    """Return a script that keeps these requests out, and the way to answer them."""
-    held = {}
+def withhold(*numbers):
+    """Return the withheld requests by id, and a server script that answers all but those with `numbers`."""
+    withheld = {}
 
     def script(words):
         if words[2] in [ident(number) for number in numbers]:
-            held[words[2]] = words
+            withheld[words[2]] = words
             return None
         return echo(words)
 
-    return held, script
+    return withheld, script
 
 
-def tell(s, name, index, state):
-    """Have the program hear of a server, at once."""
+def deliver_state(s, name, index, state):
+    """Deliver a node's state to the program at once."""
     s.program.driver.receive_node_list(NodeList(ListKind.CHANGES, (Node(name, index, state=state),)))
 
 
 @leaving
 @on_sockets
-async def test_a_request_with_its_clients_end_behind_it_is_not_sent_on(leave):
-    """Danger: its commands are read in one round of the loop, the end that waits there in the next."""
+async def test_a_request_followed_by_a_disconnect_is_not_sent(leave):
+    """Its commands are read in one iteration of the event loop, but the end only in the next."""
     async with stage() as s:
-        await ready(s)
-        sock = raw(s)
+        await prepare_idle_connection(s)
+        sock = connect_raw(s)
         sock.sendall(read(1) + read(2))
         leave(sock)
         await s.until(lambda: s.program.front.submitted_count == 3 and not s.program.front.owes())
-        await served_on(s)
-        assert not asked(s, 1) and not asked(s, 2)
+        await serve_other_client(s)
+        assert not count_attempts(s, 1) and not count_attempts(s, 2)
         assert s.program.driver.ledger.answer_counts[Verdict.LEFT] == 2
         sock.close()
 
 
 @leaving
 @on_sockets
-async def test_no_connection_is_opened_for_a_client_that_has_left(leave):
+async def test_no_connection_is_opened_for_a_disconnected_client(leave):
     async with stage() as s:
-        sock = raw(s)
+        sock = connect_raw(s)
         sock.sendall(read(1))
         leave(sock)
         await s.until(lambda: s.program.front.submitted_count == 1 and not s.program.front.owes())
-        await served_on(s)
+        await serve_other_client(s)
         assert s.program.transport.opened == s.servers[0].connections == 1
         assert s.program.driver.ledger.answer_counts[Verdict.LEFT] == 1
         sock.close()
@@ -110,138 +110,140 @@
 
 @leaving
 @on_sockets
-async def test_a_request_that_waited_while_its_client_is_not_read_is_not_sent_on(leave):
+async def test_a_waiting_request_is_not_sent_after_a_disconnect_while_reading_is_paused(leave):
     async with stage(lambda words: answer(LARGE) if words[2] == ident(1) else echo(words), echo) as s:
-        unread(s)
-        await ready(s, shard=1)
-        tell(s, "s1", 1, NodeState.DRAINING)
-        sock = await narrow(s)
+        disable_sweep(s)
+        await prepare_idle_connection(s, shard=1)
+        deliver_state(s, "s1", 1, NodeState.DRAINING)
+        sock = await connect_with_small_buffers(s)
         sock.sendall(read(1) + read(2, shard=1))
         await s.until(lambda: any(c.blocked_since is not None for c in s.program.front.clients))
         assert s.program.front.owes() == 1
         leave(sock)
-        tell(s, "s1", 1, NodeState.READY)
-        await served_on(s, shard=1)
-        assert not asked(s, 2) and s.program.driver.ledger.answer_counts[Verdict.LEFT] == 1
+        deliver_state(s, "s1", 1, NodeState.READY)
+        await serve_other_client(s, shard=1)
+        assert not count_attempts(s, 2) and s.program.driver.ledger.answer_counts[Verdict.LEFT] == 1
         sock.close()
 
 
 @leaving
 @on_sockets
-async def test_a_further_attempt_is_not_made_for_a_client_that_left_while_it_is_not_read(leave):
-    """Danger: a reading that is paused hears of the end behind many retries."""
-    out = []
+async def test_no_retry_is_made_after_a_disconnect_while_reading_is_paused(leave):
+    """While reading is paused, the end would be read only after many retries."""
+    withheld_requests = []
 
     def script(words):
         if words[2] == ident(1):
             return answer(LARGE)
-        if words[2] == ident(2) and not out:
-            out.append(words)
+        if words[2] == ident(2) and not withheld_requests:
+            withheld_requests.append(words)
             return None
         return echo(words)
 
     async with stage(script, script) as s:
-        unread(s)
-        await ready(s, shard=1)
-        sock = await narrow(s)
+        disable_sweep(s)
+        await prepare_idle_connection(s, shard=1)
+        sock = await connect_with_small_buffers(s)
         sock.sendall(read(1) + read(2, shard=1))
-        await s.until(lambda: out and any(c.blocked_since is not None for c in s.program.front.clients))
+        await s.until(
+            lambda: withheld_requests and any(c.blocked_since is not None for c in s.program.front.clients)
+        )
         assert s.program.front.owes() == 1
         leave(sock)
         (writer,) = s.servers[1].open
         writer.write(codec.error("ERR failed"))
         await s.until(lambda: s.program.observer.outcomes["error"])
-        await served_on(s, shard=1)
-        assert asked(s, 2) == 1 and s.program.driver.ledger.answer_counts[Verdict.LEFT] == 1
+        await serve_other_client(s, shard=1)
+        assert count_attempts(s, 2) == 1 and s.program.driver.ledger.answer_counts[Verdict.LEFT] == 1
         sock.close()
 
 
-@pytest.mark.parametrize("way", ["connection", "rest", "descriptor"])
+@pytest.mark.parametrize("waits_for", ["connection", "rest", "descriptor"])
 @leaving
 @on_sockets
-async def test_an_attempt_whose_client_leaves_while_it_waits_here_is_not_begun(way, leave):
-    """It waits for a new connection, for one to have rested, or for a descriptor."""
-    held, script = held_back(8)
+async def test_an_attempt_is_not_started_after_a_disconnect_while_it_waits(waits_for, leave):
+    """It waits for a new connection, for one to become reusable, or for a descriptor."""
+    withheld, script = withhold(8)
     async with stage(script, echo) as s:
         pool, driver = s.program.transport, s.program.driver
-        if way == "rest":
+        if waits_for == "rest":
             pool.reuse_delay.should_wait = lambda at, now, *, full: True
-            await served_on(s)
-        elif way == "descriptor":
+            await serve_other_client(s)
+        elif waits_for == "descriptor":
             object.__setattr__(pool.bounds, "max_connections", 1)
             other = await s.client()
             other.send(read(8))
-            await s.until(lambda: held)
+            await s.until(lambda: withheld)
         else:
-            await served_on(s, shard=1)
-        sock = raw(s)
-        sock.sendall(read(2, shard=int(way == "descriptor")))
-        begin, begun = pool._write_if_allowed, []
+            await serve_other_client(s, shard=1)
+        sock = connect_raw(s)
+        sock.sendall(read(2, shard=int(waits_for == "descriptor")))
+        original, started = pool._write_if_allowed, []
 
-        def late(connection, flight):
+        def disconnect_then_write(connection, flight):
             if flight.call.op.name == ident(2).decode():
-                begun.append(connection)
+                started.append(connection)
                 leave(sock)
-            begin(connection, flight)
+            original(connection, flight)
 
-        pool._write_if_allowed = late
-        if way == "descriptor":
+        pool._write_if_allowed = disconnect_then_write
+        if waits_for == "descriptor":
             await s.until(lambda: pool.queue)
             (writer,) = s.servers[0].open
-            writer.write(echo(held[ident(8)]))
-        await s.until(lambda: begun and not s.program.front.owes())
+            writer.write(echo(withheld[ident(8)]))
+        await s.until(lambda: started and not s.program.front.owes())
         assert not driver.in_flight and driver.ledger.answer_counts[Verdict.LEFT] == 1
-        await served_on(s, shard=int(way == "descriptor"))
-        assert not asked(s, 2)
+        await serve_other_client(s, shard=int(waits_for == "descriptor"))
+        assert not count_attempts(s, 2)
         sock.close()
 
 
 @leaving
 @on_sockets
-async def test_after_a_long_turn_the_kernel_is_asked_and_not_what_was_read_before_it(leave):
-    """Danger: a process that had no turn for long sends on what its clients gave up meanwhile."""
+async def test_a_disconnect_during_a_stall_of_the_process_is_detected(leave):
+    """A process that was not scheduled for long must not send requests whose clients have given up."""
     async with stage() as s:
-        await ready(s)
-        tell(s, "s0", 0, NodeState.DRAINING)
-        sock, other = raw(s), await s.client()
+        await prepare_idle_connection(s)
+        deliver_state(s, "s0", 0, NodeState.DRAINING)
+        sock, other = connect_raw(s), await s.client()
         sock.sendall(read(2))
         other.send(read(3))
         await s.until(lambda: s.program.front.owes() == 2)
         leave(sock)
-        tell(s, "s0", 0, NodeState.READY)
-        s.program.driver.process_batch()  # in the same round: nothing was read since
+        deliver_state(s, "s0", 0, NodeState.READY)
+        s.program.driver.process_batch()  # in the same iteration: nothing has been read since
         assert await other.reply() == b"value of " + ident(3)
-        await served_on(s)
-        assert not asked(s, 2) and s.program.driver.ledger.answer_counts[Verdict.LEFT] == 1
+        await serve_other_client(s)
+        assert not count_attempts(s, 2) and s.program.driver.ledger.answer_counts[Verdict.LEFT] == 1
         sock.close()
 
 
 @on_sockets
-async def test_a_flood_that_is_still_taken_in_parts_is_not_sent_on_behind_its_end():
-    """Danger: its reading is paused until all that was read is taken, and its end is behind that."""
+async def test_buffered_requests_are_not_sent_after_a_disconnect():
+    """Reading is paused until all buffered commands are processed, so the end is not read before that."""
     async with stage() as s:
-        await ready(s)
-        sock = raw(s)
+        await prepare_idle_connection(s)
+        sock = connect_raw(s)
         sock.sendall(codec.command(b"PING") * 2000 + b"".join(read(n) for n in range(1, 41)))
         await s.until(lambda: any(c.parser.has_more for c in s.program.front.clients))
         half_closes(sock)
         await s.until(lambda: s.program.front.submitted_count == 41 and not s.program.front.owes())
-        await served_on(s)
-        assert not any(asked(s, number) for number in range(1, 41))
+        await serve_other_client(s)
+        assert not any(count_attempts(s, number) for number in range(1, 41))
         sock.close()
 
 
 @pytest.mark.parametrize("may_cancel", [False, True])
 @on_sockets
-async def test_a_request_half_written_as_its_client_leaves_is_not_written_whole(may_cancel, monkeypatch):
-    """Danger: a server begins it when its last byte is there, long after its client has gone."""
-    peer = Peer()
+async def test_a_partly_written_request_is_stopped_after_a_disconnect(may_cancel, monkeypatch):
+    """Otherwise the server starts the request when it gets the last byte, long after the disconnect."""
+    peer = ManualServer()
     peer.listener.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
 
-    def small(connection):
+    def shrink_buffer(connection):
         connection.transport.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
 
-    as_it_comes_up(monkeypatch, small)
+    patch_connection_made(monkeypatch, shrink_buffer)
     async with stage() as s:
         object.__setattr__(s.program.brain.settings, "may_cancel", may_cancel)
         s.discovery.put("s0", f"127.0.0.1:{peer.address[1]}", 0)
@@ -256,12 +258,12 @@
             s.program.driver.ledger.answer_counts[Verdict.LEFT] == 1
             and s.program.observer.outcomes["moot"] == 1
         )
-        assert drained(end) < 65536
+        assert read_to_end(end) < 65536
     peer.close()
 
 
 @on_sockets
-async def test_a_request_that_was_written_whole_goes_on_where_it_may_not_be_cancelled():
+async def test_a_completely_written_request_continues_if_cancelling_is_disabled():
     async with stage(lambda words: None) as s:
         object.__setattr__(s.program.brain.settings, "may_cancel", False)
         client = await s.client()
@@ -277,20 +279,20 @@
 
 
 @on_sockets
-async def test_a_look_costs_nothing_where_nothing_is_begun():
-    """The cost is one for an attempt, two where a connection is opened; idle clients cost none."""
+async def test_disconnects_are_checked_only_when_attempts_are_started():
+    """An attempt costs one check, or two if it opens a connection; idle clients cost none."""
     async with stage() as s:
-        crowd = [await s.client() for _ in range(40)]
-        for client in crowd:
+        idle_clients = [await s.client() for _ in range(40)]
+        for client in idle_clients:
             await client.ask(codec.command(b"PING"))
-        looks, kind = [], type(next(iter(s.program.front.clients)))
-        peer_has_closed = kind.peer_has_closed
+        checks, client_type = [], type(next(iter(s.program.front.clients)))
+        peer_has_closed = client_type.peer_has_closed
         try:
-            kind.peer_has_closed = lambda client: looks.append(client) or peer_has_closed(client)
+            client_type.peer_has_closed = lambda client: checks.append(client) or peer_has_closed(client)
             client = Client(*await asyncio.open_connection(*s.program.address))
             s.clients.append(client)
             assert await client.ask(read(1)) == b"value of " + ident(1)
             s.program.front.sweep()
-            assert len(looks) == 2 and len(set(looks)) == 1
+            assert len(checks) == 2 and len(set(checks)) == 1
         finally:
-            kind.peer_has_closed = peer_has_closed
+            client_type.peer_has_closed = peer_has_closed
--- a/tests/test_platform_room.py
+++ b/tests/test_platform_room.py
@@ -1,4 +1,4 @@
-"""Descriptors: idle clients fill a process, and discovery and storage servers are reached all the same."""
+"""Descriptor limits: idle clients must not prevent connections to discovery and storage servers."""
 
 import asyncio
 import gc
@@ -23,7 +23,7 @@
 LIMIT = 64
 
 
-def test_what_is_accepted_on_its_way_to_the_front_fits_the_spare_descriptors():
+def test_connections_not_yet_counted_fit_into_the_spare_descriptors():
     for spare in range(LOOP_ITERATIONS, 200):
         assert (
             0
@@ -35,8 +35,8 @@
     assert program.SPARE - program.OWN >= LOOP_ITERATIONS
 
 
-class Standing(asyncio.Protocol):
-    """A client's side of nothing: keeps its transport."""
+class RecordingProtocol(asyncio.Protocol):
+    """The server side of a connection; records its transport and ignores input."""
 
     def __init__(self, made):
         self.made = made
@@ -47,39 +47,39 @@
 
 @pytest.mark.parametrize("count", [1, 5])
 @on_sockets
-async def test_a_round_of_the_loop_accepts_a_few_and_each_has_been_heard_of_two_rounds_later(count):
-    """Danger: a crowd holds descriptors that nobody has counted yet."""
+async def test_accepts_per_loop_iteration_are_bounded_until_the_front_counts_them(count):
+    """Otherwise a burst of connections takes descriptors that no limit counts yet."""
     made = []
-    listener = Listener(("127.0.0.1", 0), lambda: Standing(made), count)
-    crowd = [socket.create_connection(listener.address()) for _ in range(40)]
+    listener = Listener(("127.0.0.1", 0), lambda: RecordingProtocol(made), count)
+    connections = [socket.create_connection(listener.address()) for _ in range(40)]
     gc.collect()
-    files, ways = len(os.listdir("/proc/self/fd")), []
-    while len(made) < len(crowd):
+    initial_descriptors, uncounted = len(os.listdir("/proc/self/fd")), []
+    while len(made) < len(connections):
         await asyncio.sleep(0)
-        ways.append(len(os.listdir("/proc/self/fd")) - files - len(made))
-    assert 0 < max(ways) <= count * (LOOP_ITERATIONS - 1)
+        uncounted.append(len(os.listdir("/proc/self/fd")) - initial_descriptors - len(made))
+    assert 0 < max(uncounted) <= count * (LOOP_ITERATIONS - 1)
     listener.close()
     assert not listener.is_serving()
     for transport in made:
         transport.abort()
-    for sock in crowd:
+    for sock in connections:
         sock.close()
 
 
 @on_sockets
-async def test_a_listener_without_a_descriptor_rests_and_goes_on_when_it_is_told(monkeypatch):
-    """Danger: what waits in the kernel wakes the loop again and again."""
+async def test_a_listener_without_a_descriptor_pauses_until_it_is_resumed(monkeypatch):
+    """Without the pause, connections waiting in the kernel would wake the loop continuously."""
     made = []
-    listener = Listener(("127.0.0.1", 0), lambda: Standing(made), 5)
-    accept, tries = listener.socket.accept, []
+    listener = Listener(("127.0.0.1", 0), lambda: RecordingProtocol(made), 5)
+    accept, accept_calls = listener.socket.accept, []
 
     class Exhausted:
         def __init__(self, sock):
             self.sock = sock
 
         def accept(self):
-            tries.append(len(tries))
-            if len(tries) == 1:
+            accept_calls.append(len(accept_calls))
+            if len(accept_calls) == 1:
                 raise OSError(24, "Too many open files")
             return accept()
 
@@ -90,7 +90,7 @@
     with socket.create_connection(listener.address()):
         for _ in range(50):
             await asyncio.sleep(0)
-        assert tries == [0] and listener.exhausted == 1 and not made
+        assert accept_calls == [0] and listener.exhausted == 1 and not made
         listener.resume()
         while not made:
             await asyncio.sleep(0)
@@ -99,8 +99,8 @@
 
 
 @on_sockets
-async def test_a_new_connection_is_closed_unread_where_all_others_are_in_use():
-    """Danger: it would take a descriptor that is kept for discovery or for the servers."""
+async def test_a_new_connection_is_closed_if_all_others_are_in_use():
+    """It would take a descriptor that is reserved for discovery or storage servers."""
     async with stage(lambda words: None) as s:
         client = await s.client()
         client.send(read(1))
@@ -116,8 +116,8 @@
 
 
 @on_sockets
-async def test_a_process_filled_by_idle_clients_while_discovery_is_down_follows_a_drain(tmp_path):
-    """Danger: no descriptor is left to hear of the drain with, nor for a connection to the other server."""
+async def test_a_drain_is_followed_after_idle_clients_filled_the_process(tmp_path):
+    """Descriptors must remain to learn of the drain from discovery and to connect to the other server."""
     path, log = tmp_path / "config.json", tmp_path / "log"
     discovery = await Discovery().start()
     old, new = [await StorageServer(echo).start() for _ in range(2)]
@@ -135,7 +135,7 @@
             stderr=err,
             preexec_fn=lambda: resource.setrlimit(resource.RLIMIT_NOFILE, (LIMIT, LIMIT)),
         )
-    crowd = []
+    connections = []
 
     async def client():
         return Client(*await asyncio.open_connection("127.0.0.1", port))
@@ -150,37 +150,41 @@
         assert await first.ask(codec.command(b"PING")) == Status("PONG")
         discovery.failing = True
         discovery.reset()
-        down = discovery.calls
-        # The process stands still meanwhile: the whole crowd waits in the kernel when it goes on.
+        calls_before_failure = discovery.calls
+        # While the process is stopped, all connections queue in the kernel.
         process.send_signal(signal.SIGSTOP)
         for number in range(6 * LIMIT):
-            crowd.append(socket.create_connection(("127.0.0.1", port), timeout=10))
+            connections.append(socket.create_connection(("127.0.0.1", port), timeout=10))
             if number % 2:
-                crowd[-1].sendall(codec.command(b"PING"))
+                connections[-1].sendall(codec.command(b"PING"))
         process.send_signal(signal.SIGCONT)
-        while discovery.calls < down + 2:  # asked again and again, beside the crowd
+        while (
+            discovery.calls < calls_before_failure + 2
+        ):  # discovery is polled although the clients are connected
             await asyncio.sleep(0.01)
         discovery.put("s0", old.address, 0, health="leaving")
         discovery.put("s1", new.address, 0)
         discovery.failing = False
-        back = discovery.calls
-        while discovery.calls < back + 2:  # the second is the watch behind the list
+        calls_before_recovery = discovery.calls
+        while (
+            discovery.calls < calls_before_recovery + 2
+        ):  # the first fetches the list, the second watches for changes
             await asyncio.sleep(0.01)
-        asking = await client()
-        assert await asking.ask(read(1)) == b"value of " + ident(1)
+        late_client = await client()
+        assert await late_client.ask(read(1)) == b"value of " + ident(1)
         assert new.seen and not old.seen
         process.send_signal(signal.SIGTERM)
-        while not (told := re.search(r"evicted=(\d+) .*exhausted=(\d+) ", log.read_text())):
+        while not (match := re.search(r"evicted=(\d+) .*exhausted=(\d+) ", log.read_text())):
             await asyncio.sleep(0.01)
-        assert int(told[1]) >= 3 * LIMIT and told[2] == "0"
+        assert int(match[1]) >= 3 * LIMIT and match[2] == "0"
         assert "Too many open files" not in log.read_text()
         first.writer.transport.abort()
-        asking.writer.transport.abort()
+        late_client.writer.transport.abort()
     finally:
         if process.returncode is None:
             process.kill()
         await process.wait()
-        for sock in crowd:
+        for sock in connections:
             sock.close()
         for server in (old, new):
             await server.stop()
--- a/tests/test_resp.py
+++ b/tests/test_resp.py
@@ -1,4 +1,4 @@
-"""RESP2: the codec on any split of any bytes, requests and answers read strictly."""
+"""RESP2: parsing of arbitrarily split input, and strict parsing of requests and answers."""
 
 from types import SimpleNamespace
 
@@ -17,17 +17,17 @@
 
 
 def split(data, cuts):
-    places = sorted({0, len(data), *(cut % (len(data) + 1) for cut in cuts)})
-    return [data[a:b] for a, b in zip(places, places[1:], strict=False)]
+    offsets = sorted({0, len(data), *(cut % (len(data) + 1) for cut in cuts)})
+    return [data[a:b] for a, b in zip(offsets, offsets[1:], strict=False)]
 
 
 @given(st.lists(st.lists(WORD, min_size=1, max_size=5), max_size=4), st.lists(st.integers(0, 10**6)))
-def test_commands_are_the_same_however_they_are_split(commands, cuts):
+def test_commands_parse_the_same_however_input_is_split(commands, cuts):
     data = b"".join(codec.command(*words) for words in commands)
     parser, got = Commands(), []
     for part in split(data, cuts):
-        found, wrong = parser.feed(part)
-        assert wrong is None
+        found, error = parser.feed(part)
+        assert error is None
         got += found
     assert got == commands and not parser.is_partial
 
@@ -37,20 +37,20 @@
 )
 
 
-def write(reply):
+def encode_reply(reply):
     if reply is None:
         return b"$-1\r\n"
     if isinstance(reply, bytes):
         return codec.bulk(reply)
     if isinstance(reply, int):
         return b":%d\r\n" % reply
-    return b"*%d\r\n" % len(reply) + b"".join(map(write, reply))
+    return b"*%d\r\n" % len(reply) + b"".join(map(encode_reply, reply))
 
 
 @given(st.lists(REPLY, max_size=4), st.lists(st.integers(0, 10**6)))
-def test_replies_are_the_same_however_they_are_split(replies, cuts):
+def test_replies_parse_the_same_however_input_is_split(replies, cuts):
     parser, got = Replies(), []
-    for part in split(b"".join(map(write, replies)), cuts):
+    for part in split(b"".join(map(encode_reply, replies)), cuts):
         parser.feed(part)
         while (found := parser.next()) is not None:
             got += found
@@ -58,7 +58,7 @@
 
 
 @given(st.binary(max_size=300), st.lists(st.integers(0, 10**6), max_size=5))
-def test_no_bytes_raise_anything_but_malformed(data, cuts):
+def test_arbitrary_bytes_raise_only_protocol_errors(data, cuts):
     commands, replies = Commands(), Replies()
     for part in split(data, cuts):
         if commands.feed(part)[1] is not None:
@@ -90,19 +90,19 @@
         b"*" + b"1" * 600,
     ],
 )
-def test_a_command_out_of_bounds_is_found_before_its_payload(data):
+def test_a_command_over_a_limit_is_rejected_before_its_payload(data):
     parser = Commands()
-    found, wrong = parser.feed(data)
-    assert not found and isinstance(wrong, ProtocolError)
-    assert not parser.is_partial  # nothing of it is kept
+    found, error = parser.feed(data)
+    assert not found and isinstance(error, ProtocolError)
+    assert not parser.is_partial  # the input is discarded
 
 
-def test_what_came_before_the_unreadable_is_still_a_command():
-    found, wrong = Commands().feed(codec.command(b"PING") + b"garbage")
-    assert found == [[b"PING"]] and wrong is not None
+def test_commands_before_invalid_input_are_returned():
+    found, error = Commands().feed(codec.command(b"PING") + b"garbage")
+    assert found == [[b"PING"]] and error is not None
 
 
-def test_a_value_may_be_64_kib_and_no_more():
+def test_a_value_may_have_at_most_64_kib():
     words = [b"IO.OUT", b"x" * codec.MAX_VALUE]
     assert Commands().feed(codec.command(*words)) == ([words], None)
     assert Commands().feed(codec.command(b"IO.OUT", b"x" * (codec.MAX_VALUE + 1)))[1] is not None
@@ -122,21 +122,21 @@
         b"$--1\r\n",
     ],
 )
-def test_a_spoilt_reply_is_found(data):
+def test_an_invalid_reply_is_rejected(data):
     parser = Replies()
     parser.feed(data)
     with pytest.raises(ProtocolError):
         parser.next()
 
 
-def test_a_text_cannot_end_its_line_early():
+def test_line_breaks_in_an_error_text_become_spaces():
     assert codec.error("ERR a\r\nb") == b"-ERR a  b\r\n"
 
 
 # --- answers
 
 
-def test_answers_read_as_outcomes():
+def test_replies_are_mapped_to_outcomes():
     assert parse_outcome([b"v", None, None]) == (Outcome.OK, b"v", "")
     assert parse_outcome([b"", b"used=1", b"inflight=2"])[:2] == (Outcome.OK, b"")
     assert parse_outcome(ErrorLine("BUSY"))[0] is Outcome.FULL
@@ -155,13 +155,21 @@
         assert parse_outcome(other)[:2] == (Outcome.ERROR, None)
 
 
-def test_figures_on_use_are_read_and_what_is_no_figure_counts_as_none():
+def test_usage_fields_are_parsed_and_invalid_ones_count_as_not_reported():
     assert parse_load([b"v", b"used=37,cost=4", None]) == (38, 4.0)
-    assert parse_load([b"v", b"used=0", None]) == (1, 0.0)  # nothing used is told; 0 would be untold
+    assert parse_load([b"v", b"used=0", None]) == (1, 0.0)  # 0 % used is reported; 0 would mean not reported
     assert parse_load([b"v", b"cost=2.5", b"inflight=3"]) == (0, 2.5)
     assert parse_load(ErrorLine("ERR failed used=12,cost=3 inflight=7")) == (13, 3.0)
-    for noise in (None, b"used=", b"used=x,cost=-3", b"xused=5", b"\xff" * 30, b"used=1e9", b"used=5" * 100):
-        assert parse_load([b"v", noise, None]) == (0, 0.0)
+    for invalid in (
+        None,
+        b"used=",
+        b"used=x,cost=-3",
+        b"xused=5",
+        b"\xff" * 30,
+        b"used=1e9",
+        b"used=5" * 100,
+    ):
+        assert parse_load([b"v", invalid, None]) == (0, 0.0)
 
 
 # --- requests
@@ -203,7 +211,7 @@
     return words(b"IO.OUT", body=(b"BODY",), **{"c": "write", "k": "5c0f6e1a2b3d4c59"} | changes)
 
 
-def test_a_request_is_read_by_the_settings_names():
+def test_a_request_is_parsed_by_the_names_in_the_settings():
     request = READER.read(words())
     assert (request.volume, request.key, request.shard) == (NAMES["volume"], PIECE.decode(), 5)
     assert (request.request_class, request.plan, request.units, request.writers) == (0, 1, 2.0, 3)
@@ -212,7 +220,7 @@
     assert (write.request_class, write.idempotency_key, write.shard) == (1, "5c0f6e1a2b3d4c59", -1)
 
 
-def test_a_storage_server_gets_the_clients_words_with_another_time():
+def test_a_storage_server_gets_the_clients_command_with_a_new_deadline():
     for d in ("480", "480.5"):
         for order in (("d", "c", "t"), ("c", "t", "d")):
             names = {name: NAMES[name] for name in order} | NAMES | {"d": d}
@@ -224,7 +232,7 @@
     assert b"d=1," in READER.read(words()).command(-5)
 
 
-def test_a_patience_beyond_its_classs_deadline_is_cut():
+def test_patience_is_limited_to_the_deadline_of_the_class():
     assert READER.read(words(d="999999999")).patience_ms == 1500
 
 
@@ -264,31 +272,31 @@
         [b"IO.OUT", PIECE, ID, b"\xff=1", b""],
     ],
 )
-def test_what_no_client_would_send_is_refused(bad):
+def test_invalid_commands_are_refused(bad):
     with pytest.raises(InvalidCommandError):
         READER.read(bad)
 
 
-# --- room
+# --- evictions
 
 
-def standing(asked, since):
-    return SimpleNamespace(has_sent_command=asked, active_at=since)
+def idle_connection(has_sent_command, active_at):
+    return SimpleNamespace(has_sent_command=has_sent_command, active_at=active_at)
 
 
-def test_who_leaves_for_a_new_connection():
-    silent, newcomer = standing(False, 5), standing(False, 90)
-    idle, idler = standing(True, 9), standing(True, 2)
-    everyone = [newcomer, idle, silent, idler]
+def test_order_of_evictions_for_new_connections():
+    silent, new = idle_connection(False, 5), idle_connection(False, 90)
+    idle, longest_idle = idle_connection(True, 9), idle_connection(True, 2)
+    remaining = [new, idle, silent, longest_idle]
     order = []
-    while everyone:
-        worst = choose_eviction(everyone, new_since=50)
-        everyone.remove(worst)
-        order.append(worst)
-    assert order == [silent, idler, idle, newcomer] and choose_eviction([], 50) is None
+    while remaining:
+        evicted = choose_eviction(remaining, new_since=50)
+        remaining.remove(evicted)
+        order.append(evicted)
+    assert order == [silent, longest_idle, idle, new] and choose_eviction([], 50) is None
 
 
-def test_the_largest_unread_answers_are_given_up_and_no_more_than_needed():
+def test_connections_with_most_unread_bytes_are_closed_until_the_rest_fits():
     class Peer:
         active_at = 0.0
 
