--- a/cressrock/resp/front.py
+++ b/cressrock/resp/front.py
@@ -44,11 +44,11 @@
 class _Pending:
     """A command's entry in its connection's queue of answers."""
 
-    __slots__ = ("name", "client_id", "data")
+    __slots__ = ("name", "client_request_id", "data")
 
     def __init__(self, data: bytes | None = None) -> None:
         self.name = ""  # the driver's name for the request while it is open, else empty
-        self.client_id = ""
+        self.client_request_id = ""
         self.data = data
 
 
@@ -238,9 +238,10 @@
         self.submitted_count = 0
         self.malformed = 0
         self.refused_commands = 0
-        self.evicted = 0
-        self.yielded = 0
-        self.left_unread = 0  # times the kernel reported a disconnect before it was read
+        self.evicted = 0  # connections closed for a new one
+        self.yielded = 0  # idle connections ended because of `max_asking`
+        # Attempts not started because the kernel reported a disconnect that had not been read yet.
+        self.left_unread = 0
 
     def protocol(self) -> _Client:
         """Return the protocol object for a new connection."""
@@ -313,7 +314,7 @@
         new_since, unflushed = self.clock() - self.bounds.new_connection_ms, []
         while True:
             # Only the first of each kind can be the choice.  Hundreds of connections may arrive in one
-            # iteration of the loop; scanning all the others for each of them would be too slow.
+            # iteration of the loop; scanning all the others for each of them would delay due answers.
             candidates = [next(iter(group)) for group in (self.silent_clients, self.idle_clients) if group]
             candidate = choose_eviction(candidates, new_since)
             if candidate is None or (
@@ -417,7 +418,7 @@
             pending = _Pending()
             self.submitted_count += 1
             pending.name = f"{self.submitted_count:x}"
-            pending.client_id = request.name
+            pending.client_request_id = request.name
             denied = self.driver.submit(
                 pending.name,
                 pending.name,
@@ -447,7 +448,7 @@
 
     def _forget(self, pending: _Pending) -> None:
         pending.name = ""
-        self.open_ids.discard(pending.client_id)
+        self.open_ids.discard(pending.client_request_id)
 
 
 def _encode_denial(denied: Denial) -> bytes:
--- a/cressrock/resp/nodes.py
+++ b/cressrock/resp/nodes.py
@@ -289,8 +289,8 @@
         self.queue: deque[_InFlightAttempt] = deque()  # attempts that wait for a descriptor
         self.opened = 0
         self.reused = 0
-        self.surplus = 0
-        self.spoilt = 0
+        self.surplus = 0  # connections closed because of unrequested bytes
+        self.spoilt = 0  # connections closed because of an invalid or incomplete answer
         self.active_count = 0  # attempts without an outcome
         self._checks: list[tuple[float, int, _InFlightAttempt]] = []
         self._check_sequence = 0
@@ -486,7 +486,7 @@
             flight.leave_by = _NEVER
 
     def _release(self, connection: _Connection) -> None:
-        """Return a connection to the idle ones, as of now."""
+        """Add a connection to the idle ones; its idle time starts now."""
         connection.flight = None
         if connection.is_lost or connection.transport.is_closing():
             return
@@ -511,7 +511,7 @@
             self._write_if_allowed(connection, flight)
 
     def _return_idle(self, connection: _Connection) -> None:
-        """Return an unused connection to the idle ones without changing since when it is idle."""
+        """Put an awaited, unused connection back among the idle ones; its idle time continues."""
         if not connection.is_lost and not connection.transport.is_closing():
             idle = self.idle.setdefault(connection.node, OrderedDict())
             idle[connection] = None
--- a/cressrock/resp/request.py
+++ b/cressrock/resp/request.py
@@ -42,8 +42,8 @@
     name: str  # the client's request id
     patience_ms: float
     words: tuple[bytes, ...]  # of the command, unchanged
-    before: bytes  # the NAMES that come before `d`; `after` is the rest behind its value
-    after: bytes
+    before: bytes  # the part of NAMES before `d`
+    after: bytes  # the part of NAMES after the value of `d`
 
     def command(self, wait_ms: float) -> bytes:
         """Encode it for a storage server; `wait_ms` is how long the dispatcher will wait for the answer."""
