--- a/cressrock/benchlink.py
+++ b/cressrock/benchlink.py
@@ -1,6 +1,6 @@
-"""The simulator's adapter: translates between its wire and the scheduler; it decides nothing.
+"""The simulator's adapter: translates between the simulator's line protocol and the scheduler.
 
-One process hosts many instances, which share nothing.  Standard output carries the wire alone.
+One process hosts many independent scheduler instances.  Standard output carries only protocol lines.
 """
 
 from __future__ import annotations
@@ -45,24 +45,24 @@
 }
 NODE_STATES = {"0": NodeState.GONE, "1": NodeState.READY, "2": NodeState.DRAINING}
 LIST_KINDS = {"0": ListKind.COMPLETE, "2": ListKind.CACHED, "3": ListKind.CHANGES, "4": ListKind.FAILED}
-WIRE_RESOLUTION_MS = 0.001  # times are written with three digits
+WIRE_RESOLUTION_MS = 0.001  # times are written with three decimals
 
 Fields = dict[str, str]
 
 
 class WireError(ValueError):
-    """A line of the wire that cannot be understood."""
+    """An input line that violates the protocol."""
 
 
 class Line(NamedTuple):
-    """One line of the wire: its word and its named fields."""
+    """One protocol line: its first word and its name=value fields."""
 
     word: str
     fields: Fields
 
     @classmethod
     def parse(cls, text: str) -> Line:
-        """Split a line; a `config` field holds the rest of it.  Raises WireError."""
+        """Parse a line; a `config` field extends to the end of the line.  Raises WireError."""
         word, _, rest = text.partition(" ")
         fields: Fields = {}
         while rest:
@@ -78,7 +78,7 @@
 
 
 def _node(fields: Fields) -> Node:
-    """Read one line of a node list."""
+    """Return the node described by the fields of one node list entry.  Raises KeyError and ValueError."""
     return Node(
         name=fields["server"],
         shard=int(fields.get("cluster", 0)),
@@ -112,8 +112,8 @@
         latency_ms=float(fields.get("lag_ms", 0)),
         reported_usage=int(float(fields.get("metered", 0))),
         units_elsewhere=float(fields.get("delta", 0)),
-        # The simulator's stores take a request's units as its first attempt is sent, and an abandoned one
-        # never is.
+        # The simulator's stores count a request's units when its first attempt is sent, and an abandoned
+        # attempt was never sent.
         charged=outcome is not Outcome.ABANDONED,
     )
 
@@ -135,13 +135,13 @@
 
 
 def action_line(instance: int, action: Action) -> str:
-    """Write one action on the wire."""
+    """Return the protocol line for an action of an instance."""
     match action:
         case Send(request, node, timeout_ms):
             limit = f" within_ms={timeout_ms:.3f}" if timeout_ms else ""
             return f"TRY dispatcher={instance} tid={request}{limit} server={node}"
         case SetTimer(at_ms, token):
-            # Danger: a microsecond too early, the scheduler finds nothing due and sets no other timer.
+            # Rounded up: if a timer fired early, the scheduler would find nothing due and set no other timer.
             is_early = float(f"{at_ms:.3f}") < at_ms
             alarm_ms = at_ms + WIRE_RESOLUTION_MS * is_early
             return f"SET_TIMER dispatcher={instance} alarm_time_ms={alarm_ms:.3f} ctx={token}"
@@ -156,23 +156,23 @@
             return f"KEEP_INFORMED dispatcher={instance} active=1"
         case Log(text):
             return f"EMIT dispatcher={instance} msg={text}"
-    raise AssertionError(f"no wire word for {action!r}")
+    raise AssertionError(f"no protocol word for action {action!r}")
 
 
 class SimulatorLink:
-    """Reads batches, hands each instance its events in order, and writes the replies."""
+    """Reads batches, passes each instance its events in order, and writes the replies."""
 
     def __init__(self, source: TextIO, sink: TextIO) -> None:
-        """Nothing is known before the first line."""
+        """Start without instances and node lists."""
         self.source = source
         self.sink = sink
         self.line_number = 0
         self.schedulers: dict[int, Scheduler] = {}  # by instance
-        self.lists: dict[int, tuple[Node, ...]] = {}  # by bank
-        self.queued: dict[int, list[Event]] = {}  # of the present batch, by instance
+        self.node_lists: dict[int, tuple[Node, ...]] = {}  # by bank
+        self.queued_events: dict[int, list[Event]] = {}  # of the current batch, by instance
 
     def run(self) -> None:
-        """Answer batches until the input ends."""
+        """Process batches until the end of the input.  Raises WireError for malformed input."""
         while (text := self._read_line()) is not None:
             if not text:
                 continue
@@ -191,30 +191,30 @@
         return text.rstrip("\r\n")
 
     def _answer_batch(self, now_ms: float) -> list[str]:
-        """Read a batch to its end; return the lines of all instances' actions."""
-        self.queued = {}
+        """Read the rest of a batch; return the lines of all instances' actions.  Raises WireError."""
+        self.queued_events = {}
         while (text := self._read_line()) != "EOB":
             if text is None:
-                raise WireError("the input ended within a batch")
+                raise WireError("the input ended before the EOB of a batch")
             if not text:
                 continue
             line = Line.parse(text)
             try:
-                self._take_in(now_ms, line)
+                self._handle_line(now_ms, line)
             except KeyError as error:
-                raise WireError(f"{line.word} lacks or misstates {error}") from None
+                raise WireError(f"{line.word}: missing field or unknown value {error}") from None
             except (ValueError, TypeError, AttributeError) as error:
                 raise WireError(f"{line.word}: {error}") from None
         return [
             action_line(instance, action)
-            for instance, events in self.queued.items()
+            for instance, events in self.queued_events.items()
             for action in self.schedulers[instance].act(now_ms, events)
         ]
 
-    def _take_in(self, now_ms: float, line: Line) -> None:
+    def _handle_line(self, now_ms: float, line: Line) -> None:
         word, fields = line
         if word == "TABLE":
-            self.lists[int(fields["bank"])] = self._read_nodes(int(fields.get("members", 0)))
+            self.node_lists[int(fields["bank"])] = self._read_nodes(int(fields.get("members", 0)))
             return
         if "dispatcher" not in fields:
             return
@@ -222,18 +222,18 @@
         if word == "BEGIN":
             settings = parse_settings(json.loads(fields["config"]))
             self.schedulers[instance] = Scheduler(settings, int(fields.get("prng", 0)), now_ms)
-            self.queued[instance] = []
+            self.queued_events[instance] = []
         elif word == "SHUTDOWN":
             self.schedulers.pop(instance, None)
-            self.queued.pop(instance, None)
+            self.queued_events.pop(instance, None)
         elif instance not in self.schedulers:
             return
         elif word == "MEMBERS":
             kind = LIST_KINDS[fields.get("how", "0")]
-            nodes = () if kind is ListKind.FAILED else self.lists[int(fields.get("bank", 0))]
-            self.queued.setdefault(instance, []).append(NodeList(kind, nodes))
+            nodes = () if kind is ListKind.FAILED else self.node_lists[int(fields.get("bank", 0))]
+            self.queued_events.setdefault(instance, []).append(NodeList(kind, nodes))
         elif word in EVENTS:
-            self.queued.setdefault(instance, []).append(EVENTS[word](fields))
+            self.queued_events.setdefault(instance, []).append(EVENTS[word](fields))
 
     def _read_nodes(self, count: int) -> tuple[Node, ...]:
         nodes = []
@@ -246,7 +246,7 @@
 
 
 def main() -> int:
-    """Serve the wire on standard input and output; 1 and one plain line where it is malformed."""
+    """Serve the protocol on standard input and output; print one line and return 1 for malformed input."""
     sys.stdin.reconfigure(encoding="utf-8")  # type: ignore[union-attr]
     link = SimulatorLink(sys.stdin, sys.stdout)
     try:
--- a/cressrock/config.py
+++ b/cressrock/config.py
@@ -1,7 +1,7 @@
-"""The settings that a dispatcher is given by its platform, in the scheduler's own terms.
+"""Parser of the platform's settings object, which returns the scheduler's `Settings`.
 
-The simulator's first message and the configuration file of a real dispatcher hold the same object; both
-adapters read it here, so that neither can mean anything else by it.  Standard library alone.
+The simulator's first message and the configuration file of a real dispatcher contain the same object.  Both
+adapters parse it here, so that they cannot interpret it differently.  Uses only the standard library.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 
 from cressrock.interface import DeduplicationScope, Idempotency, Plan, RequestClass, Settings
 
-JsonObject = dict[str, Any]  # as the json module reads one
+JsonObject = dict[str, Any]  # as parsed by the json module
 Kind = TypeVar("Kind")
 
 IDEMPOTENCY_BY_NAME = {
@@ -26,7 +26,7 @@
     "cell": DeduplicationScope.SHARD,
 }
 
-# The interface's name of each number, by its name in the object.
+# Field name in `cressrock.interface` by key in the settings object.
 CLASS_FIELDS = {
     "goal_time_ms": "latency_objective_ms",
     "give_up_ms": "deadline_ms",
@@ -43,7 +43,7 @@
     "burst": "limit_burst",
     "slack": "limit_slack",
 }
-# The object's other numbers, by the section that holds them; "" is the object itself.
+# The remaining numbers by section of the settings object; "" is the top level.
 SETTINGS_FIELDS = {
     "": {"balancers": "hosts", "period_ms": "tick_ms"},
     "caps": {
@@ -88,7 +88,7 @@
 
 
 def describe_value(value: object) -> str:
-    """Show a value of a configuration in a message: short, on one line."""
+    """Format a configuration value for an error message: one line of at most 40 characters."""
     if isinstance(value, (dict, list)):
         return "an object" if isinstance(value, dict) else "a list"
     text = repr(value)
@@ -96,9 +96,9 @@
 
 
 def checked_number(value: object, place: str, minimum: float = 0.0, *, exclusive: bool = False) -> float:
-    """Return a number that is finite and not under `minimum`, with `exclusive` above it.
+    """Return `value` if it is a finite number of at least `minimum`, or above it with `exclusive`.
 
-    Raises ValueError naming its place.  True and false are no numbers, nor is text that looks like one.
+    Raises ValueError with its place otherwise.  Booleans and numeric strings are not accepted.
     """
     if isinstance(value, bool) or not isinstance(value, (int, float)):
         raise ValueError(f"{place}: a number was expected, not {describe_value(value)}")
@@ -111,7 +111,7 @@
 
 
 def section(owner: JsonObject, name: str, kind: type[Kind], place: str = "") -> Kind:
-    """Return a section of an object, an empty one where it is absent or null.  Raises ValueError."""
+    """Return a section of an object, empty if absent or null.  Raises ValueError if it is not a `kind`."""
     value = owner.get(name)
     if value is None or value in ([], {}):
         return kind()
@@ -122,7 +122,7 @@
 
 
 def section_list(config: JsonObject, name: str) -> list[JsonObject]:
-    """Return a list of objects, an empty one where it is absent or null.  Raises ValueError."""
+    """Return a list of objects, empty if absent or null.  Raises ValueError for any other value."""
     entries: list[JsonObject] = section(config, name, list)
     for index, entry in enumerate(entries):
         if not isinstance(entry, dict):
@@ -131,7 +131,7 @@
 
 
 def _numbers(source: JsonObject, names: Mapping[str, str], place: str) -> JsonObject:
-    """Pick the numbers that are present, under the interface's names; an absent one keeps its meaning."""
+    """Return the numbers that are present, under the interface's names; absent ones keep their defaults."""
     return {
         name: checked_number(source[outer], f"{place}{outer}", exclusive=outer in POSITIVE_FIELDS)
         for outer, name in names.items()
@@ -149,10 +149,10 @@
 
 
 def parse_settings(config: JsonObject) -> Settings:
-    """Put the first message's settings into the interface's terms.
+    """Convert a settings object to the interface's `Settings`.
 
-    A latency objective above its deadline is taken as it stands: no answer that still counts is late then.
-    Raises ValueError; its text begins with the place in the object.
+    A latency objective above the deadline is accepted: then no response within the deadline is late.  Raises
+    ValueError whose text begins with the place in the object.
     """
     family = section(config, "family_info", dict)
     writes = section(family, "writes", list, "family_info.")
--- a/cressrock/interface.py
+++ b/cressrock/interface.py
@@ -1,6 +1,6 @@
-"""What goes into and comes out of the scheduler: settings, events, actions, outcomes.
+"""The scheduler's interface: settings, events, actions and outcomes.
 
-Nothing here decides anything.  Times are milliseconds on the caller's clock; sizes are units.
+It contains types only, no logic.  Times are milliseconds on the caller's clock; sizes are in units.
 """
 
 from __future__ import annotations
@@ -10,7 +10,7 @@
 
 
 class Idempotency(Enum):
-    """How far a request of a class may be repeated."""
+    """Whether a request of a class may be repeated: always, with deduplication by key, or never."""
 
     ALWAYS = "repeatable"
     KEYED = "keyed"
@@ -18,7 +18,7 @@
 
 
 class DeduplicationScope(Enum):
-    """Which nodes drop a repeat of a keyed request."""
+    """Which nodes drop a repeat of a keyed request: all, or those of the first node's zone or shard."""
 
     ALL = "all"
     ZONE = "zone"
@@ -39,7 +39,7 @@
 
 
 class NodeState(Enum):
-    """What the node list says of a node's process."""
+    """State of a node's process according to the node list."""
 
     READY = "ready"
     DRAINING = "draining"
@@ -47,7 +47,7 @@
 
 
 class ListKind(Enum):
-    """What a report of the node list is."""
+    """Kind of a node list report: changed entries, a complete list, a cached copy or a failed request."""
 
     CHANGES = "changes"
     COMPLETE = "complete"
@@ -56,19 +56,19 @@
 
 
 def _check(owner: object, positive: tuple[str, ...]) -> None:
-    """Raise ValueError for a number that makes no sense, naming its field."""
+    """Raise ValueError for a number that is not finite, is negative, or is 0 in a field in `positive`."""
     for field in fields(owner):  # type: ignore[arg-type]
         value = getattr(owner, field.name)
         if isinstance(value, bool) or not isinstance(value, (int, float)):
             continue
         low = value <= 0 if field.name in positive else value < 0
         if low or value != value or value == float("inf"):
-            raise ValueError(f"{type(owner).__name__}.{field.name} makes no sense: {value!r}")
+            raise ValueError(f"{type(owner).__name__}.{field.name} is infinite, NaN or too low: {value!r}")
 
 
 @dataclass(frozen=True, slots=True)
 class RequestClass:
-    """A class of requests: latency objective, deadline, weight among others, and what may be repeated."""
+    """A class of requests: latency objective, deadline, priority weights, and how far repeats are allowed."""
 
     latency_objective_ms: float
     deadline_ms: float
@@ -81,13 +81,16 @@
     is_write: bool = False
 
     def __post_init__(self) -> None:
-        """Check the figures."""
+        """Check that the values are in range.  Raises ValueError."""
         _check(self, ("latency_objective_ms", "deadline_ms"))
 
 
 @dataclass(frozen=True, slots=True)
 class Plan:
-    """What a volume on this plan may expect of all hosts and nodes together; limit_rate 0 means no limit."""
+    """A volume's entitlement across all hosts and nodes; `limit_rate` 0 means no limit.
+
+    `rate`, `reserve` and `limit_rate` are units per second; `limit_burst` and `limit_slack` are units.
+    """
 
     weight: float = 1.0
     rate: float = 0.0
@@ -98,15 +101,15 @@
     limit_slack: float = 0.0
 
     def __post_init__(self) -> None:
-        """Check the figures."""
+        """Check that the values are in range.  Raises ValueError."""
         _check(self, ("weight",))
 
 
 @dataclass(frozen=True, slots=True)
 class Settings:
-    """All that a host is told when it starts.
+    """The settings of a host, given when it starts.
 
-    The fields have the names of the operators' settings (docs/settings.md), units are those of sizes.
+    The fields are named like the operators' settings (docs/settings.md); "units" are units of request size.
     """
 
     classes: tuple[RequestClass, ...]
@@ -139,7 +142,7 @@
     tells_others: bool = False
 
     def __post_init__(self) -> None:
-        """Check the figures."""
+        """Check that the values are in range.  Raises ValueError."""
         _check(self, ("hosts", "tick_ms", "max_attempts", "usual_units", "most_units", "cold_from"))
         if not self.classes or not self.plans:
             raise ValueError("Settings need at least one class and one plan")
@@ -147,7 +150,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Node:
-    """One line of the node list; started_at_ms 0 means long ago."""
+    """One entry of the node list; `started_at_ms` 0 means long ago."""
 
     name: str
     shard: int
@@ -158,7 +161,7 @@
 
 @dataclass(frozen=True, slots=True)
 class NodeList:
-    """A report of the node list."""
+    """A node list report, which carries no nodes if it failed."""
 
     kind: ListKind
     nodes: tuple[Node, ...] = ()
@@ -166,12 +169,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Arrival:
-    """A client's request; from now on one final answer is pending.  shard -1: any node may take it.
+    """A client's request, which has to get exactly one final answer.  `shard` -1 means any node.
 
-    `waited_ms` is how long its user has waited already; negative: nobody knows, and what `remaining_ms`
-    lacks of the longest seen of its class stands for it.  Of what another decider had before:
-    `earlier_attempts` are those made there, and `counted_in_budget` says that its budget of retries has
-    counted the request.
+    `waited_ms` is how long the user has already waited; if negative (unknown), it is estimated as the
+    difference between `remaining_ms` and the highest value seen for the class.  If another scheduler handled
+    the request before, `earlier_attempts` is the number of attempts made there, and `counted_in_budget` tells
+    that its retry budget counted the request.
     """
 
     request: str
@@ -190,9 +193,9 @@
 
 @dataclass(frozen=True, slots=True)
 class AttemptEnded:
-    """An attempt's outcome; settled: the client has its final answer.
+    """The outcome of an attempt; `settled` means that the client has its final answer.
 
-    `charged`: whether a limit's store took the request's units, None where nobody can tell.
+    `charged`: whether the limit's store counted the request's units; None if unknown.
     """
 
     request: str
@@ -207,14 +210,14 @@
 
 @dataclass(frozen=True, slots=True)
 class ClientLeft:
-    """The client of a request no longer waits."""
+    """The client of a request disconnected or stopped waiting."""
 
     request: str
 
 
 @dataclass(frozen=True, slots=True)
 class LimitLease:
-    """Units of a volume's limit that may be spent until a time.  With `limits_lent` there are no others."""
+    """Units of a volume's limit that may be spent until the expiry time; the only ones with `limits_lent`."""
 
     volume: str
     units: float
@@ -223,7 +226,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RetryBudgetUsage:
-    """When further attempts were made, and requests taken, that count in the budget and came by others."""
+    """Times of retries and arrivals that other schedulers handled and that count in the retry budget."""
 
     retried_at_ms: tuple[float, ...]
     arrived_at_ms: tuple[float, ...]
@@ -231,7 +234,7 @@
 
 @dataclass(frozen=True, slots=True)
 class TimerFired:
-    """A timer that the module set is due."""
+    """A timer set by the scheduler is due."""
 
     token: int
 
@@ -241,7 +244,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Send:
-    """Start the next attempt of a request at a node; timeout_ms 0 means until the client gives up."""
+    """Start the next attempt of a request at a node; `timeout_ms` 0 means until the client stops waiting."""
 
     request: str
     node: str
@@ -250,7 +253,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Reject:
-    """Final answer: a new try is harmless."""
+    """Final answer: the request was rejected, and the client can safely send it again."""
 
     request: str
     retry_after_ms: float = 0.0
@@ -258,14 +261,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Fail:
-    """Final answer: nothing is promised of the effect."""
+    """Final answer: the request failed, and it may or may not have taken effect."""
 
     request: str
 
 
 @dataclass(frozen=True, slots=True)
 class Cancel:
-    """End the wait on an attempt; its outcome still comes.  The node may go on with the work."""
+    """Stop waiting for an attempt; its outcome is still reported, and the node may continue the work."""
 
     request: str
     attempt: int
@@ -273,7 +276,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SetTimer:
-    """Ask for a TimerFired at a time."""
+    """Request a `TimerFired` event at a time."""
 
     at_ms: float
     token: int
@@ -281,12 +284,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Subscribe:
-    """Ask the node list for a subscription to its changes."""
+    """Request the node list and a subscription to its changes."""
 
 
 @dataclass(frozen=True, slots=True)
 class Log:
-    """A line for the on-call staff."""
+    """A log line for on-call engineers."""
 
     text: str
 
--- a/cressrock/scheduler/admission.py
+++ b/cressrock/scheduler/admission.py
@@ -1,4 +1,4 @@
-"""What a request needs besides its turn by tags: a warm endpoint's room, its limit, budget, order per key."""
+"""Checks before a request may be sent: slow start, the volume's limit, the retry budget and key order."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class Admission:
-    """Whether a waiting request may be sent now."""
+    """Decides whether a waiting request may be sent now."""
 
     def __init__(
         self,
@@ -21,25 +21,25 @@
         retry_budget: RetryBudget,
         key_order: KeyOrder,
     ) -> None:
-        """Share the state of one scheduler."""
-        self.limits_leased = settings.limits_lent
+        """Keep references to the state of one scheduler; nothing is copied."""
+        self.is_limit_leased = settings.limits_lent
         self.active_queues = active_queues
         self.retry_budget = retry_budget
         self.key_order = key_order
 
-    def may_leave(self, request: Request, endpoint: Endpoint, allowance: float, now_ms: float) -> bool:
-        """Whether a request may go to an endpoint that may get `allowance` units more."""
+    def may_send(self, request: Request, endpoint: Endpoint, allowance: float, now_ms: float) -> bool:
+        """Return whether a request may be sent to an endpoint that can take `allowance` more units."""
         if request.units > allowance:
             return False
         is_limited = request.plan.limit_rate and not request.charged
         if is_limited and not self._within_limit(request, endpoint, now_ms):
             return False
-        if request.possible_run is not None and not may_repeat_at(request, endpoint.listed):
+        if request.possible_run is not None and not may_repeat_at(request, endpoint.list_entry):
             return False
         if request.attempts and not self.retry_budget.allows_retry(now_ms):
             return False
         if request.request_class.ordered and request.arrival.key:
-            return self.key_order.is_next(request, now_ms)
+            return self.key_order.may_run(request, now_ms)
         return True
 
     def _within_limit(self, request: Request, endpoint: Endpoint, now_ms: float) -> bool:
@@ -51,13 +51,13 @@
     def _spare_units(
         self, account: VolumeAccount, request: Request, endpoint: Endpoint, now_ms: float
     ) -> float:
-        """Units that have to stay: late work takes only what the next request on time would not lack."""
+        """Return the units of the limit that a late request must leave for the next one that is on time."""
         if not endpoint.limit.would_be_late(request, now_ms):
             return 0.0
         ceiling = account.limit_ceiling(request.plan)
         spare = max(0.0, min(ceiling / 2, ceiling - request.units))
-        if spare and self.limits_leased:
-            # No more is leased than what waits: is there any on time?
+        if spare and self.is_limit_leased:
+            # Leases cover only the waiting requests, so a late one must wait while any is on time.
             name = request.arrival.volume
             queues = (queue.volumes.get(name) for queue in self.active_queues.values())
             return INFINITY if any(queue is not None and queue.waiting for queue in queues) else 0.0
--- a/cressrock/scheduler/beliefs.py
+++ b/cressrock/scheduler/beliefs.py
@@ -1,4 +1,4 @@
-"""What the scheduler takes for true of its endpoints, for the log and the on-call engineer."""
+"""The scheduler's current estimates for its endpoints, as written to the log for on-call engineers."""
 
 from __future__ import annotations
 
@@ -9,8 +9,12 @@
 from cressrock.scheduler.scheduler import Scheduler
 
 
-class EndpointBelief(NamedTuple):
-    """What the scheduler takes for true of an endpoint that it uses."""
+class EndpointEstimate(NamedTuple):
+    """State and estimates of one endpoint in use.
+
+    `window` and the attempt counts are in requests; `wait_ratio` is a fraction of the latency objective;
+    `rest_ms` is the remaining ejection time.
+    """
 
     name: str
     state: NodeState
@@ -24,21 +28,21 @@
     rest_ms: float
 
 
-def endpoint_beliefs(scheduler: Scheduler, now_ms: float) -> Iterator[EndpointBelief]:
-    """Yield what is believed of each endpoint that something waits for or was sent to."""
+def endpoint_beliefs(scheduler: Scheduler, now_ms: float) -> Iterator[EndpointEstimate]:
+    """Yield the estimates for each endpoint that has waiting requests or was ever sent one."""
     for name, endpoint in scheduler.endpoints.by_name.items():
-        queue, limit = scheduler.queues.get(endpoint.listed.shard), endpoint.limit
+        queue, limit = scheduler.queues.get(endpoint.list_entry.shard), endpoint.limit
         waiting = queue.waiting_count if queue is not None and queue.endpoint is endpoint else 0
         if waiting or endpoint.last_sent_ms:
-            yield EndpointBelief(
+            yield EndpointEstimate(
                 name=name,
-                state=endpoint.listed.state,
+                state=endpoint.list_entry.state,
                 window=limit.window,
                 in_flight=len(endpoint.in_flight),
                 presumed_lost=len(endpoint.presumed_lost),
                 waiting=waiting,
                 latency_ms=limit.latency_ms,
-                uncrowded_ms=limit.uncrowded.base_ms,
+                uncrowded_ms=limit.unloaded.base_ms,
                 wait_ratio=limit.wait_ratio,
                 rest_ms=max(0.0, endpoint.ejection.until_ms - now_ms),
             )
--- a/cressrock/scheduler/dispatch.py
+++ b/cressrock/scheduler/dispatch.py
@@ -1,4 +1,4 @@
-"""Which waiting request leaves next, and whether its endpoint has a slot for it."""
+"""Choice of the next request to send, and whether its endpoint has a free slot."""
 
 from __future__ import annotations
 
@@ -6,93 +6,98 @@
 
 from cressrock.interface import Settings
 from cressrock.scheduler.admission import Admission
-from cressrock.scheduler.concurrency_limit import MAX_WINDOW
+from cressrock.scheduler.concurrency_limit import MAX_WINDOW_REQUESTS
 from cressrock.scheduler.endpoints import INFINITY, Endpoint
 from cressrock.scheduler.fair_queue import ShardQueue
 from cressrock.scheduler.lost_attempts import LostAttempts
 from cressrock.scheduler.request import Request
 from cressrock.scheduler.slow_start import SlowStart
 
-RESERVED_ONLY_WAIT = 0.12  # of the objective: where the wait is longer only what is inside a reserve leaves
-MAX_PRESUMED_LOST = 10  # attempts at one endpoint: beyond them it gets nothing more
+RESERVED_ONLY_WAIT_FRACTION = 0.12  # of the objective: above it only requests inside a reserve are sent
+MAX_PRESUMED_LOST_ATTEMPTS = 10  # with so many at one endpoint, nothing more is sent to it
 
 
-def gate_ratio(settings: Settings) -> float:
-    """Return the wait, as a part of the objective, beyond which only reserved work leaves.
+def max_unreserved_wait_ratio(settings: Settings) -> float:
+    """Return the queueing delay, as a fraction of the objective, above which only reserved requests are sent.
 
-    What lies beyond a reserve waits the sooner the less it earns; where it earns the same, never.
+    The less a request outside the reserve is worth, the lower the value; infinity if it is worth as much as
+    one inside, or if no plan has a reserve.
     """
-    lost_share = 1 - settings.share_worth if any(plan.reserve for plan in settings.plans) else 0.0
-    return RESERVED_ONLY_WAIT / lost_share if lost_share > 0 else INFINITY
+    worth_reduction = 1 - settings.share_worth if any(plan.reserve for plan in settings.plans) else 0.0
+    return RESERVED_ONLY_WAIT_FRACTION / worth_reduction if worth_reduction > 0 else INFINITY
 
 
 class Dispatch:
-    """Chooses among the heads of a shard's queues."""
+    """Chooses among the requests that wait at a shard."""
 
     def __init__(
         self, settings: Settings, admission: Admission, slow_start: SlowStart, lost_attempts: LostAttempts
     ) -> None:
-        """Share the state of one scheduler."""
+        """Keep references to the state of one scheduler; nothing is copied."""
         self.hosts = settings.hosts
-        self.gate_ratio = gate_ratio(settings)
+        self.max_unreserved_wait_ratio = max_unreserved_wait_ratio(settings)
         self.admission = admission
         self.slow_start = slow_start
         self.lost_attempts = lost_attempts
 
     def has_slot(self, endpoint: Endpoint, now_ms: float) -> bool:
-        """Whether fewer than D are out; what timed out may still run, but the endpoint rests with it."""
+        """Return whether the endpoint is not ejected and fewer than D attempts are outstanding.
+
+        Attempts that timed out may still run on the node, but ejection covers that case.
+        """
         in_flight, window = endpoint.in_flight, endpoint.limit.window
-        if now_ms < endpoint.ejection.until_ms or len(in_flight) >= MAX_WINDOW:
+        if now_ms < endpoint.ejection.until_ms or len(in_flight) >= MAX_WINDOW_REQUESTS:
             return False
-        if len(endpoint.presumed_lost) >= MAX_PRESUMED_LOST:
+        if len(endpoint.presumed_lost) >= MAX_PRESUMED_LOST_ATTEMPTS:
             return False
         if not in_flight:
-            # Danger: one each from hundreds of hosts is a jam.  D under one is a rest between sends.
+            # One attempt each from hundreds of hosts is an overload, so D below one spaces the sends.
             return window >= 1 or now_ms >= endpoint.last_sent_ms + endpoint.limit.latency_ms / window
         free_slots = int(window) - len(in_flight)
         if free_slots or endpoint.ejection.backoff_ms:
             return free_slots > 0
-        # With every slot held by what may be lost nothing could overtake it: one more finds out.
+        # If lost attempts hold every slot, none can be overtaken: one extra attempt detects that.
         return self.lost_attempts.is_overdue(endpoint, next(iter(in_flight.values())), now_ms)
 
     def next_request(self, queue: ShardQueue, endpoint: Endpoint, now_ms: float) -> Request | None:
-        """Choose the lowest tag plus compensation among the volumes' heads; late work only after these."""
+        """Choose the request with the lowest tag plus compensation; late requests come after all others."""
         allowance = self.slow_start.allowance(endpoint, now_ms)
         limit = endpoint.limit
-        # A passed jam looks like a lasting one to whoever sends nothing.  All hosts together try with one.
-        probes = not endpoint.in_flight and now_ms >= endpoint.last_sent_ms + self.hosts * limit.latency_ms
-        # With nothing but late work there, the queues need not be gone through at each turn.
+        # Without attempts an overload would seem permanent, so all hosts together probe once per latency.
+        is_probe = not endpoint.in_flight and now_ms >= endpoint.last_sent_ms + self.hosts * limit.latency_ms
+        # If only late requests wait, scanning the queues is unnecessary.
         if queue.waiting_count > len(queue.late):
-            reserved_only = limit.wait_ratio > self.gate_ratio and not probes
-            head = self._lowest_tag(queue, endpoint, allowance, reserved_only, now_ms)
+            reserved_only = limit.wait_ratio > self.max_unreserved_wait_ratio and not is_probe
+            head = self._next_by_tag(queue, endpoint, allowance, reserved_only, now_ms)
             if head is not None:
                 return head
-        # Late work earns little and stands before what comes next: it leaves one slot free, and only where
-        # next to nothing waits.
-        out = len(endpoint.in_flight) + len(endpoint.presumed_lost)
-        if endpoint.admitted_share < 1 or out >= max(1, int(limit.window) - 1):
+        # A late request is worth little and would delay the next one that is on time: it must leave one slot
+        # free, and the endpoint must have almost no queueing delay.
+        outstanding = len(endpoint.in_flight) + len(endpoint.presumed_lost)
+        if endpoint.admitted_share < 1 or outstanding >= max(1, int(limit.window) - 1):
             return None
-        if not limit.is_uncrowded and not probes:
+        if not limit.is_idle and not is_probe:
             return None
         answered_by_ms = now_ms + limit.latency_ms
         in_time = [request for request in queue.late if request.deadline_ms > answered_by_ms]
-        return self._head(in_time, endpoint, allowance, now_ms)
+        return self._first_sendable(in_time, endpoint, allowance, now_ms)
 
-    def _lowest_tag(
+    def _next_by_tag(
         self, queue: ShardQueue, endpoint: Endpoint, allowance: float, reserved_only: bool, now_ms: float
     ) -> Request | None:
-        """Choose among the heads of the volumes' queues, moving out what became late.
+        """Choose among the volumes' first requests; move requests that became late to the late list.
 
-        Danger: at a crowded endpoint what earns a part stands before what earns all, and few hosts hold both
-        to put them in order (`reserved_only`).  With no reserve on any plan D alone decides.
+        `reserved_only`: at a busy endpoint, requests of reduced worth would delay those of full worth, and
+        ordering them locally is not enough because few hosts have both kinds waiting.  If no plan has a
+        reserve, only D limits them.
         """
-        uncrowded, ratio = endpoint.limit.uncrowded, endpoint.limit.wait_ratio
-        answered_ms, slope = now_ms + uncrowded.estimate(0.0), uncrowded.slope
-        lowest, best = INFINITY, None
+        unloaded, ratio = endpoint.limit.unloaded, endpoint.limit.wait_ratio
+        answered_ms, slope = now_ms + unloaded.estimate(0.0), unloaded.slope
+        lowest, chosen = INFINITY, None
         for volume in queue.volumes.values():
             if not volume.waiting:
                 continue
-            late = [  # as in `would_be_late`, which costs too much for each that waits
+            late = [  # same condition as `would_be_late`, inlined because it runs for every waiting request
                 request
                 for request in volume.waiting
                 if request.objective_at_ms
@@ -101,7 +106,7 @@
             for request in late:
                 volume.waiting.remove(request)
                 queue.late.append(request)
-            head = self._head(volume.waiting, endpoint, allowance, now_ms)
+            head = self._first_sendable(volume.waiting, endpoint, allowance, now_ms)
             if head is None:
                 continue
             reserved = head.account.is_reserved(head, now_ms)
@@ -109,17 +114,17 @@
                 continue
             tag = volume.start_tag(head, reserved) + (0.0 if reserved else volume.compensation)
             if tag < lowest:
-                lowest, best = tag, head
-        return best
+                lowest, chosen = tag, head
+        return chosen
 
-    def _head(
+    def _first_sendable(
         self, waiting: Iterable[Request], endpoint: Endpoint, allowance: float, now_ms: float
     ) -> Request | None:
-        """Pick a volume's head: most weight first, then the nearest objective, among those that may leave."""
-        may_leave = self.admission.may_leave
+        """Return the request with the highest weight, then the earliest objective, that may be sent now."""
+        may_send = self.admission.may_send
         head, lowest = None, (INFINITY, INFINITY)
         for request in waiting:
             rank = (-request.request_class.priority_weight, request.objective_at_ms)
-            if rank < lowest and may_leave(request, endpoint, allowance, now_ms):
+            if rank < lowest and may_send(request, endpoint, allowance, now_ms):
                 head, lowest = request, rank
         return head
--- a/cressrock/scheduler/rate_limit.py
+++ b/cressrock/scheduler/rate_limit.py
@@ -1,7 +1,6 @@
-"""A volume's reserve and limit as one host spends them: its even part, refilled over time, or leases.
+"""One host's share of a volume's reserve and limit: an equal share refilled over time, or leased units.
 
-The proof that a limit is never passed, however many hosts spend parts of it, is in docs/design.md, 'How a
-limit is kept'.
+docs/design.md, 'How a limit is kept', proves that a limit is never exceeded, however many hosts share it.
 """
 
 from __future__ import annotations
@@ -12,18 +11,18 @@
 from cressrock.interface import LimitLease, Plan, Settings
 from cressrock.scheduler.request import Request
 
-SHARE_MARGIN = 0.999  # of the part: what is left for the rounding of sums
+USABLE_SHARE_FRACTION = 0.999  # of a host's share; the rest absorbs rounding errors of sums
 
 
 class Lease(NamedTuple):
-    """Units that may be spent until a time; what ends first is spent first."""
+    """Units that may be spent until a time; the lease that expires first is spent first."""
 
     expires_at_ms: float
     units: float
 
 
 class VolumeAccount:
-    """What one volume has used of its reserve and its limit at this host."""
+    """The units that one volume has available at this host from its reserve and its limit."""
 
     __slots__ = (
         "in_flight_units",
@@ -37,22 +36,22 @@
     )
 
     def __init__(self, settings: Settings, started_at_ms: float) -> None:
-        """Begin empty: what a former life of this host spent, and just before its end, is unknown."""
+        """Start empty: the host may have spent its whole share just before it restarted."""
         self.max_units = settings.most_units
         self.is_leased = settings.limits_lent
         self.refilled_at_ms = started_at_ms
         self.sharing_hosts = 1
         self.reserve = 0.0
         self.limit = 0.0
-        self.in_flight_units = 0.0  # sent, and perhaps not seen by the limit's store yet
-        self.leases: list[Lease] = []  # a heap
+        self.in_flight_units = 0.0  # charged for attempts that may not have reached the limit's store yet
+        self.leases: list[Lease] = []  # a heap by expiry time
 
     def limit_ceiling(self, plan: Plan) -> float:
-        """Return the most that this host's part of the limit holds."""
-        return (plan.limit_burst + plan.limit_slack) / self.sharing_hosts * SHARE_MARGIN
+        """Return the capacity in units of this host's share of the limit."""
+        return (plan.limit_burst + plan.limit_slack) / self.sharing_hosts * USABLE_SHARE_FRACTION
 
     def refill(self, plan: Plan, now_ms: float) -> None:
-        """Fill this host's even part of the reserve and the limit up to now."""
+        """Refill this host's share of the reserve and the limit up to now; drop expired leases."""
         seconds = (now_ms - self.refilled_at_ms) / 1000
         if not seconds:
             return
@@ -65,21 +64,21 @@
                 heapq.heappop(self.leases)
             self.limit = min(self.limit, sum(lease.units for lease in self.leases))
             return
-        gain = seconds * plan.limit_rate / hosts
-        self.limit = min(self.limit_ceiling(plan) - self.in_flight_units, self.limit + gain)
+        refilled_units = seconds * plan.limit_rate / hosts
+        self.limit = min(self.limit_ceiling(plan) - self.in_flight_units, self.limit + refilled_units)
 
     def is_reserved(self, request: Request, now_ms: float) -> bool:
-        """Whether a request that left now would be on time and inside the reserve."""
+        """Return whether a request is not past its objective and fits into the reserve."""
         self.refill(request.plan, now_ms)
         return request.objective_at_ms >= now_ms and self.reserve >= request.units
 
     def add_lease(self, lease: LimitLease) -> None:
-        """Take units that may be spent until the lease's end."""
+        """Add units that may be spent until the lease expires."""
         heapq.heappush(self.leases, Lease(lease.expires_at_ms, lease.units))
         self.limit += lease.units
 
     def charge(self, request: Request) -> None:
-        """Pay a request's units as it is sent, unless an earlier attempt has paid for it."""
+        """Charge a request's units when it is sent, unless an earlier attempt is already charged."""
         if request.charged:
             return
         units = request.units
@@ -93,11 +92,11 @@
             units -= leased
 
     def settle(self, request: Request, reached_store: bool | None, now_ms: float) -> None:
-        """Book what became of an attempt's units: a store takes a request's once, on arrival.
+        """Settle an attempt's units after it ended; the limit's store counts each request once, on arrival.
 
-        Danger: charged now and arriving later, they meet what this part filled up by in between.  So they
-        keep its ceiling down while they are out; after that what may yet leave a second time pays a second
-        time.
+        Units charged now may arrive later, together with the units that this share refilled in between.
+        Therefore outstanding units reduce the share's capacity.  `reached_store`: True keeps the request
+        charged, False refunds it, and None (unknown) makes a further attempt pay again.
         """
         units = request.in_flight_units
         if not units:
--- a/cressrock/scheduler/request.py
+++ b/cressrock/scheduler/request.py
@@ -1,4 +1,4 @@
-"""A request as the scheduler holds it."""
+"""State of a request in the scheduler, and groups of attempt outcomes."""
 
 from __future__ import annotations
 
@@ -17,14 +17,14 @@
 
 
 class PossibleRun(NamedTuple):
-    """The first attempt that may have run: when it was sent, and the node as it was listed then."""
+    """The first attempt that may have run: its send time, and the node's list entry when it ended."""
 
     sent_at_ms: float
     node: Node
 
 
 class Request:
-    """A request from its arrival until it has its final answer and no attempt out."""
+    """A request from its arrival until it has its final answer and no outstanding attempt."""
 
     __slots__ = (
         "account",
@@ -55,7 +55,7 @@
         objective_at_ms: float,
         now_ms: float,
     ) -> None:
-        """Hold an arrival under the class and plan that its numbers stand for."""
+        """Start as unsent; `request_class` and `plan` are those that the arrival's numbers refer to."""
         self.arrival = arrival
         self.request_class = request_class
         self.plan = plan
@@ -65,11 +65,11 @@
         self.objective_at_ms = objective_at_ms
         self.deadline_ms = now_ms + arrival.remaining_ms
         self.attempts = arrival.earlier_attempts
-        self.queue: ShardQueue | None = None  # where it waits
-        self.virtual_arrival = 0.0  # the queue's virtual time when it joined
-        self.endpoint: Endpoint | None = None  # where an attempt is out
+        self.queue: ShardQueue | None = None  # in which it waits
+        self.virtual_arrival = 0.0  # the queue's virtual time when it was added
+        self.endpoint: Endpoint | None = None  # of the outstanding attempt
         self.sent_at_ms = 0.0
         self.possible_run: PossibleRun | None = None
         self.answered = False
-        self.charged = False  # the volume's limit has paid for it
-        self.in_flight_units = 0.0  # charged units of the attempt that is out: they may arrive yet
+        self.charged = False  # against the volume's limit
+        self.in_flight_units = 0.0  # charged units of the outstanding attempt
--- a/cressrock/scheduler/retry.py
+++ b/cressrock/scheduler/retry.py
@@ -1,4 +1,4 @@
-"""Whether a request may be tried again or rejected, by what may have run, and the budget of retries."""
+"""Whether a request may be retried or rejected, given that an attempt may have run, and the retry budget."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 def may_retry(request: Request, settings: Settings, now_ms: float) -> bool:
-    """Whether a further attempt can be lawful at all; when and where is looked at when it leaves."""
+    """Return whether the rules permit a further attempt; its time and node are checked before sending."""
     margin_ms = 2 * settings.tick_ms
     if request.attempts >= settings.max_attempts or now_ms >= request.deadline_ms - margin_ms:
         return False
@@ -22,9 +22,9 @@
 
 
 def may_reject(request: Request) -> bool:
-    """Whether a rejection is true: it promises that a new try is harmless.
+    """Return whether the request may be rejected, which tells the client that a new try is safe.
 
-    So nothing ran, or repeats are dropped wherever they go.
+    That holds if repeats are harmless, no attempt may have run, or every node drops repeats.
     """
     kind = request.request_class
     if kind.idempotency is Idempotency.ALWAYS or (request.possible_run is None and request.endpoint is None):
@@ -33,7 +33,10 @@
 
 
 def may_repeat_at(request: Request, node: Node) -> bool:
-    """Whether this node drops a repeat of a keyed request that may have run elsewhere."""
+    """Return whether a request may be sent to this node, given that it may have run on another one.
+
+    A keyed request may if the node drops its repeats.
+    """
     kind = request.request_class
     if request.possible_run is None or kind.idempotency is not Idempotency.KEYED:
         return True
@@ -46,16 +49,16 @@
 
 
 class RetryBudget:
-    """Retries of this host in a sliding window, held against a share of its requests.
+    """Limits this host's retries in a sliding window to a share of its requests.
 
-    Retries count over a little more than the window, requests over a little less: no other clock's reading of
-    the window can find more.
+    Retries are counted over one tick more than the window and requests over one tick less, so that a window
+    measured by another clock never contains more retries than allowed.
     """
 
     def __init__(self, settings: Settings, now_ms: float) -> None:
-        """Begin without requests, where the settings say so with the free retries spent.
+        """Start without requests; if the settings say so, with the free retries already spent.
 
-        What a former life of this host tried again just before its end is unknown.
+        The host may have used them just before it restarted.
         """
         self.window_ms = settings.budget_window_ms
         self.tick_ms = settings.tick_ms
@@ -66,29 +69,29 @@
         self.arrived_at_ms: deque[float] = deque()
 
     def record_arrival(self, now_ms: float) -> None:
-        """Count a request."""
+        """Count an arrived request towards the budget."""
         if self.window_ms:
             self.arrived_at_ms.append(now_ms)
-            self._forget_passed(now_ms)
+            self._drop_expired(now_ms)
 
     def record_retry(self, now_ms: float) -> None:
-        """Count a retry that was sent."""
+        """Count a sent retry against the budget."""
         if self.window_ms:
             self.retried_at_ms.append(now_ms)
 
     def add_usage(self, usage: RetryBudgetUsage) -> None:
-        """Count retries and requests that other deciders had."""
+        """Count retries and requests that other schedulers handled."""
         self.retried_at_ms = deque(sorted((*self.retried_at_ms, *usage.retried_at_ms)))
         self.arrived_at_ms = deque(sorted((*self.arrived_at_ms, *usage.arrived_at_ms)))
 
     def allows_retry(self, now_ms: float) -> bool:
-        """Whether one retry more is within the budget."""
+        """Return whether one more retry is within the budget."""
         if not self.window_ms:
             return True
-        self._forget_passed(now_ms)
+        self._drop_expired(now_ms)
         return len(self.retried_at_ms) + 1 <= self.free + self.share * len(self.arrived_at_ms)
 
-    def _forget_passed(self, now_ms: float) -> None:
+    def _drop_expired(self, now_ms: float) -> None:
         retried, arrived = self.retried_at_ms, self.arrived_at_ms
         while retried and retried[0] < now_ms - self.window_ms - self.tick_ms:
             retried.popleft()
--- a/cressrock/scheduler/slow_start.py
+++ b/cressrock/scheduler/slow_start.py
@@ -1,7 +1,7 @@
-"""Slow start: how much this host may send an endpoint that is warming up.
+"""Slow start: how much this host may send to an endpoint that is warming up.
 
-All hosts together must stay under what a cold node falls at; the shares and their bounds are worked out in
-docs/design.md, 'Lots for cold nodes'.
+All hosts together must stay below the load that overwhelms a cold node.  docs/design.md, 'Lots for cold
+nodes', derives the shares and their bounds.
 """
 
 from __future__ import annotations
@@ -10,60 +10,65 @@
 from cressrock.scheduler.endpoints import INFINITY, Endpoint
 from cressrock.scheduler.fair_queue import ShardQueue
 
-INFORMED_SHARE = 2 / 3  # of what fells a cold node may come from hosts that were told of its start
-ADMITTED_CAPACITY_SHARE = 0.5  # of what a cold node bears: what random admission gives it in the mean
+# Of the load that overwhelms a cold node; the rest is for hosts that do not know of its start yet.
+INFORMED_LOAD_FRACTION = 2 / 3
+ADMITTED_CAPACITY_FRACTION = 0.5  # of a cold node's capacity; expected load under random admission
 
 
 class SlowStart:
-    """What cold endpoints may get from this host in each window of time."""
+    """Limits the units that this host sends to a cold endpoint per cold window."""
 
     def __init__(self, settings: Settings, queues: dict[int, ShardQueue], started_at_ms: float) -> None:
-        """Begin with a host's life; `queues` are its shards' queues."""
+        """Start counting arrivals at the host's start time; `queues` are its queues by shard."""
         self.settings = settings
         self.queues = queues
         self.started_at_ms = started_at_ms
-        self.arrived_units = 0.0  # of all requests of this life
+        self.arrived_units = 0.0  # of all requests since the start
 
     def allowance(self, endpoint: Endpoint, now_ms: float) -> float:
-        """Units that an endpoint may still get within the cold window; no bound once it is surely warm."""
-        settings, listed, ended = self.settings, endpoint.listed, endpoint.ended_sends
+        """Return the units that an endpoint can still take in this cold window; infinity once it is warm."""
+        settings, node, recent_sends = self.settings, endpoint.list_entry, endpoint.ended_sends
         window_ms = settings.cold_window_ms
-        while ended and ended[0].ended_at_ms <= now_ms - window_ms - settings.tick_ms:
-            ended.popleft()
+        while recent_sends and recent_sends[0].ended_at_ms <= now_ms - window_ms - settings.tick_ms:
+            recent_sends.popleft()
         endpoint.admitted_share = 1.0
-        age_ms = now_ms - listed.started_at_ms
-        if not listed.started_at_ms or age_ms >= settings.warm_up_ms + window_ms:
+        age_ms = now_ms - node.started_at_ms
+        if not node.started_at_ms or age_ms >= settings.warm_up_ms + window_ms:
             return INFINITY
         if now_ms < self.started_at_ms + window_ms:
-            return 0.0  # a former life of this host may have spent its part just now
+            return 0.0  # the host may have spent its share just before it restarted
         return self._cold_allowance(endpoint, max(0.0, age_ms - window_ms), now_ms)
 
     def _cold_allowance(self, endpoint: Endpoint, warming_ms: float, now_ms: float) -> float:
         settings = self.settings
-        hosts, usual = settings.hosts, settings.usual_units
-        warmed = min(1.0, warming_ms / max(1.0, settings.warm_up_ms))
-        bears = settings.cold_bears * (1 + (1 / settings.cold_from - 1) * warmed)
-        # The third that INFORMED_SHARE leaves is for hosts which have not heard of the start.
-        informed: float = INFORMED_SHARE * (bears + 2 * (bears * usual) ** 0.5 + 2 * usual)
-        out = (*endpoint.in_flight.values(), *endpoint.presumed_lost.values())  # may arrive yet
-        spent = sum(request.units for request in out) + sum(send.units for send in endpoint.ended_sends)
-        if min(bears, informed) >= usual * hosts:
-            return min(bears, informed) / hosts - spent
-        share = min(bears, informed / hosts)
-        if share < usual:
-            endpoint.admitted_share = self._admitted_share(endpoint, bears, now_ms)
-            share = min(bears, settings.most_units)
-        return 0.0 if spent or endpoint.admission_draw > endpoint.admitted_share else share
+        hosts, typical_units = settings.hosts, settings.usual_units
+        warmed_fraction = min(1.0, warming_ms / max(1.0, settings.warm_up_ms))
+        capacity_units = settings.cold_bears * (1 + (1 / settings.cold_from - 1) * warmed_fraction)
+        # 2/3 of the overwhelming load: for capacity N in typical requests, N + 2 sqrt(N) + 2 of them.
+        max_informed_units: float = INFORMED_LOAD_FRACTION * (
+            capacity_units + 2 * (capacity_units * typical_units) ** 0.5 + 2 * typical_units
+        )
+        unfinished = (*endpoint.in_flight.values(), *endpoint.presumed_lost.values())  # may still arrive
+        used_units = sum(request.units for request in unfinished) + sum(
+            send.units for send in endpoint.ended_sends
+        )
+        if min(capacity_units, max_informed_units) >= typical_units * hosts:
+            return min(capacity_units, max_informed_units) / hosts - used_units
+        share_units = min(capacity_units, max_informed_units / hosts)
+        if share_units < typical_units:
+            endpoint.admitted_share = self._admitted_share(endpoint, capacity_units, now_ms)
+            share_units = min(capacity_units, settings.most_units)
+        return 0.0 if used_units or endpoint.admission_draw > endpoint.admitted_share else share_units
 
-    def _admitted_share(self, endpoint: Endpoint, bears: float, now_ms: float) -> float:
-        """Return the share of hosts that may send, one request in a window each.
+    def _admitted_share(self, endpoint: Endpoint, capacity_units: float, now_ms: float) -> float:
+        """Return the fraction of hosts that may send, one request per cold window each.
 
-        Danger: an even share that pays for no request starves a cold node.  Hosts draw lots, once for each
-        start, for one request a window: the fewer of these windows they use, the more of them may.
+        With an equal share smaller than one request, a cold node would get no requests at all.  Instead hosts
+        are selected at random, once per start of the node; the lower the demand, the more are admitted.
         """
         settings, window_ms = self.settings, self.settings.cold_window_ms
-        shard_units = self.queues[endpoint.listed.shard].offered_units
+        shard_units = self.queues[endpoint.list_entry.shard].offered_units
         units = max(self.arrived_units / len(self.queues), shard_units)
         uptime_ms = max(window_ms, now_ms - self.started_at_ms, 1.0)
         demand_units = settings.hosts * min(settings.usual_units, units * window_ms / uptime_ms)
-        return ADMITTED_CAPACITY_SHARE * bears / max(demand_units, bears, 1.0)
+        return ADMITTED_CAPACITY_FRACTION * capacity_units / max(demand_units, capacity_units, 1.0)
--- a/tests/scheduler/test_concurrency_limit.py
+++ b/tests/scheduler/test_concurrency_limit.py
@@ -1,7 +1,7 @@
 """The window D: how it falls and grows, its rests under one, and its tests."""
 
 from cressrock.interface import AttemptEnded, ClientLeft, Outcome
-from cressrock.scheduler.concurrency_limit import MAX_WINDOW
+from cressrock.scheduler.concurrency_limit import MAX_WINDOW_REQUESTS
 from tests.scheduler.support import ask, done, host, sent
 
 
@@ -9,7 +9,7 @@
     scheduler = host(depth=3.0)
     assert len(sent(scheduler.act(0.0, [ask(f"r{i}") for i in range(20)]))) == 3
     assert len(sent(scheduler.act(1.0, [done("r0", lag=1.0)]))) >= 1
-    assert len(scheduler.endpoints.by_name["a"].in_flight) <= MAX_WINDOW
+    assert len(scheduler.endpoints.by_name["a"].in_flight) <= MAX_WINDOW_REQUESTS
 
 
 def test_d_falls_when_answers_are_slow_and_grows_when_quick():
@@ -83,10 +83,10 @@
     node = scheduler.endpoints.by_name["a"]
     node.limit.next_test_at_ms = 0.0
     (
-        node.limit.uncrowded.samples,
-        node.limit.uncrowded.base_ms,
-        node.limit.uncrowded.smoothed_ms,
-        node.limit.uncrowded.mean_units,
+        node.limit.unloaded.samples,
+        node.limit.unloaded.base_ms,
+        node.limit.unloaded.smoothed_ms,
+        node.limit.unloaded.mean_units,
     ) = 50.0, 10.0, 30.0, 2.0
     pending, least, now = [], 9, 0.0
     for step in range(200):
@@ -98,9 +98,9 @@
         least = min(least, len(node.in_flight)) if step > 10 else least
     assert (
         least <= 1
-        and node.limit.uncrowded.base_ms >= 25.0
+        and node.limit.unloaded.base_ms >= 25.0
         and node.limit.window >= 7.0
-        and not node.limit.untested_window
+        and not node.limit.window_before_test
     )
 
 
@@ -112,7 +112,7 @@
         scheduler.act(0.0, [ask("first")])
         node.limit.next_test_at_ms = 0.0
         scheduler.act(20.0, [done("first", lag=20.0)])
-        assert node.limit.window == 1.0 and node.limit.untested_window == 8.0
+        assert node.limit.window == 1.0 and node.limit.window_before_test == 8.0
         scheduler.act(21.0, [ask("second")])
         scheduler.act(22.0, [AttemptEnded("second", 0, outcome, False, 1.0)])
-        assert bool(node.limit.untested_window) is kept
+        assert bool(node.limit.window_before_test) is kept
--- a/tests/scheduler/test_retry.py
+++ b/tests/scheduler/test_retry.py
@@ -23,7 +23,7 @@
 def test_a_keyed_repeat_stays_in_its_group_and_window():
     scheduler = host(lines=(Node("a", 0), Node("b", 1)))
     (first,) = [a for a in scheduler.act(0.0, [ask("r", cls=1, shard=-1)]) if isinstance(a, Send)]
-    home = scheduler.endpoints.by_name[first.node].listed.shard
+    home = scheduler.endpoints.by_name[first.node].list_entry.shard
     other = "b" if first.node == "a" else "a"
     keep = Node(other, 1 - home)
     # Its own node is gone: the repeat must not go to the other shard, and cannot be refused.
--- a/tests/scheduler/test_slow_start.py
+++ b/tests/scheduler/test_slow_start.py
@@ -3,7 +3,7 @@
 import random
 
 from cressrock.interface import ListKind, Node, NodeList, NodeState, Send, TimerFired
-from cressrock.scheduler.concurrency_limit import FLEET_WINDOW
+from cressrock.scheduler.concurrency_limit import FLEET_WINDOW_REQUESTS
 from cressrock.scheduler.scheduler import Scheduler
 from tests.scheduler.support import SAFE, ask, cold_host, done, host, sent, settings
 
@@ -14,7 +14,7 @@
     units = {now: 0.0 for now in range(0, 12000, 500)}
     for now in units:
         for node in scheduler.endpoints.by_name.values():
-            node.limit.window = FLEET_WINDOW
+            node.limit.window = FLEET_WINDOW_REQUESTS
         actions = scheduler.act(
             float(now), [ask(f"r{now}-{i}", units=1.0, remaining=400.0) for i in range(30)]
         )
