--- a/tests/compatibility/benchlink_cases.py
+++ b/tests/compatibility/benchlink_cases.py
@@ -1,4 +1,4 @@
-"""The simulator's wire: a session played against the adapter, single actions, and settings objects."""
+"""Cases for the simulator's protocol: sessions with the adapter, single actions and settings objects."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
     Log("node 10.0.0.1:1: timeout, now on trial"),
 ]
 
-# Session inputs that the adapter refuses; recorded is the number of the line that it names.
+# Inputs that the adapter rejects; the number of the line that it reports is recorded.
 MALFORMED = [
     "HELLO\n",
     "SYNC\nEOB\n",
@@ -47,14 +47,14 @@
 
 
 def draw_config(rng: random.Random) -> dict[str, Any]:
-    """Draw a settings object as the simulator writes it, with parts and figures left out at random."""
+    """Return a settings object as the simulator writes it, with sections and values left out at random."""
 
-    def some(figures: dict[str, Any]) -> dict[str, Any]:
+    def random_subset(figures: dict[str, Any]) -> dict[str, Any]:
         return {name: value for name, value in figures.items() if rng.random() < 0.7}
 
     def profile() -> dict[str, Any]:
         figures = {"goal_time_ms": rng.choice([40, 300.5]), "give_up_ms": rng.choice([900, 4000.25])}
-        return figures | some(
+        return figures | random_subset(
             {
                 "worth": rng.choice([0, 1.5, 3]),
                 "late_value": 0.125,
@@ -67,7 +67,7 @@
         )
 
     def policy() -> dict[str, Any]:
-        return some(
+        return random_subset(
             {
                 "weight": rng.choice([0.5, 1, 6.0]),
                 "rate": 12.5,
@@ -79,15 +79,15 @@
             }
         )
 
-    return some(
+    return random_subset(
         {
             "balancers": rng.choice([1, 2, 40]),
             "period_ms": rng.choice([1, 2.0]),
             "membership_mode": rng.choice(["ask", "push"]),
-            "caps": some(
+            "caps": random_subset(
                 {"max_attempts": 3, "connect_timeout_ms": 200, "max_retry_after_ms": 1500.0, "cancel": True}
             ),
-            "safety": some(
+            "safety": random_subset(
                 {
                     "answer_slack_ms": 8.0,
                     "drain_grace_ms": 500.0,
@@ -101,7 +101,7 @@
                     "extra_per_request": 0.1,
                 }
             ),
-            "family_info": some(
+            "family_info": random_subset(
                 {
                     "cold_bears": 10,
                     "usual_units": 2,
@@ -137,8 +137,8 @@
 ]
 
 
-def settings_of(config: dict[str, Any]) -> Any:
-    """Read a settings object; return its values in order, or the error's text."""
+def parsed_or_error(config: dict[str, Any]) -> Any:
+    """Parse a settings object; return its values in order, or the error's text."""
     try:
         return canonical(parse_settings(config))
     except ValueError as error:
@@ -146,14 +146,14 @@
 
 
 def record_settings() -> list[Any]:
-    """Return pairs of a settings object and what was read out of it."""
+    """Return pairs of a settings object and its parsed values or error."""
     rng = random.Random(11)
     configs = [draw_config(rng) for _ in range(40)] + BAD_CONFIGS
-    return [[config, settings_of(config)] for config in json.loads(json.dumps(configs))]
+    return [[config, parsed_or_error(config)] for config in json.loads(json.dumps(configs))]
 
 
-def refused_line(text: str) -> int:
-    """Return the number of the line at which the adapter refuses an input, 0 where it takes all."""
+def rejected_line_number(text: str) -> int:
+    """Return the number of the line at which the adapter rejects an input, 0 if it accepts all lines."""
     link = SimulatorLink(io.StringIO(text), io.StringIO())
     try:
         link.run()
@@ -163,26 +163,26 @@
 
 
 def without_texts(reply: str) -> str:
-    """Return an answer without the texts of log lines: they may change."""
+    """Return a reply without the texts of log lines, which may change."""
     return re.sub(r"(EMIT dispatcher=\d+ msg=).*", r"\1", reply)
 
 
 class Session:
-    """Two to three instances in one process, their clients and their servers."""
+    """Three instances in one process (two after a shutdown), their clients and their servers."""
 
     def __init__(self, seed: int) -> None:
-        """Nothing has begun."""
+        """Start the adapter without instances."""
         self.rng = random.Random(seed)
         self.now = 100.0
         self.link = SimulatorLink(io.StringIO(), io.StringIO())
         self.exchanges: list[list[str]] = []
-        self.out: list[tuple[float, str, str, str, str]] = []
+        self.outstanding: list[tuple[float, str, str, str, str]] = []
         self.timers: list[tuple[float, str, str]] = []
         self.shots: dict[str, int] = {}
         self.count = 0
 
     def play(self, batches: int) -> list[list[str]]:
-        """Play so many batches; return what was written and what was answered, batch by batch."""
+        """Run so many batches; return the input and the reply of each batch."""
         rng = self.rng
         begin = [
             f"BEGIN dispatcher={instance} prng={rng.getrandbits(60)} config={json.dumps(draw_config(rng))}"
@@ -192,13 +192,13 @@
         self.exchange(["MEMBERS dispatcher=2 how=0 bank=0", "NEWS dispatcher=0 later=1", ""])
         for number in range(batches):
             self.now = round(self.now + rng.choice([2.0, 2.0, 4.125, 20.0]), 4)
-            lines = self.due_lines()
+            lines = self.due_event_lines()
             if rng.random() < 0.6:
                 lines.append(self.arrival_line())
             if rng.random() < 0.02:
                 lines += self.list_lines(rng.choice(["0", "3", "4"]))
-            if rng.random() < 0.05 and self.out:
-                _, instance, tid, _, _ = rng.choice(self.out)
+            if rng.random() < 0.05 and self.outstanding:
+                _, instance, tid, _, _ = rng.choice(self.outstanding)
                 lines.append(f"TIMED_OUT_CLIENT dispatcher={instance} tid={tid}")
             if number == batches * 2 // 3:
                 lines.append("SHUTDOWN dispatcher=2")
@@ -206,7 +206,7 @@
         return self.exchanges
 
     def list_lines(self, how: str) -> list[str]:
-        """Write a table of servers and its use for one instance."""
+        """Return the lines of a table of servers and of its delivery to one instance."""
         rng = self.rng
         lines = ["TABLE bank=0 members=4"]
         for shard in range(4):
@@ -221,7 +221,7 @@
         ]
 
     def arrival_line(self) -> str:
-        """Write a client's request."""
+        """Return the line of a client's request."""
         rng = self.rng
         self.count += 1
         left_out = rng.choice(["", "", f" plan={0}", f" plan={0} writers={rng.randint(1, 3)}"])
@@ -232,11 +232,11 @@
             f" lies_in={rng.choice(['-1', '0', '1.0', '2', '3'])}{left_out}"
         )
 
-    def due_lines(self) -> list[str]:
-        """Write the outcomes and timers that are due."""
+    def due_event_lines(self) -> list[str]:
+        """Return the lines of the outcomes and timers that are due."""
         rng, lines = self.rng, []
-        for entry in [entry for entry in self.out if entry[0] <= self.now]:
-            self.out.remove(entry)
+        for entry in [entry for entry in self.outstanding if entry[0] <= self.now]:
+            self.outstanding.remove(entry)
             _, instance, tid, server, shot = entry
             code = rng.choice(CODES)
             settled = f" settled={rng.choice('01')}" if code != "0" else " settled=1"
@@ -250,7 +250,7 @@
         return lines
 
     def exchange(self, lines: list[str]) -> None:
-        """Hand the adapter one batch; keep what it answers and act on it."""
+        """Pass the adapter one batch; record its reply and act on it."""
         text = "\n".join([f"SYNC ts_ms={self.now}", *lines, "EOB\n"])
         sink = io.StringIO()
         self.link.source, self.link.sink = io.StringIO(text), sink
@@ -259,7 +259,9 @@
         self.exchanges.append([text, reply])
         for instance, tid, server in re.findall(r"TRY dispatcher=(\d) tid=(\S+).* server=(\S+)", reply):
             shot = self.shots[tid] = self.shots.get(tid, -1) + 1
-            self.out.append((self.now + self.rng.choice([5, 30, 90]), instance, tid, server, str(shot)))
+            self.outstanding.append(
+                (self.now + self.rng.choice([5, 30, 90]), instance, tid, server, str(shot))
+            )
         for instance, at, ctx in re.findall(
             r"SET_TIMER dispatcher=(\d) alarm_time_ms=(\S+) ctx=(\S+)", reply
         ):
@@ -267,7 +269,7 @@
 
 
 def replay(exchanges: list[list[str]]) -> list[list[str]]:
-    """Hand recorded batches to a new adapter; return them with what it answers."""
+    """Pass recorded batches to a new adapter; return them with its replies."""
     link = SimulatorLink(io.StringIO(), io.StringIO())
     replayed = []
     for text, _ in exchanges:
@@ -279,5 +281,5 @@
 
 
 def action_lines() -> list[str]:
-    """Return the line of each example action."""
+    """Return the protocol line of each example action."""
     return [action_line(3, action) for action in ACTIONS]
--- a/tests/compatibility/record_scheduler.py
+++ b/tests/compatibility/record_scheduler.py
@@ -1,4 +1,4 @@
-"""Record what the scheduler decides: `python -m tests.compatibility.record_scheduler`."""
+"""Record the scheduler's decisions: `python -m tests.compatibility.record_scheduler`."""
 
 from tests.compatibility import canonical, scheduler_cases
 
--- a/tests/compatibility/scheduler_cases.py
+++ b/tests/compatibility/scheduler_cases.py
@@ -1,8 +1,8 @@
 """Seeded streams of every kind of event for the scheduler, shared by the recorder and the test.
 
-Each stream plays the clients and the nodes of one host: answer times grow with what is out, nodes jam,
-restart, drain and vanish, answers get lost, clients leave, limits are lent.  The digest covers every batch's
-time and the actions that it gave, without the texts of log lines.
+Each stream simulates the clients and the nodes of one host: latency grows with the outstanding attempts,
+nodes are overloaded, restart, drain and vanish, responses get lost, clients leave, limits are leased.  The
+digest covers the time and the actions of every batch, without the texts of log lines.
 """
 
 from __future__ import annotations
@@ -54,11 +54,11 @@
     Subscribe: "subscribe",
 }
 UNANSWERED = (Outcome.TIMEOUT, Outcome.RESET, Outcome.CANCELLED, Outcome.NO_CONNECTION, Outcome.ABANDONED)
-ENDS = [outcome for outcome in Outcome if outcome is not Outcome.OK]
+FAILURES = [outcome for outcome in Outcome if outcome is not Outcome.OK]
 
 
 def draw_class(rng: random.Random, calm: bool) -> RequestClass:
-    """Draw a class of requests."""
+    """Return a random class of requests; a calm host's is ordered less often."""
     deadline = rng.choice([300.0, 1000.0, 3000.0, 8000.0])
     return RequestClass(
         deadline * rng.uniform(0.1, 1.0),
@@ -74,7 +74,7 @@
 
 
 def draw_plan(rng: random.Random, calm: bool, reserves: bool) -> Plan:
-    """Draw a plan, with a limit in half of the draws."""
+    """Return a random plan, with a limit in half of the cases (15 % for a calm host)."""
     limited = rng.random() < (0.15 if calm else 0.5)
     return Plan(
         rng.choice([0.1, 1.0, 1.0, 6.0]),
@@ -88,7 +88,7 @@
 
 
 def draw_settings(rng: random.Random, calm: bool) -> Settings:
-    """Draw all that a host is told when it starts; a calm host has few bounds beside its nodes' capacity."""
+    """Return random settings; a calm host is rarely limited by anything but its nodes' capacity."""
     classes = tuple(draw_class(rng, calm) for _ in range(rng.randint(1, 4)))
     reserves = rng.random() < 0.5
     plans = tuple(draw_plan(rng, calm, reserves) for _ in range(rng.randint(1, 3)))
@@ -124,10 +124,10 @@
 
 
 class Stream:
-    """One host's clients and nodes, drawn from a seed."""
+    """One host's clients and nodes, generated from a seed."""
 
     def __init__(self, seed: int) -> None:
-        """Draw the settings and begin with four or more nodes; every second stream is a calm host's."""
+        """Draw the settings and start with four or more nodes; even seeds give a calm host."""
         self.rng = rng = random.Random(seed)
         self.calm = seed % 2 == 0
         self.settings = draw_settings(rng, self.calm)
@@ -144,26 +144,26 @@
         self.shards = rng.choice([2, 3, 6])
         self.nodes = {f"n{i}": Node(f"n{i}", i % self.shards, i % 2) for i in range(self.shards + 2)}
         self.service_ms = {name: rng.choice([4.0, 20.0, 60.0]) for name in self.nodes}
-        self.jammed: dict[str, float] = {}
+        self.overloaded_until_ms: dict[str, float] = {}
         self.slots = rng.choice([2, 8, 40])
-        self.rate = rng.choice([0.1, 0.3, 0.6] if self.calm else [0.3, 1.0, 2.5, 6.0])  # arrivals in a batch
-        self.trouble = rng.choice(
+        self.rate = rng.choice([0.1, 0.3, 0.6] if self.calm else [0.3, 1.0, 2.5, 6.0])  # arrivals per batch
+        self.failure_fraction = rng.choice(
             [0.0, 0.01, 0.05] if self.calm else [0.0, 0.02, 0.15, 0.6]
-        )  # part of the attempts that do not succeed
-        self.lost = rng.choice([0.0, 0.03, 0.1])  # part of the answers that are lost on the way
-        self.news = rng.choice([0.003, 0.02])  # of a batch: chance of a report of the list
+        )  # fraction of the attempts that fail
+        self.lost_fraction = rng.choice([0.0, 0.03, 0.1])  # fraction of the responses that are lost
+        self.list_report_probability = rng.choice([0.003, 0.02])  # per batch
         self.steps = rng.choice([(2.0, 2.0, 4.0, 10.0), (0.0, 1.25, 7.3, 20.0), (5.0, 20.0, 20.0, 130.0)])
         self.batch([NodeList(rng.choice([ListKind.CACHED, ListKind.COMPLETE]), tuple(self.nodes.values()))])
 
     def play(self) -> str:
-        """Play the whole stream; return the digest of what the scheduler did."""
+        """Run the whole stream; return the digest of the scheduler's actions."""
         while self.events < EVENTS:
             self.now += self.rng.choice(self.steps)
             self.batch(self.draw_events())
         return self.digest.hex()
 
     def batch(self, events: list[Event]) -> None:
-        """Hand the scheduler one batch and carry out its actions."""
+        """Pass the scheduler one batch and carry out its actions."""
         self.events += len(events)
         actions = self.scheduler.act(self.now, events)
         self.digest.add([self.now, *("log" if isinstance(action, Log) else action for action in actions)])
@@ -171,7 +171,7 @@
             self.carry_out(action)
 
     def carry_out(self, action: Action) -> None:
-        """Do what the host would do for an action."""
+        """Simulate the effect of one action."""
         match action:
             case Send(name, node, _):
                 self.sent += 1
@@ -194,27 +194,27 @@
         """Draw when and how an attempt ends."""
         rng, request = self.rng, self.open[name]
         out = len(self.pending)
-        takes = self.service_ms[node] * rng.uniform(0.6, 1.4) + 2 * request.units
-        takes *= 1 + max(0, out / len(self.nodes) - self.slots / 4)
-        outcome, hopeless = Outcome.OK, self.now + 3500
-        if self.jammed.get(node, 0.0) > self.now:
-            takes *= rng.choice([8, 20])
+        latency_ms = self.service_ms[node] * rng.uniform(0.6, 1.4) + 2 * request.units
+        latency_ms *= 1 + max(0, out / len(self.nodes) - self.slots / 4)
+        outcome, timeout_at_ms = Outcome.OK, self.now + 3500
+        if self.overloaded_until_ms.get(node, 0.0) > self.now:
+            latency_ms *= rng.choice([8, 20])
             if rng.random() < 0.3:
-                outcome, takes = Outcome.FULL, rng.uniform(1, 9)
-        if rng.random() < self.trouble:
-            outcome = rng.choice(ENDS)
-            takes = rng.choice([1.0, 30.0, 400.0])
-        if rng.random() < self.lost:
-            outcome, takes = Outcome.TIMEOUT, 3000.0
-        self.push_end(min(hopeless, self.now + takes), name, attempt, outcome)
+                outcome, latency_ms = Outcome.FULL, rng.uniform(1, 9)
+        if rng.random() < self.failure_fraction:
+            outcome = rng.choice(FAILURES)
+            latency_ms = rng.choice([1.0, 30.0, 400.0])
+        if rng.random() < self.lost_fraction:
+            outcome, latency_ms = Outcome.TIMEOUT, 3000.0
+        self.push_end(min(timeout_at_ms, self.now + latency_ms), name, attempt, outcome)
 
     def push_end(self, at: float, name: str, attempt: int, outcome: Outcome) -> None:
-        """Note that an attempt ends at a time."""
+        """Schedule the end of an attempt."""
         self.numbers += 1
         heapq.heappush(self.ends, (at, self.numbers, name, attempt, outcome))
 
     def draw_events(self) -> list[Event]:
-        """Draw what comes in the next batch: timers, outcomes, arrivals, and now and then all else."""
+        """Return the next batch: due timers and outcomes, arrivals, and occasionally other events."""
         rng, now = self.rng, self.now
         events: list[Event] = [TimerFired(token) for at, token in self.timers if at <= now]
         self.timers = [timer for timer in self.timers if timer[0] > now]
@@ -229,12 +229,12 @@
             name = rng.choice(list(self.open))
             del self.open[name]
             events.append(ClientLeft(name))
-        if rng.random() < self.news:
+        if rng.random() < self.list_report_probability:
             events.append(self.node_list())
         if rng.random() < 0.01:
-            self.jammed[rng.choice(list(self.nodes))] = now + rng.choice([200.0, 2500.0])
+            self.overloaded_until_ms[rng.choice(list(self.nodes))] = now + rng.choice([200.0, 2500.0])
         if rng.random() < 0.01:
-            events.append(self.counted())
+            events.append(self.budget_usage())
         if self.settings.limits_lent and rng.random() < 0.2:
             units = rng.choice([2.0, 9.0, 30.0])
             events.append(LimitLease(f"v{rng.randrange(6)}", units, now + rng.choice([40.0, 900.0, 3000.0])))
@@ -248,7 +248,7 @@
         return events
 
     def arrival(self) -> Arrival:
-        """Draw a client's request."""
+        """Return a random request of a client."""
         rng = self.rng
         self.numbers += 1
         index = rng.randrange(len(self.settings.classes))
@@ -273,7 +273,7 @@
         return request
 
     def ended(self, name: str, attempt: int, outcome: Outcome) -> AttemptEnded:
-        """Report how an attempt ended."""
+        """Return the event for an ended attempt, and remove it from the pending ones."""
         _, sent_at = self.pending.pop(name)
         settled = name not in self.open or outcome is Outcome.OK
         if not settled and outcome is Outcome.ERROR and self.rng.random() < 0.2:
@@ -285,7 +285,7 @@
         return AttemptEnded(name, attempt, outcome, settled, self.now - sent_at, used, elsewhere, reached)
 
     def node_list(self) -> NodeList:
-        """Draw a report of the list: a failed one, changed lines, the whole, or a kept copy with gaps."""
+        """Return a random node list report; complete and cached ones may lack a node."""
         rng = self.rng
         kind = rng.choice(list(ListKind))
         if kind is ListKind.FAILED:
@@ -302,27 +302,27 @@
         absent = rng.choice([None, None, name])
         return NodeList(kind, tuple(node for node in self.nodes.values() if node.name != absent))
 
-    def counted(self) -> RetryBudgetUsage:
-        """Draw what others counted against the budget."""
+    def budget_usage(self) -> RetryBudgetUsage:
+        """Return retries and arrivals that other schedulers count in the budget."""
         times = [self.now - self.rng.uniform(0, 1500) for _ in range(self.rng.randint(0, 12))]
         return RetryBudgetUsage(tuple(times[:2]), tuple(times[2:]))
 
     def widen(self) -> None:
-        """Give the scheduler one further class and one further plan."""
+        """Switch the scheduler to settings with one more class and one more plan."""
         classes = (*self.settings.classes, draw_class(self.rng, self.calm))
         plans = (*self.settings.plans, draw_plan(self.rng, self.calm, False))
         self.settings = replace(self.settings, classes=classes, plans=plans)
         self.scheduler.widen(self.settings)
 
     def restart(self) -> None:
-        """Kill the host and start it anew: all that it held is over."""
+        """Restart the host: all its requests and attempts are gone."""
         self.open, self.attempts, self.pending, self.timers = {}, {}, {}, []
         self.ends = []
         self.scheduler = Scheduler(self.settings, self.rng.getrandbits(40), self.now)
 
 
 def play(seed: int) -> dict[str, Any]:
-    """Play the stream of a seed; return its digest and how much of what it did, to locate a difference."""
+    """Run the stream of a seed; return its digest and the numbers of sent and denied requests."""
     stream = Stream(seed)
     digest = stream.play()
     return {"digest": digest, "sent": stream.sent, "denied": stream.refused}
--- a/tests/compatibility/test_benchlink.py
+++ b/tests/compatibility/test_benchlink.py
@@ -1,4 +1,4 @@
-"""The simulator's wire is read and written as recorded: sessions, single actions, settings, refused lines."""
+"""The simulator's protocol is as recorded: sessions, single actions, settings and rejected lines."""
 
 import pytest
 
@@ -8,7 +8,7 @@
 
 
 @pytest.mark.parametrize("number", range(len(RECORDED["sessions"])))
-def test_a_recorded_session_gets_the_recorded_answers(number):
+def test_a_recorded_session_gets_the_recorded_replies(number):
     exchanges = RECORDED["sessions"][number]
     assert benchlink_cases.replay(exchanges) == exchanges
 
@@ -17,11 +17,11 @@
     assert benchlink_cases.action_lines() == RECORDED["actions"]
 
 
-def test_a_malformed_input_is_refused_at_the_recorded_line():
-    refused = [benchlink_cases.refused_line(text) for text in benchlink_cases.MALFORMED]
+def test_malformed_input_is_rejected_at_the_recorded_line():
+    refused = [benchlink_cases.rejected_line_number(text) for text in benchlink_cases.MALFORMED]
     assert refused == RECORDED["refused"]
 
 
-def test_settings_objects_are_read_as_recorded():
-    read = [[config, benchlink_cases.settings_of(config)] for config, _ in RECORDED["settings"]]
+def test_settings_objects_are_parsed_as_recorded():
+    read = [[config, benchlink_cases.parsed_or_error(config)] for config, _ in RECORDED["settings"]]
     assert read == RECORDED["settings"]
--- a/tests/compatibility/test_scheduler.py
+++ b/tests/compatibility/test_scheduler.py
@@ -1,4 +1,4 @@
-"""The scheduler decides as recorded, to the digit: a digest for each of 200 streams of 2,000 events."""
+"""The scheduler's decisions are exactly as recorded: one digest for each of 200 streams of 2,000 events."""
 
 import pytest
 
@@ -9,7 +9,7 @@
 
 
 @pytest.mark.parametrize("first", range(0, len(scheduler_cases.SEEDS), CHUNK))
-def test_decisions_are_those_recorded(first):
+def test_decisions_are_as_recorded(first):
     seeds = scheduler_cases.SEEDS[first : first + CHUNK]
     played = {seed: scheduler_cases.play(seed) for seed in seeds}
     assert played == {seed: RECORDED[seed] for seed in seeds}
--- a/tests/scheduler/test_interface.py
+++ b/tests/scheduler/test_interface.py
@@ -1,4 +1,4 @@
-"""Settings that make no sense are refused."""
+"""Invalid settings are rejected."""
 
 import pytest
 
@@ -16,6 +16,6 @@
         (lambda: settings(warm_up_ms=float("nan")), "warm_up_ms"),
     ],
 )
-def test_settings_that_make_no_sense_are_refused_by_name(build, field):
+def test_invalid_settings_are_rejected_with_the_name_of_the_field(build, field):
     with pytest.raises(ValueError, match=field):
         build()
--- a/tests/test_benchlink.py
+++ b/tests/test_benchlink.py
@@ -1,4 +1,4 @@
-"""The adapter: the wire's words in, the wire's words out, and plain refusals of what is malformed."""
+"""The simulator's adapter: protocol lines in and out, and clear errors for malformed input."""
 
 import io
 import json
@@ -33,7 +33,7 @@
 ASK = "INBOUND dispatcher=0 tid=t/{} extent=e{} size_units=2 remaining_ms=900 plan=1 store_user=v{} lies_in=0"
 
 
-def talk(text):
+def run_in_process(text):
     sink = io.StringIO()
     SimulatorLink(io.StringIO(text), sink).run()
     return sink.getvalue()
@@ -52,27 +52,27 @@
     )
 
 
-def test_a_batch_gets_one_reply_and_the_start_asks_for_the_list():
-    reply = talk("SYNC ts_ms=1\nEOB\n" + START)
+def test_a_batch_gets_one_reply_and_the_first_requests_the_node_list():
+    reply = run_in_process("SYNC ts_ms=1\nEOB\n" + START)
     assert reply.startswith("OK\n")
     assert "KEEP_INFORMED dispatcher=0 active=1\n" in reply
     assert reply.count("OK\n") == 2
 
 
 def test_a_request_is_sent_to_the_node_of_its_shard():
-    reply = talk(START + "SYNC ts_ms=110\n" + ASK.format("a", 1, 1) + "\nEOB\n")
+    reply = run_in_process(START + "SYNC ts_ms=110\n" + ASK.format("a", 1, 1) + "\nEOB\n")
     assert "TRY dispatcher=0 tid=t/a server=10.0.0.1:1\n" in reply
 
 
-def test_unknown_words_and_keys_are_skipped():
+def test_unknown_words_and_fields_are_ignored():
     extra = "NEWS dispatcher=0 x=1\nTIMEOUT_FIRED dispatcher=0 ctx=1 y=2\n"
     extra += "TIMED_OUT_CLIENT dispatcher=9 tid=t/q\n"
-    assert talk(START + "SYNC ts_ms=110\n" + extra + "EOB\n").endswith("OK\n")
+    assert run_in_process(START + "SYNC ts_ms=110\n" + extra + "EOB\n").endswith("OK\n")
 
 
-def test_a_killed_instance_forgets_and_acts_no_more():
+def test_an_instance_that_was_shut_down_takes_no_more_actions():
     ask = ASK.format("a", 1, 1) + "\n"
-    reply = talk(START + "SYNC ts_ms=110\n" + ask + "SHUTDOWN dispatcher=0\nEOB\n")
+    reply = run_in_process(START + "SYNC ts_ms=110\n" + ask + "SHUTDOWN dispatcher=0\nEOB\n")
     assert "TRY" not in reply
 
 
@@ -88,7 +88,7 @@
         (START + "SYNC ts_ms=2\nINBOUND dispatcher=0 tid\nEOB\n", 9, "name=value"),
     ],
 )
-def test_a_malformed_line_is_named_and_ends_the_process(text, line, words):
+def test_a_malformed_line_is_reported_by_number_and_ends_the_process(text, line, words):
     result = run(text)
     assert result.returncode == 1
     assert result.stderr.startswith(f"line {line}:") and words in result.stderr
@@ -97,39 +97,39 @@
 
 
 @pytest.mark.parametrize("left", [900, 500.003, 600.001, 622.223])
-def test_a_batch_at_the_very_time_of_a_timer_is_not_too_early(left):
-    """Danger: rounded down, the wake-up finds nothing due and sets no other; a held request stays held."""
+def test_a_batch_at_the_exact_time_of_a_timer_is_not_too_early(left):
+    """With a timer rounded down nothing would be due, no other set, and the request never answered."""
     ask = ASK.format("a", 1, 1).replace("lies_in=0", "lies_in=9").replace("=900", f"={left}")
     batches = START + f"SYNC ts_ms=110\n{ask}\nEOB\n"
     for _ in range(100):
-        last = talk(batches).split("OK\n")[-2]
+        last = run_in_process(batches).split("OK\n")[-2]
         if "BOUNCE dispatcher=0 tid=t/a" in last:
             return
         alarm = re.findall(r"SET_TIMER dispatcher=0 alarm_time_ms=(\S+) ctx=(\S+)", last)
-        assert alarm, "held, and nothing will wake it"
+        assert alarm, "the request is open, but no timer is set"
         batches += f"SYNC ts_ms={alarm[-1][0]}\nTIMEOUT_FIRED dispatcher=0 ctx={alarm[-1][1]}\nEOB\n"
-    raise AssertionError("never answered")
+    raise AssertionError("the request was never answered")
 
 
 @pytest.mark.parametrize("at", [0.0, 20.0, 36810.123, 36810.1231, 36810.1239, 5e9 + 0.0004])
-def test_a_timer_is_never_written_earlier_than_it_was_set(at):
+def test_a_timer_is_never_written_with_an_earlier_time(at):
     written = float(action_line(0, SetTimer(at, 1)).split("alarm_time_ms=")[1].split()[0])
     assert at <= written < at + 0.0015
 
 
-def test_the_end_of_input_is_no_error():
+def test_the_end_of_the_input_is_not_an_error():
     assert run("").returncode == 0
     assert run(START).returncode == 0
 
 
-def test_settings_name_what_is_missing_or_senseless():
+def test_errors_name_missing_and_invalid_settings():
     with pytest.raises(ValueError, match=r"profiles\[0\].goal_time_ms"):
         parse_settings({"profiles": [{"give_up_ms": 10}]})
     with pytest.raises(ValueError, match="weight"):
         parse_settings(CONFIG | {"policies": [{"weight": 0}]})
 
 
-def test_absent_settings_take_the_wires_meaning():
+def test_absent_settings_get_their_defaults():
     made = parse_settings({"profiles": [{"goal_time_ms": 10, "give_up_ms": 20}]})
     assert (
         made.classes[0].idempotency is Idempotency.NEVER
@@ -138,8 +138,8 @@
     assert made.plans[0].limit_rate == 0 and not made.must_ask and made.budget_window_ms == 0
 
 
-def test_the_actions_do_not_depend_on_hashing_or_on_the_process():
-    """Play a day against one process, then replay its text to others under differing hash seeds."""
+def test_the_actions_do_not_depend_on_the_hash_seed_or_the_process():
+    """Run a session in this process, then replay its input in others with different hash seeds."""
     rng, now, out, text, replies = random.Random(4), 100.0, [], "", ""
     link = SimulatorLink(io.StringIO(), io.StringIO())
     for i in range(400):
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -1,4 +1,4 @@
-"""Many instances at once before shared books: the limit, the backlog after a stall, and work per event."""
+"""Many schedulers with shared state: the limit, recovery from stalls and faults, and the cost per event."""
 
 import random
 import sys
@@ -44,7 +44,7 @@
 
 
 class Store:
-    """The one store of a limited volume, as its owner keeps it for all hosts."""
+    """The single store of a limited volume, shared by all hosts; it asserts that the limit holds."""
 
     def __init__(self, plan):
         self.plan, self.level, self.at, self.served = plan, plan.limit_burst, 0.0, []
@@ -54,10 +54,10 @@
         self.level = min(self.plan.limit_burst, self.level + gain) - units
         self.at = now
         self.served.append((now, units))
-        assert self.level >= -self.plan.limit_slack - 1e-6, "the shared limit was passed"
+        assert self.level >= -self.plan.limit_slack - 1e-6, "the shared limit was exceeded"
 
     def used(self, now, late=400.0, period=1000.0):
-        """Return the meter's late figure, coded as on the wire: 1 + percent of the rate, 0 for none."""
+        """Return the delayed usage report, encoded as on the wire: 1 + percent of the rate, 0 for none."""
         end = (now - late) // period * period
         if end <= 0:
             return 0
@@ -65,40 +65,40 @@
         return 1 + int(units / self.plan.rate * 100 * 1000 / period)
 
 
-def test_sixteen_writers_share_one_limit_through_surges_deaths_and_impatient_clients():
-    """The largest requests leave, and the store never falls under its slack, whoever dies and returns."""
+def test_sixteen_writers_share_one_limit_despite_surges_restarts_and_impatient_clients():
+    """The largest requests are sent, and the store never exceeds its slack, whichever hosts restart."""
     assert sum(_sixteen_writers(seed) for seed in range(8)) > 0
 
 
 def _sixteen_writers(seed):
     rng = random.Random(seed)
-    conf = settings()
-    store = Store(conf.plans[0])
+    host_settings = settings()
+    store = Store(host_settings.plans[0])
     line = NodeList(ListKind.CACHED, (Node("a", 0),))
-    schedulers, dead, count, largest = {}, {}, 0, 0
+    schedulers, restarts_at_ms, count, largest = {}, {}, 0, 0
     out = {host: [] for host in range(16)}
     for host in range(16):
-        schedulers[host] = Scheduler(conf, host, 0.0)
+        schedulers[host] = Scheduler(host_settings, host, 0.0)
         schedulers[host].act(0.0, [line])
     for now in range(20, 24000, 20):
         surge = 8000 < now < 16000
         for host in range(16):
             if host not in schedulers:
-                if now >= dead[host]:
-                    schedulers[host] = Scheduler(conf, host + now, float(now))
+                if now >= restarts_at_ms[host]:
+                    schedulers[host] = Scheduler(host_settings, host + now, float(now))
                     schedulers[host].act(float(now), [line])
                     out[host] = []
                 continue
             if surge and rng.random() < 0.002:
                 del schedulers[host]
-                dead[host] = now + rng.randint(20, 5000)
+                restarts_at_ms[host] = now + rng.randint(20, 5000)
                 continue
             events = [AttemptEnded(n, a, Outcome.OK, True, 20.0, store.used(now)) for n, a in out[host]]
             for _ in range(rng.choice([0, 1, 2]) if surge else rng.random() < 0.03):
                 count += 1
-                patience = rng.choice([1500.0, 1500.0, 100.0])
+                time_left_ms = rng.choice([1500.0, 1500.0, 100.0])
                 units = float(rng.randint(1, 6))
-                events.append(Arrival(f"r{count}", "v", "", units, patience, 0, 0, 0, 16))
+                events.append(Arrival(f"r{count}", "v", "", units, time_left_ms, 0, 0, 0, 16))
                 if rng.random() < 0.1:
                     events.append(ClientLeft(f"r{count}"))
             scheduler = schedulers[host]
@@ -113,8 +113,8 @@
     return largest
 
 
-def test_a_stall_across_a_drain_notice_condemns_nobody_and_sends_nothing_to_the_drained():
-    """Danger: a host that stood still finds the notice, old answers and new requests all at once."""
+def test_after_a_stall_no_node_is_ejected_and_nothing_is_sent_to_a_draining_node():
+    """A host that stalled gets the drain notice, old responses and new requests in one batch."""
     scheduler = Scheduler(settings(hosts=2, plans=(Plan(),)), 1, 0.0)
     scheduler.act(0.0, [NodeList(ListKind.CACHED, (Node("a", 0), Node("b", 1)))])
     scheduler.act(10.0, [Arrival(f"r{i}", "v", "", 1.0, 1500.0, shard=i) for i in range(2)])
@@ -132,8 +132,8 @@
     )
 
 
-def test_hosts_recover_soon_after_mixed_trouble():
-    """Lost answers, errors, full queues and a clock gap, drawn at random; then all is well again."""
+def test_hosts_recover_soon_after_mixed_faults():
+    """After random lost responses, errors, full queues and clock gaps, service returns to normal."""
     for seed in range(6):
         rng = random.Random(seed)
         scheduler = Scheduler(settings(hosts=40, plans=(Plan(reserve=5.0),)), seed, 0.0)
@@ -164,8 +164,8 @@
         assert ok >= 0.8 * asked
 
 
-def test_an_events_work_does_not_grow_with_the_fleet():
-    """Counts calls inside the module, not time: a busy node among five or among two hundred."""
+def test_the_cost_of_an_event_does_not_grow_with_the_fleet():
+    """Compares executed lines, not time, for an event with five and with two hundred nodes."""
 
     def calls(nodes):
         scheduler = Scheduler(settings(hosts=100, plans=(Plan(),)), 1, 0.0)
@@ -173,7 +173,7 @@
         for i in range(nodes):
             scheduler.act(1.0 + i, [Arrival(f"w{i}", "v", "", 1.0, 1500.0, shard=i)])
             scheduler.act(1.5 + i, [AttemptEnded(f"w{i}", 0, Outcome.OK, True, 20.0)])
-        for now in (2500.0, 2700.0, 2990.0):  # what the start left to fade is over
+        for now in (2500.0, 2700.0, 2990.0):  # estimates from the start have decayed
             scheduler.act(now, [TimerFired(0)])
         lines = 0
 
@@ -192,11 +192,11 @@
     assert calls(200) < calls(5) * 1.2
 
 
-def test_what_a_long_life_keeps_is_bounded():
-    """Danger: a host that lives for months keeps a time for each request it took."""
+def test_the_state_of_a_long_running_host_is_bounded():
+    """A host that runs for months must not keep a timestamp for every request."""
     for window in (0.0, 1000.0):
-        conf = settings(hosts=2, plans=(Plan(),), budget_window_ms=window, budget_share=0.1)
-        scheduler = Scheduler(conf, 1, 0.0)
+        host_settings = settings(hosts=2, plans=(Plan(),), budget_window_ms=window, budget_share=0.1)
+        scheduler = Scheduler(host_settings, 1, 0.0)
         scheduler.act(0.0, [NodeList(ListKind.CACHED, (Node("a", 0),))])
         out = []
         for step in range(3000):
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -1,4 +1,4 @@
-"""Service beside the rules: idle refusals, the nodes' use, the bound, and the sites of days."""
+"""Service quality besides the rules: idle refusals, node utilization, the upper bound, and sites."""
 
 import itertools
 import json
@@ -27,23 +27,25 @@
 CALM = {"name": "calm", "seed": 5, "troubles": ("none",), "length_ms": 6000.0}
 
 
-class ShyDispatch(Dispatch):
-    """Nothing leaves while the latest answer is not fresh."""
+class OvercautiousDispatch(Dispatch):
+    """Sends nothing unless the endpoint responded within the last 40 ms."""
 
     def has_slot(self, endpoint, now_ms):
         return super().has_slot(endpoint, now_ms) and now_ms - endpoint.ejection.answered_at_ms < 40.0
 
 
-class Shy(Scheduler):
-    """Refuses work though its node is idle."""
+class OvercautiousScheduler(Scheduler):
+    """Rejects requests although their node is idle."""
 
     def __init__(self, settings, seed, now_ms):
         super().__init__(settings, seed, now_ms)
-        self.dispatch = ShyDispatch(settings, self.dispatch.admission, self.slow_start, self.lost_attempts)
+        self.dispatch = OvercautiousDispatch(
+            settings, self.dispatch.admission, self.slow_start, self.lost_attempts
+        )
 
 
-def shy(settings, seed, now):
-    return Shy(interface_settings(settings), seed, now)
+def overcautious_scheduler(settings, seed, now):
+    return OvercautiousScheduler(interface_settings(settings), seed, now)
 
 
 @pytest.fixture(scope="module")
@@ -51,19 +53,19 @@
     return play(Script(**CALM, load=0.45))
 
 
-def test_a_calm_day_is_served_and_a_driver_broken_for_it_is_found(calm):
+def test_a_calm_day_is_served_and_a_scheduler_that_rejects_needlessly_is_detected(calm):
     good = serve(calm.trace)
     assert good.total.in_time + good.total.late >= 0.99 * good.total.wishes and not good.idle
     assert 0.1 < max(good.used.values()) <= 1.0 and good.useful[0] <= good.used[0]
-    broken = serve(play(Script(**CALM, load=0.45), parts=Components(decisions=shy)).trace)
+    broken = serve(play(Script(**CALM, load=0.45), parts=Components(decisions=overcautious_scheduler)).trace)
     assert len(broken.idle) > 20 and all(d.idle_ms >= 30.0 for d in broken.idle)
     assert "idle refusal at" in service_text(broken, None)
     assert service_json(broken, None)["idle_refusals"] == len(broken.idle)
 
 
 @pytest.mark.parametrize("hosts, planners", [(3, 0), (3, 1), (20, 0)])
-def test_late_work_is_not_left_waiting_beside_an_idle_node(hosts, planners):
-    """Danger: the first program refused a fifth of a calm day, and half of it under one planner."""
+def test_late_requests_do_not_wait_while_their_node_is_idle(hosts, planners):
+    """Late requests that wait at an idle node are rejected in the end, even under a moderate load."""
     site = load_site("examples/sites/slow.jsonnet")
     result = play(Script(**CALM, load=0.45, dispatchers=hosts, planners=planners, site=site))
     found = serve(result.trace)
@@ -72,7 +74,7 @@
 
 
 @pytest.mark.parametrize("path", SITES, ids=lambda p: p.stem)
-def test_every_site_plays_a_calm_day_within_the_rules(path):
+def test_a_calm_day_at_every_site_keeps_the_rules(path):
     site = load_site(str(path))
     result = play(Script(**CALM | {"length_ms": 2000.0}, load=0.3, site=site))
     found = serve(result.trace)
@@ -93,20 +95,20 @@
         ({"plans": {}}, "plans"),
     ],
 )
-def test_a_wrong_site_is_refused_by_file_and_place(change, place):
+def test_an_invalid_site_is_rejected_with_file_and_place(change, place):
     value = msgspec.to_builtins(usual()) | change
     with pytest.raises(SettingsError, match="site.jsonnet: ") as wrong:
         convert_site("site.jsonnet", value)
     assert place in str(wrong.value)
 
 
-def test_spans_of_time():
+def test_operations_on_time_intervals():
     assert merged([(5, 6), (1, 3), (2, 4), (4, 4)]) == [(1, 4), (5, 6)]
     assert complement([(1, 3), (5, 6)])[1] == (3, 5)
     assert intersect([(0, 10), (20, 30)], [(5, 22), (25, 26)]) == [(5, 10), (20, 22), (25, 26)]
 
 
-# --- days small enough to be worked out by hand, or counted out
+# --- days small enough for manual calculation or exhaustive search
 
 MACHINE = {
     "cores": 1,
@@ -143,8 +145,8 @@
 }
 
 
-def day(asked, extra=(), facts=FACTS):
-    """A trace in which nothing was served: `asked` are (time, method, volume, units)."""
+def make_trace(asked, extra=(), facts=FACTS):
+    """Return a trace in which no request was served; `asked` are (time, method, volume, units)."""
     trace = Trace(facts)
     trace.add(Row(0.0, "list", "told", "d", detail="n0=ready@0"))
     trace.add(Row(0.0, "node", "up", node="n0", shard=0, units=1.0))
@@ -171,8 +173,8 @@
     return trace
 
 
-def counted_out(asked):
-    """The best of all orders on one core, each request served in its turn or left out."""
+def best_by_exhaustive_search(asked):
+    """Return the best value of all orders on one core in which each request is served or left out."""
     best = 0.0
     items = list(range(len(asked)))
     for count in range(len(asked) + 1):
@@ -191,44 +193,44 @@
 
 
 @pytest.mark.parametrize("seed", range(12))
-def test_no_schedule_of_a_small_day_is_better_than_the_bound(seed):
+def test_no_schedule_of_a_small_day_exceeds_the_bound(seed):
     import random
 
     draw = random.Random(seed)
     asked = sorted(
         (draw.uniform(0, 300), draw.choice(["GET", "PUT"]), "v", float(draw.randint(1, 2))) for _ in range(6)
     )
-    best, found = counted_out(asked), bound(day(asked))
+    best, found = best_by_exhaustive_search(asked), bound(make_trace(asked))
     assert found.best >= best - 1e-6
     assert found.best <= found.due and found.earned == 0.0
 
 
-def test_the_bound_is_the_best_schedule_where_that_is_plain():
-    assert bound(day([(0.0, "GET", "v", 1.0)])).best == pytest.approx(3.0)
-    # Three at once: two and a half can be in time as a fluid, the rest is late.
-    assert bound(day([(0.0, "GET", "v", 1.0)] * 3)).best == pytest.approx(7.6, abs=0.2)
-    # Work of 300 ms on one core is never in time for an aim of 250.
-    assert bound(day([(0.0, "GET", "v", 3.0)])).best == pytest.approx(0.3)
+def test_the_bound_is_the_best_schedule_in_simple_cases():
+    assert bound(make_trace([(0.0, "GET", "v", 1.0)])).best == pytest.approx(3.0)
+    # Three at once: in the fluid model two and a half are on time and the rest is late.
+    assert bound(make_trace([(0.0, "GET", "v", 1.0)] * 3)).best == pytest.approx(7.6, abs=0.2)
+    # 300 ms of work on one core cannot meet an objective of 250 ms.
+    assert bound(make_trace([(0.0, "GET", "v", 3.0)])).best == pytest.approx(0.3)
 
 
-def test_the_bound_knows_limits_faults_and_cold_starts():
+def test_the_bound_accounts_for_limits_faults_and_cold_starts():
     open_day = [(0.0, "GET", "v", 1.0), (0.0, "GET", "v", 1.0)]
     held_day = [(0.0, "GET", "h", 1.0), (0.0, "GET", "h", 1.0)]
-    assert bound(day(held_day)).best < bound(day(open_day)).best - 1.5
+    assert bound(make_trace(held_day)).best < bound(make_trace(open_day)).best - 1.5
     hung = [Row(0.0, "node", "fault", node="n0", shard=0, detail="hung=True")]
-    assert bound(day(open_day, hung)).best == pytest.approx(0.0)
+    assert bound(make_trace(open_day, hung)).best == pytest.approx(0.0)
     slow = [Row(0.0, "node", "fault", node="n0", shard=0, detail="slow=4.0")]
-    assert bound(day(open_day, slow)).best < bound(day(open_day)).best
+    assert bound(make_trace(open_day, slow)).best < bound(make_trace(open_day)).best
     cold = [
         Row(0.0, "node", "down", node="n0", shard=0),
         Row(0.0, "node", "up", node="n1", shard=0, units=0.2, detail="cold"),
     ]
-    assert bound(day(open_day, cold)).best < bound(day(open_day)).best
+    assert bound(make_trace(open_day, cold)).best < bound(make_trace(open_day)).best
 
 
 def test_each_denial_is_explained():
     def why(extra=(), asked=((100.0, "GET", "v", 1.0),), facts=FACTS):
-        return serve(day(list(asked), extra, facts)).denied[0].why
+        return serve(make_trace(list(asked), extra, facts)).denied[0].why
 
     busy = [Row(50.0, "node", "came", "e", "n0", 0, "x.0", 0, 0, "GET", "/v/x", 1.0)]
     assert why() is Hindrance.IDLE
@@ -254,7 +256,7 @@
     assert play(script).trace.rows == play(replace(script)).trace.rows
 
 
-def test_the_command_line_names_what_is_wrong_and_fails_on_idle(tmp_path):
+def test_the_command_line_reports_errors_and_accepts_fail_on_idle(tmp_path):
     def run(*words):
         done = subprocess.run(
             [sys.executable, "-m", "cressrock", "lab", *words], capture_output=True, text=True, check=False
@@ -276,7 +278,7 @@
     assert code == 3 and "not a readable trace" in err
 
 
-def test_without_the_laboratorys_libraries_one_line_names_the_extra(monkeypatch, capsys):
+def test_without_the_lab_libraries_an_error_line_names_the_extra(monkeypatch, capsys):
     from cressrock.cli import main
 
     monkeypatch.setattr(main, "LAB_LIBRARIES", ("pyarrow", "no_such_library"))
--- a/tests/test_shape.py
+++ b/tests/test_shape.py
@@ -1,4 +1,4 @@
-"""What auditors rely on: the module's size, its imports, and that the README's example works."""
+"""Properties that auditors rely on: the scheduler's size, its imports, and a working README example."""
 
 import ast
 import pathlib
@@ -20,21 +20,21 @@
 
 
 @pytest.mark.parametrize("path", SCHEDULER, ids=lambda path: path.stem)
-def test_a_module_of_the_scheduler_stays_short(path):
-    """One job each: no module over 400 lines that are not blank, no line over 110 columns."""
+def test_scheduler_modules_are_short(path):
+    """Each module has at most 400 lines that are not blank, and no line over 110 columns."""
     lines = path.read_text().splitlines()
     assert sum(bool(line.strip()) for line in lines) <= 400
     assert max(map(len, lines)) <= 110
 
 
 @pytest.mark.parametrize("path", SCHEDULER, ids=lambda path: path.stem)
-def test_the_scheduler_imports_nothing_that_reads_the_world(path):
-    """The standard library's pure parts, its own modules and the interface: it starts without any package."""
+def test_the_scheduler_imports_nothing_that_does_io(path):
+    """Only pure parts of the standard library, its own modules and the interface are imported."""
     own = {"cressrock.interface"} | {f"cressrock.scheduler.{other.stem}" for other in SCHEDULER}
     assert set(imports(path)) <= ALLOWED | own
 
 
-def test_the_scheduler_says_where_its_settings_events_and_actions_are():
+def test_the_scheduler_docstring_names_the_module_of_its_settings_events_and_actions():
     assert "cressrock/interface.py" in (ROOT / "cressrock/scheduler/scheduler.py").read_text().split('"""')[1]
 
 
