--- a/cressrock/scheduler/deadlines.py
+++ b/cressrock/scheduler/deadlines.py
@@ -8,7 +8,7 @@
 from cressrock.scheduler.endpoints import INFINITY
 from cressrock.scheduler.request import Request
 
-# An unsent request is given up at its objective, but within these fractions of its time to the deadline.
+# An unsent request is given up at its objective, bounded to these fractions of its time to the deadline.
 GIVE_UP_FRACTION = 0.25
 MAX_GIVE_UP_FRACTION = 0.45  # less than half, so that the client still has time to try again
 ANSWER_MARGIN_TICKS = 2  # a waiting request is answered this long before its deadline
--- a/cressrock/scheduler/ejection.py
+++ b/cressrock/scheduler/ejection.py
@@ -24,17 +24,17 @@
         self.backoff_ms = 0.0  # 0: not ejected
         self.answered_at_ms = 0.0
 
-    def end(self) -> None:
+    def clear(self) -> None:
         """End the ejection and reset the backoff."""
         self.until_ms = self.backoff_ms = 0.0
 
     def record_answer(self, now_ms: float) -> None:
         """Record a response, which shows that the endpoint is healthy."""
-        self.end()
+        self.clear()
         self.answered_at_ms = now_ms
 
     def record_full(self, latency_ms: float, source: random.Random, now_ms: float) -> None:
-        """Eject after a full queue; the random duration keeps hosts from retrying at the same time."""
+        """Eject after a full queue for a latency or more, randomized so that hosts do not retry together."""
         backoff_ms = max(2 * self.backoff_ms, latency_ms, FIRST_FULL_BACKOFF_MS)
         self.backoff_ms = min(backoff_ms, self.max_backoff_ms)
         self.until_ms = now_ms + self.backoff_ms * (0.5 + source.random())
--- a/cressrock/scheduler/endpoints.py
+++ b/cressrock/scheduler/endpoints.py
@@ -74,7 +74,7 @@
 
     def restart(self, admission_draw: float) -> None:
         """Reset ejection and window after the node's process restarted: its queue is empty now."""
-        self.ejection.end()
+        self.ejection.clear()
         self.limit.restart()
         self.admission_draw = admission_draw
 
--- a/cressrock/scheduler/lost_attempts.py
+++ b/cressrock/scheduler/lost_attempts.py
@@ -41,7 +41,7 @@
             endpoint.presumed_lost[name] = in_flight.pop(name)
         return overdue
 
-    def learn(self, outcome: Outcome) -> None:
+    def adapt(self, outcome: Outcome) -> None:
         """Adapt the multiple to the outcome of an attempt that was presumed lost."""
         if outcome is Outcome.TIMEOUT:
             self.latency_multiple = max(
--- a/cressrock/scheduler/scheduler.py
+++ b/cressrock/scheduler/scheduler.py
@@ -179,7 +179,7 @@
         now_ms, endpoint, outcome = self.now_ms, request.endpoint, event.outcome
         request.endpoint = None
         if endpoint.release_attempt(request, now_ms):
-            self.lost_attempts.learn(outcome)
+            self.lost_attempts.adapt(outcome)
         if endpoint.record_outcome(request, outcome, event.latency_ms, self.random, now_ms):
             name = endpoint.list_entry.name
             self._log(f"scheduler.endpoint_ejected endpoint={name} outcome={outcome.name.lower()}")
--- a/tests/scheduler/test_fair_queue.py
+++ b/tests/scheduler/test_fair_queue.py
@@ -10,7 +10,7 @@
 def test_tags_order_volumes_by_units_over_weight():
     scheduler = host()
     assert sent(scheduler.act(0.0, [make_arrival("first", "x")])) == ["first"]
-    # Volume a (weight 1): tags 0, 2, 4.  Volume b (weight 2): tags 0, 1, 2.  a wins ties, as it was added first.
+    # Volume a (weight 1): tags 0, 2, 4.  Volume b (weight 2): tags 0, 1, 2.  a wins ties: it came first.
     batch = [make_arrival(f"a{i}", "a") for i in range(3)] + [
         make_arrival(f"b{i}", "b", plan=1) for i in range(3)
     ]
