--- a/cressrock/dispatch/__init__.py
+++ b/cressrock/dispatch/__init__.py
@@ -1,1 +1,1 @@
-"""The heart: what is owed to whom (ledger), and the shell between the scheduler's decisions and the world."""
+"""The ledger of open operations, and the driver that connects the scheduler to clients and storage nodes."""
--- a/cressrock/dispatch/driver.py
+++ b/cressrock/dispatch/driver.py
@@ -1,9 +1,10 @@
-"""The driver: hands what happened to the scheduler's decisions in batches, and carries out its orders.
+"""The driver: passes events to the scheduler's decision module in batches and executes its actions.
 
-It decides nothing and knows no protocol: a transport carries the attempts, and whoever runs the driver
-calls `process_batch` when it asks for one.  One batch serves many events; a process that stood still hands
-over all that waited, with the time each client has truly left and the time each answer truly took.  Orders
-are executed in order, each of them after the ledger's check.
+It makes no scheduling decisions and knows no protocol: a transport carries the attempts, and the owner of the
+driver calls `process_batch` when the driver requests it.  One batch carries many events.  After a stall of
+the process, the next batch carries all queued events; each arrival has the time that its client has left at
+that moment, and each outcome the latency that was measured.  Actions are executed in order, and the ledger
+checks each of them first.
 """
 
 from __future__ import annotations
@@ -14,7 +15,7 @@
 from typing import Any, Protocol
 
 from cressrock.dispatch.idempotency import IdempotencyKeys
-from cressrock.dispatch.ledger import NEVER_RAN, Attempt, FenceTrip, Ledger, Settled, Verdict
+from cressrock.dispatch.ledger import NEVER_RAN, Attempt, FenceTrip, Ledger, RecordedOutcome, Verdict
 from cressrock.dispatch.reasons import Reason
 from cressrock.dispatch.transport import (
     AttemptHandle,
@@ -52,50 +53,50 @@
     """The scheduler's decision module."""
 
     def act(self, now_ms: float, events: list[Event]) -> list[Action]:
-        """Take in a batch and return orders."""
+        """Process a batch of events and return the actions to execute, in order."""
 
 
 class Observer(Protocol):
-    """Where the driver reports what it did: structured logs and metrics, or a test's list."""
+    """Receives the driver's reports, for structured logs and metrics or for a test."""
 
     def fence_tripped(self, trip: FenceTrip) -> None:
-        """Report an order that a fence stopped."""
+        """Report an action that a fence of the ledger blocked."""
 
     def attempt_ended(self, attempt: Attempt, outcome: Outcome, latency_ms: float, text: str) -> None:
-        """Report an attempt's outcome."""
+        """Report an attempt's outcome; `text` is a detail for the log."""
 
     def answered(self, request_class: int, verdict: Verdict, reason: Reason | None, ms: float) -> None:
-        """Report an operation's final answer."""
+        """Report an operation's final answer, `ms` milliseconds after it was accepted."""
 
     def batch_processed(self, events: int, queued_ms: float, act_ms: float) -> None:
-        """Report a batch: its events, how long the oldest waited, what the decisions took."""
+        """Report a batch: number of events, queueing time of the oldest one, and duration of `act`."""
 
     def line(self, text: str) -> None:
-        """Pass on a line of the decision module for the on-call staff."""
+        """Write a log line of the decision module, meant for the on-call staff."""
 
 
 @dataclass(slots=True)
 class _PendingOperation:
-    """An operation whose client still waits for its answer."""
+    """An operation that has no final answer yet and whose client is still connected."""
 
     op: ShardRequest
     label: str
     deadline_ms: float
     accepted_at_ms: float
-    waiting_since_ms: float  # when its user began to wait
+    waiting_since_ms: float  # when the user began to wait, earlier operations with the same key included
     on_answer: Callable[[Any], None]
-    is_client_present: Callable[[], bool]  # whether its client is still there
+    is_client_present: Callable[[], bool]
 
 
 class _Call:
-    """One attempt in the transport's hands, on its way back to the driver."""
+    """One attempt that the transport carries; the transport reports back to the driver through it."""
 
     __slots__ = ("driver", "name", "pending", "attempt", "deadline", "leave_by", "handle")
 
     def __init__(
         self, driver: Driver, name: str, pending: _PendingOperation, attempt: Attempt, deadline: float
     ) -> None:
-        """`leave_by` is asked here: no outcome of an earlier attempt comes in while this one is out."""
+        """`leave_by` is computed once: no other attempt ends while this one is in flight."""
         self.driver = driver
         self.name = name
         self.pending = pending
@@ -114,8 +115,9 @@
 
     def may_leave(self) -> bool:
         if not self.pending.is_client_present():
-            # Danger: whoever reads the client hears of its end later: its reading is paused, or the loop was
-            # busy.  An attempt that begins meanwhile is work for nobody.
+            # The reader of the client's connection may notice the disconnect later, since reading is paused
+            # or the event loop was busy.  Without this check, an attempt that starts meanwhile is wasted
+            # work.
             self.driver.client_left(self.name)
         return self.driver.ledger.may_leave(self.name, self.attempt.number, self.driver.clock())
 
@@ -127,10 +129,10 @@
 
 
 class Driver:
-    """One dispatcher's driver.
+    """The driver of one dispatcher.
 
-    `request_wakeup` is called when a batch is wanted; `process_batch` has to be called then, and again at
-    `next_batch_ms`.
+    It calls `request_wakeup` when a batch is needed.  The owner must then call `process_batch`, and again at
+    the time that `next_batch_ms` returns.
     """
 
     def __init__(
@@ -149,8 +151,9 @@
     ) -> None:
         """`clock` gives monotonic milliseconds.
 
-        `retry_after_ms` is what a refusal names where the decisions name no time; 0: none.  `keys` is the
-        memory of clients' keys over several operations; None where clients use a key for one alone.
+        `retry_after_ms` is the default for rejections to which the scheduler gave no time; 0 means none.
+        `keys` remembers idempotency keys across operations; None if clients never reuse a key for another
+        operation.
         """
         self.decisions = decisions
         self.ledger = ledger
@@ -163,16 +166,16 @@
         self.clock = clock
         self.request_wakeup = request_wakeup
         self.pending: dict[str, _PendingOperation] = {}
-        # Attempts in flight outlive the operation whose client has left: they can still be cancelled.
+        # Attempts in flight stay here after their client has disconnected, so that they can be cancelled.
         self.in_flight: dict[tuple[str, int], _Call] = {}
         self._inbox: deque[tuple[float, int, str, Event | _PendingOperation]] = deque()
         self._timers: dict[int, float] = {}
         self._batch_requested = False
 
-    # --- what happened
+    # --- incoming events
 
     def receive_node_list(self, report: NodeList) -> None:
-        """Hand over a report of the node list; the ledger knows it from this moment, as rule 3 counts."""
+        """Queue a node list report.  The ledger applies it at once, since rule 3 counts from its receipt."""
         if report.kind is not ListKind.FAILED:
             complete = report.kind is not ListKind.CHANGES
             self.ledger.update_nodes(report.nodes, self.clock(), complete=complete)
@@ -189,13 +192,13 @@
         since: float | None = None,
         present: Callable[[], bool] = lambda: True,
     ) -> Denial | None:
-        """Accept an operation; `answer` gets its one final answer later, unless it is denied here and now.
+        """Accept an operation and return None, or return a denial at once.
 
-        `present` tells whether the client is still there; it is asked just before each attempt's first byte,
-        and False counts as its having left.
-
-        `label` names the client's request in what goes to the nodes, for logs and traces only.
-        `deadline` and `since`, when the client's request was taken, are on the driver's clock.
+        `answer` is called later with the one final answer of an accepted operation.  `present` returns
+        whether the client is still connected; it is called just before the first byte of each attempt, and
+        False is treated as a disconnect.  `label` identifies the client's request to the nodes, for logs and
+        traces only.  `deadline` and `since` (when the client's request was received) are milliseconds on the
+        driver's clock.
         """
         now = self.clock()
         request_class = self.classes[op.request_class]
@@ -203,7 +206,7 @@
         if self.keys is not None and op.idempotency_key and request_class.idempotency is Idempotency.KEYED:
             first_sent_ms = self.keys.first_sent_ms(op.idempotency_key, now)
             if first_sent_ms is not None:
-                since = min(since, first_sent_ms)  # a later try of the same user
+                since = min(since, first_sent_ms)  # the same user's retry
                 deadline = min(deadline, first_sent_ms + request_class.deduplication_window_ms)
                 if now >= deadline:
                     return Denial(Verdict.FAILED, Reason.KEY)
@@ -216,10 +219,10 @@
         return None
 
     def client_left(self, name: str) -> bool:
-        """Say that the client has left; False if it had its answer before.
+        """Record that the client has disconnected; False if the operation was already over.
 
-        What is out at a node runs on to its outcome, which the decisions hear and nobody is shown; what has
-        not left whole for one does not run at all.
+        An attempt that was sent completely continues, and only the scheduler gets its outcome.  An
+        attempt that was not sent completely is abandoned and never runs.
         """
         pending = self.pending.pop(name, None)
         if pending is None or not self.ledger.client_left(name):
@@ -228,8 +231,8 @@
         entry = self.ledger.entries.get(name)
         call = self.in_flight.get((name, len(entry.attempts) - 1)) if entry is not None else None
         if call is not None and call.handle is not None:
-            # Danger: where attempts may not be cancelled, the rest of the request would arrive, and the work
-            # begin, later.
+            # Without this, where attempts may not be cancelled, the rest of the request would arrive later
+            # and the node would start the work.
             call.handle.abandon()
         self.observer.answered(
             pending.op.request_class, Verdict.LEFT, Reason.LEFT, self.clock() - pending.accepted_at_ms
@@ -237,15 +240,15 @@
         return True
 
     def abort_pending(self) -> None:
-        """Give every pending operation its final answer now: the process ends, and nobody else can."""
+        """Answer every pending operation at shutdown, since no other process could answer it."""
         for name in list(self.pending):
             entry = self.ledger.entries.get(name)
-            harmless = entry is not None and self.ledger.may_reject(entry)
-            end = self.ledger.reject if harmless else self.ledger.fail
+            is_rejectable = entry is not None and self.ledger.may_reject(entry)
+            end = self.ledger.reject if is_rejectable else self.ledger.fail
             self._give_denial(name, end(name, Reason.STOPPING), Reason.STOPPING, 0.0)
 
     def request_batch(self) -> None:
-        """Ask for a batch though nothing happened here: the decision module has orders of its own."""
+        """Request a batch even without events: the decision module has actions ready."""
         self._batch_requested = True
         self.request_wakeup()
 
@@ -253,22 +256,22 @@
         self._inbox.append((self.clock(), rank, name, event))
         self.request_wakeup()
 
-    # --- the loop
+    # --- batches
 
     def next_batch_ms(self) -> float:
-        """Return when the next batch has to be processed at the latest, should nothing happen."""
+        """Return when the next batch is due if no event arrives, in clock milliseconds; infinity if never."""
         return min(min(self._timers.values(), default=FOREVER), self.ledger.next_overdue_ms())
 
     def process_batch(self) -> None:
-        """Hand over what has happened, and execute what is ordered."""
+        """Pass the queued events and expired timers to the decision module, and execute its actions."""
         now = self.clock()
         waiting = sorted(self._inbox, key=_arrival_order)
         self._inbox.clear()
         events: list[Event] = []
         for _, _, name, event in waiting:
             events.append(self._arrival(name, event, now) if isinstance(event, _PendingOperation) else event)
-        for token, at in sorted(self._timers.items()):
-            if at <= now:
+        for token, due_at_ms in sorted(self._timers.items()):
+            if due_at_ms <= now:
                 del self._timers[token]
                 events.append(TimerFired(token))
         if events or self._batch_requested:
@@ -307,8 +310,8 @@
                 self._give_denial(request, verdict, Reason.SCHEDULER, stay_away_ms or self.retry_after_ms)
             case Fail(request):
                 entry = self.ledger.entries.get(request)
-                last = entry.attempts[-1].outcome if entry is not None and entry.attempts else None
-                reason = Reason.DEADLINE if last in (None, Outcome.TIMEOUT) else Reason.ATTEMPTS
+                last_outcome = entry.attempts[-1].outcome if entry is not None and entry.attempts else None
+                reason = Reason.DEADLINE if last_outcome in (None, Outcome.TIMEOUT) else Reason.ATTEMPTS
                 self._give_denial(request, self.ledger.fail(request, reason), reason, 0.0)
             case Cancel(request, attempt):
                 call = self.in_flight.get((request, attempt))
@@ -322,14 +325,14 @@
                 self.observer.line(text)
 
     def _send_attempt(self, name: str, node: str, within_ms: float, now: float) -> None:
-        entered = self.ledger.send(name, node, now)
+        recorded = self.ledger.send(name, node, now)
         pending = self.pending.get(name)
-        if isinstance(entered, FenceTrip) or pending is None:
-            if isinstance(entered, FenceTrip):
-                self.observer.fence_tripped(entered)
-                number = entered.number
+        if isinstance(recorded, FenceTrip) or pending is None:
+            if isinstance(recorded, FenceTrip):
+                self.observer.fence_tripped(recorded)
+                number = recorded.number
             else:
-                number = entered.number
+                number = recorded.number
                 self.ledger.record_outcome(name, number, Outcome.ABANDONED)
             self._enqueue(
                 name, 2, AttemptEnded(name, number, Outcome.ABANDONED, pending is None, 0.0, charged=False)
@@ -338,11 +341,11 @@
         if self.keys is not None and pending.op.idempotency_key:
             self.keys.record_sent(pending.op.idempotency_key, now)
         deadline = pending.deadline_ms if not within_ms else min(pending.deadline_ms, now + within_ms)
-        call = self.in_flight[name, entered.number] = _Call(self, name, pending, entered, deadline)
+        call = self.in_flight[name, recorded.number] = _Call(self, name, pending, recorded, deadline)
         call.handle = self.transport.start(call)
 
     def _give_denial(self, name: str, verdict: Verdict | None, reason: Reason, retry_after_ms: float) -> None:
-        """Give a rejection or a failure, once; a verdict of None says that the answer was given before."""
+        """Answer with a rejection or failure; does nothing if `verdict` is None (already answered)."""
         pending = self.pending.get(name)
         if verdict is None or pending is None:
             return
@@ -359,7 +362,7 @@
             pending.op.request_class, verdict, reason, self.clock() - pending.accepted_at_ms
         )
 
-    # --- what the transport reports
+    # --- reports of the transport
 
     def _on_response_started(self, call: _Call, reply: Any) -> bool:
         if not self.ledger.commit(call.name):
@@ -367,8 +370,8 @@
         self._give_answer(call.name, call.pending, reply, Verdict.SERVED, None)
         return True
 
-    def _on_attempt_ended(self, call: _Call, result: AttemptResult) -> Settled:
-        """Enter an attempt's one outcome with the ledger, and tell the decisions."""
+    def _on_attempt_ended(self, call: _Call, result: AttemptResult) -> RecordedOutcome:
+        """Record an attempt's outcome in the ledger, and queue it for the decision module."""
         name, attempt, outcome = call.name, call.attempt, result.outcome
         del self.in_flight[name, attempt.number]
         settled = self.ledger.record_outcome(name, attempt.number, outcome)
@@ -387,11 +390,11 @@
         )
         self._enqueue(name, 2, event)
         self.observer.attempt_ended(attempt, outcome, result.latency_ms, result.text)
-        if settled.answered_now:
+        if settled.is_final_answer:
             self._give_answer(name, call.pending, result.reply, Verdict.SERVED, None)
         return settled
 
 
 def _arrival_order(item: tuple[float, int, str, Event | _PendingOperation]) -> tuple[float, int, str]:
-    """Order what came in one instant by a stable key, so that no decision hangs on the task order."""
+    """Sort events of the same instant by a stable key, so that decisions do not depend on task order."""
     return item[:3]
--- a/cressrock/dispatch/http_transport.py
+++ b/cressrock/dispatch/http_transport.py
@@ -1,4 +1,4 @@
-"""Carries attempts to the nodes over HTTP/1.1, a task for each."""
+"""Sends attempts to the nodes over HTTP/1.1, one task per attempt."""
 
 from __future__ import annotations
 
@@ -24,88 +24,92 @@
 from cressrock.interface import Outcome
 
 
-class _Ending(NamedTuple):
+class _EndState(NamedTuple):
     outcome: Outcome
     text: str = ""  # for the log
 
 
 class _HttpAttempt:
-    """An attempt's task, and how far it came."""
+    """The state of one attempt's task."""
 
     def __init__(self, call: Call) -> None:
         self.call = call
         self.scope = anyio.CancelScope(deadline=call.deadline / 1000)
         self.progress = AttemptProgress(may_leave=call.may_leave)
-        self.ending = _Ending(Outcome.CANCELLED)
+        self.end_state = _EndState(Outcome.CANCELLED)
         self.reply: Reply | None = None
         self.payload: NodePayload | None = None
-        self.latency_ms: float | None = None  # until the answer's head; None: there was none
-        self.is_cancelled_by_order = False
+        self.latency_ms: float | None = (
+            None  # from sending to the response head; None if there was no response head
+        )
+        self.is_cancelled_by_scheduler = False
         self.is_reported = False
 
     def stop(self) -> None:
-        self.is_cancelled_by_order = True
+        self.is_cancelled_by_scheduler = True
         self.scope.cancel()
 
     def abandon(self) -> None:
-        pass  # how much of it the kernel has is not known here
+        pass  # this transport cannot tell how much of the request the kernel has taken
 
-    def report(self, ending: _Ending, latency_ms: float) -> None:
+    def report(self, end_state: _EndState, latency_ms: float) -> None:
         self.is_reported = True
         headers = self.progress.headers
-        load = reported_load(headers) if headers else ReportedLoad()
+        reported = reported_load(headers) if headers else ReportedLoad()
         self.call.end(
-            AttemptResult(ending.outcome, latency_ms, self.reply, load.used, load.elsewhere, ending.text)
+            AttemptResult(
+                end_state.outcome, latency_ms, self.reply, reported.used, reported.elsewhere, end_state.text
+            )
         )
 
-    def ending_of_stopped(self) -> _Ending:
-        """Return what a stopped attempt was: without a byte handed over it provably never ran."""
+    def end_state_when_stopped(self) -> _EndState:
+        """Return the outcome after a cancellation or timeout; without a byte sent, it provably never ran."""
         if self.progress.is_sent:
-            if self.is_cancelled_by_order:
-                return _Ending(Outcome.CANCELLED, "cancelled")
-            return _Ending(Outcome.TIMEOUT, "no answer in time")
-        if self.is_cancelled_by_order:
-            return _Ending(Outcome.ABANDONED, "cancelled unsent")
-        return _Ending(Outcome.NO_CONNECTION, "no connection")
+            if self.is_cancelled_by_scheduler:
+                return _EndState(Outcome.CANCELLED, "cancelled")
+            return _EndState(Outcome.TIMEOUT, "no response before the deadline")
+        if self.is_cancelled_by_scheduler:
+            return _EndState(Outcome.ABANDONED, "cancelled before it was sent")
+        return _EndState(Outcome.NO_CONNECTION, "no connection to the node before the deadline")
 
 
 class HttpTransport:
-    """Carries attempts over HTTP/1.1; `tasks` has to be set before the first."""
+    """Sends attempts over HTTP/1.1; `tasks` must be set before the first call of `start`."""
 
     def __init__(self, nodes: NodeClient, reader_patience_ms: float, clock: Callable[[], float]) -> None:
-        """`reader_patience_ms` is how long a streamed answer waits for its reader before its slot goes."""
+        """`reader_patience_ms`: how long a client may stall a streamed response before its slot is freed."""
         self.nodes = nodes
         self.reader_patience_ms = reader_patience_ms
         self.clock = clock
         self.tasks: TaskGroup | None = None
 
     def start(self, call: Call) -> _HttpAttempt:
-        """Begin an attempt."""
+        """Start the task of an attempt; the outcome is reported through `call.end`."""
         assert self.tasks is not None
         attempt = _HttpAttempt(call)
         self.tasks.start_soon(self._run, attempt)
         return attempt
 
     async def _run(self, attempt: _HttpAttempt) -> None:
-        """Carry one attempt to its outcome; whatever happens, exactly one outcome is reported."""
+        """Run one attempt and report exactly one outcome, also on errors and cancellation."""
         scope = attempt.scope
         try:
             with scope:
                 await self._exchange(attempt)
         except SentTooLateError as error:
-            attempt.ending = _Ending(Outcome.ABANDONED, str(error))
+            attempt.end_state = _EndState(Outcome.ABANDONED, str(error))
         except NoConnectionError as error:
-            attempt.ending = _Ending(Outcome.NO_CONNECTION, str(error))
+            attempt.end_state = _EndState(Outcome.NO_CONNECTION, str(error))
         except ConnectionLostError as error:
-            attempt.ending = _Ending(Outcome.RESET, str(error))
+            attempt.end_state = _EndState(Outcome.RESET, str(error))
         except (h11.RemoteProtocolError, MessageTooLargeError) as error:
-            attempt.ending = _Ending(Outcome.ERROR, str(error))
+            attempt.end_state = _EndState(Outcome.ERROR, str(error))
         except PayloadTruncatedError as error:
-            attempt.ending = _Ending(Outcome.CANCELLED, str(error))
+            attempt.end_state = _EndState(Outcome.CANCELLED, str(error))
         finally:
-            # Also under cancellation from outside: the ledger must never keep an attempt without outcome.
+            # Also runs when the task is cancelled, since the ledger must not keep an attempt without outcome.
             if scope.cancelled_caught:
-                attempt.ending = attempt.ending_of_stopped()
+                attempt.end_state = attempt.end_state_when_stopped()
             if attempt.payload is not None:
                 with anyio.CancelScope(shield=True):
                     await self.nodes.finish(attempt.call.attempt.node.name, attempt.payload)
@@ -113,37 +117,40 @@
                 latency_ms = attempt.latency_ms
                 if latency_ms is None:
                     latency_ms = self.clock() - attempt.call.attempt.sent_at_ms
-                attempt.report(attempt.ending, latency_ms)
+                attempt.report(attempt.end_state, latency_ms)
 
     async def _exchange(self, attempt: _HttpAttempt) -> None:
         call = attempt.call
         op: Operation = call.op
-        entry = call.attempt
-        extra: Headers = [
-            (b"x-request-id", f"{call.label};{entry.number}".encode()),
+        ledger_attempt = call.attempt
+        extra_headers: Headers = [
+            (b"x-request-id", f"{call.label};{ledger_attempt.number}".encode()),
             (b"cressrock-units", f"{op.units:g}".encode()),
         ]
         if op.idempotency_key:
-            extra.append((b"idempotency-key", op.idempotency_key.encode()))
+            extra_headers.append((b"idempotency-key", op.idempotency_key.encode()))
         reply, payload = attempt.reply, attempt.payload = await self.nodes.exchange(
-            entry.node.name, op, extra, attempt.progress, may_stream=op.stream
+            ledger_attempt.node.name, op, extra_headers, attempt.progress, may_stream=op.stream
         )
-        attempt.latency_ms = self.clock() - entry.sent_at_ms
-        attempt.ending = _Ending(outcome_of(reply.status, reply.headers))
+        attempt.latency_ms = self.clock() - ledger_attempt.sent_at_ms
+        attempt.end_state = _EndState(outcome_of(reply.status, reply.headers))
         if payload is not None and call.begin(reply):
-            attempt.scope.deadline = FOREVER  # a started stream has no deadline of its class
-            if not await self._is_read_out(payload):
-                # Danger: a few clients that read slowly would hold every slot of a node.  The node did its
-                # part; the rest of the way is between this client and us.
-                attempt.report(_Ending(attempt.ending.outcome, "slow reader"), attempt.latency_ms)
+            attempt.scope.deadline = FOREVER  # the class's deadline does not apply once streaming has started
+            if not await self._wait_until_read(payload):
+                # Without this, a few slow clients would occupy every slot of a node.  The node has done its
+                # work; only the transfer from this process to the client remains.
+                attempt.report(
+                    _EndState(attempt.end_state.outcome, "the client reads the response too slowly"),
+                    attempt.latency_ms,
+                )
                 await payload.done.wait()
             elif payload.is_truncated:
-                attempt.ending = _Ending(Outcome.RESET, "cut in mid-answer")
+                attempt.end_state = _EndState(Outcome.RESET, "the node's response was truncated")
             elif not payload.finished:
-                attempt.ending = _Ending(Outcome.CANCELLED, "the client stopped reading")
+                attempt.end_state = _EndState(Outcome.CANCELLED, "the client stopped reading the response")
 
-    async def _is_read_out(self, payload: NodePayload) -> bool:
-        """Wait until a payload is read out or given up; False once its reader holds it up."""
+    async def _wait_until_read(self, payload: NodePayload) -> bool:
+        """Wait until a payload is read completely or abandoned; False if its reader stalls too long."""
         while not payload.done.is_set():
             with anyio.move_on_after(self.reader_patience_ms / 1000):
                 await payload.done.wait()
--- a/cressrock/dispatch/idempotency.py
+++ b/cressrock/dispatch/idempotency.py
@@ -1,8 +1,8 @@
-"""When an idempotency key was first sent, over all operations that carry it.  Pure.
+"""Remembers when each idempotency key was first sent, across all operations that use it.  Does no I/O.
 
-Danger: a client that comes back with its key begins a new operation with a full window of its own, while
-the nodes count their memory of the key from the first sending; a late attempt of the second operation would
-run the work once more.
+A client that retries with the same key starts a new operation with a full deduplication window, while the
+nodes count the window from the first attempt.  Without this memory, a late attempt of the second operation
+would run the work again.
 """
 
 from __future__ import annotations
@@ -11,30 +11,30 @@
 
 
 class IdempotencyKeys:
-    """First sendings of keys that may have run, each kept for `keep_ms`, at most `max_keys` of them."""
+    """First send time of each key whose work may have run; at most `max_keys`, each for `keep_ms`."""
 
     def __init__(self, *, keep_ms: float, max_keys: int) -> None:
-        """Start with none."""
+        """Start empty."""
         self.keep_ms = keep_ms
         self.max_keys = max_keys
         self._first_sent_ms: OrderedDict[str, float] = OrderedDict()
 
     def __len__(self) -> int:
-        """Count the keys that are kept."""
+        """Return the number of stored keys, expired ones included until the next `record_sent`."""
         return len(self._first_sent_ms)
 
     def first_sent_ms(self, key: str, now_ms: float) -> float | None:
-        """Return when work under a key was first sent, as far as it may have run; None: not known to be."""
+        """Return when work that may have run was first sent with the key; None if unknown or expired."""
         sent_at_ms = self._first_sent_ms.get(key)
         return sent_at_ms if sent_at_ms is not None and now_ms - sent_at_ms <= self.keep_ms else None
 
     def record_sent(self, key: str, now_ms: float) -> None:
-        """Enter a sending; only the first one counts."""
+        """Record that an attempt with the key was sent; only the first time is kept."""
         self._expire(now_ms)
         self._first_sent_ms.setdefault(key, now_ms)
 
     def retract_sent(self, key: str, sent_at_ms: float) -> None:
-        """Take back a first sending that provably never ran."""
+        """Remove the key if its first attempt, sent at this time, provably never ran."""
         if self._first_sent_ms.get(key) == sent_at_ms:
             del self._first_sent_ms[key]
 
--- a/cressrock/dispatch/ledger.py
+++ b/cressrock/dispatch/ledger.py
@@ -1,8 +1,9 @@
-"""The ledger: every storage operation from acceptance to one final answer, every attempt to its outcome.
+"""The ledger: tracks each operation from acceptance to its one final answer, and each attempt to its outcome.
 
-Pure: time comes in with each call.  It is also the last check.  By a fixed reading of the rules, on what
-it knows itself, it stops an order that would break rule 1 (one answer, in time, nothing sent after),
-rule 2 (no effect twice) or rule 3 (drains).  It chooses nothing: what it stops is counted as a defect.
+It does no I/O, and time is passed to each call.  It is also the last check (fence) before an action is
+executed: from its own records alone, it blocks actions that would break rule 1 (exactly one answer, in time,
+and nothing sent after it), rule 2 (no effect twice) or rule 3 (no sends to drained nodes).  It makes no
+scheduling decisions, and each blocked action counts as a defect.
 """
 
 from __future__ import annotations
@@ -21,7 +22,7 @@
 
 
 class Verdict(Enum):
-    """The one final answer of an operation."""
+    """How an operation ended."""
 
     SERVED = "served"
     REJECTED = "refused"
@@ -31,7 +32,7 @@
 
 @dataclass(slots=True)
 class Attempt:
-    """One sending of an operation to a node; `outcome` is None while it is in flight."""
+    """One attempt to execute an operation at a node; `outcome` is None while it is in flight."""
 
     number: int
     node: Node
@@ -40,13 +41,13 @@
 
     @property
     def may_have_run(self) -> bool:
-        """Without an outcome that proves the contrary, the work may have run."""
+        """False only if the outcome proves that the work never ran."""
         return self.outcome not in NEVER_RAN
 
 
 @dataclass(slots=True)
 class Entry:
-    """An operation from its acceptance until its answer is given and no attempt is in flight."""
+    """An operation, kept from its acceptance until it is answered and no attempt is in flight."""
 
     name: str
     exchange: str
@@ -58,40 +59,40 @@
     reason: Reason | None = None
 
     def attempt_in_flight(self) -> Attempt | None:
-        """Return the attempt that has no outcome yet."""
+        """Return the attempt that has no outcome yet, if any."""
         for attempt in reversed(self.attempts):
             if attempt.outcome is None:
                 return attempt
         return None
 
     def first_run(self) -> Attempt | None:
-        """Return the earliest attempt that may have run: groups and windows count from its sending."""
+        """Return the earliest attempt that may have run; deduplication scope and window start with it."""
         return next((attempt for attempt in self.attempts if attempt.may_have_run), None)
 
 
 @dataclass(frozen=True, slots=True)
 class FenceTrip:
-    """An order that was not executed, and the rule that it would have broken."""
+    """A blocked action, and the rule that it would have broken."""
 
     fence: Fence
     operation: str
     detail: str
-    number: int = 0  # of the attempt that was not made
+    number: int = 0  # of the attempt that was blocked
 
 
 @dataclass(frozen=True, slots=True)
-class Settled:
-    """Whether the operation has its answer after an outcome, and whether this outcome was that answer."""
+class RecordedOutcome:
+    """Whether the operation is answered after an outcome, and whether this outcome was the answer."""
 
     is_answered: bool
-    answered_now: bool
+    is_final_answer: bool
 
 
 class Ledger:
-    """All operations that one dispatcher has to answer.
+    """The open operations of one dispatcher.
 
-    Times are milliseconds on the caller's monotonic clock.  `max_open` bounds the entries: beyond it `accept`
-    returns None and the caller rejects at admission.
+    Times are milliseconds on the caller's monotonic clock.  With `max_open` entries, `accept` returns None
+    and the caller rejects the request at admission.
     """
 
     def __init__(
@@ -102,7 +103,7 @@
         max_open: int,
         max_nodes: int = 16384,
     ) -> None:
-        """Start with no operation and no node."""
+        """Start empty.  With more than `max_nodes` nodes, those that are gone are evicted, oldest first."""
         self.drain_grace_ms = drain_grace_ms
         self.answer_slack_ms = answer_slack_ms
         self.max_open = max_open
@@ -111,7 +112,7 @@
         self.nodes: dict[str, Node] = {}
         self.withdrawn_at_ms: dict[
             str, float
-        ] = {}  # when this dispatcher first knew that a node drains or is gone
+        ] = {}  # when this dispatcher first learned that a node is draining or gone
         self.fence_trips: Counter[Fence] = Counter()
         self.answer_counts: Counter[Verdict] = Counter()
         self._overdue_heap: list[tuple[float, str]] = []
@@ -121,12 +122,12 @@
     def accept(
         self, name: str, exchange: str, request_class: RequestClass, deadline_ms: float, now_ms: float
     ) -> Entry | None:
-        """Accept an operation: from here one final answer is owed.  None where the bound is reached.
+        """Accept an operation, which then needs exactly one final answer; None if `max_open` is reached.
 
-        Raises ValueError for a name that is in use: names are never reused.
+        Raises ValueError if the name is in use; names must be unique.
         """
         if name in self.entries:
-            raise ValueError(f"operation {name} is held already")
+            raise ValueError(f"operation {name} is already open; operation names must be unique")
         if len(self.entries) >= self.max_open:
             return None
         entry = self.entries[name] = Entry(name, exchange, request_class, now_ms, deadline_ms)
@@ -134,63 +135,82 @@
         return entry
 
     def send(self, name: str, node: str, now_ms: float) -> Attempt | FenceTrip:
-        """Record an attempt that was ordered, unless it would break a rule."""
+        """Record an attempt that the scheduler requested, or return the fence that blocks it."""
         entry = self.entries.get(name)
         if entry is None:
-            return self._record_trip(Fence.UNKNOWN, name, f"send to {node}")
+            return self._record_trip(Fence.UNKNOWN_REQUEST, name, f"send to {node}")
         if entry.verdict is not None:
-            return self._record_trip(Fence.ANSWERED, name, f"send to {node} after {entry.verdict.value}")
+            return self._record_trip(
+                Fence.SEND_AFTER_ANSWER, name, f"send to {node} after {entry.verdict.value}"
+            )
         target = self.nodes.get(node)
         if target is None:
-            return self._block_attempt(entry, Node(node, -1), now_ms, Fence.NODE, f"{node} was never listed")
+            return self._block_attempt(
+                entry,
+                Node(node, -1),
+                now_ms,
+                Fence.NODE_NOT_LISTED,
+                f"{node} is not in any node list received",
+            )
         if self.barred(node, now_ms):
-            detail = f"{node} drains or is gone, told {now_ms - self.withdrawn_at_ms[node]:.0f} ms ago"
-            return self._block_attempt(entry, target, now_ms, Fence.DRAIN, detail)
+            detail = f"{node} is draining or gone, reported {now_ms - self.withdrawn_at_ms[node]:.0f} ms ago"
+            return self._block_attempt(entry, target, now_ms, Fence.DRAIN_GRACE_OVER, detail)
         if entry.attempt_in_flight() is not None:
             return self._block_attempt(
-                entry, target, now_ms, Fence.TWICE, f"send to {node} while an attempt is out"
+                entry,
+                target,
+                now_ms,
+                Fence.ATTEMPT_IN_FLIGHT,
+                f"send to {node} while another attempt is in flight",
             )
         first_run = entry.first_run()
         if first_run is not None and entry.request_class.idempotency is not Idempotency.ALWAYS:
             if entry.request_class.idempotency is Idempotency.NEVER:
                 return self._block_attempt(
-                    entry, target, now_ms, Fence.UNSAFE, f"{first_run.node.name} may have run it"
+                    entry,
+                    target,
+                    now_ms,
+                    Fence.MAY_HAVE_RUN,
+                    f"{first_run.node.name} may have run it already",
                 )
             if not self._same_group(entry.request_class.deduplication_scope, first_run.node, target):
-                detail = f"{first_run.node.name} may have run it, {node} is elsewhere"
-                return self._block_attempt(entry, target, now_ms, Fence.GROUP, detail)
+                detail = f"{first_run.node.name} may have run it, {node} is outside its deduplication scope"
+                return self._block_attempt(entry, target, now_ms, Fence.OUTSIDE_DEDUPLICATION_SCOPE, detail)
             if now_ms - first_run.sent_at_ms > entry.request_class.deduplication_window_ms:
-                detail = f"first sent {now_ms - first_run.sent_at_ms:.0f} ms ago"
-                return self._block_attempt(entry, target, now_ms, Fence.WINDOW, detail)
+                detail = (
+                    f"first sent {now_ms - first_run.sent_at_ms:.0f} ms ago, deduplication window is over"
+                )
+                return self._block_attempt(entry, target, now_ms, Fence.OUTSIDE_DEDUPLICATION_WINDOW, detail)
         attempt = Attempt(len(entry.attempts), target, now_ms)
         entry.attempts.append(attempt)
         return attempt
 
     def may_leave(self, name: str, number: int, now_ms: float) -> bool:
-        """Whether an attempt that was entered may still begin to leave.
+        """Whether the first byte of a recorded attempt may still be sent.
 
-        Danger: between the order and the first byte a connection comes up.  In that time the answer may have
-        been given, a drain's grace or the time in which a key's repeat is dropped may have run out.
+        A connection may have to be opened between the scheduler's decision and the first byte.  Meanwhile the
+        operation may have been answered, or the drain grace period or the key's deduplication window may have
+        ended.
         """
         entry = self.entries.get(name)
         if entry is None or entry.verdict is not None or number >= len(entry.attempts):
             return False
         if self.barred(entry.attempts[number].node.name, now_ms):
-            self.fence_trips[Fence.DRAIN] += 1
+            self.fence_trips[Fence.DRAIN_GRACE_OVER] += 1
             return False
         if now_ms > self.leave_by(name, number):
-            self.fence_trips[Fence.WINDOW] += 1
+            self.fence_trips[Fence.OUTSIDE_DEDUPLICATION_WINDOW] += 1
             return False
         return True
 
     def leave_by(self, name: str, number: int) -> float:
-        """Return when the last byte of an attempt that was entered has to have left; infinity: any time.
+        """Return the time by which the last byte of a recorded attempt must be sent; infinity if unbounded.
 
-        Danger: a repeat that waits here, for its connection or for room in the kernel, arrives after the
-        time in which its key makes a node drop it, and takes effect a second time.  A node counts that time
-        from the arrival of the attempt that ran.  Counted here is from the order of the first one that may
-        have run, which comes before its arrival and before any later one's: the safe side.  A drain is about
-        the first byte, which is with the kernel as soon as `may_leave` was asked.
+        Without this limit, a repeat that waits here for a connection or for kernel buffer space could arrive
+        after the deduplication window and take effect a second time.  Nodes count the window from the arrival
+        of the attempt that ran.  The ledger counts from the recording of the first attempt that may have run,
+        which precedes its arrival and that of any later attempt, so its limit is never too late.  Rule 3
+        concerns only the first byte, which goes to the kernel right after `may_leave`.
         """
         entry = self.entries.get(name)
         if (
@@ -205,48 +225,50 @@
         return first_run.sent_at_ms + entry.request_class.deduplication_window_ms
 
     def commit(self, name: str) -> bool:
-        """Record that an answer began to leave for the client: it is the final one.  False if too late."""
+        """Record that the response to the client has started, as final answer.  False if already answered."""
         entry = self.entries.get(name)
         if entry is None or entry.verdict is not None:
             return False
         self._set_verdict(entry, Verdict.SERVED, None)
         return True
 
-    def record_outcome(self, name: str, number: int, outcome: Outcome) -> Settled:
-        """Record an attempt's outcome.  The first OK is the answer; a late one is for the module alone.
+    def record_outcome(self, name: str, number: int, outcome: Outcome) -> RecordedOutcome:
+        """Record an attempt's outcome.
+
+        OK is the final answer, unless the operation is already answered; then only the scheduler uses it.
 
-        Raises ValueError for an attempt that was never sent or has its outcome already.
+        Raises ValueError if the attempt does not exist or has an outcome already.
         """
         entry = self.entries.get(name)
         if entry is None or number >= len(entry.attempts) or entry.attempts[number].outcome is not None:
-            raise ValueError(f"no attempt {number} of {name} is out")
+            raise ValueError(f"attempt {number} of operation {name} is not in flight")
         entry.attempts[number].outcome = outcome
         answered = entry.verdict is None and outcome is Outcome.OK
         if answered:
             self._set_verdict(entry, Verdict.SERVED, None)
-        settled = Settled(entry.verdict is not None, answered)
+        settled = RecordedOutcome(entry.verdict is not None, answered)
         self._drop_if_settled(entry)
         return settled
 
     def reject(self, name: str, reason: Reason) -> Verdict | None:
-        """Reject where a retry is provably harmless, else fail.  None if already answered."""
+        """Reject if a retry is provably harmless, else fail the operation.  None if already answered."""
         entry = self.entries.get(name)
         if entry is None or entry.verdict is not None:
             return None
         if self.may_reject(entry):
             return self._set_verdict(entry, Verdict.REJECTED, reason)
-        self._record_trip(Fence.REFUSAL, name, "an attempt may have run")
+        self._record_trip(Fence.REFUSAL_NOT_PROVABLE, name, "an attempt may have run")
         return self._set_verdict(entry, Verdict.FAILED, Reason.FENCED_REFUSAL)
 
     def fail(self, name: str, reason: Reason) -> Verdict | None:
-        """Give a failure, which promises nothing.  None if already answered."""
+        """Fail the operation; the client cannot conclude whether work ran.  None if already answered."""
         entry = self.entries.get(name)
         if entry is None or entry.verdict is not None:
             return None
         return self._set_verdict(entry, Verdict.FAILED, reason)
 
     def client_left(self, name: str) -> bool:
-        """Record that the client no longer waits: nothing more is owed.  False if it was over before."""
+        """Record that the client has disconnected and needs no answer.  False if already answered."""
         entry = self.entries.get(name)
         if entry is None or entry.verdict is not None:
             return False
@@ -254,18 +276,18 @@
         return True
 
     def overdue(self, now_ms: float) -> list[str]:
-        """Name the operations whose time and slack are up without an answer: a defect, to be failed now."""
-        late = []
+        """Return the operations unanswered after deadline and slack: a defect; the caller must fail them."""
+        overdue_names = []
         while self._overdue_heap and self._overdue_heap[0][0] <= now_ms:
             _, name = heapq.heappop(self._overdue_heap)
             entry = self.entries.get(name)
             if entry is not None and entry.verdict is None:
-                self._record_trip(Fence.LATE, name, "no answer within its time")
-                late.append(name)
-        return late
+                self._record_trip(Fence.OVERDUE, name, "no answer before its deadline and slack ended")
+                overdue_names.append(name)
+        return overdue_names
 
     def next_overdue_ms(self) -> float:
-        """Return when `overdue` has to be asked next; infinity with nothing owed."""
+        """Return when `overdue` must be called next; infinity if no operation is unanswered."""
         while self._overdue_heap and self._is_answered(self._overdue_heap[0][1]):
             heapq.heappop(self._overdue_heap)
         return self._overdue_heap[0][0] if self._overdue_heap else float("inf")
@@ -275,7 +297,7 @@
         return entry is None or entry.verdict is not None
 
     def may_reject(self, entry: Entry) -> bool:
-        """Whether a rejection is true: nothing may have run, or all that may have is idempotent."""
+        """Whether a rejection is correct: no attempt may have run, or a retry of the work is idempotent."""
         if entry.request_class.idempotency is Idempotency.ALWAYS or entry.first_run() is None:
             return True
         return (
@@ -286,7 +308,7 @@
     # --- nodes
 
     def update_nodes(self, nodes: Iterable[Node], now_ms: float, *, complete: bool) -> None:
-        """Apply a report of the node list; a node that a complete one lacks is gone."""
+        """Apply a node list report; nodes that are missing from a complete report are marked GONE."""
         listed = {line.name: line for line in nodes}
         if complete:
             for name, node in self.nodes.items():
@@ -302,18 +324,18 @@
             self._drop_oldest_removed()
 
     def barred(self, node: str, now_ms: float) -> bool:
-        """Whether a node's drain grace is over, counted from when this dispatcher first knew of it."""
+        """Whether a node's drain grace is over, counted from this dispatcher's first report of the drain."""
         withdrawn_at_ms = self.withdrawn_at_ms.get(node)
         return withdrawn_at_ms is not None and now_ms > withdrawn_at_ms + self.drain_grace_ms
 
     def _drop_oldest_removed(self) -> None:
-        """Forget the nodes that were gone first: the table stays bounded through years of replacements."""
+        """Evict the longest-removed nodes, so that node replacements do not grow the table without bound."""
         removed = [n for n, line in self.nodes.items() if line.state is NodeState.GONE]
         removed.sort(key=lambda name: (self.withdrawn_at_ms[name], name))
         for name in removed[: len(self.nodes) - self.max_nodes]:
             del self.nodes[name], self.withdrawn_at_ms[name]
 
-    # --- internal
+    # --- helpers
 
     @staticmethod
     def _same_group(group: DeduplicationScope, first: Node, other: Node) -> bool:
@@ -333,7 +355,7 @@
             self.entries.pop(entry.name, None)
 
     def _block_attempt(self, entry: Entry, node: Node, now_ms: float, fence: Fence, detail: str) -> FenceTrip:
-        """Keep the number of an attempt that was not made, so that both sides go on counting alike."""
+        """Record a blocked attempt as ABANDONED, so that attempt numbers match those of the scheduler."""
         number = len(entry.attempts)
         entry.attempts.append(Attempt(number, node, now_ms, Outcome.ABANDONED))
         self.fence_trips[fence] += 1
--- a/cressrock/dispatch/node_client.py
+++ b/cressrock/dispatch/node_client.py
@@ -1,7 +1,7 @@
-"""Connections to the storage nodes: pools, and one attempt's exchange on one of them.
+"""Connection pools to the storage nodes, and the exchange of one attempt over a pooled connection.
 
-It has no tuned number but its settings and chooses no node.  What it reports is exact about one thing above
-all: whether a byte of the request can have reached the node.
+The caller chooses the node, and all bounds come from the settings.  The errors and `AttemptProgress` report
+exactly whether any byte of the request can have reached the node.
 """
 
 from __future__ import annotations
@@ -33,33 +33,33 @@
 
 
 class PoolBounds(Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
-    """Bounds of the connections to one node; times in milliseconds, sizes in bytes."""
+    """Limits of the connections to one node; times in milliseconds, sizes in bytes."""
 
     connect_timeout_ms: Time = 1000.0
     idle_close_ms: Time = 15000.0
     max_idle: Annotated[int, Meta(ge=1, le=4096)] = 16
     max_head: Size = 65536
     read_ahead: Size = 262144
-    gather_bytes: Size = 65536  # an answer up to this size is taken in whole before it is handed on
-    max_reply_bytes: Size = 16777216  # and one that has to be taken in whole may not be larger
+    gather_bytes: Size = 65536  # a response up to this size is read completely before it is passed on
+    max_reply_bytes: Size = 16777216  # maximum size of a response that is not streamed
 
 
 class NoConnectionError(Exception):
-    """No byte of the request was handed to a connection: it cannot have run."""
+    """No connection: no byte of the request was sent, so it cannot have run."""
 
 
 class SentTooLateError(Exception):
-    """The connection came up too late for the request: no byte was handed to it."""
+    """`may_leave` refused the request once the connection was open: no byte was sent, so it never ran."""
 
 
 @dataclass(slots=True)
 class AttemptProgress:
-    """How far an attempt came; true at every moment, also when it is cancelled."""
+    """How far an attempt has progressed; accurate at any time, also after a cancellation."""
 
-    is_sent: bool = False  # from here on the node may have it
-    has_head: bool = False  # the answer's head is in
+    is_sent: bool = False  # the node may have received bytes of the request
+    has_response_head: bool = False  # the response head was received
     headers: Headers | None = None
-    may_leave: Callable[[], bool] = lambda: True  # asked just before the first byte
+    may_leave: Callable[[], bool] = lambda: True  # called just before the first byte is sent
 
 
 class _Pool:
@@ -69,18 +69,18 @@
 
 
 class NodePayload:
-    """An answer's payload that is read from the node's connection as the front asks for it."""
+    """A response payload that is read from the node's connection as the front end requests chunks."""
 
     def __init__(self, channel: Channel) -> None:
-        """The head has been read; data events follow on the channel."""
+        """`channel` has delivered the response head; data events follow."""
         self._channel = channel
         self.finished = False
         self.is_truncated = False
-        self.idle_since: float | None = anyio.current_time()  # the front asks for nothing since then
+        self.idle_since: float | None = anyio.current_time()  # in s; no chunk has been requested since
         self.done = anyio.Event()
 
     async def chunk(self) -> bytes:
-        """Return some bytes, b"" at the end.  Raises PayloadTruncatedError where the node broke off."""
+        """Return the next bytes, b"" at the end.  Raises PayloadTruncatedError if the node stops early."""
         if self.finished:
             return b""
         self.idle_since = None
@@ -96,22 +96,22 @@
                     self.done.set()
                     return b""
                 else:
-                    raise ConnectionLostError("the node closed in mid-answer")
+                    raise ConnectionLostError("the node closed the connection in the middle of the response")
         except (ConnectionLostError, h11.RemoteProtocolError) as broken:
             self.is_truncated = True
             self.done.set()
             raise PayloadTruncatedError(str(broken)) from broken
 
     def abandon(self) -> None:
-        """Say that nobody reads on."""
+        """Stop reading; `done` is set so that the attempt can end."""
         self.done.set()
 
 
 class NodeClient:
-    """The pools of one dispatcher; used as an async context manager, whose exit closes all."""
+    """The connection pools of one dispatcher; an async context manager that closes them on exit."""
 
     def __init__(self, connect: Connect, bounds: PoolBounds, *, user_agent: str) -> None:
-        """`connect(host, port)` opens a stream; it raises OSError where that fails."""
+        """`connect(host, port)` opens a stream and raises OSError on failure."""
         self.connect = connect
         self.bounds = bounds
         self.user_agent = user_agent.encode()
@@ -121,7 +121,7 @@
         self._tasks: TaskGroup | None = None
 
     async def __aenter__(self) -> Self:
-        """Start the task group that owns the connections' readers."""
+        """Start the task group that runs the connections' readers."""
         self._tasks = await anyio.create_task_group().__aenter__()
         return self
 
@@ -137,11 +137,11 @@
         return await self._tasks.__aexit__(kind, error, trace)
 
     def connections(self) -> int:
-        """Count the open connections."""
+        """Return the number of open connections, idle ones included."""
         return sum(pool.open_count for pool in self.pools.values())
 
     def close_idle(self, node: str) -> None:
-        """Close the idle connections to a node that is gone."""
+        """Close the idle connections to a node that was removed from the node list."""
         pool = self.pools.get(node)
         if pool is not None:
             for _, channel in pool.idle:
@@ -153,29 +153,29 @@
     async def exchange(
         self, node: str, op: Operation, extra: Headers, progress: AttemptProgress, *, may_stream: bool
     ) -> tuple[Reply, NodePayload | None]:
-        """Send an operation and return the answer, with its payload if that is handed on as it comes.
+        """Send an operation and return the response, with its payload if that is streamed (else None).
 
         Raises NoConnectionError and SentTooLateError (never ran), ConnectionLostError (may have run),
-        PayloadTruncatedError (the client's own payload broke off), MessageTooLargeError or
-        h11.RemoteProtocolError (the answer is no HTTP).  Cancelling closes the connection.
+        PayloadTruncatedError (the client's own payload ended early), MessageTooLargeError or
+        h11.RemoteProtocolError (the response is not valid HTTP).  Cancellation closes the connection.
         """
         channel = await self._acquire(node)
         try:
             reply, payload = await self._exchange(channel, node, op, extra, progress, may_stream)
         except BaseException:
-            await self._drop(node, channel)
+            await self._discard(node, channel)
             raise
         if payload is None:
             await self.release(node, channel)
         return reply, payload
 
     async def finish(self, node: str, payload: NodePayload) -> None:
-        """Give the connection of a streamed answer back, or close it if the answer was not read out."""
+        """Release the connection of a streamed response, or close it if the response was not fully read."""
         channel = payload._channel
         if payload.finished:
             await self.release(node, channel)
         else:
-            await self._drop(node, channel)
+            await self._discard(node, channel)
 
     async def _exchange(
         self,
@@ -188,46 +188,46 @@
     ) -> tuple[Reply, NodePayload | None]:
         headers: Headers = [(b"host", node.encode()), (b"user-agent", self.user_agent), *op.headers, *extra]
         body = op.body
-        first: list[h11.Event] = []
+        request_events: list[h11.Event] = []
         if body is not None:
             if body.length is None:
                 headers.append((b"transfer-encoding", b"chunked"))
             else:
                 headers.append((b"content-length", str(body.length).encode()))
-        first.append(h11.Request(method=op.method, target=op.target, headers=headers))
+        request_events.append(h11.Request(method=op.method, target=op.target, headers=headers))
         if not progress.may_leave():
-            raise SentTooLateError("the connection came up too late for it")
+            raise SentTooLateError("the connection was opened too late to send the request")
         progress.is_sent = True
         if body is None or body.length == 0:
-            await channel.send(*first, h11.EndOfMessage())
-            return await self._answer(channel, progress, may_stream and op.stream)
+            await channel.send(*request_events, h11.EndOfMessage())
+            return await self._read_response(channel, progress, may_stream and op.stream)
         if body.complete and (body.length or 0) <= self.bounds.gather_bytes:
             offset = 0
             while data := await body.chunk(offset):
-                first.append(h11.Data(data=data))
+                request_events.append(h11.Data(data=data))
                 offset += len(data)
-            await channel.send(*first, h11.EndOfMessage())
-            return await self._answer(channel, progress, may_stream and op.stream)
+            await channel.send(*request_events, h11.EndOfMessage())
+            return await self._read_response(channel, progress, may_stream and op.stream)
         failure: list[Exception] = []
         result: tuple[Reply, NodePayload | None] | None = None
         async with anyio.create_task_group() as tasks:
 
             async def upload() -> None:
                 try:
-                    await channel.send(*first)
+                    await channel.send(*request_events)
                     await self._upload(channel, body)
                 except PayloadTruncatedError as cut:
                     failure.append(cut)
                     tasks.cancel_scope.cancel()
                 except ConnectionLostError:
-                    pass  # the answer, if one came before the end, is still to be read
+                    pass  # a response that arrived before the payload was sent is still read
 
             tasks.start_soon(upload)
             try:
-                result = await self._answer(channel, progress, may_stream and op.stream)
+                result = await self._read_response(channel, progress, may_stream and op.stream)
             except (ConnectionLostError, MessageTooLargeError, h11.RemoteProtocolError) as failed:
                 failure.append(failed)
-            # An answer before the end of the payload is the answer; the rest is not sent.
+            # A response before the end of the upload is final; the rest of the payload is not sent.
             tasks.cancel_scope.cancel()
         if result is None:
             raise failure[0]
@@ -241,17 +241,17 @@
             offset += len(data)
         await channel.send(h11.EndOfMessage())
 
-    async def _answer(
+    async def _read_response(
         self, channel: Channel, progress: AttemptProgress, may_stream: bool
     ) -> tuple[Reply, NodePayload | None]:
         event = await channel.response()
         headers: Headers = list(event.headers)
-        progress.has_head, progress.headers = True, headers
-        announced = header(headers, b"content-length")
+        progress.has_response_head, progress.headers = True, headers
+        content_length = header(headers, b"content-length")
         if (
             may_stream
             and event.status_code < 300
-            and (announced is None or int(announced) > self.bounds.gather_bytes)
+            and (content_length is None or int(content_length) > self.bounds.gather_bytes)
         ):
             payload = NodePayload(channel)
             return Reply(event.status_code, headers, b"", payload), payload
@@ -259,11 +259,11 @@
 
     async def _acquire(self, node: str) -> Channel:
         pool = self.pools.setdefault(node, _Pool())
-        now = anyio.current_time() * 1000
+        now_ms = anyio.current_time() * 1000
         while pool.idle:
-            since, channel = pool.idle.pop()
-            # Closed by the node while it idled, or about to be: nothing was written, so nothing can have run.
-            if channel.ended or now - since > self.bounds.idle_close_ms:
+            idle_from_ms, channel = pool.idle.pop()
+            # The node has closed the idle connection or soon will.  Nothing was written, so nothing ran.
+            if channel.ended or now_ms - idle_from_ms > self.bounds.idle_close_ms:
                 self._start_close(channel)
                 pool.open_count -= 1
                 continue
@@ -274,7 +274,7 @@
             with anyio.fail_after(self.bounds.connect_timeout_ms / 1000):
                 stream = await self.connect(host, int(port))
         except (*BROKEN, TimeoutError, ValueError) as failed:
-            raise NoConnectionError(f"{node}: {failed or 'not accepted in time'}") from failed
+            raise NoConnectionError(f"{node}: {failed or 'connection not accepted in time'}") from failed
         self.opened += 1
         pool.open_count += 1
         channel = Channel(
@@ -288,15 +288,15 @@
         return channel
 
     async def release(self, node: str, channel: Channel) -> None:
-        """Keep a connection for the next attempt if it can carry one."""
+        """Return a connection to the pool if it is reusable and the pool has room, else close it."""
         pool = self.pools.setdefault(node, _Pool())
         if channel.reusable() and len(pool.idle) < self.bounds.max_idle:
             channel.conn.start_next_cycle()
             pool.idle.append((anyio.current_time() * 1000, channel))
         else:
-            await self._drop(node, channel)
+            await self._discard(node, channel)
 
-    async def _drop(self, node: str, channel: Channel) -> None:
+    async def _discard(self, node: str, channel: Channel) -> None:
         pool = self.pools.get(node)
         if pool is not None:
             pool.open_count -= 1
--- a/cressrock/dispatch/node_list.py
+++ b/cressrock/dispatch/node_list.py
@@ -1,6 +1,6 @@
-"""The node list's state: xDS endpoint discovery responses in, reports for the scheduler out.
+"""The node list's state: parses xDS endpoint discovery responses into reports for the scheduler.
 
-Pure.  The format is Envoy's v3 endpoint discovery over REST-JSON (DiscoveryResponse holding a
+It does no I/O.  The format is Envoy's v3 endpoint discovery over REST-JSON (DiscoveryResponse holding a
 ClusterLoadAssignment): health status HEALTHY or DRAINING, locality zone, and under
 `metadata.filter_metadata["cressrock"]` the node's `shard` and `up_since` (epoch milliseconds).
 """
@@ -15,9 +15,9 @@
 from cressrock.interface import ListKind, Node, NodeList, NodeState
 
 TYPE_URL = "type.googleapis.com/envoy.config.endpoint.v3.ClusterLoadAssignment"
-JsonObject = dict[str, Any]  # as decoded; nothing in it is checked yet
-_StartTimes = dict[tuple[str, float], float]  # by name and `up_since`, on our own clock
-_STATES = {
+JsonObject = dict[str, Any]  # decoded, not yet validated
+_StartTimes = dict[tuple[str, float], float]  # monotonic milliseconds, by node name and `up_since`
+_STATE_BY_HEALTH_STATUS = {
     "HEALTHY": NodeState.READY,
     "UNKNOWN": NodeState.READY,
     "DRAINING": NodeState.DRAINING,
@@ -28,12 +28,12 @@
 
 
 class NodeListError(ValueError):
-    """A discovery response that cannot be used; the text names the place in it."""
+    """An unusable discovery response; the message names the faulty element."""
 
 
 @dataclass(frozen=True, slots=True)
 class NodeListUpdate:
-    """What a response brought: a report for the scheduler, the new version, and what was odd in it."""
+    """The result of a response: a report for the scheduler, the new version, and warnings."""
 
     report: NodeList
     version: str
@@ -41,22 +41,22 @@
 
 
 class NodeListState:
-    """The list as last accepted.  `zones` maps locality names to numbers in order of appearance."""
+    """The last accepted list.  `zones` numbers the locality zones in order of their first appearance."""
 
     def __init__(self, cluster: str, *, max_nodes: int) -> None:
-        """Start with no version: every response is an update."""
+        """Start without a version, so that the first response is an update."""
         self.cluster = cluster
         self.max_nodes = max_nodes
         self.version = ""
         self.nonce = ""
-        self.confirmed = False  # received by this process, not only read from a cache
+        self.is_confirmed = False  # received by this process, not just read from a cache
         self.zones: dict[str, int] = {}
-        # A node's start on our clock is fixed when the node is first listed: a list that is received again
-        # later, or a wall clock that is stepped, must not make a warm node look cold or a cold one warm.
-        self._started_at: _StartTimes = {}
+        # A node's start time is converted to the monotonic clock when the node is first listed.  Otherwise a
+        # list that is received again, or a step of the wall clock, would change which nodes count as warm.
+        self._start_times: _StartTimes = {}
 
     def request(self, node_id: str) -> bytes:
-        """Return the body of the next DiscoveryRequest."""
+        """Return the body of the next DiscoveryRequest, as JSON."""
         return msgspec.json.encode(
             {
                 "version_info": self.version,
@@ -70,86 +70,89 @@
     def receive(
         self, body: bytes, now_ms: float, wall_ms: float, *, cached: bool = False
     ) -> NodeListUpdate | None:
-        """Take in a DiscoveryResponse.  None where it repeats the present version.
+        """Apply a DiscoveryResponse; return None if it repeats the current version.
 
-        Raises NodeListError, and keeps the present version, where the response is malformed.
+        `now_ms` is monotonic and `wall_ms` epoch time.  Raises NodeListError, and keeps the current version,
+        if the response is malformed, older than the current one or larger than `max_nodes`.
         """
         try:
             value = msgspec.json.decode(body)
         except msgspec.DecodeError as error:
             raise NodeListError(f"discovery response is not JSON: {error}") from None
         if not isinstance(value, dict) or not isinstance(value.get("version_info"), str):
-            raise NodeListError("discovery response: version_info is missing")
+            raise NodeListError("discovery response is not an object with a version_info string")
         version: str = value["version_info"]
-        if version == self.version and self.confirmed:
+        if version == self.version and self.is_confirmed:
             return None
-        if not cached and _older(version, self.version):
+        if not cached and _is_older(version, self.version):
             raise NodeListError(f"discovery response: version {version} is older than {self.version}")
-        reader = _ResponseReader(self.cluster, now_ms, wall_ms, dict(self.zones), self._started_at)
-        reader.read(value)
-        nodes = reader.nodes
+        parser = _ResponseParser(self.cluster, now_ms, wall_ms, dict(self.zones), self._start_times)
+        parser.read(value)
+        nodes = parser.nodes
         if len(nodes) > self.max_nodes:
             raise NodeListError(
-                f"discovery response names {len(nodes)} nodes; at most {self.max_nodes} are held"
+                f"discovery response names {len(nodes)} nodes; at most {self.max_nodes} are allowed"
             )
-        self._started_at = {key: at_ms for key, at_ms in self._started_at.items() if key[0] in nodes}
-        self.version, self.nonce, self.zones = version, str(value.get("nonce", "")), reader.zones
-        self.confirmed = not cached
+        self._start_times = {key: at_ms for key, at_ms in self._start_times.items() if key[0] in nodes}
+        self.version, self.nonce, self.zones = version, str(value.get("nonce", "")), parser.zones
+        self.is_confirmed = not cached
         kind = ListKind.CACHED if cached else ListKind.COMPLETE
         report = NodeList(kind, tuple(nodes[name] for name in sorted(nodes)))
-        return NodeListUpdate(report, version, tuple(reader.warnings))
+        return NodeListUpdate(report, version, tuple(parser.warnings))
 
 
 @dataclass(slots=True)
-class _ResponseReader:
-    """Reads the endpoints of one response; `zones` and `started_at` grow with what it names."""
+class _ResponseParser:
+    """Parses the endpoints of one response; adds new ones to `zones` and `start_times`."""
 
     cluster: str
     now_ms: float
     wall_ms: float
     zones: dict[str, int]
-    started_at: _StartTimes
+    start_times: _StartTimes
     nodes: dict[str, Node] = field(default_factory=dict)
     warnings: list[str] = field(default_factory=list)
 
     def read(self, response: JsonObject) -> None:
-        """Collect all nodes of the cluster.  Raises NodeListError."""
+        """Add all nodes of the cluster to `nodes`.  Raises NodeListError."""
         resources = response.get("resources")
         if not isinstance(resources, list):
-            raise NodeListError("discovery response: resources is missing")
+            raise NodeListError("discovery response: resources is missing or not a list")
         for index, resource in enumerate(resources):
             if isinstance(resource, dict) and resource.get("cluster_name") == self.cluster:
-                self._read_resource(resource, f"resources[{index}]")
+                self._parse_resource(resource, f"resources[{index}]")
 
-    def _read_resource(self, resource: JsonObject, path: str) -> None:
-        for index, group in enumerate(_list(resource, "endpoints", path)):
+    def _parse_resource(self, resource: JsonObject, path: str) -> None:
+        for index, group in enumerate(_get_list(resource, "endpoints", path)):
             group_path = f"{path}.endpoints[{index}]"
             zone_name = str(_get(group, "locality", "zone", default=""))
             zone = self.zones.setdefault(zone_name, len(self.zones))
-            for number, endpoint in enumerate(_list(group, "lb_endpoints", group_path)):
-                self._add(self._node(endpoint, zone, f"{group_path}.lb_endpoints[{number}]"))
+            for number, endpoint in enumerate(_get_list(group, "lb_endpoints", group_path)):
+                self._add_node(self._parse_node(endpoint, zone, f"{group_path}.lb_endpoints[{number}]"))
 
-    def _add(self, node: Node) -> None:
-        before = self.nodes.get(node.name)
-        if before is not None and before != node:
-            # Danger: a node named twice, once as draining, must not be sent to as ready.
+    def _add_node(self, node: Node) -> None:
+        previous = self.nodes.get(node.name)
+        if previous is not None and previous != node:
+            # A node that is listed twice, once as draining, must not be treated as ready.
             self.warnings.append(f"{node.name} is listed twice with different data")
-            if before.state is not NodeState.READY:
+            if previous.state is not NodeState.READY:
                 return
         self.nodes[node.name] = node
 
-    def _node(self, endpoint: Any, zone: int, path: str) -> Node:
+    def _parse_node(self, endpoint: Any, zone: int, path: str) -> Node:
         address = _get(endpoint, "endpoint", "address", "socket_address", default=None)
         host, port = _get(address, "address", default=None), _get(address, "port_value", default=None)
         if not isinstance(host, str) or not isinstance(port, int):
-            raise NodeListError(f"{path}.endpoint.address.socket_address is missing")
+            raise NodeListError(
+                f"{path}.endpoint.address.socket_address: address or port_value is missing or invalid"
+            )
         metadata = _get(endpoint, "metadata", "filter_metadata", "cressrock", default={})
         shard = _get(metadata, "shard", default=None)
         if not isinstance(shard, int) or shard < 0:
-            raise NodeListError(f"{path}.metadata: shard is missing or not a whole number")
+            raise NodeListError(f"{path}.metadata: shard is missing, negative or not an integer")
         status = endpoint.get("health_status", "HEALTHY")
-        if status not in _STATES:
-            raise NodeListError(f"{path}.health_status: unknown word {status!r}")
+        if status not in _STATE_BY_HEALTH_STATUS:
+            raise NodeListError(f"{path}.health_status: unknown value {status!r}")
         name = f"{host}:{port}"
         up_since = _get(metadata, "up_since", default=0)
         if not isinstance(up_since, (int, float)) or isinstance(up_since, bool):
@@ -157,12 +160,12 @@
         started_at_ms = 0.0
         if up_since:
             age_ms = max(0.0, self.wall_ms - float(up_since))
-            started_at_ms = self.started_at.setdefault((name, float(up_since)), self.now_ms - age_ms)
-        return Node(name, shard, zone, started_at_ms, _STATES[status])
+            started_at_ms = self.start_times.setdefault((name, float(up_since)), self.now_ms - age_ms)
+        return Node(name, shard, zone, started_at_ms, _STATE_BY_HEALTH_STATUS[status])
 
 
-def _older(version: str, present: str) -> bool:
-    """Compare versions that are whole numbers; others have no order and are taken as newer."""
+def _is_older(version: str, present: str) -> bool:
+    """Compare integer versions; versions that are not integers have no order and count as newer."""
     return version.isdigit() and present.isdigit() and int(version) < int(present)
 
 
@@ -174,7 +177,7 @@
     return value
 
 
-def _list(value: Any, name: str, path: str) -> list[Any]:
+def _get_list(value: Any, name: str, path: str) -> list[Any]:
     items = _get(value, name, default=[])
     if not isinstance(items, list):
         raise NodeListError(f"{path}.{name} is not a list")
--- a/cressrock/dispatch/node_list_watch.py
+++ b/cressrock/dispatch/node_list_watch.py
@@ -1,6 +1,6 @@
-"""Follows the node list: polls endpoint discovery and hands reports to the driver.
+"""Polls endpoint discovery for the node list and passes reports to the driver.
 
-The last good response is kept in a file, so that a restarted dispatcher begins with the list it had.
+The last valid response is cached in a file, so that a restarted dispatcher starts with its previous list.
 """
 
 from __future__ import annotations
@@ -27,17 +27,17 @@
 
 @dataclass(frozen=True, slots=True)
 class NodeListSource:
-    """Where the node list comes from, and the file that keeps the last one over restarts."""
+    """Where the node list is fetched, and the cache file that keeps it across restarts."""
 
     address: str
-    node_id: str  # how this process names itself to the discovery service
+    node_id: str  # identifies this process to the discovery service
     poll_ms: float
     timeout_ms: float
     cache: str | None = None
 
 
 class NodeListWatch:
-    """Polls the list while subscribed; a failed call ends the subscription and is reported as such."""
+    """Polls the list while subscribed; a failed poll ends the subscription and is reported as FAILED."""
 
     def __init__(
         self,
@@ -49,7 +49,7 @@
         wall_ms: Callable[[], float],
         log: Any,
     ) -> None:
-        """`on_report` takes each report; `wall_ms` gives epoch milliseconds."""
+        """`on_report` receives each report; `wall_ms` returns epoch milliseconds."""
         self.state = state
         self.client = client
         self.source = source
@@ -62,11 +62,11 @@
         self._store = PayloadStore(memory_bytes=MAX_REQUEST_BYTES, spill_bytes=MAX_REQUEST_BYTES)
 
     def subscribe(self) -> None:
-        """Poll now, and then again and again until a call fails."""
+        """Poll now, and then every `poll_ms` until a poll fails."""
         self._poll_requested.set()
 
     def load_cache(self) -> None:
-        """Report the list that an earlier process cached; a file that cannot be read counts as none."""
+        """Report the list cached by an earlier process; an empty list if the file is missing or unusable."""
         report = NodeList(ListKind.CACHED)
         if self.cache is not None and self.cache.exists():
             try:
@@ -79,7 +79,7 @@
         self.on_report(report)
 
     async def run(self) -> None:
-        """Serve until cancelled."""
+        """Poll while subscribed, until cancelled."""
         while True:
             await self._poll_requested.wait()
             self._poll_requested = anyio.Event()
@@ -100,21 +100,21 @@
             headers=[(b"content-type", b"application/json")],
             body=complete_spool(self._store, self.state.request(self.source.node_id)),
         )
-        problem = "no answer in time"
+        error_text = "no response within the timeout"
         update: NodeListUpdate | None = None
-        good = False
+        is_successful = False
         with anyio.move_on_after(self.source.timeout_ms / 1000):
             try:
                 reply, _ = await self.client.exchange(
                     self.source.address, op, [], AttemptProgress(), may_stream=False
                 )
                 if reply.status == 304:
-                    good = True
+                    is_successful = True
                 elif reply.status != 200:
-                    problem = f"status {reply.status}"
+                    error_text = f"unexpected HTTP status {reply.status}"
                 else:
                     update = self.state.receive(reply.body, anyio.current_time() * 1000, self.wall_ms())
-                    good = True
+                    is_successful = True
             except (
                 NoConnectionError,
                 ConnectionLostError,
@@ -122,9 +122,9 @@
                 h11.RemoteProtocolError,
                 NodeListError,
             ) as error:
-                problem = str(error)
-        if not good:
-            self.log.info("node_list.poll_failed", address=self.source.address, error=problem)
+                error_text = str(error)
+        if not is_successful:
+            self.log.info("node_list.poll_failed", address=self.source.address, error=error_text)
             self.on_report(NodeList(ListKind.FAILED))
             return False
         self.last_response_ms = anyio.current_time() * 1000
@@ -136,7 +136,7 @@
         return True
 
     def _write_cache(self, body: bytes) -> None:
-        """Write the cache atomically: whole or not at all."""
+        """Replace the cache file atomically; a failure is logged and leaves the old file."""
         if self.cache is None:
             return
         partial = self.cache.with_name(self.cache.name + ".part")
--- a/cressrock/dispatch/operation.py
+++ b/cressrock/dispatch/operation.py
@@ -1,6 +1,6 @@
-"""A storage operation over HTTP as the front ends name it, and what comes back: the interface to dispatch.
+"""Storage operations over HTTP and their results: the interface between the front ends and dispatch.
 
-Nothing here, nor in the layers below, knows by which front end an operation came.
+Neither this module nor the layers below depend on the front end that an operation came from.
 """
 
 from __future__ import annotations
@@ -13,23 +13,23 @@
 
 
 class Body(Protocol):
-    """A payload that can be read again from its start, as often as attempts need it."""
+    """A payload that can be read from its start again, once for each attempt."""
 
     @property
     def length(self) -> int | None:
-        """Bytes in all; None while it still comes in without a declared length."""
+        """Total bytes; None while the payload is still being received and has no declared length."""
 
     @property
     def complete(self) -> bool:
-        """Whether all of it is here."""
+        """Whether the whole payload has been received."""
 
     async def chunk(self, offset: int) -> bytes:
-        """Return the bytes that begin at an offset, waiting for them; b"" at the end."""
+        """Return some bytes from an offset on, waiting until there are any; b"" at the end."""
 
 
 @dataclass(frozen=True, slots=True)
 class Operation:
-    """One request to one shard.  `units` is its size, `key` the data it touches, for the scheduler."""
+    """One request to one shard.  For the scheduler: `units` is its cost, `key` the data that it accesses."""
 
     method: bytes
     target: bytes
@@ -43,26 +43,26 @@
     headers: Headers = field(default_factory=list)
     body: Body | None = None
     idempotency_key: str = ""
-    stream: bool = False  # the payload of its answer may be handed on while it still comes in
+    stream: bool = False  # the response payload may be streamed to the client
 
 
 class IncomingPayload(Protocol):
-    """The payload of an answer that still comes in from a node."""
+    """A response payload that is still being received from a node."""
 
     async def chunk(self) -> bytes:
-        """Return some bytes, b"" at the end.  Raises PayloadTruncatedError where the node broke off."""
+        """Return the next bytes, b"" at the end.  Raises PayloadTruncatedError if the node stops early."""
 
     def abandon(self) -> None:
-        """Say that nobody reads on; the attempt ends."""
+        """Stop reading the payload, which ends the attempt."""
 
 
 class PayloadTruncatedError(Exception):
-    """A payload ended before its end: the client must see that too."""
+    """A payload ended early; the client must not take what it got as complete."""
 
 
 @dataclass(frozen=True, slots=True)
 class Reply:
-    """A node's answer, its payload in `body`, by chunks in `stream`, or kept whole in `payload`."""
+    """A node's response; its payload is in `body`, streamed by `stream`, or stored in `payload`."""
 
     status: int
     headers: Headers
--- a/cressrock/dispatch/quota.py
+++ b/cressrock/dispatch/quota.py
@@ -1,17 +1,17 @@
-"""Limits under edges and planners: each edge holds an even share of each limit, and leases units of it out.
-
-Pure.  A limit is a token bucket of `burst` units that refills by `rate` a second, for all dispatchers
-together. Its shares are the edges', which alone know all that leaves through them; nobody else makes units.
-So an edge that changes its planner, or goes on by itself, takes its share along, and a planner has no more
-units than those leased for what waits with it.
-
-The argument for the limit, for each edge apart: what it leased counts for `lease_duration_ms` from a moment
-before the lease (the planner's stamp, which the lease carries back: one clock, the planner's), and then no
-more, spent or not.  So what may still be spent is at most the units in the bucket, those leased within that
-time, and those in flight that may not have arrived: the bucket is held down by the latter two.  Their sum
-never is more than the share's burst and slack; no clocks are compared and no message has to arrive.  (The
-bucket: Turner, "New directions in communications", 1986; time as the only way to take something back: Gray
-and Cheriton, "Leases", 1989.)
+"""Rate limits with edges and planners: each edge has an equal share of each limit and leases units of it.
+
+It does no I/O.  A limit is a token bucket of `burst` units that refills at `rate` units per second, shared by
+all dispatchers.  The edges hold the shares, since only an edge knows everything that is sent through it; only
+edges create units.  An edge that changes its planner, or continues without one, keeps its share, and a
+planner has only the units that were leased to it for the requests waiting there.
+
+Why the limit holds, for each edge separately: leased units are valid for `lease_duration_ms`, counted from a
+moment before the lease (the planner's clock stamp, which the lease carries back, so that only the planner's
+clock is used), and expire then, spent or not.  The units that may still be spent are therefore at most those
+in the bucket, those leased within that duration, and those in flight that may not have arrived; the bucket's
+maximum is reduced by the latter two.  The sum never exceeds the share's burst and slack.  No clocks are
+compared, and no message has to arrive.  (Token bucket: Turner, "New directions in communications", 1986;
+expiry as the only means of revocation: Gray and Cheriton, "Leases", 1989.)
 """
 
 from __future__ import annotations
@@ -22,23 +22,23 @@
 
 from cressrock.interface import Plan
 
-FLOAT_MARGIN = 0.999  # of a share: sums of floats may round up
-MAX_LEASED_SHARE = (
-    0.5  # of a share's burst: what may be leased within one lease's duration, for whatever rate
+ROUNDING_MARGIN_FRACTION = 0.999  # of a share, since sums of floats may round up
+MAX_LEASED_FRACTION = (
+    0.5  # of burst and slack: reserved for the units leased within one lease's duration, at any rate
 )
 
 
 def lease_duration_ms(plan: Plan, lend_ms: float) -> float:
-    """Return how long a lease under a plan counts: at most `lend_ms`, shorter where the burst is small."""
+    """Return how long a plan's leases are valid: at most `lend_ms`, less if the burst is small."""
     if not plan.limit_rate:
         return lend_ms
-    return min(lend_ms, MAX_LEASED_SHARE * 1000 * (plan.limit_burst + plan.limit_slack) / plan.limit_rate)
+    return min(lend_ms, MAX_LEASED_FRACTION * 1000 * (plan.limit_burst + plan.limit_slack) / plan.limit_rate)
 
 
 @dataclass(slots=True)
 class _Lease:
     expires_at_ms: float
-    unused_units: float  # not yet seen used
+    unused_units: float  # not yet matched by a sent attempt
 
 
 @dataclass(slots=True)
@@ -46,22 +46,23 @@
     """This edge's share of one volume's limit."""
 
     refilled_at_ms: float
-    # What an earlier process of this edge spent is unknown, so a share begins empty.
+    # A share starts empty, since what an earlier process of this edge spent is unknown.
     available_units: float = 0.0
-    in_flight_units: float = 0.0  # sent, and perhaps not yet arrived
+    in_flight_units: float = 0.0  # sent, without an outcome yet
     leases: deque[_Lease] = field(default_factory=deque)
 
 
 class EdgeQuota:
     """This edge's shares of its volumes' limits.
 
-    `edges(volume)` is the number of edges that have a share of it.  Bounded by the volumes in the settings.
+    `edges(volume)` returns how many edges have a share of the volume's limit.  There is at most one share per
+    volume in the settings.
     """
 
     def __init__(
         self, plans: tuple[Plan, ...], edges: Callable[[str], int], lend_ms: float, now_ms: float
     ) -> None:
-        """Start with every share empty; a lease counts for at most `lend_ms`."""
+        """Start with empty shares, which refill from `now_ms` on; leases are valid for at most `lend_ms`."""
         self.plans = plans
         self.edges = edges
         self.lend_ms = lend_ms
@@ -69,7 +70,7 @@
         self._shares: dict[str, _Share] = {}
 
     def is_limited(self, plan: int) -> bool:
-        """Whether a plan has a limit."""
+        """Whether the plan with this number has a rate limit."""
         return self.plans[plan].limit_rate > 0
 
     def _refilled_share(self, volume: str, plan: int, now_ms: float) -> _Share:
@@ -80,7 +81,7 @@
         units_per_ms = limit.limit_rate / 1000 / edge_count
         duration_ms = lease_duration_ms(limit, self.lend_ms)
         max_units = (
-            FLOAT_MARGIN * (limit.limit_burst + limit.limit_slack) / edge_count
+            ROUNDING_MARGIN_FRACTION * (limit.limit_burst + limit.limit_slack) / edge_count
             - units_per_ms * duration_ms
             - share.in_flight_units
         )
@@ -92,7 +93,7 @@
         return share
 
     def lease(self, volume: str, plan: int, waiting_units: float, now_ms: float) -> float:
-        """Return how many units to lease for so many that wait, and book them; 0 where none are available."""
+        """Lease units for `waiting_units` of queued requests, as available; return how many, or 0."""
         share = self._refilled_share(volume, plan, now_ms)
         units = min(share.available_units, waiting_units - sum(lease.unused_units for lease in share.leases))
         if units <= 0:
@@ -103,7 +104,7 @@
         return units
 
     def record_sent(self, volume: str, plan: int, units: float, now_ms: float) -> None:
-        """Enter that an attempt leaves: it uses the oldest leases first, and may arrive from now on."""
+        """Record that an attempt is sent; it uses the oldest leases first and is in flight from now on."""
         share = self._refilled_share(volume, plan, now_ms)
         share.in_flight_units += units
         for lease in share.leases:
@@ -112,6 +113,6 @@
             units -= used
 
     def record_outcome(self, volume: str, plan: int, units: float, now_ms: float) -> None:
-        """Enter an attempt's outcome: it has arrived by now, or never will."""
+        """Record an attempt's outcome: it has arrived or never will, so it is no longer in flight."""
         share = self._refilled_share(volume, plan, now_ms)
         share.in_flight_units = max(0.0, share.in_flight_units - units)
--- a/cressrock/dispatch/spool.py
+++ b/cressrock/dispatch/spool.py
@@ -1,6 +1,7 @@
-"""Payloads that may have to be sent again: in memory while small, in an unnamed temporary file above.
+"""Buffers for payloads that may be sent again: in memory while small, else in an unnamed temporary file.
 
-A `PayloadStore` bounds the bytes that all spools together hold in memory; over it they spill at once.
+A `PayloadStore` bounds the memory of all spools together; at the bound, a growing spool moves to a file at
+once.
 """
 
 from __future__ import annotations
@@ -12,26 +13,26 @@
 
 from cressrock.dispatch.operation import PayloadTruncatedError
 
-READ = 262144
+READ_CHUNK_BYTES = 262144
 
 
 class PayloadStore:
-    """The bounds that all payloads share, in bytes."""
+    """Memory limits shared by all payloads, in bytes, and their current use."""
 
     def __init__(self, *, memory_bytes: int, spill_bytes: int, directory: str | None = None) -> None:
-        """`spill_bytes` is the most that one payload keeps in memory."""
+        """`spill_bytes` bounds one payload's memory, `memory_bytes` that of all; `directory` is for files."""
         self.memory_bytes = memory_bytes
         self.spill_bytes = spill_bytes
         self.directory = directory
         self.memory_used_bytes = 0
-        self.spilled_payloads = 0  # payloads that went to a file, in all
+        self.spilled_payloads = 0  # total number of payloads moved to a file
 
 
 class Spool:
-    """One payload.  One writer appends; any number of readers follow it from its start."""
+    """One payload, with one writer and any number of readers that may start before it is complete."""
 
     def __init__(self, store: PayloadStore, declared: int | None) -> None:
-        """`declared` is the length that was announced, None if chunked."""
+        """`declared` is the declared length in bytes, None if chunked."""
         self.store = store
         self.declared = declared
         self.size = 0
@@ -44,11 +45,11 @@
 
     @property
     def length(self) -> int | None:
-        """Bytes in all; None while unknown."""
+        """Total bytes; None while unknown."""
         return self.size if self.complete else self.declared
 
     def append(self, data: bytes) -> None:
-        """Add bytes.  Raises OSError where the temporary file cannot grow."""
+        """Append bytes.  Raises OSError if the temporary file cannot be created or grow."""
         if self._file is None and (
             self.size + len(data) > self.store.spill_bytes
             or self.store.memory_used_bytes + len(data) > self.store.memory_bytes
@@ -62,32 +63,32 @@
             self._chunks.append(data)
             self.store.memory_used_bytes += len(data)
         self.size += len(data)
-        self._wake()
+        self._notify_readers()
 
     def finish(self) -> None:
-        """Say that all is here."""
+        """Mark the payload as complete and wake waiting readers."""
         self.complete = True
-        self._wake()
+        self._notify_readers()
 
     def fail(self) -> None:
-        """Say that the rest will never come; waiting readers raise PayloadTruncatedError."""
+        """Mark the payload as truncated; readers that wait for more raise PayloadTruncatedError."""
         self.broken = True
-        self._wake()
+        self._notify_readers()
 
     async def chunk(self, offset: int) -> bytes:
-        """Return the bytes that begin at an offset, waiting for them; b"" at the end.
+        """Return some bytes from an offset on, waiting until there are any; b"" at the end.
 
-        Raises PayloadTruncatedError.
+        Raises PayloadTruncatedError if the payload was truncated before the offset or the spool was closed.
         """
         while offset >= self.size:
             if self.complete:
                 return b""
             if self.broken:
-                raise PayloadTruncatedError("the client broke off its payload")
+                raise PayloadTruncatedError("the client's payload ended early")
             await self._changed.wait()
         if self._file is not None:
             self._file.seek(offset)
-            return self._file.read(READ)
+            return self._file.read(READ_CHUNK_BYTES)
         low, high = 0, len(self._starts)
         while high - low > 1:
             middle = (low + high) // 2
@@ -97,7 +98,7 @@
         return data[start:] if start else data
 
     def close(self) -> None:
-        """Give the memory or the file back.  Readers that still wait raise PayloadTruncatedError."""
+        """Release the memory or the file.  Readers that still wait raise PayloadTruncatedError."""
         if self._file is not None:
             self._file.close()
             self._file = None
@@ -116,13 +117,13 @@
         self._chunks.clear()
         self._starts.clear()
 
-    def _wake(self) -> None:
-        waiting, self._changed = self._changed, anyio.Event()
-        waiting.set()
+    def _notify_readers(self) -> None:
+        previous_event, self._changed = self._changed, anyio.Event()
+        previous_event.set()
 
 
 def complete_spool(store: PayloadStore, data: bytes) -> Spool:
-    """Return a spool that holds these bytes and no more."""
+    """Return a complete spool with these bytes."""
     spool = Spool(store, len(data))
     if data:
         spool.append(data)
--- a/cressrock/dispatch/task_driver.py
+++ b/cressrock/dispatch/task_driver.py
@@ -1,4 +1,4 @@
-"""The driver for front ends built on tasks: `run` is its loop, `perform` waits for one answer."""
+"""The driver for task-based front ends: `run` is its event loop, `perform` waits for one answer."""
 
 from __future__ import annotations
 
@@ -15,13 +15,13 @@
 from cressrock.dispatch.operation import Operation, Reply, Result
 from cressrock.interface import RequestClass
 
-DEFAULT_KEY_MEMORY_MS = 60000.0
+DEFAULT_KEY_RETENTION_MS = 60000.0
 DEFAULT_MAX_KEYS = 100000
 ROUNDING_MARGIN_S = 1e-6
 
 
 class TaskDriver(Driver):
-    """One dispatcher's driver over HTTP; `run` has to be started in a task group, ends by cancellation."""
+    """One dispatcher's driver over HTTP; `run` must be started in a task group and runs until cancelled."""
 
     def __init__(
         self,
@@ -37,7 +37,7 @@
         subscribe: Callable[[], None] = lambda: None,
         clock: Callable[[], float] | None = None,
     ) -> None:
-        """`clock` gives monotonic milliseconds; anyio's own clock if absent."""
+        """`clock` returns monotonic milliseconds, by default anyio's clock."""
         clock = clock or (lambda: anyio.current_time() * 1000)
         self.http = HttpTransport(nodes, reader_patience_ms, clock)
         super().__init__(
@@ -48,12 +48,12 @@
             observer,
             clock=clock,
             retry_after_ms=retry_after_ms,
-            keys=keys or IdempotencyKeys(keep_ms=DEFAULT_KEY_MEMORY_MS, max_keys=DEFAULT_MAX_KEYS),
+            keys=keys or IdempotencyKeys(keep_ms=DEFAULT_KEY_RETENTION_MS, max_keys=DEFAULT_MAX_KEYS),
             subscribe=subscribe,
             request_wakeup=lambda: self._batch_wanted.set(),
         )
         self._batch_wanted = anyio.Event()
-        self._timer_moved = anyio.Event()
+        self._timer_rescheduled = anyio.Event()
         self._timer_at_ms = FOREVER
 
     async def perform(
@@ -65,23 +65,23 @@
         label: str = "",
         since: float | None = None,
     ) -> Result:
-        """Take an operation and return its one final answer.
+        """Submit an operation and return its one final answer.
 
-        Cancelling this call says that the client has left.
+        Cancelling the call means that the client has disconnected.
         """
         name = f"{exchange}.{number}"
-        ready = anyio.Event()
+        answered = anyio.Event()
         results: list[Result] = []
 
         def answer(result: Result) -> None:
             results.append(result)
-            ready.set()
+            answered.set()
 
-        denied = self.submit(name, exchange, op, deadline, answer, f"{label or exchange};{number}", since)
-        if denied is not None:
-            return denied
+        denial = self.submit(name, exchange, op, deadline, answer, f"{label or exchange};{number}", since)
+        if denial is not None:
+            return denial
         try:
-            await ready.wait()
+            await answered.wait()
         except anyio.get_cancelled_exc_class():
             if not self.client_left(name) and results:
                 result = results[0]
@@ -91,28 +91,28 @@
         return results[0]
 
     async def run(self) -> None:
-        """Serve until cancelled; owns a task for each attempt."""
+        """Process batches until cancelled; owns the tasks of all attempts."""
         async with anyio.create_task_group() as tasks:
             self.http.tasks = tasks
             tasks.start_soon(self._run_timer)
             while True:
                 await self._batch_wanted.wait()
-                await checkpoint()  # what else comes in the same instant joins the batch
+                await checkpoint()  # events of the same instant join the batch
                 self._batch_wanted = anyio.Event()
                 self.process_batch()
                 next_batch_ms = self.next_batch_ms()
                 if next_batch_ms < self._timer_at_ms:
                     self._timer_at_ms = next_batch_ms
-                    self._timer_moved.set()
+                    self._timer_rescheduled.set()
 
     async def _run_timer(self) -> None:
-        """Wake the loop when the next timer expires; set anew only for an earlier one."""
+        """Wake the loop when the next timer expires; rescheduled only for an earlier one."""
         while True:
-            self._timer_moved = anyio.Event()
-            # A timer expires in the first batch at or after its time, never before it: the margin keeps the
-            # rounding of two units of time from waking the loop too early, for ever.
+            self._timer_rescheduled = anyio.Event()
+            # A timer expires in the first batch at or after its time.  Without the margin, rounding between
+            # milliseconds and seconds could wake the loop too early again and again.
             with anyio.move_on_at(self._timer_at_ms / 1000 + ROUNDING_MARGIN_S):
-                await self._timer_moved.wait()
+                await self._timer_rescheduled.wait()
                 continue
             self._timer_at_ms = FOREVER
             self._batch_wanted.set()
--- a/cressrock/dispatch/transport.py
+++ b/cressrock/dispatch/transport.py
@@ -1,7 +1,7 @@
-"""The interface between the driver and what carries attempts to nodes: one attempt in, its outcome back.
+"""The interface between the driver and the transports, which send attempts to nodes and report outcomes.
 
-Nothing here knows a protocol.  A transport starts an attempt when it is told to, reports exactly once
-that it ended, and chooses no node; the driver handles no bytes.
+It does not depend on a protocol.  A transport starts the attempts that the driver passes to it, reports the
+end of each exactly once, and chooses no node; the driver does not process payload bytes.
 """
 
 from __future__ import annotations
@@ -13,48 +13,48 @@
 from cressrock.dispatch.reasons import Reason
 from cressrock.interface import Outcome
 
-NEVER_BEGUN = (Outcome.NO_CONNECTION, Outcome.ABANDONED)
+UNSENT_OUTCOMES = (Outcome.NO_CONNECTION, Outcome.ABANDONED)
 
 
 class ShardRequest(Protocol):
-    """What the scheduler has to know of one request to one shard, however its bytes look."""
+    """What the scheduler must know about one request to one shard, independent of the protocol."""
 
     @property
     def volume(self) -> str:
-        """The volume that its units are booked to."""
+        """The volume to which its units are charged."""
 
     @property
     def key(self) -> str:
-        """The data that it touches."""
+        """Identifies the data that it accesses."""
 
     @property
     def shard(self) -> int:
-        """The shard that holds the data; -1: a new object."""
+        """The number of the shard that holds the data; -1 for a new object."""
 
     @property
     def request_class(self) -> int:
-        """Its class, by number."""
+        """The index of its request class."""
 
     @property
     def units(self) -> float:
-        """Its size."""
+        """Its cost in units."""
 
     @property
     def plan(self) -> int:
-        """The volume's plan, by number."""
+        """The index of the volume's plan."""
 
     @property
     def writers(self) -> int:
-        """The dispatchers that the volume's requests come through."""
+        """The number of dispatchers that carry the volume's requests."""
 
     @property
     def idempotency_key(self) -> str:
-        """Under which nodes drop a repeat; empty: none."""
+        """The key by which nodes drop repeats; empty if it has none."""
 
 
 @dataclass(frozen=True, slots=True)
 class Denial:
-    """No answer of a node: a refusal (a retry is harmless) or a failure (nothing is promised)."""
+    """An answer without a node's response: a rejection (a retry is harmless) or a failure (no guarantee)."""
 
     verdict: Verdict
     reason: Reason
@@ -62,41 +62,41 @@
 
 
 def reached_node(outcome: Outcome) -> bool | None:
-    """Whether an attempt's request came to a node, None where nobody can tell.  A fixed reading.
+    """Whether an attempt's request reached a node; None if that cannot be known.  A fixed mapping.
 
-    A refusal or an error line may have been written to whoever connected, before it had read a request.
+    A node may send a rejection or an error response to a new connection before it has read a request.
     """
     if outcome is Outcome.OK:
         return True
-    return False if outcome in NEVER_BEGUN else None
+    return False if outcome in UNSENT_OUTCOMES else None
 
 
 @dataclass(frozen=True, slots=True)
 class AttemptResult:
-    """How an attempt ended.  `used` and `elsewhere` are what the node told of the volume, 0 if nothing."""
+    """How an attempt ended.  `used` and `elsewhere` are the node's load report for the volume, 0 if none."""
 
     outcome: Outcome
     latency_ms: float
-    reply: Any = None  # the node's answer, in the transport's own form; with OK alone
+    reply: Any = None  # the node's response, in the transport's own type; used only with OK
     used: int = 0
     elsewhere: float = 0.0
     text: str = ""  # for the log
 
 
 class Call(Protocol):
-    """One attempt, as the driver hands it over."""
+    """One attempt, as the driver passes it to the transport."""
 
     @property
     def op(self) -> Any:
-        """The request, in the transport's own form."""
+        """The request, in the transport's own type."""
 
     @property
     def label(self) -> str:
-        """Names the client's request in what goes to the nodes, for logs and traces only."""
+        """Identifies the client's request to the nodes, for logs and traces only."""
 
     @property
     def attempt(self) -> Attempt:
-        """The ledger's entry: number, node, time of sending."""
+        """The ledger's record of the attempt: number, node and send time."""
 
     @property
     def deadline(self) -> float:
@@ -104,37 +104,37 @@
 
     @property
     def leave_by(self) -> float:
-        """When its last byte has to have left, on the driver's clock; infinity where nothing bounds it.
+        """When its last byte must have been sent, in ms on the driver's clock; infinity if unbounded.
 
-        What has not left whole by then must not leave at all: it ends as ABANDONED, as it never ran.  A
-        transport that cannot tell asks `may_leave` alone.
+        A request that is not sent completely by then must not be completed: it ends as ABANDONED, since it
+        never ran.  A transport that cannot tell how much was sent relies on `may_leave` alone.
         """
 
     def may_leave(self) -> bool:
-        """Whether it may still go, to be asked just before its first byte.  False: it ends as ABANDONED."""
+        """Whether it may still be sent; to be called just before its first byte.  If not, it is ABANDONED."""
 
     def begin(self, reply: Any) -> bool:
-        """Hand on an answer whose payload still comes in; False: the request was over before."""
+        """Pass on a response whose payload is still being received; False if already answered."""
 
     def end(self, ending: AttemptResult) -> None:
-        """Report the outcome; has to be called once."""
+        """Report the outcome; must be called exactly once."""
 
 
 class AttemptHandle(Protocol):
-    """An attempt under way."""
+    """The driver's control over an attempt in flight."""
 
     def stop(self) -> None:
-        """Give the attempt up; its outcome is still reported, ABANDONED where nothing was handed over."""
+        """Cancel the attempt; its outcome is still reported, as ABANDONED if no byte was sent."""
 
     def abandon(self) -> None:
-        """Let nothing more of it leave if it has not left whole: its client has gone, and it never ran.
+        """Stop sending if the request is not sent completely: its client has disconnected; it never ran.
 
-        One that has left whole goes on.  A transport that cannot tell does nothing.
+        A request that was sent completely continues.  A transport that cannot tell does nothing.
         """
 
 
 class Transport(Protocol):
-    """What carries attempts."""
+    """Sends attempts to nodes."""
 
     def start(self, call: Call) -> AttemptHandle:
-        """Begin an attempt.  `call.end` may be called before this returns."""
+        """Start an attempt.  `call.end` may be called before this returns."""
--- a/tests/compatibility/dispatch_cases.py
+++ b/tests/compatibility/dispatch_cases.py
@@ -145,7 +145,7 @@
         elif kind == "ended":
             try:
                 settled = ledger.record_outcome(name, number, draw.choice(list(Outcome)))
-                result = [settled.is_answered, settled.answered_now]
+                result = [settled.is_answered, settled.is_final_answer]
             except ValueError:
                 result = "not out"
         elif kind == "commit" and entry is not None and entry.attempt_in_flight() is not None:
@@ -296,7 +296,7 @@
             digest.add("refused")
         else:
             digest.add(None if news is None else [news.report, news.version, len(news.warnings)])
-        digest.add([state.version, state.nonce, state.confirmed, state.zones])
+        digest.add([state.version, state.nonce, state.is_confirmed, state.zones])
     return digest.hex()
 
 
--- a/tests/dispatch/test_ledger.py
+++ b/tests/dispatch/test_ledger.py
@@ -40,14 +40,14 @@
 def test_a_keyed_write_that_may_have_run_stays_in_its_window_its_scope_and_alone():
     ledger = ledger_with_request()
     ledger.send("r", "a", 10)
-    assert fence_of(ledger.send("r", "a", 20)) is Fence.TWICE
+    assert fence_of(ledger.send("r", "a", 20)) is Fence.ATTEMPT_IN_FLIGHT
     ledger.record_outcome("r", 0, Outcome.TIMEOUT)
-    assert fence_of(ledger.send("r", "c", 30)) is Fence.GROUP
+    assert fence_of(ledger.send("r", "c", 30)) is Fence.OUTSIDE_DEDUPLICATION_SCOPE
     assert not isinstance(ledger.send("r", "b", 40), FenceTrip)  # the same deduplication scope
     ledger.record_outcome("r", 3, Outcome.RESET)
     assert not isinstance(ledger.send("r", "a", 4010), FenceTrip)
     ledger.record_outcome("r", 4, Outcome.RESET)
-    assert fence_of(ledger.send("r", "a", 4011)) is Fence.WINDOW
+    assert fence_of(ledger.send("r", "a", 4011)) is Fence.OUTSIDE_DEDUPLICATION_WINDOW
 
 
 def test_a_window_begins_with_the_first_attempt_that_may_have_run():
@@ -56,7 +56,7 @@
     ledger.record_outcome("r", 0, Outcome.FULL)  # proves that it never ran
     ledger.send("r", "c", 3000)
     ledger.record_outcome("r", 1, Outcome.ERROR)
-    assert fence_of(ledger.send("r", "a", 3500)) is Fence.GROUP
+    assert fence_of(ledger.send("r", "a", 3500)) is Fence.OUTSIDE_DEDUPLICATION_SCOPE
     assert not isinstance(ledger.send("r", "c", 6900), FenceTrip)
 
 
@@ -66,14 +66,14 @@
     ledger.record_outcome("r", 0, Outcome.NO_CONNECTION)
     assert not isinstance(ledger.send("r", "c", 10), FenceTrip)
     ledger.record_outcome("r", 1, Outcome.ERROR)
-    assert fence_of(ledger.send("r", "c", 20)) is Fence.UNSAFE
+    assert fence_of(ledger.send("r", "c", 20)) is Fence.MAY_HAVE_RUN
 
 
 def test_a_refusal_that_cannot_be_proved_becomes_a_failure():
     ledger = ledger_with_request()
     ledger.send("r", "a", 0)
     assert ledger.reject("r", Reason.SCHEDULER) is Verdict.FAILED
-    assert ledger.fence_trips[Fence.REFUSAL] == 1
+    assert ledger.fence_trips[Fence.REFUSAL_NOT_PROVABLE] == 1
     assert ledger_with_request().reject("r", Reason.SCHEDULER) is Verdict.REJECTED
 
 
@@ -84,8 +84,8 @@
     ledger.update_nodes([draining, B], 300, complete=True)  # reported again: the first report counts
     assert not isinstance(ledger.send("r", "a", 350), FenceTrip)
     ledger.record_outcome("r", 0, Outcome.ERROR)
-    assert fence_of(ledger.send("r", "a", 351)) is Fence.DRAIN
-    assert fence_of(ledger.send("r", "c", 351)) is Fence.DRAIN
+    assert fence_of(ledger.send("r", "a", 351)) is Fence.DRAIN_GRACE_OVER
+    assert fence_of(ledger.send("r", "c", 351)) is Fence.DRAIN_GRACE_OVER
     ledger.update_nodes([A, B], 360, complete=True)
     assert not isinstance(ledger.send("r", "a", 361), FenceTrip)
 
@@ -128,7 +128,7 @@
         ledger.update_nodes([Node(f"n{index}", 0)], index, complete=True)
     assert len(ledger.nodes) == 3 and len(ledger.withdrawn_at_ms) <= 3
     assert isinstance(ledger.send("1", "a", 5), FenceTrip)
-    with pytest.raises(ValueError, match="held already"):
+    with pytest.raises(ValueError, match="already open"):
         ledger.accept("1", "x", READ, 100, 0)
 
 
@@ -166,7 +166,7 @@
                 sent += 1
         elif what == "ended" and out:
             settled = ledger.record_outcome("r", out.pop(), detail)
-            if settled.answered_now:
+            if settled.is_final_answer:
                 answers.append(Verdict.SERVED)
             assert settled.is_answered == bool(answers)
         elif what == "commit" and out and ledger.commit("r"):
