--- a/tests/compatibility/denial_cases.py
+++ b/tests/compatibility/denial_cases.py
@@ -1,4 +1,4 @@
-"""What a client sees of a rejected or failed operation: status, headers and body."""
+"""The responses that clients get to rejected or failed operations: status, headers and body."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 def denials() -> list[list[object]]:
-    """Return the answer to every kind of denial."""
+    """Return the response to every combination of verdict, reason, harmlessness and retry time."""
     rows: list[list[object]] = []
     for verdict in (Verdict.REJECTED, Verdict.FAILED):
         for reason in Reason:
@@ -33,16 +33,16 @@
 
 
 def _head(data: bytes) -> list[str]:
-    """Return an answer's lines without the ones that differ from run to run."""
-    varying = ("date:", "x-request-id:")
-    return [line for line in data.decode().split("\r\n") if not line.lower().startswith(varying)]
+    """Return the lines of a response, without headers that differ between runs."""
+    varying_headers = ("date:", "x-request-id:")
+    return [line for line in data.decode().split("\r\n") if not line.lower().startswith(varying_headers)]
 
 
 def answers_of_a_gateway() -> dict[str, list[str]]:
-    """Return whole answers to requests that a gateway in simulated time cannot serve."""
+    """Return complete responses to requests that a gateway in simulated time cannot serve."""
     answers: dict[str, list[str]] = {}
 
-    async def no_node_in_time(rig: Rig) -> None:
+    async def unreachable_nodes(rig: Rig) -> None:
         for shard in range(rig.shards):
             rig.net.close(f"n{shard}:7000")
         answers["no node reached in time"] = _head(await rig.raw(GET, wait=60.0))
@@ -50,11 +50,11 @@
             await rig.raw(GET.replace(b"\r\n\r\n", b"\r\nPrefer: wait=1\r\n\r\n"), wait=60.0)
         )
 
-    async def unknown(rig: Rig) -> None:
+    async def missing_names(rig: Rig) -> None:
         answers["unknown volume"] = _head(await rig.raw(GET.replace(b"demo", b"none"), wait=5.0))
         answers["missing"] = _head(await rig.raw(GET, wait=5.0))
 
-    async def full(rig: Rig) -> None:
+    async def full_gateway(rig: Rig) -> None:
         rig.gateway.front.open = rig.settings.front.max_requests
         answers["gateway full"] = _head(await rig.raw(GET, wait=5.0))
 
@@ -78,6 +78,6 @@
             rig.net.listen(f"n{shard}:7000", break_off)
         answers["write to a node that breaks off"] = _head(await rig.raw(PUT, wait=60.0))
 
-    for program in (no_node_in_time, unknown, full, hanging_node, breaking_node):
-        run(program)
+    for scenario in (unreachable_nodes, missing_names, full_gateway, hanging_node, breaking_node):
+        run(scenario)
     return answers
--- a/tests/compatibility/dispatch_cases.py
+++ b/tests/compatibility/dispatch_cases.py
@@ -1,6 +1,6 @@
-"""Seeded streams through the dispatch package: what it decides, what it writes to a node, what it keeps.
+"""Seeded streams through the dispatch package: its decisions, the bytes sent to nodes, the files written.
 
-The recorder and the test both use these functions, so that they cannot differ.  Texts for logs stay out.
+The recorder and the test both use these functions, so that they cannot differ.  Log texts are not recorded.
 """
 
 from __future__ import annotations
@@ -88,38 +88,38 @@
 SEEDS = range(40)
 
 
-def node_report(draw: random.Random) -> tuple[Node, ...]:
-    """Return a report of some nodes in drawn states."""
+def random_node_report(rng: random.Random) -> tuple[Node, ...]:
+    """Return some of the nodes in random states."""
     states = (NodeState.READY, NodeState.READY, NodeState.READY, NodeState.DRAINING, NodeState.GONE)
     return tuple(
-        Node(n.name, n.shard, n.zone, n.started_at_ms, draw.choice(states))
+        Node(n.name, n.shard, n.zone, n.started_at_ms, rng.choice(states))
         for n in NODES
-        if draw.random() < 0.8
+        if rng.random() < 0.8
     )
 
 
-def sent_form(result: Attempt | FenceTrip) -> list[Any]:
-    """Return what an order to send became."""
+def summarize_send(result: Attempt | FenceTrip) -> list[Any]:
+    """Return the result of `Ledger.send` without log texts."""
     if isinstance(result, FenceTrip):
         return ["tripped", result.fence, result.operation, result.number]
     return ["attempt", result.number, result.node.name, result.sent_at_ms]
 
 
 def ledger_stream(seed: int) -> str:
-    """Drive a ledger by drawn calls; return the digest of all that it gave back."""
-    draw, digest = random.Random(seed), Digest()
+    """Make random calls to a ledger; return the digest of all results and of its state."""
+    rng, digest = random.Random(seed), Digest()
     ledger = Ledger(
         drain_grace_ms=250.0,
         answer_slack_ms=8.0,
-        max_open=draw.choice((5, 100)),
-        max_nodes=draw.choice((4, 100)),
+        max_open=rng.choice((5, 100)),
+        max_nodes=rng.choice((4, 100)),
     )
     ledger.update_nodes(NODES, 0.0, complete=True)
     now, count, names, number = 0.0, 0, ["never"], 0
     for _ in range(900):
-        now += draw.choice((0.0, 1.0, 10.0, 200.0)) * draw.random()
-        name, node = draw.choice(names[-8:]), draw.choice(NODES).name
-        kind = draw.choice(
+        now += rng.choice((0.0, 1.0, 10.0, 200.0)) * rng.random()
+        name, node = rng.choice(names[-8:]), rng.choice(NODES).name
+        kind = rng.choice(
             ["take"] * 3
             + ["send"] * 6
             + ["ended"] * 6
@@ -127,40 +127,45 @@
         )
         entry = ledger.entries.get(name)
         number = (
-            draw.randrange(4) if entry is None else max(0, len(entry.attempts) - draw.choice((1, 1, 1, 2, 0)))
+            rng.randrange(4) if entry is None else max(0, len(entry.attempts) - rng.choice((1, 1, 1, 2, 0)))
         )
         result: Any = None
         if kind == "take":
             count += 1
             names.append(f"r{count}")
-            taken = ledger.accept(names[-1], "x", draw.choice(CLASSES), now + draw.choice((300, 2000)), now)
-            result = None if taken is None else [taken.name, taken.accepted_at_ms, taken.deadline_ms]
+            accepted = ledger.accept(names[-1], "x", rng.choice(CLASSES), now + rng.choice((300, 2000)), now)
+            result = (
+                None if accepted is None else [accepted.name, accepted.accepted_at_ms, accepted.deadline_ms]
+            )
         elif kind == "again" and entry is not None:
             try:
                 ledger.accept(name, "x", CLASSES[0], now, now)
             except ValueError:
                 result = "held"
         elif kind == "send":
-            result = sent_form(ledger.send(name, draw.choice((node, node, node, "nowhere:1")), now))
+            result = summarize_send(ledger.send(name, rng.choice((node, node, node, "nowhere:1")), now))
         elif kind == "ended":
             try:
-                settled = ledger.record_outcome(name, number, draw.choice(list(Outcome)))
+                settled = ledger.record_outcome(name, number, rng.choice(list(Outcome)))
                 result = [settled.is_answered, settled.is_final_answer]
             except ValueError:
                 result = "not out"
         elif kind == "commit" and entry is not None and entry.attempt_in_flight() is not None:
             result = ledger.commit(name)
-        elif kind == "refuse" and draw.random() < 0.5:
-            result = ledger.reject(name, draw.choice((Reason.SCHEDULER, Reason.STOPPING)))
-        elif kind == "fail" and draw.random() < 0.5:
-            result = ledger.fail(name, draw.choice((Reason.DEADLINE, Reason.ATTEMPTS)))
-        elif kind == "left" and draw.random() < 0.5:
+        elif kind == "refuse" and rng.random() < 0.5:
+            result = ledger.reject(name, rng.choice((Reason.SCHEDULER, Reason.STOPPING)))
+        elif kind == "fail" and rng.random() < 0.5:
+            result = ledger.fail(name, rng.choice((Reason.DEADLINE, Reason.ATTEMPTS)))
+        elif kind == "left" and rng.random() < 0.5:
             result = ledger.client_left(name)
         elif kind == "overdue":
-            result = [[late, ledger.fail(late, Reason.OVERDUE)] for late in ledger.overdue(now)]
+            result = [
+                [overdue_name, ledger.fail(overdue_name, Reason.OVERDUE)]
+                for overdue_name in ledger.overdue(now)
+            ]
         elif kind == "news":
-            ledger.update_nodes(node_report(draw), now, complete=draw.random() < 0.5)
-            extra = [Node(f"x{count}:1", 9)] if draw.random() < 0.3 else []
+            ledger.update_nodes(random_node_report(rng), now, complete=rng.random() < 0.5)
+            extra = [Node(f"x{count}:1", 9)] if rng.random() < 0.3 else []
             ledger.update_nodes(extra, now, complete=False)
             result = [[n.name, n.state] for n in ledger.nodes.values()]
         elif kind == "may leave":
@@ -177,188 +182,188 @@
     return digest.hex()
 
 
-def lending_stream(seed: int) -> str:
-    """Drive an edge's parts of limits by drawn calls; return the digest of what it lent."""
-    draw, digest = random.Random(seed), Digest()
+def lease_stream(seed: int) -> str:
+    """Make random calls to an edge's quota; return the digest of the units that it leased."""
+    rng, digest = random.Random(seed), Digest()
     plans = (
         Plan(limit_rate=24.0, limit_burst=48.0, limit_slack=8.0),
         Plan(limit_rate=500.0, limit_burst=20.0),
         Plan(),
     )
     edges = {"v0": 1, "v1": 3, "v2": 0}
-    lending = EdgeQuota(plans, lambda volume: edges[volume], draw.choice((400.0, 1000.0)), 10.0)
+    edge_quota = EdgeQuota(plans, lambda volume: edges[volume], rng.choice((400.0, 1000.0)), 10.0)
     digest.add(
-        [[lease_duration_ms(plan, 400.0), lending.is_limited(index)] for index, plan in enumerate(plans)]
+        [[lease_duration_ms(plan, 400.0), edge_quota.is_limited(index)] for index, plan in enumerate(plans)]
     )
-    now, out = 10.0, []
+    now, outstanding = 10.0, []
     for _ in range(400):
-        now += draw.choice((0.0, 1.0, 30.0, 500.0)) * draw.random()
-        volume = draw.choice(tuple(edges))
+        now += rng.choice((0.0, 1.0, 30.0, 500.0)) * rng.random()
+        volume = rng.choice(tuple(edges))
         plan = int(volume[1]) % 2
-        kind = draw.choice(("lend", "lend", "sent", "over", "edges"))
+        kind = rng.choice(("lend", "lend", "sent", "over", "edges"))
         if kind == "lend":
-            digest.add(lending.lease(volume, plan, draw.choice((0.5, 4.0, 60.0)), now))
+            digest.add(edge_quota.lease(volume, plan, rng.choice((0.5, 4.0, 60.0)), now))
         elif kind == "sent":
-            units = draw.choice((1.0, 3.5))
-            out.append((volume, plan, units))
-            lending.record_sent(volume, plan, units, now)
-        elif kind == "over" and out:
-            lending.record_outcome(*out.pop(draw.randrange(len(out))), now)
-        elif kind == "edges" and draw.random() < 0.1:
-            edges[volume] = draw.randrange(5)
+            units = rng.choice((1.0, 3.5))
+            outstanding.append((volume, plan, units))
+            edge_quota.record_sent(volume, plan, units, now)
+        elif kind == "over" and outstanding:
+            edge_quota.record_outcome(*outstanding.pop(rng.randrange(len(outstanding))), now)
+        elif kind == "edges" and rng.random() < 0.1:
+            edges[volume] = rng.randrange(5)
     return digest.hex()
 
 
 def key_stream(seed: int) -> str:
-    """Drive the memory of idempotency keys; return the digest of what it remembered."""
-    draw, digest = random.Random(seed), Digest()
-    keys = IdempotencyKeys(keep_ms=draw.choice((300.0, 1e9)), max_keys=draw.choice((4, 30)))
+    """Make random calls to the idempotency key store; return the digest of its state."""
+    rng, digest = random.Random(seed), Digest()
+    keys = IdempotencyKeys(keep_ms=rng.choice((300.0, 1e9)), max_keys=rng.choice((4, 30)))
     now, sent = 0.0, []
     for _ in range(400):
-        now += draw.choice((0.0, 5.0, 100.0)) * draw.random()
-        key, kind = f"k{draw.randrange(12)}", draw.choice(("sent", "first", "never ran"))
+        now += rng.choice((0.0, 5.0, 100.0)) * rng.random()
+        key, kind = f"k{rng.randrange(12)}", rng.choice(("sent", "first", "never ran"))
         if kind == "sent":
             keys.record_sent(key, now)
             sent.append((key, now))
         elif kind == "never ran" and sent:
-            keys.retract_sent(*draw.choice(sent[-5:]))
+            keys.retract_sent(*rng.choice(sent[-5:]))
         digest.add([keys.first_sent_ms(key, now), len(keys)])
     return digest.hex()
 
 
-def endpoint(draw: random.Random, broken: float) -> dict[str, Any]:
-    """Return one endpoint of a discovery response, sometimes malformed."""
+def random_endpoint(rng: random.Random, fault_probability: float) -> dict[str, Any]:
+    """Return one endpoint of a discovery response; malformed with probability `fault_probability`."""
     statuses = ("HEALTHY", "UNKNOWN", "DRAINING", "UNHEALTHY", "TIMEOUT", "DEGRADED")
     value: dict[str, Any] = {
-        "endpoint": {"address": {"socket_address": {"address": "n", "port_value": draw.randrange(1, 9)}}},
-        "metadata": {"filter_metadata": {"cressrock": {"shard": draw.randrange(3)}}},
+        "endpoint": {"address": {"socket_address": {"address": "n", "port_value": rng.randrange(1, 9)}}},
+        "metadata": {"filter_metadata": {"cressrock": {"shard": rng.randrange(3)}}},
     }
-    if draw.random() < 0.8:
-        value["health_status"] = draw.choice(statuses)
-    if draw.random() < 0.6:
-        value["metadata"]["filter_metadata"]["cressrock"]["up_since"] = draw.choice((0, 500.0, 7000, 90000.0))
-    if draw.random() < broken:
-        wrong = draw.randrange(6)
-        if wrong == 0:
+    if rng.random() < 0.8:
+        value["health_status"] = rng.choice(statuses)
+    if rng.random() < 0.6:
+        value["metadata"]["filter_metadata"]["cressrock"]["up_since"] = rng.choice((0, 500.0, 7000, 90000.0))
+    if rng.random() < fault_probability:
+        fault = rng.randrange(6)
+        if fault == 0:
             del value["endpoint"]["address"]["socket_address"]["port_value"]
-        elif wrong == 1:
-            value["metadata"]["filter_metadata"]["cressrock"]["shard"] = draw.choice((-1, "1", None))
-        elif wrong == 2:
+        elif fault == 1:
+            value["metadata"]["filter_metadata"]["cressrock"]["shard"] = rng.choice((-1, "1", None))
+        elif fault == 2:
             value["health_status"] = "FINE"
-        elif wrong == 3:
-            value["metadata"]["filter_metadata"]["cressrock"]["up_since"] = draw.choice((True, "now"))
-        elif wrong == 4:
+        elif fault == 3:
+            value["metadata"]["filter_metadata"]["cressrock"]["up_since"] = rng.choice((True, "now"))
+        elif fault == 4:
             del value["metadata"]
         else:
             value["endpoint"] = []
     return value
 
 
-def discovery_response(draw: random.Random, version: str) -> bytes:
-    """Return a drawn discovery response."""
-    broken = draw.choice((0.0, 0.0, 0.1))
+def random_discovery_response(rng: random.Random, version: str) -> bytes:
+    """Return a random discovery response, sometimes malformed."""
+    fault_probability = rng.choice((0.0, 0.0, 0.1))
     groups: Any = [
         {
-            "locality": {"zone": draw.choice(("z1", "z2", "z3"))},
-            "lb_endpoints": [endpoint(draw, broken) for _ in range(draw.randrange(4))],
+            "locality": {"zone": rng.choice(("z1", "z2", "z3"))},
+            "lb_endpoints": [random_endpoint(rng, fault_probability) for _ in range(rng.randrange(4))],
         }
-        for _ in range(draw.randrange(4))
+        for _ in range(rng.randrange(4))
     ]
-    if draw.random() < 0.05:
+    if rng.random() < 0.05:
         groups = "none"
-    cluster = draw.choice(("storage", "storage", "storage", "other"))
+    cluster = rng.choice(("storage", "storage", "storage", "other"))
     value: dict[str, Any] = {
         "version_info": version,
-        "nonce": f"n{draw.randrange(100)}",
+        "nonce": f"n{rng.randrange(100)}",
         "resources": [{"cluster_name": cluster, "endpoints": groups}, "text"],
     }
     for name in ("version_info", "nonce", "resources"):
-        if draw.random() < 0.03:
+        if rng.random() < 0.03:
             del value[name]
     body = json.dumps(value).encode()
-    return body[:-1] if draw.random() < 0.03 else body
+    return body[:-1] if rng.random() < 0.03 else body
 
 
 def node_list_stream(seed: int) -> str:
-    """Hand drawn discovery responses to the list; return the digest of requests, reports and state."""
-    draw, digest = random.Random(seed), Digest(LABELS)
-    state = NodeListState("storage", max_nodes=draw.choice((3, 100)))
+    """Apply random discovery responses to the list; return the digest of requests, reports and state."""
+    rng, digest = random.Random(seed), Digest(LABELS)
+    state = NodeListState("storage", max_nodes=rng.choice((3, 100)))
     now, version = 5000.0, 0
     for index in range(150):
-        now += draw.random() * 1000
-        version += draw.choice((0, 1, 1, 2, -1))
-        text = draw.choice((str(version), str(version), str(version), f"v{version}"))
+        now += rng.random() * 1000
+        version += rng.choice((0, 1, 1, 2, -1))
+        text = rng.choice((str(version), str(version), str(version), f"v{version}"))
         digest.add(state.request("me"))
-        body, cached = discovery_response(draw, text), index == 0 or draw.random() < 0.05
+        body, cached = random_discovery_response(rng, text), index == 0 or rng.random() < 0.05
         try:
-            news = state.receive(body, now, now + draw.choice((0.0, 90000.0)), cached=cached)
+            update = state.receive(body, now, now + rng.choice((0.0, 90000.0)), cached=cached)
         except NodeListError:
             digest.add("refused")
         else:
-            digest.add(None if news is None else [news.report, news.version, len(news.warnings)])
+            digest.add(None if update is None else [update.report, update.version, len(update.warnings)])
         digest.add([state.version, state.nonce, state.is_confirmed, state.zones])
     return digest.hex()
 
 
-def answer_stream(seed: int) -> str:
-    """Read drawn answers of nodes; return the digest of outcomes and reported load."""
-    draw, digest = random.Random(seed), Digest()
-    figures = (0, 1, 57, 101.5, -1, True, "3", None, 1e12, 1e11)
+def response_stream(seed: int) -> str:
+    """Parse random node responses; return the digest of outcomes and reported load."""
+    rng, digest = random.Random(seed), Digest()
+    metric_values = (0, 1, 57, 101.5, -1, True, "3", None, 1e12, 1e11)
     for _ in range(200):
         headers = [(b"content-type", b"text/plain")]
-        if draw.random() < 0.3:
+        if rng.random() < 0.3:
             headers.append((b"retry-after", b"1"))
         named: Any = {
-            name: draw.choice(figures)
+            name: rng.choice(metric_values)
             for name in ("cressrock.used", "cressrock.elsewhere", "other")
-            if draw.random() < 0.7
+            if rng.random() < 0.7
         }
-        value: Any = {"named_metrics": draw.choice((named, named, named, [], None))}
+        value: Any = {"named_metrics": rng.choice((named, named, named, [], None))}
         text = (
-            draw.choice((b"JSON ", b"", b"JSON", b"TEXT "))
-            + json.dumps(draw.choice((value, value, 3))).encode()
+            rng.choice((b"JSON ", b"", b"JSON", b"TEXT "))
+            + json.dumps(rng.choice((value, value, 3))).encode()
         )
-        if draw.random() < 0.8:
+        if rng.random() < 0.8:
             headers.append((b"endpoint-load-metrics", text))
-        status = draw.choice((200, 201, 207, 304, 404, 412, 423, 500, 502, 503, 503, 504, 507))
+        status = rng.choice((200, 201, 207, 304, 404, 412, 423, 500, 502, 503, 503, 504, 507))
         digest.add([outcome_of(status, headers), list(reported_load(headers))])
     return digest.hex()
 
 
-class DrawnDecisions:
-    """Orders that are drawn, lawful or not; what it is handed goes into the digest."""
+class RandomDecisions:
+    """A decision module that returns random actions, permitted or not, and digests its events."""
 
-    def __init__(self, draw: random.Random, digest: Digest) -> None:
-        self.draw, self.digest, self.requests, self.token = draw, digest, ["never"], 0
+    def __init__(self, rng: random.Random, digest: Digest) -> None:
+        self.rng, self.digest, self.requests, self.token = rng, digest, ["never"], 0
 
     def act(self, now_ms: float, events: list[Any]) -> list[Any]:
-        draw = self.draw
+        rng = self.rng
         self.digest.add([now_ms, events])
         self.requests += [event.request for event in events if isinstance(event, Arrival)]
-        orders: list[Any] = []
-        for _ in range(draw.randrange(5)):
-            name = draw.choice(self.requests[-6:])
-            kind = draw.choice(["send"] * 8 + ["refuse", "fail", "cancel", "timer", "log", "subscribe"])
+        actions: list[Any] = []
+        for _ in range(rng.randrange(5)):
+            name = rng.choice(self.requests[-6:])
+            kind = rng.choice(["send"] * 8 + ["refuse", "fail", "cancel", "timer", "log", "subscribe"])
             if kind == "send":
-                orders.append(Send(name, draw.choice(NODES).name, draw.choice((0.0, 0.0, 100.0))))
+                actions.append(Send(name, rng.choice(NODES).name, rng.choice((0.0, 0.0, 100.0))))
             elif kind == "refuse":
-                orders.append(Reject(name, draw.choice((0.0, 700.0))))
+                actions.append(Reject(name, rng.choice((0.0, 700.0))))
             elif kind == "fail":
-                orders.append(Fail(name))
+                actions.append(Fail(name))
             elif kind == "cancel":
-                orders.append(Cancel(name, draw.randrange(3)))
+                actions.append(Cancel(name, rng.randrange(3)))
             elif kind == "timer":
                 self.token += 1
-                orders.append(SetTimer(now_ms + draw.choice((0.0, 50.0, 300.0)), self.token))
+                actions.append(SetTimer(now_ms + rng.choice((0.0, 50.0, 300.0)), self.token))
             elif kind == "log":
-                orders.append(Log("a line"))
+                actions.append(Log("a line"))
             else:
-                orders.append(Subscribe())
-        return orders
+                actions.append(Subscribe())
+        return actions
 
 
 class RecordingObserver:
-    """Writes what the driver reports into the digest, without texts."""
+    """Adds the driver's reports to the digest, without log texts."""
 
     def __init__(self, digest: Digest) -> None:
         self.digest = digest
@@ -366,21 +371,21 @@
     def fence_tripped(self, trip: FenceTrip) -> None:
         self.digest.add(["tripped", trip.fence, trip.operation, trip.number])
 
-    def attempt_ended(self, attempt: Attempt, outcome: Outcome, lag_ms: float, text: str) -> None:
-        self.digest.add(["attempt ended", attempt.number, attempt.node.name, outcome, lag_ms])
+    def attempt_ended(self, attempt: Attempt, outcome: Outcome, latency_ms: float, text: str) -> None:
+        self.digest.add(["attempt ended", attempt.number, attempt.node.name, outcome, latency_ms])
 
     def answered(self, request_class: int, verdict: Verdict, reason: Reason | None, ms: float) -> None:
         self.digest.add(["answered", request_class, verdict, reason, ms])
 
-    def batch_processed(self, events: int, late_ms: float, act_ms: float) -> None:
-        self.digest.add(["woke", events, late_ms, act_ms])
+    def batch_processed(self, events: int, queued_ms: float, act_ms: float) -> None:
+        self.digest.add(["woke", events, queued_ms, act_ms])
 
     def line(self, text: str) -> None:
         self.digest.add(["line", text])
 
 
 class RecordingTransport:
-    """Keeps the attempts that it is handed until the stream ends them."""
+    """Keeps the attempts passed to it until the stream ends them."""
 
     def __init__(self, digest: Digest) -> None:
         self.digest, self.calls = digest, []
@@ -391,97 +396,97 @@
         digest.add(["start", name, attempt.sent_at_ms, call.deadline, call.leave_by, call.op.key])
         self.calls.append(call)
 
-        class Flight:
+        class Handle:
             def stop(self) -> None:
                 digest.add(["stop", name])
 
             def abandon(self) -> None:
                 digest.add(["abandon", name])
 
-        return Flight()
+        return Handle()
 
 
-def drawn_operation(draw: random.Random) -> Operation:
-    """Return an operation; few keys, so that they come again."""
-    keyed = draw.random() < 0.5
+def random_operation(rng: random.Random) -> Operation:
+    """Return an operation; there are few keys, so that keys repeat."""
+    has_key = rng.random() < 0.5
     return Operation(
         b"PUT",
         b"/v/x",
         "v",
-        f"/x{draw.randrange(5)}",
-        draw.randrange(-1, 3),
-        draw.randrange(len(CLASSES)),
-        float(draw.randrange(1, 9)),
-        plan=draw.randrange(2),
-        writers=draw.randrange(1, 3),
-        idempotency_key=f"k{draw.randrange(6)}" if keyed else "",
+        f"/x{rng.randrange(5)}",
+        rng.randrange(-1, 3),
+        rng.randrange(len(CLASSES)),
+        float(rng.randrange(1, 9)),
+        plan=rng.randrange(2),
+        writers=rng.randrange(1, 3),
+        idempotency_key=f"k{rng.randrange(6)}" if has_key else "",
     )
 
 
 def driver_stream(seed: int) -> str:
-    """Drive the driver with drawn operations, orders and outcomes; return the digest of all it did."""
-    draw, digest, now = random.Random(seed), Digest(LABELS), [0.0]
+    """Run a driver with random operations, actions and outcomes; return the digest of all it did."""
+    rng, digest, now = random.Random(seed), Digest(LABELS), [0.0]
     transport = RecordingTransport(digest)
-    ledger = Ledger(drain_grace_ms=250.0, answer_slack_ms=8.0, max_open=draw.choice((6, 100)))
+    ledger = Ledger(drain_grace_ms=250.0, answer_slack_ms=8.0, max_open=rng.choice((6, 100)))
     driver = Driver(
-        DrawnDecisions(draw, digest),
+        RandomDecisions(rng, digest),
         ledger,
         transport,
         CLASSES,
         RecordingObserver(digest),
         clock=lambda: now[0],
-        retry_after_ms=draw.choice((0.0, 1000.0)),
-        keys=IdempotencyKeys(keep_ms=60000.0, max_keys=100) if draw.random() < 0.8 else None,
+        retry_after_ms=rng.choice((0.0, 1000.0)),
+        keys=IdempotencyKeys(keep_ms=60000.0, max_keys=100) if rng.random() < 0.8 else None,
         subscribe=lambda: digest.add("subscribe"),
         request_wakeup=lambda: digest.add("wake wanted"),
     )
     driver.receive_node_list(NodeList(ListKind.COMPLETE, NODES))
-    absent: set[str] = set()
+    disconnected: set[str] = set()
 
-    def take(name: str) -> None:
-        denied = driver.submit(
+    def submit_operation(name: str) -> None:
+        denial = driver.submit(
             name,
             "x",
-            drawn_operation(draw),
-            now[0] + draw.choice((200.0, 1500.0)),
+            random_operation(rng),
+            now[0] + rng.choice((200.0, 1500.0)),
             lambda result: digest.add(["answer", name, result]),
-            draw.choice(("", f"label-{name}")),
-            draw.choice((None, now[0] - 40.0)),
-            lambda: name not in absent,
+            rng.choice(("", f"label-{name}")),
+            rng.choice((None, now[0] - 40.0)),
+            lambda: name not in disconnected,
         )
-        digest.add(["taken", name, denied])
+        digest.add(["taken", name, denial])
 
     for index in range(300):
-        now[0] += draw.choice((0.0, 0.0, 5.0, 80.0)) * draw.random()
-        kind = draw.choice(
-            ["take"] * 4
-            + ["turn"] * 6
+        now[0] += rng.choice((0.0, 0.0, 5.0, 80.0)) * rng.random()
+        kind = rng.choice(
+            ["submit"] * 4
+            + ["process batch"] * 6
             + ["end"] * 5
-            + ["left", "absent", "listed", "poke", "begin", "may leave"]
+            + ["left", "absent", "node list", "request batch", "begin", "may leave"]
         )
-        call = draw.choice(transport.calls) if transport.calls else None
-        if kind == "take":
-            take(f"r{index}")
-        elif kind == "turn" or now[0] >= driver.next_batch_ms():
+        call = rng.choice(transport.calls) if transport.calls else None
+        if kind == "submit":
+            submit_operation(f"r{index}")
+        elif kind == "process batch" or now[0] >= driver.next_batch_ms():
             driver.process_batch()
         elif kind == "end" and call is not None:
             transport.calls.remove(call)
-            outcome = draw.choice(list(Outcome))
+            outcome = rng.choice(list(Outcome))
             call.end(
-                AttemptResult(outcome, draw.random() * 100, "reply", draw.randrange(3), draw.random(), "text")
+                AttemptResult(outcome, rng.random() * 100, "reply", rng.randrange(3), rng.random(), "text")
             )
         elif kind == "begin" and call is not None:
             digest.add(["began", call.begin("reply")])
         elif kind == "may leave" and call is not None:
             digest.add(["may leave", call.may_leave()])
         elif kind == "left":
-            digest.add(["left", driver.client_left(f"r{draw.randrange(index + 1)}")])
+            digest.add(["left", driver.client_left(f"r{rng.randrange(index + 1)}")])
         elif kind == "absent":
-            absent.add(f"r{draw.randrange(index + 1)}")
-        elif kind == "listed":
-            report = NodeList(draw.choice(list(ListKind)), node_report(draw))
+            disconnected.add(f"r{rng.randrange(index + 1)}")
+        elif kind == "node list":
+            report = NodeList(rng.choice(list(ListKind)), random_node_report(rng))
             driver.receive_node_list(report)
-        elif kind == "poke":
+        elif kind == "request batch":
             driver.request_batch()
         digest.add([driver.next_batch_ms(), len(driver.pending), len(driver.in_flight)])
     driver.abort_pending()
@@ -494,40 +499,40 @@
 
 STREAMS: dict[str, Callable[[int], str]] = {
     "ledger": ledger_stream,
-    "lending": lending_stream,
+    "lending": lease_stream,
     "keys": key_stream,
     "node list": node_list_stream,
-    "answers": answer_stream,
+    "answers": response_stream,
     "driver": driver_stream,
 }
 
 
-# --- what goes over the wire to a node and to the endpoint discovery
+# --- bytes sent to a node and to endpoint discovery
 
 
 class ScriptedStream:
-    """A connection that keeps what was sent and gives back one answer at a time."""
+    """A connection that stores the sent bytes and returns one prepared response at a time."""
 
     def __init__(self, answers: list[bytes]) -> None:
         self.sent, self.answers = b"", answers
-        self.more = anyio.Event()
+        self.data_sent = anyio.Event()
 
     async def receive(self, max_bytes: int = 65536) -> bytes:
         while not self.sent.endswith((b"\r\n\r\n", b"payload", b"\r\n0\r\n\r\n", b"}")) or not self.answers:
-            self.more = anyio.Event()
-            await self.more.wait()
+            self.data_sent = anyio.Event()
+            await self.data_sent.wait()
         return self.answers.pop(0)
 
     async def send(self, item: bytes) -> None:
         self.sent += item
-        self.more.set()
+        self.data_sent.set()
 
     async def aclose(self) -> None:
         self.answers.clear()
 
 
-class SendAtOnce:
-    """Sends each arrival to one node."""
+class ImmediateSender:
+    """A decision module that sends each arrival to the first node."""
 
     def act(self, now_ms: float, events: list[Any]) -> list[Any]:
         return [Send(e.request, NODES[0].name) for e in events if isinstance(e, Arrival)]
@@ -549,7 +554,7 @@
 
 
 def node_bytes(name: str) -> list[Any]:
-    """Carry one operation to a node; return the bytes that it was sent and the answer."""
+    """Send one operation to a node; return the bytes sent and the response."""
     fields = {"volume": "v", "key": "/a", "shard": 0, "request_class": 0, "units": 1.0} | OPERATIONS[name]
     body = fields.pop("body", None)
     stream = ScriptedStream([ANSWER])
@@ -564,7 +569,7 @@
         async with NodeClient(connect, PoolBounds(), user_agent="cressrock/me") as nodes:
             ledger = Ledger(drain_grace_ms=250.0, answer_slack_ms=8.0, max_open=10)
             driver = TaskDriver(
-                SendAtOnce(), ledger, nodes, CLASSES, RecordingObserver(Digest()), retry_after_ms=1000.0
+                ImmediateSender(), ledger, nodes, CLASSES, RecordingObserver(Digest()), retry_after_ms=1000.0
             )
             async with anyio.create_task_group() as tasks:
                 tasks.start_soon(driver.run)
@@ -578,7 +583,7 @@
 
 
 def discovery_bytes() -> str:
-    """Return what the first poll of the node list writes."""
+    """Return the bytes that the first poll of the node list sends."""
     answer = (FIXTURES / "dispatch_node_list_cache.json").read_bytes()
     head = b"HTTP/1.1 200 OK\r\ncontent-length: %d\r\n\r\n" % len(answer)
     stream = ScriptedStream([head + answer])
@@ -599,15 +604,15 @@
 # --- the cache of the node list
 
 
-class Silent:
-    """A log that nobody reads."""
+class NullLog:
+    """A logger that discards everything."""
 
     def __getattr__(self, name: str) -> Callable[..., None]:
         return lambda *args, **fields: None
 
 
-def watch(client: Any, cache: Path | None, reports: list[NodeList]) -> NodeListWatch:
-    """Return what follows the list `storage`, with its reports in a list."""
+def new_watch(client: Any, cache: Path | None, reports: list[NodeList]) -> NodeListWatch:
+    """Return a watch of the list `storage` that appends its reports to `reports`."""
     source = NodeListSource("list:1", "me", 60000.0, 2000.0, None if cache is None else str(cache))
     return NodeListWatch(
         NodeListState("storage", max_nodes=100),
@@ -615,16 +620,16 @@
         source,
         on_report=reports.append,
         wall_ms=lambda: 1e12,
-        log=Silent(),
+        log=NullLog(),
     )
 
 
 async def poll_once(client: Any, cache: Path | None, reports: list[NodeList]) -> None:
-    """Follow the list until its first report."""
-    follower = watch(client, cache, reports)
+    """Poll the list until its first report."""
+    list_watch = new_watch(client, cache, reports)
     async with anyio.create_task_group() as tasks:
-        follower.subscribe()
-        tasks.start_soon(follower.run)
+        list_watch.subscribe()
+        tasks.start_soon(list_watch.run)
         with anyio.fail_after(10):
             while not reports:
                 await anyio.sleep(0.001)
@@ -632,11 +637,11 @@
 
 
 def cached_report(cache: Path) -> list[Any]:
-    """Return the report that a cache file gives to a new process, without the nodes' times of starting."""
+    """Return the report that a new process reads from a cache file, without the nodes' start times."""
     reports: list[NodeList] = []
 
     async def program() -> None:
-        watch(None, cache, reports).load_cache()
+        new_watch(None, cache, reports).load_cache()
 
     anyio.run(program)
     [report] = reports
@@ -644,7 +649,7 @@
 
 
 def write_cache(cache: Path, body: bytes) -> list[str]:
-    """Poll a list that answers with this body; return the kinds of the reports."""
+    """Poll a list that returns this body; return the kinds of the reports."""
     reports: list[NodeList] = []
 
     class Client:
--- a/tests/compatibility/record_dispatch.py
+++ b/tests/compatibility/record_dispatch.py
@@ -1,7 +1,7 @@
-"""Records what the dispatch package decides, sends and keeps.
+"""Records the dispatch package's decisions, the bytes that it sends, and the files that it writes.
 
-Run as `python -m tests.compatibility.record_dispatch`.  The cache, `fixtures/dispatch_node_list_cache.json`,
-is a response as the list gives it: the package keeps a response byte for byte.
+Run as `python -m tests.compatibility.record_dispatch`.  The cache `fixtures/dispatch_node_list_cache.json` is
+an unchanged discovery response, since the package stores responses byte for byte.
 """
 
 from tests.compatibility import dispatch_cases as cases
@@ -9,7 +9,7 @@
 
 
 def main() -> None:
-    """Write the fixture."""
+    """Write the fixture `dispatch.json`."""
     cache = FIXTURES / "dispatch_node_list_cache.json"
     save(
         "dispatch",
--- a/tests/compatibility/test_dispatch.py
+++ b/tests/compatibility/test_dispatch.py
@@ -1,4 +1,4 @@
-"""The dispatch package decides, sends and keeps what it did when the fixtures were recorded."""
+"""The dispatch package's decisions, sent bytes and stored files match the recorded fixtures."""
 
 import shutil
 
@@ -12,20 +12,20 @@
 
 
 @pytest.mark.parametrize("name", cases.STREAMS)
-def test_a_seeded_stream_is_decided_as_recorded(name):
+def test_stream_gives_the_recorded_digests(name):
     assert [cases.STREAMS[name](seed) for seed in cases.SEEDS] == RECORDED["digests"][name]
 
 
 @pytest.mark.parametrize("name", cases.OPERATIONS)
-def test_an_operation_reaches_a_node_in_the_recorded_bytes(name):
+def test_node_receives_the_recorded_bytes(name):
     assert cases.node_bytes(name) == RECORDED["node bytes"][name]
 
 
-def test_the_poll_of_the_node_list_is_the_recorded_bytes():
+def test_node_list_poll_sends_the_recorded_bytes():
     assert cases.discovery_bytes() == RECORDED["discovery bytes"]
 
 
-def test_a_recorded_cache_of_the_node_list_is_read_whole_and_written_on(tmp_path):
+def test_recorded_node_list_cache_is_read_and_replaced(tmp_path):
     cache = tmp_path / "list.json"
     shutil.copy(CACHE, cache)
     assert cases.cached_report(cache) == RECORDED["cached report"]
--- a/tests/dispatch/test_idempotency.py
+++ b/tests/dispatch/test_idempotency.py
@@ -1,9 +1,9 @@
-"""A client's key keeps the window of its first sending, over all operations that carry it."""
+"""The first send time of an idempotency key is kept across all operations that use the key."""
 
 from cressrock.dispatch.idempotency import IdempotencyKeys
 
 
-def test_the_first_sending_counts_until_it_is_forgotten():
+def test_first_send_time_is_kept_until_it_expires():
     keys = IdempotencyKeys(keep_ms=1000, max_keys=10)
     keys.record_sent("k", 100)
     keys.record_sent("k", 300)
@@ -11,7 +11,7 @@
     assert keys.first_sent_ms("k", 1101) is None
 
 
-def test_a_sending_that_never_ran_is_taken_back_and_only_that_one():
+def test_retract_removes_only_the_first_send():
     keys = IdempotencyKeys(keep_ms=1000, max_keys=10)
     keys.record_sent("k", 100)
     keys.retract_sent("k", 50)
@@ -20,7 +20,7 @@
     assert keys.first_sent_ms("k", 200) is None
 
 
-def test_memory_is_bounded():
+def test_number_of_keys_is_bounded():
     keys = IdempotencyKeys(keep_ms=1e9, max_keys=50)
     for index in range(1000):
         keys.record_sent(f"k{index}", index)
--- a/tests/dispatch/test_ledger.py
+++ b/tests/dispatch/test_ledger.py
@@ -1,4 +1,4 @@
-"""The ledger under any interleaving: exactly one answer, checks by the rules' fixed reading."""
+"""The ledger's fences, and exactly one answer per operation under any interleaving of calls."""
 
 import pytest
 from hypothesis import given, settings
@@ -15,7 +15,7 @@
     deduplication_scope=DeduplicationScope.SHARD,
     deduplication_window_ms=4000,
 )
-UNSAFE = RequestClass(latency_objective_ms=500, deadline_ms=4000)
+NON_IDEMPOTENT = RequestClass(latency_objective_ms=500, deadline_ms=4000)
 READ = RequestClass(latency_objective_ms=300, deadline_ms=1500, idempotency=Idempotency.ALWAYS)
 A, B, C = Node("a", 0, 0), Node("b", 0, 1), Node("c", 1, 0)
 
@@ -37,7 +37,7 @@
     return result.fence
 
 
-def test_a_keyed_write_that_may_have_run_stays_in_its_window_its_scope_and_alone():
+def test_keyed_write_that_may_have_run_is_limited_to_window_scope_and_one_attempt():
     ledger = ledger_with_request()
     ledger.send("r", "a", 10)
     assert fence_of(ledger.send("r", "a", 20)) is Fence.ATTEMPT_IN_FLIGHT
@@ -50,7 +50,7 @@
     assert fence_of(ledger.send("r", "a", 4011)) is Fence.OUTSIDE_DEDUPLICATION_WINDOW
 
 
-def test_a_window_begins_with_the_first_attempt_that_may_have_run():
+def test_window_starts_with_first_attempt_that_may_have_run():
     ledger = ledger_with_request()
     ledger.send("r", "a", 0)
     ledger.record_outcome("r", 0, Outcome.FULL)  # proves that it never ran
@@ -60,8 +60,8 @@
     assert not isinstance(ledger.send("r", "c", 6900), FenceTrip)
 
 
-def test_unsafe_work_is_sent_again_only_if_nothing_ran():
-    ledger = ledger_with_request(UNSAFE)
+def test_non_idempotent_request_is_resent_only_if_nothing_ran():
+    ledger = ledger_with_request(NON_IDEMPOTENT)
     ledger.send("r", "a", 0)
     ledger.record_outcome("r", 0, Outcome.NO_CONNECTION)
     assert not isinstance(ledger.send("r", "c", 10), FenceTrip)
@@ -69,7 +69,7 @@
     assert fence_of(ledger.send("r", "c", 20)) is Fence.MAY_HAVE_RUN
 
 
-def test_a_refusal_that_cannot_be_proved_becomes_a_failure():
+def test_rejection_after_a_possible_run_becomes_a_failure():
     ledger = ledger_with_request()
     ledger.send("r", "a", 0)
     assert ledger.reject("r", Reason.SCHEDULER) is Verdict.FAILED
@@ -77,11 +77,13 @@
     assert ledger_with_request().reject("r", Reason.SCHEDULER) is Verdict.REJECTED
 
 
-def test_a_drain_bars_a_node_after_its_grace_and_a_return_frees_it():
+def test_draining_node_is_fenced_after_grace_until_it_is_ready_again():
     ledger = ledger_with_request(READ)
     draining = Node("a", 0, 0, 0, NodeState.DRAINING)
     ledger.update_nodes([draining, B], 100, complete=True)  # c is gone
-    ledger.update_nodes([draining, B], 300, complete=True)  # reported again: the first report counts
+    ledger.update_nodes(
+        [draining, B], 300, complete=True
+    )  # reported again; the grace counts from the first report
     assert not isinstance(ledger.send("r", "a", 350), FenceTrip)
     ledger.record_outcome("r", 0, Outcome.ERROR)
     assert fence_of(ledger.send("r", "a", 351)) is Fence.DRAIN_GRACE_OVER
@@ -90,8 +92,8 @@
     assert not isinstance(ledger.send("r", "a", 361), FenceTrip)
 
 
-def test_what_was_entered_may_not_leave_once_a_rule_would_break():
-    """Danger: a connection comes up between the order and the first byte."""
+def test_recorded_attempt_may_not_be_sent_once_it_would_break_a_rule():
+    """While a connection is opened, a drain, the end of a window or an answer can forbid the send."""
     drained = ledger_with_request()
     drained.send("r", "a", 10)
     drained.update_nodes([Node("a", 0, 0, state=NodeState.DRAINING)], 20, complete=False)
@@ -100,7 +102,7 @@
     late = new_ledger()
     late.accept("r", "x", KEYED, 9000, 0)
     late.send("r", "a", 10)
-    assert late.may_leave("r", 0, 8000)  # a first attempt has no window to keep
+    assert late.may_leave("r", 0, 8000)  # the window does not limit a first attempt
     late.record_outcome("r", 0, Outcome.RESET)
     late.send("r", "a", 4000)
     assert late.may_leave("r", 1, 4010) and not late.may_leave("r", 1, 4011)
@@ -111,7 +113,7 @@
     assert not answered.may_leave("r", 0, 20) and not answered.may_leave("none", 0, 20)
 
 
-def test_what_nobody_answered_is_overdue_once():
+def test_unanswered_operation_is_overdue_once():
     ledger = ledger_with_request()
     assert ledger.next_overdue_ms() == 4008
     assert ledger.overdue(4007) == []
@@ -120,7 +122,7 @@
     assert ledger.overdue(9000) == [] and not ledger.entries
 
 
-def test_bounds_of_operations_and_nodes():
+def test_open_operations_and_nodes_are_bounded():
     ledger = new_ledger(max_open=1, max_nodes=3)
     assert ledger.accept("1", "x", READ, 100, 0) is not None
     assert ledger.accept("2", "x", READ, 100, 0) is None
@@ -149,44 +151,44 @@
 
 
 @settings(max_examples=400, deadline=None)
-@given(STEPS, st.sampled_from([KEYED, UNSAFE, READ]))
-def test_any_interleaving_gives_exactly_one_answer(steps, cls):
-    """Outcomes, deadlines, leavings, cancellations and orders in any order: one answer, then nothing sent."""
-    ledger = ledger_with_request(cls)
-    now, out, answers, sent = 0.0, [], [], 0
-    for what, detail in steps:
-        if what == "wait":
+@given(STEPS, st.sampled_from([KEYED, NON_IDEMPOTENT, READ]))
+def test_every_interleaving_gives_exactly_one_answer(steps, drawn_class):
+    """For any order of outcomes, deadlines, disconnects and actions: one answer, and no send after it."""
+    ledger = ledger_with_request(drawn_class)
+    now, in_flight, answers, sent = 0.0, [], [], 0
+    for step, detail in steps:
+        if step == "wait":
             now += detail
-        elif what == "send":
+        elif step == "send":
             attempt = ledger.send("r", detail, now)
             if not isinstance(attempt, FenceTrip):
                 assert not answers, "sent after the answer"
-                assert not out, "two attempts out at once"
-                out.append(attempt.number)
+                assert not in_flight, "two attempts in flight at once"
+                in_flight.append(attempt.number)
                 sent += 1
-        elif what == "ended" and out:
-            settled = ledger.record_outcome("r", out.pop(), detail)
+        elif step == "ended" and in_flight:
+            settled = ledger.record_outcome("r", in_flight.pop(), detail)
             if settled.is_final_answer:
                 answers.append(Verdict.SERVED)
             assert settled.is_answered == bool(answers)
-        elif what == "commit" and out and ledger.commit("r"):
+        elif step == "commit" and in_flight and ledger.commit("r"):
             answers.append(Verdict.SERVED)
-        elif what == "refuse" and (verdict := ledger.reject("r", Reason.SCHEDULER)) is not None:
+        elif step == "refuse" and (verdict := ledger.reject("r", Reason.SCHEDULER)) is not None:
             answers.append(verdict)
-        elif what == "fail" and (verdict := ledger.fail("r", Reason.DEADLINE)) is not None:
+        elif step == "fail" and (verdict := ledger.fail("r", Reason.DEADLINE)) is not None:
             answers.append(verdict)
-        elif what == "left" and ledger.client_left("r"):
+        elif step == "left" and ledger.client_left("r"):
             answers.append(Verdict.LEFT)
-        elif what == "drain":
+        elif step == "drain":
             ledger.update_nodes([Node(detail, 0, 0, 0, NodeState.DRAINING)], now, complete=False)
-        elif what == "overdue":
+        elif step == "overdue":
             for _ in ledger.overdue(now):
                 answers.append(ledger.fail("r", Reason.OVERDUE))
         assert len(answers) <= 1
     if not answers:
         assert ledger.overdue(now + 10000) == ["r"] or now >= 4008
         assert ledger.fail("r", Reason.OVERDUE) is Verdict.FAILED
-    for number in out:
+    for number in in_flight:
         ledger.record_outcome("r", number, Outcome.OK)
-    assert not ledger.entries, "an operation is held for ever"
+    assert not ledger.entries, "an operation was never released"
     assert sum(ledger.answer_counts.values()) == 1
--- a/tests/dispatch/test_quota.py
+++ b/tests/dispatch/test_quota.py
@@ -1,4 +1,4 @@
-"""Limits whose quotas are lent: whatever is lost, late or alone, the bucket behind keeps to its slack."""
+"""Leased rate limits: the total stays within the limit's slack, whatever is lost or delayed."""
 
 import random
 
@@ -27,31 +27,34 @@
 
 
 class TokenBucket:
-    """The limit's token bucket, as the judge keeps it."""
+    """The limit's token bucket, as the lab's judge models it."""
 
     def __init__(self):
-        self.level, self.at, self.lowest = PLAN.limit_burst, 0.0, 0.0
+        self.level_units, self.updated_at_ms, self.lowest_units = PLAN.limit_burst, 0.0, 0.0
 
     def take(self, now, units):
-        self.level = min(PLAN.limit_burst, self.level + (now - self.at) / 1000 * PLAN.limit_rate) - units
-        self.at, self.lowest = now, min(self.lowest, self.level)
+        self.level_units = (
+            min(PLAN.limit_burst, self.level_units + (now - self.updated_at_ms) / 1000 * PLAN.limit_rate)
+            - units
+        )
+        self.updated_at_ms, self.lowest_units = now, min(self.lowest_units, self.level_units)
 
 
-def test_a_share_begins_empty_refills_and_is_reduced_by_units_in_flight():
+def test_share_starts_empty_refills_and_excludes_units_in_flight():
     quota = EdgeQuota((PLAN,), lambda volume: 2, 1000.0, 0.0)
     assert quota.lease("v", 0, 5.0, 0.0) == 0.0
-    assert quota.lease("v", 0, 5.0, 250.0) == pytest.approx(3.0)  # 24 a second, half of it here
-    assert quota.lease("v", 0, 3.0, 260.0) == 0.0  # as much as waits is leased already
+    assert quota.lease("v", 0, 5.0, 250.0) == pytest.approx(3.0)  # half of 24 units per second
+    assert quota.lease("v", 0, 3.0, 260.0) == 0.0  # all waiting units are leased already
     quota.record_sent("v", 0, 3.0, 270.0)
     full = quota.lease("v", 0, 1000.0, 1e6)
     assert full == pytest.approx(
         28 * 0.999 - 12 - 3
-    )  # less the refill of one lease's duration, less the units in flight
+    )  # minus the refill during one lease and the units in flight
     quota.record_outcome("v", 0, 3.0, 1e6)
     assert quota.lease("v", 0, 1000.0, 1e6 + 1000) == pytest.approx(12.0)
 
 
-def test_a_small_burst_shortens_a_lease():
+def test_small_burst_shortens_leases():
     assert lease_duration_ms(PLAN, 1000.0) == 1000.0
     assert lease_duration_ms(Plan(limit_rate=100.0, limit_burst=10.0), 1000.0) == 50.0
     assert lease_duration_ms(Plan(), 1000.0) == 1000.0
@@ -59,36 +62,36 @@
 
 @settings(max_examples=150, deadline=None)
 @given(st.integers(0, 10**6), st.integers(1, 5))
-def test_however_leases_are_lost_late_and_spent_the_limit_holds(seed, edges):
-    """Edges that lend to deciders which come, go, keep what they have to the end and spend all at once."""
-    draw = random.Random(seed)
+def test_limit_holds_however_leases_are_lost_delayed_or_spent(seed, edges):
+    """Edges lease to planners that appear, vanish, keep units until expiry and spend them all at once."""
+    rng = random.Random(seed)
     quotas = [EdgeQuota((PLAN,), lambda volume: edges, 1000.0, 0.0) for _ in range(edges)]
-    life, bucket, now = lease_duration_ms(PLAN, 1000.0), TokenBucket(), 0.0
+    duration_ms, token_bucket, now = lease_duration_ms(PLAN, 1000.0), TokenBucket(), 0.0
     leases, in_flight = [], []
     for _ in range(400):
-        now += draw.choice((0.0, 1.0, 30.0, 400.0, 3000.0)) * draw.random()
+        now += rng.choice((0.0, 1.0, 30.0, 400.0, 3000.0)) * rng.random()
         for arrival in sorted(f for f in in_flight if f[0] <= now):
-            bucket.take(arrival[0], arrival[2])
+            token_bucket.take(arrival[0], arrival[2])
             quotas[arrival[1]].record_outcome("v", 0, arrival[2], arrival[0])
         in_flight = [f for f in in_flight if f[0] > now]
         leases = [(until, units) for until, units in leases if until > now]
-        who = draw.randrange(edges)
-        if draw.random() < 0.6:
-            units = quotas[who].lease("v", 0, draw.choice((1.0, 8.0, 100.0)), now)
-            if units and draw.random() < 0.9:
-                # The decider counts it from a stamp, which is before the loan.
-                leases.append((now + life * draw.random() ** 0.2, units))
+        edge = rng.randrange(edges)
+        if rng.random() < 0.6:
+            units = quotas[edge].lease("v", 0, rng.choice((1.0, 8.0, 100.0)), now)
+            if units and rng.random() < 0.9:
+                # The planner counts the duration from a clock stamp taken before the lease.
+                leases.append((now + duration_ms * rng.random() ** 0.2, units))
         elif leases and not in_flight:
-            _, units = leases.pop(draw.randrange(len(leases)))
-            # By any edge: it is out for a while, and may arrive after the loan's time.
-            quotas[who].record_sent("v", 0, units, now)
-            in_flight.append((now + draw.choice((0.0, 5.0, 800.0)), who, units))
-    assert bucket.lowest >= -PLAN.limit_slack - 1e-6, (seed, bucket.lowest)
+            _, units = leases.pop(rng.randrange(len(leases)))
+            # Any edge may send; the attempt is in flight for a while and may arrive after the lease expired.
+            quotas[edge].record_sent("v", 0, units, now)
+            in_flight.append((now + rng.choice((0.0, 5.0, 800.0)), edge, units))
+    assert token_bucket.lowest_units >= -PLAN.limit_slack - 1e-6, (seed, token_bucket.lowest_units)
 
 
-def test_the_module_spends_what_is_lent_in_time_and_makes_nothing_itself():
-    kinds = (RequestClass(latency_objective_ms=300, deadline_ms=4000),)
-    scheduler = Scheduler(Settings(kinds, (PLAN,), limits_lent=True), 1, 0.0)
+def test_scheduler_spends_only_unexpired_leases():
+    request_classes = (RequestClass(latency_objective_ms=300, deadline_ms=4000),)
+    scheduler = Scheduler(Settings(request_classes, (PLAN,), limits_lent=True), 1, 0.0)
     scheduler.act(0.0, [NodeList(ListKind.COMPLETE, (Node("n", 0),))])
 
     def sent(now, *events):
@@ -98,12 +101,12 @@
     assert sent(5001.0, LimitLease("v", 1.5, 5500.0)) == []
     assert sent(5002.0, LimitLease("v", 0.5, 5300.0)) == ["a"]
     sent(5003.0, Arrival("b", "v", "", 1.0, 3000.0, shard=0), LimitLease("w", 9.0, 9000.0))
-    assert sent(5004.0, LimitLease("v", 1.0, 5004.0)) == []  # over when it comes
+    assert sent(5004.0, LimitLease("v", 1.0, 5004.0)) == []  # expired on arrival
     assert sent(5005.0, LimitLease("v", 1.0, 5600.0)) == ["b"]
 
 
-class Heard:
-    """Decisions that only listen."""
+class RecordingDecisions:
+    """A decision module that records events and takes no action."""
 
     def __init__(self):
         self.events = []
@@ -113,27 +116,31 @@
         return []
 
 
-def test_a_loan_counts_from_the_planners_own_stamp_and_without_one_not_at_all():
-    heard = Heard()
-    planner = Planner(heard, (RequestClass(300, 4000),), 1, PlannerLimits(lease_ms=1000.0), (PLAN,))
+def test_lease_is_valid_from_the_planner_stamp_and_ignored_without_one():
+    decisions = RecordingDecisions()
+    planner = Planner(decisions, (RequestClass(300, 4000),), 1, PlannerLimits(lease_ms=1000.0), (PLAN,))
     session = planner.join("e", "l", 100.0)
     request = m.Request(1, 7e6, "r", "v", "", 1.0, 7e6 + 900, 0, 0, 0, 1, leased_units=1.0, stamp=0)
     assert planner.receive_event("e", session, request)
     orders = planner.step(150.0).orders.get("e", [])
-    assert heard.events[0] == LimitLease("v", 1.0, 1100.0)  # from the greeting, by the planner's clock
-    assert orders == []  # the greeting is new enough
+    assert decisions.events[0] == LimitLease("v", 1.0, 1100.0)  # from the join, by the planner's clock
+    assert orders == []  # the stamp of the join is recent enough
     assert planner.step(400.0).orders["e"] == [m.ClockStamp(1)]
     assert planner.receive_event("e", session, m.LimitLease(2, 7e6, "v", 0, 2.0, 1))
-    assert planner.receive_event("e", session, m.LimitLease(3, 7e6, "v", 0, 2.0, 9))  # never given
+    assert planner.receive_event(
+        "e", session, m.LimitLease(3, 7e6, "v", 0, 2.0, 9)
+    )  # a stamp that was never issued
     assert planner.receive_event("e", session, m.LimitLease(4, 7e6, "v", 3, 2.0, 1))  # no such plan
     planner.step(500.0)
-    assert [e for e in heard.events if isinstance(e, LimitLease)][1:] == [LimitLease("v", 2.0, 1400.0)]
+    assert [e for e in decisions.events if isinstance(e, LimitLease)][1:] == [LimitLease("v", 2.0, 1400.0)]
     assert planner.dropped["loan without a stamp"] == 1
 
 
-def test_the_module_counts_what_others_tried_and_took():
-    kinds = (RequestClass(latency_objective_ms=300, deadline_ms=4000),)
-    scheduler = Scheduler(Settings(kinds, budget_window_ms=1000.0, budget_share=0.5, max_attempts=3), 1, 0.0)
+def test_scheduler_counts_retries_and_arrivals_of_other_dispatchers():
+    request_classes = (RequestClass(latency_objective_ms=300, deadline_ms=4000),)
+    scheduler = Scheduler(
+        Settings(request_classes, budget_window_ms=1000.0, budget_share=0.5, max_attempts=3), 1, 0.0
+    )
     scheduler.act(100.0, [RetryBudgetUsage((50.0,), (10.0, 20.0, 30.0, 40.0))])
     assert scheduler.retry_budget.allows_retry(scheduler.now_ms)
     scheduler.act(101.0, [RetryBudgetUsage((60.0, 40.0), ())])
