--- a/cressrock/dispatch/driver.py
+++ b/cressrock/dispatch/driver.py
@@ -200,20 +200,20 @@
         traces only.  `deadline` and `since` (when the client's request was received) are milliseconds on the
         driver's clock.
         """
-        now = self.clock()
+        now_ms = self.clock()
         request_class = self.classes[op.request_class]
-        since = now if since is None else since
+        since = now_ms if since is None else since
         if self.keys is not None and op.idempotency_key and request_class.idempotency is Idempotency.KEYED:
-            first_sent_ms = self.keys.first_sent_ms(op.idempotency_key, now)
+            first_sent_ms = self.keys.first_sent_ms(op.idempotency_key, now_ms)
             if first_sent_ms is not None:
                 since = min(since, first_sent_ms)  # the same user's retry
                 deadline = min(deadline, first_sent_ms + request_class.deduplication_window_ms)
-                if now >= deadline:
+                if now_ms >= deadline:
                     return Denial(Verdict.FAILED, Reason.KEY)
-        if self.ledger.accept(name, exchange, request_class, deadline, now) is None:
+        if self.ledger.accept(name, exchange, request_class, deadline, now_ms) is None:
             return Denial(Verdict.REJECTED, Reason.FULL, self.retry_after_ms)
         pending = self.pending[name] = _PendingOperation(
-            op, label or name, deadline, now, since, answer, present
+            op, label or name, deadline, now_ms, since, answer, present
         )
         self._enqueue(name, 1, pending)
         return None
@@ -231,8 +231,8 @@
         entry = self.ledger.entries.get(name)
         call = self.in_flight.get((name, len(entry.attempts) - 1)) if entry is not None else None
         if call is not None and call.handle is not None:
-            # Without this, where attempts may not be cancelled, the rest of the request would arrive later
-            # and the node would start the work.
+            # The scheduler cannot stop attempts that may not be cancelled.  Without this call, the rest of
+            # the request would arrive later and the node would start the work.
             call.handle.abandon()
         self.observer.answered(
             pending.op.request_class, Verdict.LEFT, Reason.LEFT, self.clock() - pending.accepted_at_ms
@@ -244,8 +244,8 @@
         for name in list(self.pending):
             entry = self.ledger.entries.get(name)
             is_rejectable = entry is not None and self.ledger.may_reject(entry)
-            end = self.ledger.reject if is_rejectable else self.ledger.fail
-            self._give_denial(name, end(name, Reason.STOPPING), Reason.STOPPING, 0.0)
+            deny = self.ledger.reject if is_rejectable else self.ledger.fail
+            self._give_denial(name, deny(name, Reason.STOPPING), Reason.STOPPING, 0.0)
 
     def request_batch(self) -> None:
         """Request a batch even without events: the decision module has actions ready."""
@@ -264,50 +264,54 @@
 
     def process_batch(self) -> None:
         """Pass the queued events and expired timers to the decision module, and execute its actions."""
-        now = self.clock()
-        waiting = sorted(self._inbox, key=_arrival_order)
+        now_ms = self.clock()
+        queued = sorted(self._inbox, key=_arrival_order)
         self._inbox.clear()
         events: list[Event] = []
-        for _, _, name, event in waiting:
-            events.append(self._arrival(name, event, now) if isinstance(event, _PendingOperation) else event)
+        for _, _, name, event in queued:
+            events.append(
+                self._arrival(name, event, now_ms) if isinstance(event, _PendingOperation) else event
+            )
         for token, due_at_ms in sorted(self._timers.items()):
-            if due_at_ms <= now:
+            if due_at_ms <= now_ms:
                 del self._timers[token]
                 events.append(TimerFired(token))
         if events or self._batch_requested:
             self._batch_requested = False
-            actions = self.decisions.act(now, events)
+            actions = self.decisions.act(now_ms, events)
             for action in actions:
-                self._execute(action, now)
+                self._execute(action, now_ms)
             self.observer.batch_processed(
-                len(events), now - waiting[0][0] if waiting else 0.0, self.clock() - now
+                len(events), now_ms - queued[0][0] if queued else 0.0, self.clock() - now_ms
             )
-        for name in self.ledger.overdue(now):
+        for name in self.ledger.overdue(now_ms):
             self._give_denial(name, self.ledger.fail(name, Reason.OVERDUE), Reason.OVERDUE, 0.0)
 
     @staticmethod
-    def _arrival(name: str, pending: _PendingOperation, now: float) -> Arrival:
+    def _arrival(name: str, pending: _PendingOperation, now_ms: float) -> Arrival:
         op = pending.op
         return Arrival(
             request=name,
             volume=op.volume,
             key=op.key,
             units=op.units,
-            remaining_ms=max(0.0, pending.deadline_ms - now),
+            remaining_ms=max(0.0, pending.deadline_ms - now_ms),
             plan=op.plan,
             request_class=op.request_class,
             shard=op.shard,
             sharing_hosts=op.writers,
-            waited_ms=max(0.0, now - pending.waiting_since_ms),
+            waited_ms=max(0.0, now_ms - pending.waiting_since_ms),
         )
 
-    def _execute(self, action: Action, now: float) -> None:
+    def _execute(self, action: Action, now_ms: float) -> None:
         match action:
             case Send(request, node, within_ms):
-                self._send_attempt(request, node, within_ms, now)
-            case Reject(request, stay_away_ms):
+                self._send_attempt(request, node, within_ms, now_ms)
+            case Reject(request, reject_retry_after_ms):
                 verdict = self.ledger.reject(request, Reason.SCHEDULER)
-                self._give_denial(request, verdict, Reason.SCHEDULER, stay_away_ms or self.retry_after_ms)
+                self._give_denial(
+                    request, verdict, Reason.SCHEDULER, reject_retry_after_ms or self.retry_after_ms
+                )
             case Fail(request):
                 entry = self.ledger.entries.get(request)
                 last_outcome = entry.attempts[-1].outcome if entry is not None and entry.attempts else None
@@ -324,8 +328,8 @@
             case Log(text):
                 self.observer.line(text)
 
-    def _send_attempt(self, name: str, node: str, within_ms: float, now: float) -> None:
-        recorded = self.ledger.send(name, node, now)
+    def _send_attempt(self, name: str, node: str, within_ms: float, now_ms: float) -> None:
+        recorded = self.ledger.send(name, node, now_ms)
         pending = self.pending.get(name)
         if isinstance(recorded, FenceTrip) or pending is None:
             if isinstance(recorded, FenceTrip):
@@ -339,8 +343,8 @@
             )
             return
         if self.keys is not None and pending.op.idempotency_key:
-            self.keys.record_sent(pending.op.idempotency_key, now)
-        deadline = pending.deadline_ms if not within_ms else min(pending.deadline_ms, now + within_ms)
+            self.keys.record_sent(pending.op.idempotency_key, now_ms)
+        deadline = pending.deadline_ms if not within_ms else min(pending.deadline_ms, now_ms + within_ms)
         call = self.in_flight[name, recorded.number] = _Call(self, name, pending, recorded, deadline)
         call.handle = self.transport.start(call)
 
--- a/cressrock/dispatch/http_transport.py
+++ b/cressrock/dispatch/http_transport.py
@@ -39,9 +39,8 @@
         self.end_state = _EndState(Outcome.CANCELLED)
         self.reply: Reply | None = None
         self.payload: NodePayload | None = None
-        self.latency_ms: float | None = (
-            None  # from sending to the response head; None if there was no response head
-        )
+        # From sending to the response head; None without a response head.
+        self.latency_ms: float | None = None
         self.is_cancelled_by_scheduler = False
         self.is_reported = False
 
--- a/cressrock/dispatch/ledger.py
+++ b/cressrock/dispatch/ledger.py
@@ -110,9 +110,8 @@
         self.max_nodes = max_nodes
         self.entries: dict[str, Entry] = {}
         self.nodes: dict[str, Node] = {}
-        self.withdrawn_at_ms: dict[
-            str, float
-        ] = {}  # when this dispatcher first learned that a node is draining or gone
+        # When this dispatcher first learned that a node is draining or gone.
+        self.withdrawn_at_ms: dict[str, float] = {}
         self.fence_trips: Counter[Fence] = Counter()
         self.answer_counts: Counter[Verdict] = Counter()
         self._overdue_heap: list[tuple[float, str]] = []
@@ -173,7 +172,7 @@
                     Fence.MAY_HAVE_RUN,
                     f"{first_run.node.name} may have run it already",
                 )
-            if not self._same_group(entry.request_class.deduplication_scope, first_run.node, target):
+            if not self._is_same_scope(entry.request_class.deduplication_scope, first_run.node, target):
                 detail = f"{first_run.node.name} may have run it, {node} is outside its deduplication scope"
                 return self._block_attempt(entry, target, now_ms, Fence.OUTSIDE_DEDUPLICATION_SCOPE, detail)
             if now_ms - first_run.sent_at_ms > entry.request_class.deduplication_window_ms:
@@ -246,9 +245,9 @@
         answered = entry.verdict is None and outcome is Outcome.OK
         if answered:
             self._set_verdict(entry, Verdict.SERVED, None)
-        settled = RecordedOutcome(entry.verdict is not None, answered)
+        recorded = RecordedOutcome(entry.verdict is not None, answered)
         self._drop_if_settled(entry)
-        return settled
+        return recorded
 
     def reject(self, name: str, reason: Reason) -> Verdict | None:
         """Reject if a retry is provably harmless, else fail the operation.  None if already answered."""
@@ -309,7 +308,7 @@
 
     def update_nodes(self, nodes: Iterable[Node], now_ms: float, *, complete: bool) -> None:
         """Apply a node list report; nodes that are missing from a complete report are marked GONE."""
-        listed = {line.name: line for line in nodes}
+        listed = {node_entry.name: node_entry for node_entry in nodes}
         if complete:
             for name, node in self.nodes.items():
                 if name not in listed:
@@ -330,7 +329,7 @@
 
     def _drop_oldest_removed(self) -> None:
         """Evict the longest-removed nodes, so that node replacements do not grow the table without bound."""
-        removed = [n for n, line in self.nodes.items() if line.state is NodeState.GONE]
+        removed = [n for n, node_entry in self.nodes.items() if node_entry.state is NodeState.GONE]
         removed.sort(key=lambda name: (self.withdrawn_at_ms[name], name))
         for name in removed[: len(self.nodes) - self.max_nodes]:
             del self.nodes[name], self.withdrawn_at_ms[name]
@@ -338,10 +337,10 @@
     # --- helpers
 
     @staticmethod
-    def _same_group(group: DeduplicationScope, first: Node, other: Node) -> bool:
-        if group is DeduplicationScope.ALL:
+    def _is_same_scope(scope: DeduplicationScope, first: Node, other: Node) -> bool:
+        if scope is DeduplicationScope.ALL:
             return True
-        return first.zone == other.zone if group is DeduplicationScope.ZONE else first.shard == other.shard
+        return first.zone == other.zone if scope is DeduplicationScope.ZONE else first.shard == other.shard
 
     def _set_verdict(self, entry: Entry, verdict: Verdict, reason: Reason | None) -> Verdict:
         entry.verdict = verdict
--- a/cressrock/dispatch/node_client.py
+++ b/cressrock/dispatch/node_client.py
@@ -49,7 +49,7 @@
 
 
 class SentTooLateError(Exception):
-    """`may_leave` refused the request once the connection was open: no byte was sent, so it never ran."""
+    """The connection was opened too late: the request may no longer be sent, and no byte of it was."""
 
 
 @dataclass(slots=True)
@@ -97,10 +97,10 @@
                     return b""
                 else:
                     raise ConnectionLostError("the node closed the connection in the middle of the response")
-        except (ConnectionLostError, h11.RemoteProtocolError) as broken:
+        except (ConnectionLostError, h11.RemoteProtocolError) as read_error:
             self.is_truncated = True
             self.done.set()
-            raise PayloadTruncatedError(str(broken)) from broken
+            raise PayloadTruncatedError(str(read_error)) from read_error
 
     def abandon(self) -> None:
         """Stop reading; `done` is set so that the attempt can end."""
@@ -216,8 +216,8 @@
                 try:
                     await channel.send(*request_events)
                     await self._upload(channel, body)
-                except PayloadTruncatedError as cut:
-                    failure.append(cut)
+                except PayloadTruncatedError as upload_error:
+                    failure.append(upload_error)
                     tasks.cancel_scope.cancel()
                 except ConnectionLostError:
                     pass  # a response that arrived before the payload was sent is still read
@@ -225,8 +225,8 @@
             tasks.start_soon(upload)
             try:
                 result = await self._read_response(channel, progress, may_stream and op.stream)
-            except (ConnectionLostError, MessageTooLargeError, h11.RemoteProtocolError) as failed:
-                failure.append(failed)
+            except (ConnectionLostError, MessageTooLargeError, h11.RemoteProtocolError) as response_error:
+                failure.append(response_error)
             # A response before the end of the upload is final; the rest of the payload is not sent.
             tasks.cancel_scope.cancel()
         if result is None:
@@ -273,8 +273,10 @@
         try:
             with anyio.fail_after(self.bounds.connect_timeout_ms / 1000):
                 stream = await self.connect(host, int(port))
-        except (*BROKEN, TimeoutError, ValueError) as failed:
-            raise NoConnectionError(f"{node}: {failed or 'connection not accepted in time'}") from failed
+        except (*BROKEN, TimeoutError, ValueError) as connect_error:
+            raise NoConnectionError(
+                f"{node}: {connect_error or 'connection not accepted in time'}"
+            ) from connect_error
         self.opened += 1
         pool.open_count += 1
         channel = Channel(
--- a/cressrock/dispatch/quota.py
+++ b/cressrock/dispatch/quota.py
@@ -23,9 +23,8 @@
 from cressrock.interface import Plan
 
 ROUNDING_MARGIN_FRACTION = 0.999  # of a share, since sums of floats may round up
-MAX_LEASED_FRACTION = (
-    0.5  # of burst and slack: reserved for the units leased within one lease's duration, at any rate
-)
+# Of burst and slack: reserved for the units leased within one lease's duration, at any rate.
+MAX_LEASED_FRACTION = 0.5
 
 
 def lease_duration_ms(plan: Plan, lend_ms: float) -> float:
--- a/cressrock/dispatch/spool.py
+++ b/cressrock/dispatch/spool.py
@@ -31,22 +31,22 @@
 class Spool:
     """One payload, with one writer and any number of readers that may start before it is complete."""
 
-    def __init__(self, store: PayloadStore, declared: int | None) -> None:
-        """`declared` is the declared length in bytes, None if chunked."""
+    def __init__(self, store: PayloadStore, declared_length: int | None) -> None:
+        """`declared_length` is the announced size in bytes, None if chunked."""
         self.store = store
-        self.declared = declared
+        self.declared_length = declared_length
         self.size = 0
         self.complete = False
-        self.broken = False
+        self.is_truncated = False
         self._chunks: list[bytes] = []
-        self._starts: list[int] = []
+        self._chunk_offsets: list[int] = []
         self._file: IO[bytes] | None = None
         self._changed = anyio.Event()
 
     @property
     def length(self) -> int | None:
         """Total bytes; None while unknown."""
-        return self.size if self.complete else self.declared
+        return self.size if self.complete else self.declared_length
 
     def append(self, data: bytes) -> None:
         """Append bytes.  Raises OSError if the temporary file cannot be created or grow."""
@@ -59,7 +59,7 @@
             self._file.seek(self.size)
             self._file.write(data)
         else:
-            self._starts.append(self.size)
+            self._chunk_offsets.append(self.size)
             self._chunks.append(data)
             self.store.memory_used_bytes += len(data)
         self.size += len(data)
@@ -72,7 +72,7 @@
 
     def fail(self) -> None:
         """Mark the payload as truncated; readers that wait for more raise PayloadTruncatedError."""
-        self.broken = True
+        self.is_truncated = True
         self._notify_readers()
 
     async def chunk(self, offset: int) -> bytes:
@@ -83,18 +83,18 @@
         while offset >= self.size:
             if self.complete:
                 return b""
-            if self.broken:
+            if self.is_truncated:
                 raise PayloadTruncatedError("the client's payload ended early")
             await self._changed.wait()
         if self._file is not None:
             self._file.seek(offset)
             return self._file.read(READ_CHUNK_BYTES)
-        low, high = 0, len(self._starts)
+        low, high = 0, len(self._chunk_offsets)
         while high - low > 1:
             middle = (low + high) // 2
-            low, high = (middle, high) if self._starts[middle] <= offset else (low, middle)
+            low, high = (middle, high) if self._chunk_offsets[middle] <= offset else (low, middle)
         data = self._chunks[low]
-        start = offset - self._starts[low]
+        start = offset - self._chunk_offsets[low]
         return data[start:] if start else data
 
     def close(self) -> None:
@@ -104,7 +104,7 @@
             self._file = None
         self.store.memory_used_bytes -= sum(map(len, self._chunks))
         self._chunks.clear()
-        self._starts.clear()
+        self._chunk_offsets.clear()
         self.size, self.complete = 0, False
         self.fail()
 
@@ -115,7 +115,7 @@
             self._file.write(data)
         self.store.memory_used_bytes -= self.size
         self._chunks.clear()
-        self._starts.clear()
+        self._chunk_offsets.clear()
 
     def _notify_readers(self) -> None:
         previous_event, self._changed = self._changed, anyio.Event()
--- a/tests/dispatch/test_ledger.py
+++ b/tests/dispatch/test_ledger.py
@@ -81,9 +81,7 @@
     ledger = ledger_with_request(READ)
     draining = Node("a", 0, 0, 0, NodeState.DRAINING)
     ledger.update_nodes([draining, B], 100, complete=True)  # c is gone
-    ledger.update_nodes(
-        [draining, B], 300, complete=True
-    )  # reported again; the grace counts from the first report
+    ledger.update_nodes([draining, B], 300, complete=True)  # repeated; the grace counts from the first
     assert not isinstance(ledger.send("r", "a", 350), FenceTrip)
     ledger.record_outcome("r", 0, Outcome.ERROR)
     assert fence_of(ledger.send("r", "a", 351)) is Fence.DRAIN_GRACE_OVER
--- a/tests/dispatch/test_quota.py
+++ b/tests/dispatch/test_quota.py
@@ -47,9 +47,8 @@
     assert quota.lease("v", 0, 3.0, 260.0) == 0.0  # all waiting units are leased already
     quota.record_sent("v", 0, 3.0, 270.0)
     full = quota.lease("v", 0, 1000.0, 1e6)
-    assert full == pytest.approx(
-        28 * 0.999 - 12 - 3
-    )  # minus the refill during one lease and the units in flight
+    # The share, minus the refill during one lease and the units in flight.
+    assert full == pytest.approx(28 * 0.999 - 12 - 3)
     quota.record_outcome("v", 0, 3.0, 1e6)
     assert quota.lease("v", 0, 1000.0, 1e6 + 1000) == pytest.approx(12.0)
 
@@ -127,9 +126,7 @@
     assert orders == []  # the stamp of the join is recent enough
     assert planner.step(400.0).orders["e"] == [m.ClockStamp(1)]
     assert planner.receive_event("e", session, m.LimitLease(2, 7e6, "v", 0, 2.0, 1))
-    assert planner.receive_event(
-        "e", session, m.LimitLease(3, 7e6, "v", 0, 2.0, 9)
-    )  # a stamp that was never issued
+    assert planner.receive_event("e", session, m.LimitLease(3, 7e6, "v", 0, 2.0, 9))  # unknown stamp
     assert planner.receive_event("e", session, m.LimitLease(4, 7e6, "v", 3, 2.0, 1))  # no such plan
     planner.step(500.0)
     assert [e for e in decisions.events if isinstance(e, LimitLease)][1:] == [LimitLease("v", 2.0, 1400.0)]
