--- a/cressrock/consensus/raft/__init__.py
+++ b/cressrock/consensus/raft/__init__.py
@@ -1,1 +1,1 @@
-"""Raft (Ongaro 2014): pure state, replication, elections and messages of one consensus group."""
+"""Raft (Ongaro 2014) for one consensus group: state, replication, elections and messages, without I/O."""
--- a/cressrock/consensus/raft/batching.py
+++ b/cressrock/consensus/raft/batching.py
@@ -1,4 +1,4 @@
-"""Taking a batch out of a replica's state: what to persist, to send and to apply."""
+"""Builds the batches (`Ready`) that a replica's caller persists, sends and applies."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 def has_batch(replication: Replication) -> bool:
-    """Whether a batch would hold anything."""
+    """Whether `take_batch` would return a non-empty batch."""
     replica = replication.replica
     if replica.outbox or replication.lost_reads or replica.applied < replica.commit:
         return True
@@ -20,12 +20,12 @@
 
 
 def take_batch(replication: Replication) -> Ready:
-    """Return all that is due, and count it as handed out."""
+    """Return everything due, at most `max_apply_entries` committed entries, and mark it as handed out."""
     replica = replication.replica
     end = min(replica.commit, replica.applied + replica.settings.max_apply_entries)
     committed = tuple(replica.log.entries_between(replica.applied + 1, end))
     replica.applied = max(replica.applied, end)
-    confirmed_reads = replication.pop_confirmed_reads()  # only of what is applied with this batch
+    confirmed_reads = replication.pop_confirmed_reads()  # uses the new `applied`
     hard_state = None
     if replica.must_persist():
         hard_state = replica.persisted_hard_state = replica.hard_state()
--- a/cressrock/consensus/raft/follower.py
+++ b/cressrock/consensus/raft/follower.py
@@ -1,4 +1,4 @@
-"""The follower's side: entries and snapshots that a leader sends."""
+"""How a follower handles entries and snapshots received from the leader."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SnapshotTransfer:
-    """Which snapshot of which leader the chunks received so far belong to."""
+    """Identifies the snapshot, its leader and term that the chunks received so far belong to."""
 
     leader: str
     term: int
@@ -28,12 +28,12 @@
 
 
 class Follower:
-    """Takes a leader's messages into the log of a replica."""
+    """Applies the leader's messages to the log of a replica."""
 
     __slots__ = ("_replica", "_transfer", "_buffer")
 
     def __init__(self, replica: ReplicaState) -> None:
-        """Begin without a chunk of a snapshot."""
+        """Start with no snapshot transfer in progress."""
         self._replica = replica
         self._transfer: SnapshotTransfer | None = None
         self._buffer = bytearray()
@@ -41,7 +41,10 @@
     # --- entries
 
     def on_append(self, sender: str, message: AppendEntries) -> None:
-        """Append a leader's entries, or say where the logs differ.  Raises LogDivergedError."""
+        """Append the leader's entries, or reply where the logs conflict.
+
+        Raises LogDivergedError if the leader's log conflicts with a committed entry.
+        """
         replica = self._replica
         log = replica.log
         if not self._is_well_formed(message):
@@ -50,7 +53,9 @@
         previous_index, previous_term = message.previous_index, message.previous_term
         entries = message.entries
         last_index = previous_index + len(entries)
-        if previous_index < log.snapshot_index:  # what our snapshot covers is committed, hence the same
+        if (
+            previous_index < log.snapshot_index
+        ):  # entries covered by our snapshot are committed and thus identical
             entries = entries[log.snapshot_index - previous_index :]
             previous_index, previous_term = log.snapshot_index, log.snapshot_term
             last_index = max(last_index, previous_index)
@@ -58,7 +63,7 @@
         if own_term != previous_term:
             if own_term is not None and previous_index <= replica.commit:
                 raise LogDivergedError(
-                    f"{sender} has term {previous_term} at the committed entry {previous_index}"
+                    f"{sender} has term {previous_term} for the committed entry {previous_index}"
                 )
             self._report_conflict(sender, message, previous_index, own_term)
             return
@@ -76,7 +81,10 @@
         ))  # fmt: skip
 
     def _is_well_formed(self, message: AppendEntries) -> bool:
-        """Whether the entries follow one another, their terms grow up to ours, and voters can be read."""
+        """Whether the entries are valid.
+
+        Their indexes are consecutive, their terms do not decrease nor exceed ours, and voters can be decoded.
+        """
         term = message.previous_term
         for index, entry in enumerate(message.entries, message.previous_index + 1):
             if entry.index != index or not term <= entry.term <= self._replica.term:
@@ -106,7 +114,7 @@
     def _truncate(self, sender: str, start: int) -> None:
         replica = self._replica
         if start <= replica.commit:
-            raise LogDivergedError(f"{sender} asks to change the committed entry {start}")
+            raise LogDivergedError(f"{sender} would overwrite the committed entry {start}")
         replica.log.truncate(start)
         if start <= replica.stable_index:
             replica.stable_index = start - 1
@@ -115,7 +123,7 @@
     # --- snapshots
 
     def on_snapshot(self, sender: str, message: InstallSnapshot) -> None:
-        """Collect a snapshot's chunks, and install it when all are there."""
+        """Collect the chunks of a snapshot and install it once it is complete."""
         replica = self._replica
         voters = message.voters
         if not voters or len(set(voters)) != len(voters) or message.index_term > replica.term:
@@ -136,7 +144,7 @@
             self._transfer, self._buffer = None, bytearray()
 
     def _collect(self, sender: str, message: InstallSnapshot) -> bool:
-        """Add a chunk; return whether the snapshot was whole and is installed."""
+        """Add a chunk; return whether this completed the snapshot, which is then installed."""
         transfer = SnapshotTransfer(
             sender, self._replica.term, message.index, message.index_term, message.size
         )
@@ -151,23 +159,23 @@
 
     def _install(self, snapshot: Snapshot) -> None:
         replica = self._replica
-        former_last_index = replica.log.last_index
+        previous_last_index = replica.log.last_index
         if replica.log.start_after(snapshot):
             replica.stable_index = max(replica.stable_index, snapshot.index)
         else:
             replica.stable_index = snapshot.index
-            if former_last_index > snapshot.index:
+            if previous_last_index > snapshot.index:
                 replica.record_truncation(snapshot.index + 1)
         replica.commit = replica.applied = snapshot.index
         replica.snapshot = replica.unpersisted_snapshot = snapshot
         replica.restore_pending = True
 
     def clone(self, replica: ReplicaState) -> Follower:
-        """Return an independent copy over a copied state."""
+        """Return an independent copy that uses `replica`, a copy of the state."""
         other = Follower(replica)
         other._transfer, other._buffer = self._transfer, bytearray(self._buffer)
         return other
 
     def key(self) -> tuple[object, ...]:
-        """Return what decides its behaviour when clocks do not, for the model checker's hash."""
+        """Return the state that determines its behavior, timing aside, for the model checker's hash."""
         return bytes(self._buffer), self._transfer
--- a/cressrock/consensus/raft/messages.py
+++ b/cressrock/consensus/raft/messages.py
@@ -1,8 +1,9 @@
-"""Raft's messages and their encoding, version 1: MessagePack, one envelope with cluster, sender, receiver.
+"""Raft messages and their encoding, version 1: MessagePack in an envelope with cluster, sender and receiver.
 
-Messages are named after Ongaro, *Consensus: Bridging Theory and Practice* (2014).  Every message carries its
-sender's term and the group's generation (see `force_single_voter`).  The bounds of the types are the codec's
-outermost; a replica's `RaftSettings` bound what it makes far lower.  Field names and tags are on the wire.
+Messages are named as in Ongaro, *Consensus: Bridging Theory and Practice* (2014).  Every message carries its
+sender's term and the group's generation (see `force_single_voter`).  The type bounds are the maximum that the
+codec accepts; `RaftSettings` keeps the messages of a replica far smaller.  Field names and tags are part of
+the wire format.
 """
 
 from __future__ import annotations
@@ -15,7 +16,7 @@
 from cressrock.errors.consensus import InvalidMessageError
 
 PROTOCOL_VERSION = 1
-MAX_MESSAGE_BYTES = 4 * 1024 * 1024  # of one encoded message: nothing larger is decoded
+MAX_MESSAGE_BYTES = 4 * 1024 * 1024  # larger encoded messages are not decoded
 MAX_VOTERS = 16
 
 Name = Annotated[str, Meta(min_length=1, max_length=64)]
@@ -26,7 +27,7 @@
 
 
 class LogEntry(Struct, frozen=True, array_like=True):
-    """One entry of the log; `data` of a `seats` entry is `encode_voters` of all voters from here on."""
+    """A log entry; `data` of a `seats` entry is `encode_voters` of all voters from this entry on."""
 
     term: Count
     index: Count
@@ -35,14 +36,14 @@
 
 
 class Message(Struct, frozen=True, tag_field="t", kw_only=True):
-    """Any message between replicas: the sender's generation and term."""
+    """Base of all messages between replicas: the sender's generation and term."""
 
     generation: Count
     term: Count
 
 
 class PreVote(Message, frozen=True, tag="prevote", kw_only=True):
-    """Asks for a promise of a vote in the term `next_term`; changes nothing at the receiver (9.6)."""
+    """Asks whether the receiver would vote for the sender in `next_term`; changes no state there (9.6)."""
 
     next_term: Count
     last_index: Count
@@ -50,14 +51,14 @@
 
 
 class PreVoteReply(Message, frozen=True, tag="prevoted", kw_only=True):
-    """The answer to a PreVote for `next_term`; `term` is the answerer's own."""
+    """The reply to a PreVote for `next_term`; `term` is the current term of the replying replica."""
 
     next_term: Count
     granted: bool
 
 
 class RequestVote(Message, frozen=True, tag="vote", kw_only=True):
-    """A candidate's request for a vote in `term`; `transfer`: the leader itself asked it to stand (3.10)."""
+    """A candidate's request for a vote in `term`; `transfer`: the leader requested the election (3.10)."""
 
     last_index: Count
     last_term: Count
@@ -65,15 +66,16 @@
 
 
 class RequestVoteReply(Message, frozen=True, tag="voted", kw_only=True):
-    """The answer to a RequestVote of this `term`."""
+    """The reply to a RequestVote of the same `term`."""
 
     granted: bool
 
 
 class AppendEntries(Message, frozen=True, tag="append", kw_only=True):
-    """The leader's entries after (`previous_index`, `previous_term`); without entries a heartbeat.
+    """Entries of the leader's log after (`previous_index`, `previous_term`); a heartbeat if there are none.
 
-    `round` numbers the leader's heartbeats in its term; the answer repeats it (read index, lease).
+    `round` numbers the leader's heartbeat rounds within its term; the reply repeats it, which confirms reads
+    (read index) and renews the lease.
     """
 
     previous_index: Count
@@ -84,10 +86,11 @@
 
 
 class AppendEntriesReply(Message, frozen=True, tag="appended", kw_only=True):
-    """Accepted: the log agrees with the leader's up to `match`.  Not accepted: see `conflict_*`.
+    """Reply to AppendEntries; if `accepted`, the log matches the leader's up to `match`.
 
-    Not accepted means that the log has no (`previous_index`, the leader's term of it); then `conflict_term`
-    is the term of that entry instead and `conflict_index` its first index, or 0 and the end of the log + 1.
+    If not, the log lacks the entry at `previous_index` with the leader's term.  `conflict_term` is then the
+    term the log has there and `conflict_index` the first index of that term; if the log has no such entry
+    they are 0 and the last index plus one.
     """
 
     accepted: bool
@@ -99,7 +102,7 @@
 
 
 class InstallSnapshot(Message, frozen=True, tag="snapshot", kw_only=True):
-    """A chunk of the snapshot up to (`index`, `index_term`): `data` at `offset` of `size` bytes."""
+    """A chunk of the snapshot up to (`index`, `index_term`): `data` at `offset` of `size` bytes in all."""
 
     index: Count
     index_term: Count
@@ -111,7 +114,7 @@
 
 
 class InstallSnapshotReply(Message, frozen=True, tag="snapshotted", kw_only=True):
-    """Of the snapshot at `index` the bytes below `offset` were received; `done`: it is installed."""
+    """Reply to InstallSnapshot: bytes below `offset` are received; `done`: the snapshot is installed."""
 
     index: Count
     offset: Count
@@ -120,11 +123,11 @@
 
 
 class TimeoutNow(Message, frozen=True, tag="timeout", kw_only=True):
-    """The leader asks the receiver to campaign at once (3.10)."""
+    """Tells the receiver to campaign at once, without a pre-vote (3.10)."""
 
 
 class StaleGeneration(Message, frozen=True, tag="refused", kw_only=True):
-    """The receiver is of an older generation of the group and has no vote any more."""
+    """Tells the receiver that it belongs to an older generation of the group and no longer has a vote."""
 
     reason: Annotated[str, Meta(max_length=512)]
 
@@ -143,15 +146,15 @@
 )
 
 
-class _Head(Struct, frozen=True):
-    """The part of an envelope that every version has."""
+class _EnvelopeHeader(Struct, frozen=True):
+    """The envelope fields common to all versions."""
 
     v: Annotated[int, Meta(ge=1, le=65535)]
     cluster: Annotated[str, Meta(max_length=64)]
 
 
 class _Envelope(Struct, frozen=True):
-    """Version 1: cluster, sender, receiver and message."""
+    """The envelope of version 1: cluster, sender, receiver and message."""
 
     v: Annotated[int, Meta(ge=1, le=65535)]
     cluster: Annotated[str, Meta(max_length=64)]
@@ -161,53 +164,53 @@
 
 
 _encoder = msgspec.msgpack.Encoder()
-_head = msgspec.msgpack.Decoder(_Head)
-_envelope = msgspec.msgpack.Decoder(_Envelope)
-_names = msgspec.msgpack.Decoder(Names)
+_header_decoder = msgspec.msgpack.Decoder(_EnvelopeHeader)
+_envelope_decoder = msgspec.msgpack.Decoder(_Envelope)
+_voters_decoder = msgspec.msgpack.Decoder(Names)
 
 
 def encode(cluster: str, sender: str, receiver: str, message: RaftMessage) -> bytes:
-    """Return the bytes of one message, without a frame's length."""
+    """Return the encoded message, without the length prefix of a frame."""
     return _encoder.encode(_Envelope(PROTOCOL_VERSION, cluster, sender, receiver, message))
 
 
 def decode(data: bytes, cluster: str) -> tuple[str, str, RaftMessage]:
-    """Return sender, receiver and message.  Raises InvalidMessageError, whose `reason` is for a counter."""
+    """Return sender, receiver and message.  Raises InvalidMessageError with a `reason` for the counters."""
     if len(data) > MAX_MESSAGE_BYTES:
         raise InvalidMessageError(
-            f"a message of {len(data)} bytes, at most {MAX_MESSAGE_BYTES} are taken", "size"
+            f"message of {len(data)} bytes exceeds the limit of {MAX_MESSAGE_BYTES} bytes", "size"
         )
     try:
-        head = _head.decode(data)
+        header = _header_decoder.decode(data)
     except (msgspec.DecodeError, RecursionError) as error:
-        raise InvalidMessageError(f"a message that is none: {error}", "malformed") from None
-    if head.v != PROTOCOL_VERSION:
+        raise InvalidMessageError(f"message cannot be decoded: {error}", "malformed") from None
+    if header.v != PROTOCOL_VERSION:
         raise InvalidMessageError(
-            f"a message of version {head.v}, this process speaks {PROTOCOL_VERSION}", "version"
+            f"message version {header.v} is not supported; this process uses {PROTOCOL_VERSION}", "version"
         )
-    if head.cluster != cluster:
-        raise InvalidMessageError(f"a message of cluster {head.cluster!r}, this is {cluster!r}", "cluster")
+    if header.cluster != cluster:
+        raise InvalidMessageError(f"message is for cluster {header.cluster!r}, not {cluster!r}", "cluster")
     try:
-        envelope = _envelope.decode(data)
+        envelope = _envelope_decoder.decode(data)
     except (msgspec.DecodeError, RecursionError) as error:
-        raise InvalidMessageError(f"a message that is none: {error}", "malformed") from None
+        raise InvalidMessageError(f"message cannot be decoded: {error}", "malformed") from None
     return envelope.sender, envelope.to, envelope.body
 
 
 def encode_voters(voters: tuple[str, ...]) -> bytes:
-    """Return the data of a `seats` entry."""
+    """Return the encoded data of a `seats` entry."""
     return _encoder.encode(voters)
 
 
 def decode_voters(data: bytes) -> tuple[str, ...]:
     """Return the voters of a `seats` entry.
 
-    Raises InvalidMessageError if the data are none, or name one twice.
+    Raises InvalidMessageError if the data cannot be decoded, name no voter or name one twice.
     """
     try:
-        voters = _names.decode(data)
+        voters = _voters_decoder.decode(data)
     except msgspec.DecodeError as error:
-        raise InvalidMessageError(f"seats that are none: {error}", "malformed") from None
+        raise InvalidMessageError(f"voter list cannot be decoded: {error}", "malformed") from None
     if not voters or len(set(voters)) != len(voters):
-        raise InvalidMessageError(f"seats that are none, or one of them twice: {voters}", "malformed")
+        raise InvalidMessageError(f"voter list is empty or has duplicates: {voters}", "malformed")
     return voters
--- a/cressrock/consensus/raft/node.py
+++ b/cressrock/consensus/raft/node.py
@@ -1,15 +1,15 @@
-"""One replica's Raft, after Ongaro, *Consensus: Bridging Theory and Practice* (2014); pure.
-
-In the manner of etcd's raft library: time and messages are stepped in, a batch (`Ready`) is taken out, and
-the caller owes its order: persist, then send, then apply.  Chapters are of the dissertation: pre-vote 9.6,
-check-quorum and stickiness to a leader 6.2 and 4.2.3, voters changed one at a time 4.1 to 4.3 with the
-correction of 2015 (no change before an entry of the leader's own term is committed), snapshots in chunks 5,
-leadership transfer 3.10, read index 6.4, backtracking by the term in conflict (5.3 of Ongaro and Ousterhout,
-*In Search of an Understandable Consensus Algorithm*, 2014).
-
-Safety depends on no clock: what was voted, logged and committed is right however wrong times are, and a read
-is confirmed by a round of answers begun after it came.  Clocks decide only who campaigns when, and when a
-leader whose quorum is silent gives up by itself.
+"""The Raft state machine of one replica, after Ongaro, *Consensus: Bridging Theory and Practice* (2014).
+
+It performs no input or output.  As in etcd's raft library, the caller passes in time and messages and takes
+out batches (`Ready`), each of which it must persist, then send, then apply.  Chapter numbers refer to the
+dissertation: pre-vote 9.6, check-quorum and leader stickiness 6.2 and 4.2.3, single-server membership changes
+4.1 to 4.3 with the correction of 2015 (no change before an entry of the leader's own term is committed),
+chunked snapshots 5, leadership transfer 3.10, read index 6.4.  Backtracking by conflicting term is from 5.3
+of Ongaro and Ousterhout, *In Search of an Understandable Consensus Algorithm* (2014).
+
+Safety does not depend on clocks: votes, log and commits stay correct however wrong the clocks are, and a read
+is confirmed by a heartbeat round that began after the read was requested.  Clocks only decide when a replica
+campaigns, and when a leader that gets no answers from its quorum steps down.
 """
 
 from __future__ import annotations
@@ -22,7 +22,7 @@
 from cressrock.consensus.raft.elections import Election
 from cressrock.consensus.raft.follower import Follower
 from cressrock.consensus.raft.log import RaftLog
-from cressrock.consensus.raft.membership_change import add_voter, check_may_change, remove_voter
+from cressrock.consensus.raft.membership_change import add_voter, check_change_allowed, remove_voter
 from cressrock.consensus.raft.messages import (
     AppendEntries,
     AppendEntriesReply,
@@ -51,9 +51,9 @@
 
 
 class RaftNode:
-    """One replica: routes time and messages to its parts, and changes its role.
+    """One replica: passes time and messages to its components and makes its role changes.
 
-    `replication_type` is what the model checker replaces by one that is broken on purpose.
+    The model checker overrides `replication_type` with deliberately broken implementations.
     """
 
     __slots__ = ("replica", "replication", "_election", "_follower", "_batch_outstanding")
@@ -68,23 +68,26 @@
         random_source: random.Random,
         now_ms: float,
     ) -> None:
-        """`stored` is the store's content: `initial_state(voters)` for a new group, else `StoredState()`."""
+        """Start from `stored`, the content of the replica's store.
+
+        For an empty store it is `initial_state(voters)` in a new group, `StoredState()` in an existing one.
+        """
         self.replica = ReplicaState(name, stored, settings, random_source, now_ms)
         self.replication = self.replication_type(self.replica)
         self._election = Election(self.replica)
         self._follower = Follower(self.replica)
         self._batch_outstanding = False
 
-    # --- what may be read
+    # --- state of this replica
 
     @property
     def name(self) -> str:
-        """This replica's identity."""
+        """This replica's name within the group."""
         return self.replica.name
 
     @property
     def role(self) -> Role:
-        """What this replica is."""
+        """The current role; a follower that is not a voter is a learner."""
         replica = self.replica
         if replica.role is Role.FOLLOWER and replica.name not in replica.log.voters:
             return Role.LEARNER
@@ -92,32 +95,32 @@
 
     @property
     def term(self) -> int:
-        """The current term."""
+        """The latest term that this replica has seen."""
         return self.replica.term
 
     @property
     def voted_for(self) -> str:
-        """Who has this replica's vote in the current term; "" for nobody."""
+        """The candidate voted for in the current term; "" if none."""
         return self.replica.voted_for
 
     @property
     def generation(self) -> int:
-        """The group's generation, see `HardState`."""
+        """The generation of the group; see `HardState`."""
         return self.replica.generation
 
     @property
     def leader(self) -> str:
-        """Who leads the current term as far as this replica knows; "" if unknown."""
+        """The leader of the current term; "" if this replica does not know it."""
         return self.replica.leader
 
     @property
     def voters(self) -> tuple[str, ...]:
-        """The voters by the latest entry that names them, committed or not."""
+        """The voters according to the latest membership entry, committed or not."""
         return self.replica.log.voters
 
     @property
     def log(self) -> RaftLog:
-        """The entries after the snapshot; to be read only."""
+        """The entries after the snapshot; callers must not modify it."""
         return self.replica.log
 
     @property
@@ -127,45 +130,45 @@
 
     @property
     def commit(self) -> int:
-        """The newest index known as committed."""
+        """The highest index known to be committed."""
         return self.replica.commit
 
     @property
     def applied(self) -> int:
-        """The newest index handed out to be applied."""
+        """The highest index handed out in a batch to be applied."""
         return self.replica.applied
 
     @property
     def progress(self) -> dict[str, Progress]:
-        """What a leader knows of the others; to be read only."""
+        """The leader's replication progress by replica name; callers must not modify it."""
         return self.replication.progress
 
     @property
     def outbox(self) -> deque[tuple[str, RaftMessage]]:
-        """Messages that wait for the next batch; to be read only."""
+        """Receivers and messages queued for the next batch; callers must not modify it."""
         return self.replica.outbox
 
     @property
     def drop_counts(self) -> Counter[str]:
-        """What was dropped, by reason."""
+        """How many messages were dropped and leaderships lost, by reason."""
         return self.replica.drop_counts
 
     @property
     def excluded_reason(self) -> str:
-        """Why the group no longer knows this replica; "" while it does."""
+        """Why the group has excluded this replica; "" if it has not."""
         return self.replica.excluded_reason
 
     # --- time
 
     def next_deadline_ms(self) -> float:
-        """Return when `tick` is due next, in milliseconds."""
+        """Return the time of the next due `tick` in milliseconds; infinity if none is due."""
         replica = self.replica
         if replica.role is not Role.LEADER:
             return replica.deadline_ms if replica.may_campaign() else FOREVER
         return min(replica.deadline_ms, self.replication.lease_expires_at_ms())
 
     def tick(self, now_ms: float) -> None:
-        """Let time pass: campaign, send heartbeats, or give up the lead."""
+        """Advance the clock; if a deadline has passed, campaign, send heartbeats or step down."""
         replica = self.replica
         self._advance_clock(now_ms)
         if replica.now_ms < replica.deadline_ms:
@@ -175,94 +178,101 @@
         elif replica.may_campaign():
             self.campaign(replica.now_ms)
         else:
-            replica.draw_election_deadline()
+            replica.reset_election_deadline()
 
     def _advance_clock(self, now_ms: float) -> None:
-        """Pass time; a leader that was stopped beyond its lease leads no more, before all else."""
+        """Advance the clock; a leader whose lease has expired steps down before anything else happens."""
         replica = self.replica
         replica.advance_clock(now_ms)
         if replica.role is Role.LEADER and self.replication.lease_expires_at_ms() <= replica.now_ms:
             replica.drop_counts["quorum_lost"] += 1
             self._become_follower(replica.term, "")
 
-    # --- what a leader is asked
+    # --- requests to the leader
 
-    def _check_leads(self, now_ms: float) -> None:
+    def _check_is_leader(self, now_ms: float) -> None:
         self._advance_clock(now_ms)
         replica, target = self.replica, self.replication.transfer_target
         if replica.role is not Role.LEADER:
-            raise NotLeaderError(f"{replica.name} does not lead the council", replica.leader)
+            raise NotLeaderError(f"{replica.name} is not the leader of the consensus group", replica.leader)
         if target:
-            raise NotLeaderError(f"{replica.name} hands the lead to {target}", target)
+            raise NotLeaderError(f"{replica.name} is transferring leadership to {target}", target)
 
     def propose(self, now_ms: float, data: bytes) -> int:
-        """Append a command to the log and return its index; it may be lost until it comes out committed.
+        """Append a command to the log and return its index.
 
-        Raises NotLeaderError, also when this replica led but cannot know by its own clock that it still does,
-        and ConsensusBusyError.
+        The entry may still be lost until a batch returns it as committed.  Raises NotLeaderError, also if
+        this replica was the leader and its lease has expired by its own clock, and ConsensusBusyError if the
+        proposal or the uncommitted entries would be too large.
         """
-        self._check_leads(now_ms)
+        self._check_is_leader(now_ms)
         settings, uncommitted_bytes = self.replica.settings, self.replication.uncommitted_bytes
         if len(data) > settings.max_entry_bytes:
             raise ConsensusBusyError(
-                f"a proposal of {len(data)} bytes, at most {settings.max_entry_bytes} are taken"
+                f"proposal of {len(data)} bytes exceeds the limit of {settings.max_entry_bytes} bytes"
             )
         if uncommitted_bytes + len(data) > settings.max_uncommitted_bytes:
             raise ConsensusBusyError(
-                f"{uncommitted_bytes} bytes wait to be decided, {settings.max_uncommitted_bytes} may"
+                f"{uncommitted_bytes} bytes are uncommitted; the limit is {settings.max_uncommitted_bytes}"
             )
         return self.replication.append("command", data)
 
     def change_voters(self, now_ms: float, *, add: str = "", remove: str = "") -> int:
-        """Add or remove one voter and return the entry's index; exactly one of the two is named.
+        """Append an entry that adds or removes one voter and return its index; name exactly one of the two.
 
-        Raises NotLeaderError; MembershipChangeRefusedError while another change is under way, before an entry
-        of this term is committed (the correction of 2015), or as long as the one to add lacks more than
-        `max_learner_lag` entries: it is caught up from now on (4.2.1), and the caller asks again.
+        Raises NotLeaderError.  Raises MembershipChangeRefusedError while another change is uncommitted,
+        before an entry of this term is committed (the correction of 2015), or while the replica to add lacks
+        more than `max_learner_lag` entries: the first call starts replication to it as a learner (4.2.1), and
+        the caller retries.
         """
-        self._check_leads(now_ms)
+        self._check_is_leader(now_ms)
         if bool(add) == bool(remove):
-            raise MembershipChangeRefusedError("exactly one seat is put in or out at a time")
-        check_may_change(self.replication)
+            raise MembershipChangeRefusedError("a membership change must add or remove exactly one voter")
+        check_change_allowed(self.replication)
         return add_voter(self.replication, add) if add else remove_voter(self.replication, remove)
 
     def transfer_leadership(self, now_ms: float, target: str) -> None:
-        """Hand the lead to another voter: it gets all entries, then campaigns; no proposals meanwhile."""
-        self._check_leads(now_ms)
+        """Transfer leadership to another voter, which campaigns once it has all entries.
+
+        Proposals are refused until the transfer has ended.  Raises NotLeaderError, and
+        MembershipChangeRefusedError if `target` is not another voter.
+        """
+        self._check_is_leader(now_ms)
         if target == self.name or target not in self.voters:
-            raise MembershipChangeRefusedError(f"{target} is no other seat")
+            raise MembershipChangeRefusedError(f"cannot transfer leadership to {target}: not another voter")
         self.replication.start_transfer(target)
 
     def read_index(self, now_ms: float, token: ReadToken) -> None:
-        """Ask for a linearizable read; `Ready.confirmed_reads` has it when a quorum has confirmed this
-        leader.
+        """Request a linearizable read.
 
-        `Ready.lost_reads` has it if the lead is lost before.  Raises NotLeaderError, ConsensusBusyError.
+        `Ready.confirmed_reads` returns `token` once a quorum has confirmed this leader, `Ready.lost_reads` if
+        leadership is lost before that.  Raises NotLeaderError, and ConsensusBusyError if too many reads are
+        pending.
         """
-        self._check_leads(now_ms)
+        self._check_is_leader(now_ms)
         self.replication.request_read(token)
 
     def broadcast_heartbeat(self) -> None:
-        """Begin a heartbeat round now; only for a leader."""
+        """Start a heartbeat round now; only a leader may call this."""
         self.replication.broadcast_heartbeat()
 
     # --- batches
 
     def has_ready(self) -> bool:
-        """Whether `ready` would give anything."""
+        """Whether `ready` would return a non-empty batch."""
         return has_batch(self.replication)
 
     def ready(self) -> Ready:
-        """Take out a batch; only one is out at a time (ValueError)."""
+        """Take out the next batch; ValueError if `advance` was not called for the previous one."""
         if self._batch_outstanding:
-            raise ValueError("the batch before was not advanced")
+            raise ValueError("the previous batch was not advanced; call advance() before ready()")
         if self.replica.role is Role.LEADER:
-            self._complete_sending()
+            self._queue_pending_messages()
         self._batch_outstanding = True
         return take_batch(self.replication)
 
-    def _complete_sending(self) -> None:
-        """Put everything that a leader may say now into the outbox."""
+    def _queue_pending_messages(self) -> None:
+        """Queue every message that a leader may send now."""
         replication = self.replication
         if replication.round_requested:
             replication.broadcast_heartbeat()
@@ -272,30 +282,31 @@
         replication.send_pending()
 
     def advance(self, ready: Ready) -> None:
-        """`ready` was persisted, sent and applied."""
+        """Confirm that `ready` was persisted, sent and applied."""
         self._batch_outstanding = False
 
     def compact(self, index: int, data: bytes) -> None:
-        """Replace all entries up to `index` (applied) by the state machine's snapshot there.
+        """Replace the entries up to `index` with `data`, the state machine's snapshot at `index`.
 
-        Raises ConsensusBusyError if it is larger than other replicas would accept; the log stays as it is.
+        Raises ConsensusBusyError if the snapshot is larger than other replicas would accept, and ValueError
+        if `index` has not been applied; the log is unchanged in both cases.
         """
         replica, max_bytes = self.replica, self.replica.settings.max_snapshot_bytes
         if index <= replica.log.snapshot_index:
             return
         if len(data) > max_bytes:
-            raise ConsensusBusyError(f"a snapshot of {len(data)} bytes, {max_bytes} are taken in")
+            raise ConsensusBusyError(f"snapshot of {len(data)} bytes exceeds the limit of {max_bytes} bytes")
         term = replica.log.term_at(index)
         if term is None or index > replica.applied:
-            raise ValueError(f"entry {index} is not applied (up to {replica.applied})")
+            raise ValueError(f"cannot compact at entry {index}: applied only up to {replica.applied}")
         replica.snapshot = Snapshot(index, term, replica.log.voters_at(index), data)
         replica.log.start_after(replica.snapshot)
         replica.unpersisted_snapshot = replica.snapshot
 
-    # --- changes of role
+    # --- role changes
 
     def campaign(self, now_ms: float, *, transfer: bool = False) -> None:
-        """Campaign for the lead now, after a pre-vote unless the leader itself asked for it."""
+        """Start a campaign now, with a pre-vote unless the leader requested it (`transfer`)."""
         replica = self.replica
         replica.advance_clock(now_ms)
         if not replica.may_campaign() or replica.role is Role.LEADER:
@@ -328,12 +339,12 @@
         self.replication.stop()
         self._election.reset()
         if was_leader or leader:
-            replica.draw_election_deadline()
+            replica.reset_election_deadline()
 
     # --- messages
 
     def receive(self, now_ms: float, sender: str, message: RaftMessage) -> None:
-        """Take a message of another replica.  Raises LogDivergedError, upon which this one must stop."""
+        """Handle a message from another replica.  On LogDivergedError this replica must be stopped."""
         self._advance_clock(now_ms)
         replica = self.replica
         if sender == replica.name or not self._accept_generation(sender, message):
@@ -341,12 +352,12 @@
         if message.term > replica.term and not self._accept_newer_term(sender, message):
             return
         if message.term < replica.term and not isinstance(message, PreVote | PreVoteReply):
-            self._answer_older_term(sender, message)
+            self._reply_to_older_term(sender, message)
             return
         self._handle(sender, message)
 
     def _accept_generation(self, sender: str, message: RaftMessage) -> bool:
-        """Whether the message is of our generation; a replica without one adopts the first that it hears."""
+        """Whether the message has our generation; a replica without one adopts the first it receives."""
         replica = self.replica
         if message.generation == replica.generation and not isinstance(message, StaleGeneration):
             return True
@@ -357,21 +368,21 @@
         replica.drop_counts["generation"] += 1
         if message.generation > replica.generation:
             replica.excluded_reason = (
-                f"{sender} is of generation {message.generation} of the council, {replica.name} of"
-                f" {replica.generation}: the council was forced anew without this seat"
+                f"{sender} is in generation {message.generation} of the group, {replica.name} in"
+                f" {replica.generation}: the group was forcibly re-formed without this replica"
             )
             self._become_follower(replica.term, "")
         elif not isinstance(message, StaleGeneration):
-            reason = f"generation {message.generation} of the council is over, {replica.generation} holds"
+            reason = f"generation {message.generation} of the group was replaced by {replica.generation}"
             replica.send(
                 sender, StaleGeneration(generation=replica.generation, term=replica.term, reason=reason)
             )
         return False
 
     def _accept_newer_term(self, sender: str, message: RaftMessage) -> bool:
-        """Adopt a newer term; return whether the message is to be handled."""
+        """Adopt a newer term; return whether to handle the message."""
         if isinstance(message, PreVote):
-            return True  # asks what would be, and changes nobody's term
+            return True  # a pre-vote does not change the term
         if isinstance(message, RequestVote) and not message.transfer and self._leader_is_alive():
             self.drop_counts["sticky"] += 1
             return False
@@ -379,8 +390,8 @@
         self._become_follower(message.term, sender if is_from_leader else "")
         return True
 
-    def _answer_older_term(self, sender: str, message: RaftMessage) -> None:
-        """Tell an old leader or candidate of the newer term; an old answer says nothing."""
+    def _reply_to_older_term(self, sender: str, message: RaftMessage) -> None:
+        """Reply with the current term to an outdated leader or candidate; drop outdated replies."""
         replica = self.replica
         generation, term = replica.generation, replica.term
         if isinstance(message, AppendEntries | InstallSnapshot):
@@ -394,7 +405,7 @@
         must_step_down = False
         match message:
             case AppendEntries():
-                self._follow(sender)
+                self._follow_leader(sender)
                 self._follower.on_append(sender, message)
             case AppendEntriesReply():
                 must_step_down = self.replication.on_append_reply(sender, message)
@@ -409,7 +420,7 @@
                 if self.replica.role is Role.CANDIDATE:
                     self._count_vote(sender, message.granted)
             case InstallSnapshot():
-                self._follow(sender)
+                self._follow_leader(sender)
                 self._follower.on_snapshot(sender, message)
             case InstallSnapshotReply():
                 must_step_down = self.replication.on_snapshot_reply(sender, message)
@@ -419,20 +430,22 @@
         if must_step_down:
             self._become_follower(self.term, "")
 
-    def _follow(self, sender: str) -> None:
-        """Follow the leader of this term."""
+    def _follow_leader(self, sender: str) -> None:
+        """Accept `sender` as the leader of this term; LogDivergedError if another one is known."""
         replica = self.replica
         if replica.role is Role.LEADER or replica.leader not in ("", sender):
-            raise LogDivergedError(f"{sender} leads term {replica.term}, and so does {replica.leader}")
+            raise LogDivergedError(
+                f"{sender} acts as leader of term {replica.term}, whose leader is {replica.leader}"
+            )
         self._become_follower(replica.term, sender)
-        replica.leader_heard_at_ms = replica.now_ms
+        replica.last_leader_contact_ms = replica.now_ms
 
     def _leader_is_alive(self) -> bool:
-        """Whether a leader was heard so lately that nobody else is voted for (4.2.3)."""
+        """Whether contact with a leader is recent enough that votes for others are refused (4.2.3)."""
         replica, stickiness_ms = self.replica, self.replica.settings.effective_stickiness_ms
         if replica.role is Role.LEADER:
             return replica.now_ms < self.replication.quorum_acked_at_ms() + stickiness_ms
-        return bool(replica.leader) and replica.now_ms < replica.leader_heard_at_ms + stickiness_ms
+        return bool(replica.leader) and replica.now_ms < replica.last_leader_contact_ms + stickiness_ms
 
     def _count_vote(self, sender: str, granted: bool) -> None:
         if sender not in self.voters:
@@ -449,7 +462,7 @@
     # --- for the model checker
 
     def clone(self) -> Self:
-        """Return an independent node in the same state; the source of randomness is shared."""
+        """Return an independent copy; only the random number generator is shared."""
         other = self.__class__.__new__(self.__class__)
         other.replica = self.replica.clone()
         other.replication = self.replication.clone(other.replica)
@@ -459,5 +472,5 @@
         return other
 
     def key(self) -> tuple[object, ...]:
-        """Return all that decides what this node does when clocks decide nothing."""
+        """Return the state that determines this node's behavior, timing aside."""
         return (self.replica.key(), self._election.key(), self.replication.key(), self._follower.key())
--- a/cressrock/consensus/raft/persistent_state.py
+++ b/cressrock/consensus/raft/persistent_state.py
@@ -1,4 +1,4 @@
-"""What a replica keeps on disk, and the states with which a group of replicas begins."""
+"""The persistent state of a replica, and the initial states of a group."""
 
 from __future__ import annotations
 
@@ -9,11 +9,11 @@
 
 @dataclass(frozen=True, slots=True)
 class HardState:
-    """What a replica must not forget: its term, its vote in it ("" for none), the known commit index.
+    """The persistent term, the vote in it ("" for none), the known commit index and the generation.
 
-    `generation` numbers groups that an operator forced anew (`force_single_voter`); 0: none yet, a new
-    replica adopts that of the first leader it hears.  `commit` is kept lazily: losing it costs time, not
-    safety.
+    `generation` is 1 in a new group and grows by one each time an operator forces it to re-form
+    (`force_single_voter`); a replica with 0, as a new one has, adopts that of the first message it receives.
+    `commit` is only written along with other changes: losing it costs time, not safety.
     """
 
     term: int = 0
@@ -24,7 +24,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Snapshot:
-    """The state machine's data after the entry (`index`, `term`), and the voters at that point."""
+    """The state machine's data after applying the entry (`index`, `term`), and the voters at that point."""
 
     index: int
     term: int
@@ -34,7 +34,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StoredState:
-    """What a store gives back at the start: `entries` follow the snapshot without a gap."""
+    """The state that a replica loads from its store at start; `entries` follow the snapshot without a gap."""
 
     hard_state: HardState = HardState()
     snapshot: Snapshot | None = None
@@ -42,29 +42,28 @@
 
     @property
     def last_index(self) -> int:
-        """The index of the last entry, 0 if there is none."""
+        """The index of the last entry or of the snapshot; 0 if there is neither."""
         return (self.snapshot.index if self.snapshot else 0) + len(self.entries)
 
 
 def initial_state(voters: tuple[str, ...]) -> StoredState:
-    """Return what every replica of a new group begins with: the same first entry, which names all voters.
+    """Return the initial state of every replica of a new group: one entry that names all voters.
 
-    Only for a group that has never been; a replica that joins one begins with `StoredState()`.
+    Use it only for a group that has never existed; a replica that joins a group starts with `StoredState()`.
     """
     entry = LogEntry(1, 1, "seats", encode_voters(tuple(sorted(voters))))
     return StoredState(HardState(1, "", 1, 1), None, (entry,))
 
 
 def force_single_voter(stored: StoredState, name: str) -> StoredState:
-    """Return what makes a group of the one replica `name` out of its own store: recovery from a lost
-    majority.
-
-    What it may cost: entries that the lost majority had committed and this store does not have are gone,
-    though they were acknowledged; entries here that were never committed become so.  Log indexes may come a
-    second time with other content, so whatever is numbered by index must put the generation above it.
-    To be done at one replica only, the one whose last entry has the highest (term, index), with all others of
-    the old group stopped: replicas of the old generation that come back are refused, with the reason,
-    and join again as new replicas with empty stores.  Forced at two replicas, there are two groups.
+    """Return `stored` with `name` as the only voter, to recover from the loss of a majority.
+
+    Committed and acknowledged entries that only the lost replicas had are lost, and uncommitted entries in
+    this store become committed.  Log indexes may be reused with other content, so anything numbered by index
+    must be ordered by generation first.  Do this at one replica only, the one whose last entry has the
+    highest (term, index), with all others of the old group stopped: forcing two replicas creates two groups.
+    Replicas of the old generation that return are refused with a reason, and must rejoin as new replicas with
+    empty stores.
     """
     term = stored.hard_state.term + 1
     entry = LogEntry(term, stored.last_index + 1, "seats", encode_voters((name,)))
--- a/cressrock/consensus/raft/progress.py
+++ b/cressrock/consensus/raft/progress.py
@@ -1,4 +1,4 @@
-"""What a leader knows of each other replica's log, and the quorum over such values."""
+"""The leader's record of the progress of each other replica, and quorum values over such records."""
 
 from __future__ import annotations
 
@@ -13,10 +13,10 @@
 
 
 class ProgressState(Enum):
-    """How a leader sends to a replica.
+    """How a leader sends entries to a replica.
 
-    `PROBE`: one AppendEntries at a time until the logs are known to meet; `STREAM`: entries follow one
-    another without waiting; `SNAPSHOT`: the chunks of a snapshot, one at a time.
+    `PROBE`: one AppendEntries at a time until the point where the logs match is known; `STREAM`: entries are
+    pipelined without waiting for replies; `SNAPSHOT`: snapshot chunks, one at a time.
     """
 
     PROBE = "probe"
@@ -28,23 +28,23 @@
 class Progress:
     """A leader's view of one voter or learner."""
 
-    match_index: int = 0  # its log agrees with the leader's up to here
-    next_index: int = 1  # the next entry to send
+    match_index: int = 0  # last index known to match the leader's log
+    next_index: int = 1  # index of the next entry to send
     state: ProgressState = ProgressState.PROBE
-    probe_sent: bool = False  # PROBE: an AppendEntries is on its way
-    # STREAM: the last indexes of the AppendEntries on their way.
+    probe_sent: bool = False  # PROBE: an AppendEntries is in flight
+    # STREAM: the last index of each AppendEntries in flight.
     inflight_last_indexes: deque[int] = field(default_factory=deque)
-    sent_commit: int = 0  # the commit index that was sent last
-    acked_round: int = 0  # the latest heartbeat round it answered
-    acked_at_ms: float = NEVER  # when the latest round it answered was begun, on the leader's clock
+    sent_commit: int = 0  # the last commit index sent
+    acked_round: int = 0  # the latest heartbeat round acknowledged
+    acked_at_ms: float = NEVER  # start of the latest acknowledged round by the leader's clock
     tracked_since_ms: float = NEVER
-    snapshot: Snapshot | None = None  # SNAPSHOT: what is being sent
+    snapshot: Snapshot | None = None  # SNAPSHOT: the snapshot being sent
     snapshot_offset: int = 0
     chunk_sent_at_ms: float = NEVER
-    removal_index: int = 0  # the entry that removes it; it is dropped when it knows that this is committed
+    removal_index: int = 0  # index of the entry that removes it; tracked until it knows the commit
 
     def clone(self) -> Progress:
-        """Return an independent copy."""
+        """Return a copy that can be changed independently; the snapshot is shared."""
         return Progress(
             self.match_index, self.next_index, self.state, self.probe_sent, deque(self.inflight_last_indexes),
             self.sent_commit, self.acked_round, self.acked_at_ms, self.tracked_since_ms, self.snapshot,
@@ -52,7 +52,7 @@
         )  # fmt: skip
 
     def key(self) -> tuple[object, ...]:
-        """Return what matters of it when clocks do not, for the model checker's hash."""
+        """Return the state that determines its behavior, timing aside, for the model checker's hash."""
         snapshot_index = self.snapshot.index if self.snapshot else 0
         return (
             self.match_index, self.next_index, self.state, self.probe_sent, tuple(self.inflight_last_indexes),
@@ -60,18 +60,18 @@
         )  # fmt: skip
 
     def probe(self, next_index: int) -> None:
-        """Go back to one message at a time, from `next_index`."""
+        """Switch to PROBE at `next_index`: one message at a time."""
         self.state, self.next_index = ProgressState.PROBE, next_index
         self.probe_sent, self.snapshot = False, None
         self.inflight_last_indexes.clear()
 
     def send_snapshot(self, snapshot: Snapshot | None) -> None:
-        """Go over to sending a snapshot from its beginning."""
+        """Switch to SNAPSHOT: send `snapshot` from its first byte."""
         self.state, self.snapshot, self.snapshot_offset = ProgressState.SNAPSHOT, snapshot, 0
         self.inflight_last_indexes.clear()
 
     def record_match(self, index: int) -> bool:
-        """Record that its log agrees up to `index`; return whether that was not known before."""
+        """Record that the log matches up to `index`; return whether this is new information."""
         is_new = index > self.match_index
         if is_new:
             self.match_index = index
@@ -81,7 +81,7 @@
         return is_new
 
     def may_send_entries(self, last_index: int, max_inflight: int) -> bool:
-        """Whether a streaming replica lacks entries of a log up to `last_index` and may be sent more now."""
+        """Whether it is in STREAM, lacks entries up to `last_index` and may have more in flight."""
         return (
             self.state is ProgressState.STREAM
             and self.next_index <= last_index
@@ -90,6 +90,6 @@
 
 
 def quorum_value(values: Iterable[float]) -> float:
-    """Return the largest value that more than half of `values` reach."""
+    """Return the largest value that more than half of `values` are at or above."""
     ordered = sorted(values, reverse=True)
     return ordered[len(ordered) // 2]
--- a/cressrock/consensus/raft/ready.py
+++ b/cressrock/consensus/raft/ready.py
@@ -1,4 +1,4 @@
-"""What a replica hands to its caller: a batch to persist, send and apply in that order."""
+"""The batch that a replica returns to its caller to persist, send and apply, in that order."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ConfirmedRead:
-    """A confirmed read: whoever has applied everything up to `index` may answer it."""
+    """A confirmed read: it may be answered from a state with all entries up to `index` applied."""
 
     token: ReadToken
     index: int
@@ -20,15 +20,15 @@
 
 @dataclass(frozen=True, slots=True)
 class Ready:
-    """A batch of what a caller owes, in this order.
-
-    1. Persist, in one transaction: `hard_state`; `snapshot` (and drop entries up to its index); drop entries
-       from `truncate_from` on; append `entries`.  If that fails the node is to be thrown away, with the
-       batch, and made anew from what the store has: nothing of the batch was sent.
-    2. Send `messages`.  Losing, repeating or reordering them is allowed.
-    3. If `restore_snapshot`: replace the state machine by `snapshot`.  Apply `committed`, answer
-       `confirmed_reads`, tell those who asked for `lost_reads` to ask again.
-    4. `RaftNode.advance(ready)`.
+    """A batch that the caller must process in this order.
+
+    1. Persist, in one transaction: `hard_state`; `snapshot` (and delete entries up to its index); delete
+       entries from `truncate_from` on; append `entries`.  If this fails, discard the node and the batch and
+       create a new node from the store: nothing of the batch has been sent.
+    2. Send `messages`.  They may be lost, duplicated or reordered.
+    3. If `restore_snapshot` is set, replace the state machine by `snapshot`.  Apply `committed`, answer
+       `confirmed_reads`, and have the requesters of `lost_reads` retry.
+    4. Call `RaftNode.advance(ready)`.
     """
 
     hard_state: HardState | None = None
@@ -43,5 +43,5 @@
 
     @property
     def must_persist(self) -> bool:
-        """Whether anything is to be written."""
+        """Whether step 1 has anything to write."""
         return bool(self.hard_state or self.snapshot or self.entries or self.truncate_from is not None)
--- a/cressrock/consensus/raft/replication.py
+++ b/cressrock/consensus/raft/replication.py
@@ -1,4 +1,4 @@
-"""The leader's side: replication, heartbeat rounds, commit by counting, read index, transfer."""
+"""The leader's work: replication, heartbeat rounds, commit index, read index and leadership transfer."""
 
 from __future__ import annotations
 
@@ -18,33 +18,33 @@
 from cressrock.consensus.raft.state import ReplicaState, Role
 from cressrock.errors.consensus import ConsensusBusyError, MembershipChangeRefusedError
 
-MAX_ROUNDS = 1024  # heartbeat rounds whose beginning is remembered
+MAX_TRACKED_ROUNDS = 1024  # heartbeat rounds whose start times are kept
 
 
 class Replication:
-    """What a leader keeps and does; idle in every other role."""
+    """The state and work of a leader; idle in every other role."""
 
     __slots__ = (
-        "replica", "progress", "round", "rounds", "round_requested", "transfer_target",
+        "replica", "progress", "round", "round_starts", "round_requested", "transfer_target",
         "transfer_deadline_ms",
         "first_index_of_term", "uncommitted_bytes", "pending_reads", "lost_reads",
     )  # fmt: skip
 
     def __init__(self, replica: ReplicaState) -> None:
-        """Begin idle."""
+        """Start idle, with no progress tracked."""
         self.replica = replica
         self.progress: dict[str, Progress] = {}
         self.round = 0
-        self.rounds: deque[tuple[int, float]] = deque()  # number of a round, when it was begun
+        self.round_starts: deque[tuple[int, float]] = deque()  # round number and start time in ms
         self.round_requested = False
         self.transfer_target, self.transfer_deadline_ms = "", NEVER
         self.first_index_of_term = 0
         self.uncommitted_bytes = 0
-        self.pending_reads: deque[tuple[ReadToken, int, int]] = deque()  # token, index, round it waits for
+        self.pending_reads: deque[tuple[ReadToken, int, int]] = deque()  # token, read index, required round
         self.lost_reads: list[ReadToken] = []
 
-    def start(self, voted_for_us: set[str], campaign_started_at_ms: float) -> None:
-        """Take up the lead: an empty entry of the new term and a heartbeat to all."""
+    def start(self, granting_voters: set[str], campaign_started_at_ms: float) -> None:
+        """Start leading: append an empty entry of the new term and send a heartbeat to every voter."""
         replica = self.replica
         self.progress = {}
         self.round = 0
@@ -52,7 +52,7 @@
             if voter != replica.name:
                 self.progress[voter] = Progress(
                     next_index=replica.log.last_index + 1,
-                    acked_at_ms=campaign_started_at_ms if voter in voted_for_us else NEVER,
+                    acked_at_ms=campaign_started_at_ms if voter in granting_voters else NEVER,
                     tracked_since_ms=replica.now_ms,
                 )
         uncommitted = replica.log.entries_between(replica.commit + 1, replica.log.last_index)
@@ -61,9 +61,9 @@
         self.broadcast_heartbeat()
 
     def stop(self) -> None:
-        """Give up the lead: reads that were not confirmed are lost."""
+        """Stop leading; unconfirmed reads become lost reads."""
         self.progress, self.transfer_target = {}, ""
-        self.rounds.clear()
+        self.round_starts.clear()
         self.round_requested = False
         self.lost_reads += [token for token, _, _ in self.pending_reads]
         self.pending_reads.clear()
@@ -71,7 +71,7 @@
     # --- the quorum
 
     def quorum_acked_at_ms(self) -> float:
-        """Return when the latest round was begun that a quorum has answered."""
+        """Return the start time in ms of the latest round that a quorum has acknowledged."""
         replica = self.replica
         name, now_ms, progress = replica.name, replica.now_ms, self.progress
         return quorum_value(
@@ -79,17 +79,17 @@
         )
 
     def lease_expires_at_ms(self) -> float:
-        """Return until when this leader may lead by what its quorum answered, counted from when it asked."""
+        """Return when the lease expires, in ms; it runs from the start of the last acknowledged round."""
         return self.quorum_acked_at_ms() + self.replica.settings.effective_lease_ms
 
     def _record_ack(self, sender: str, acked_round: int) -> Progress | None:
-        """Record that a replica answered a round of ours: it heard us after that round began."""
+        """Record that `sender` acknowledged a round; return its progress, None if the reply is unusable."""
         peer = self.progress.get(sender)
         if self.replica.role is not Role.LEADER or peer is None or acked_round > self.round:
             return None
         if acked_round > peer.acked_round:
             peer.acked_round = acked_round
-            for number, started_at_ms in self.rounds:
+            for number, started_at_ms in self.round_starts:
                 if number == acked_round:
                     peer.acked_at_ms = max(peer.acked_at_ms, started_at_ms)
                     break
@@ -98,7 +98,7 @@
     # --- the log
 
     def append(self, kind: EntryKind, data: bytes) -> int:
-        """Append an entry of the leader's term and return its index."""
+        """Append an entry in the current term and return its index."""
         replica = self.replica
         entry = LogEntry(replica.term, replica.log.last_index + 1, kind, data)
         replica.log.append(entry)
@@ -112,15 +112,18 @@
         return entry.index
 
     def has_committed_in_own_term(self) -> bool:
-        """Whether an entry of the leader's own term is committed."""
+        """Whether the commit index points to an entry of the leader's own term."""
         return self.replica.log.term_at(self.replica.commit) == self.replica.term
 
     def may_commit(self, index: int) -> bool:
-        """Whether an entry may be committed by counting: only one of the leader's own term (3.6.2)."""
+        """Whether counting replicas may commit `index`: only if it is of the leader's own term (3.6.2)."""
         return self.replica.log.term_at(index) == self.replica.term
 
     def advance_commit(self) -> bool:
-        """Commit what a majority has.  Return whether that removes this leader, which must step down then."""
+        """Advance the commit index to what a majority has.
+
+        Returns whether this removed the leader from the voters; it must then step down.
+        """
         replica = self.replica
         name, last_index, progress = replica.name, replica.log.last_index, self.progress
         matches = [
@@ -134,7 +137,7 @@
         replica.commit = index
         if replica.name in replica.log.voters or replica.log.voters_index > replica.commit:
             return False
-        # The others must hear that it is committed; the most complete one campaigns at once.
+        # Send the commit index to the others, then have the voter with the highest match campaign at once.
         self.send_pending()
         successor = max(replica.log.voters, key=lambda voter: (self.progress[voter].match_index, voter))
         replica.send(successor, TimeoutNow(generation=replica.generation, term=replica.term))
@@ -143,37 +146,40 @@
     # --- learners and transfer
 
     def track_learner(self, name: str) -> Progress:
-        """Replicate to a replica that is to become a voter, from now on (4.2.1)."""
+        """Start replicating to a replica that is to become a voter (4.2.1), if not done yet.
+
+        Raises MembershipChangeRefusedError if there are `max_learners` already.
+        """
         replica = self.replica
         if name not in self.progress:
             learners = len(self.progress) - len(replica.log.voters) + 1
             if learners >= replica.settings.max_learners:
                 raise MembershipChangeRefusedError(
-                    f"{replica.settings.max_learners} new replicas are being caught up already"
+                    f"already catching up {replica.settings.max_learners} learners, the limit; retry later"
                 )
             self.progress[name] = Progress(
                 next_index=replica.log.last_index + 1, tracked_since_ms=replica.now_ms
             )
         return self.progress[name]
 
-    def _is_done_with(self, name: str, peer: Progress) -> bool:
-        """Whether a replica that is no voter needs nothing more: it knows of its removal, or is silent."""
+    def _should_stop_tracking(self, name: str, peer: Progress) -> bool:
+        """Whether to stop replicating to a non-voter: it knows of its removal, or has timed out."""
         if name in self.replica.log.voters:
             return False
         settings = self.replica.settings
         timeout_ms = settings.learner_timeout_elections * settings.election_ms
         knows_of_removal = 0 < peer.removal_index <= min(peer.match_index, peer.sent_commit)
-        heard_at_ms = max(peer.acked_at_ms, peer.tracked_since_ms)
-        return knows_of_removal or heard_at_ms + timeout_ms < self.replica.now_ms
+        last_contact_ms = max(peer.acked_at_ms, peer.tracked_since_ms)
+        return knows_of_removal or last_contact_ms + timeout_ms < self.replica.now_ms
 
     def start_transfer(self, target: str) -> None:
-        """Hand the lead to `target` once it has all entries."""
+        """Transfer leadership to `target` once it has all entries; gives up after `election_ms`."""
         replica = self.replica
         self.transfer_target = target
         self.transfer_deadline_ms = replica.now_ms + replica.settings.election_ms
-        self._try_transfer()
+        self._continue_transfer()
 
-    def _try_transfer(self) -> None:
+    def _continue_transfer(self) -> None:
         replica = self.replica
         peer = self.progress.get(self.transfer_target)
         if peer is not None and peer.match_index == replica.log.last_index:
@@ -182,28 +188,31 @@
     # --- reads
 
     def request_read(self, token: ReadToken) -> None:
-        """Have a read confirmed by a round that begins after now (6.4).  Raises ConsensusBusyError."""
+        """Queue a read to be confirmed by a round that starts from now on (6.4).
+
+        Raises ConsensusBusyError if `max_pending_reads` are queued.
+        """
         if len(self.pending_reads) >= self.replica.settings.max_pending_reads:
-            raise ConsensusBusyError(f"{len(self.pending_reads)} reads wait")
-        # All that earlier leaders committed lies below our own first entry, even if we do not know it yet.
+            raise ConsensusBusyError(f"{len(self.pending_reads)} reads are pending, the limit; retry later")
+        # Everything earlier leaders committed precedes our first entry, even if our commit index is behind.
         index = max(self.replica.commit, self.first_index_of_term)
         self.pending_reads.append((token, index, self.round + 1))
         self.round_requested = True
 
     def is_read_confirmed(self) -> bool:
-        """Whether the oldest read has its round, and what it may show is applied."""
+        """Whether a quorum acknowledged the oldest read's round and its read index is applied."""
         replica = self.replica
         if not self.pending_reads or replica.role is not Role.LEADER:
             return False
-        _, index, awaited_round = self.pending_reads[0]
-        rounds = [
+        _, index, required_round = self.pending_reads[0]
+        acked_rounds = [
             self.round if voter == replica.name else self.progress[voter].acked_round
             for voter in replica.log.voters
         ]
-        return awaited_round <= quorum_value(rounds) and index <= replica.applied
+        return required_round <= quorum_value(acked_rounds) and index <= replica.applied
 
     def pop_confirmed_reads(self) -> tuple[ConfirmedRead, ...]:
-        """Return the reads that may be answered now."""
+        """Remove and return the reads that may be answered now."""
         confirmed = []
         while self.is_read_confirmed():
             token, index, _ = self.pending_reads.popleft()
@@ -211,22 +220,26 @@
         return tuple(confirmed)
 
     def pop_lost_reads(self) -> tuple[ReadToken, ...]:
-        """Return the reads that were lost with the lead."""
+        """Remove and return the reads that were pending when leadership was lost."""
         lost, self.lost_reads = tuple(self.lost_reads), []
         return lost
 
     # --- sending
 
     def broadcast_heartbeat(self) -> None:
-        """Begin a round: an AppendEntries or a snapshot's chunk to everyone, whatever is on its way."""
+        """Start a round: send each tracked replica an AppendEntries, or a snapshot chunk if one is due.
+
+        A replica at the in-flight limit gets an AppendEntries without entries.  Replicas that need no more
+        replication are no longer tracked.
+        """
         replica = self.replica
         self._begin_round()
         replica.deadline_ms = replica.now_ms + replica.settings.heartbeat_ms
         if self.transfer_target and replica.now_ms >= self.transfer_deadline_ms:
             self.transfer_target = ""
-        self._try_transfer()
+        self._continue_transfer()
         for name, peer in list(self.progress.items()):
-            if self._is_done_with(name, peer):
+            if self._should_stop_tracking(name, peer):
                 del self.progress[name]
                 continue
             peer.probe_sent = False
@@ -241,15 +254,15 @@
         replica = self.replica
         self.round_requested = False
         self.round += 1
-        self.rounds.append((self.round, replica.now_ms))
-        # An answer to a round older than the lease renews nothing.
-        while self.rounds[0][1] + 2 * replica.settings.effective_lease_ms < replica.now_ms:
-            self.rounds.popleft()
-        while len(self.rounds) > MAX_ROUNDS:
-            self.rounds.popleft()
+        self.round_starts.append((self.round, replica.now_ms))
+        # Acknowledging a round older than the lease does not renew it.
+        while self.round_starts[0][1] + 2 * replica.settings.effective_lease_ms < replica.now_ms:
+            self.round_starts.popleft()
+        while len(self.round_starts) > MAX_TRACKED_ROUNDS:
+            self.round_starts.popleft()
 
     def has_pending(self) -> bool:
-        """Whether `send_pending` would send anything."""
+        """Whether `send_pending` would send at least one message."""
         replica = self.replica
         last_index, max_inflight = replica.log.last_index, replica.settings.max_inflight_appends
         for peer in self.progress.values():
@@ -261,7 +274,7 @@
         return False
 
     def send_pending(self) -> None:
-        """Send what every replica may be sent now."""
+        """Queue the entries and commit indexes that may be sent to each replica now."""
         replica = self.replica
         last_index, max_inflight = replica.log.last_index, replica.settings.max_inflight_appends
         for name, peer in self.progress.items():
@@ -299,7 +312,9 @@
     def _send_chunk(self, name: str, peer: Progress) -> None:
         replica, snapshot = self.replica, peer.snapshot
         if snapshot is None:
-            raise ValueError(f"{name} needs entries before {replica.log.snapshot_index}, without a snapshot")
+            raise ValueError(
+                f"{name} needs entries before {replica.log.snapshot_index}, but there is no snapshot to send"
+            )
         offset = peer.snapshot_offset
         peer.chunk_sent_at_ms = replica.now_ms
         replica.send(name, InstallSnapshot(
@@ -308,10 +323,10 @@
             data=snapshot.data[offset : offset + replica.settings.snapshot_chunk_bytes], round=self.round,
         ))  # fmt: skip
 
-    # --- answers
+    # --- replies
 
     def on_append_reply(self, sender: str, message: AppendEntriesReply) -> bool:
-        """Take in an answer; return whether this leader must step down, see `advance_commit`."""
+        """Handle a reply; return whether this leader must step down (see `advance_commit`)."""
         peer = self._record_ack(sender, message.round)
         if peer is None:
             return False
@@ -333,13 +348,13 @@
             return False
         if self.advance_commit():
             return True
-        self._try_transfer()
+        self._continue_transfer()
         return False
 
     def _on_conflict(self, peer: Progress, message: AppendEntriesReply) -> None:
-        """Go back to where the logs can meet, by the term in conflict (5.3)."""
+        """Move the next index back to where the logs may agree, by the conflicting term (5.3)."""
         if peer.state is ProgressState.SNAPSHOT or message.previous_index <= peer.match_index:
-            return  # answers an earlier message: it has reported since to have what it lacked then
+            return  # reply to an earlier message; the replica has since reported having these entries
         if peer.state is ProgressState.PROBE and message.previous_index != peer.next_index - 1:
             return
         next_index = message.conflict_index
@@ -351,7 +366,7 @@
         peer.probe(max(peer.match_index + 1, min(next_index, message.previous_index)))
 
     def on_snapshot_reply(self, sender: str, message: InstallSnapshotReply) -> bool:
-        """Take in an answer; return whether this leader must step down, see `advance_commit`."""
+        """Handle a reply; return whether this leader must step down (see `advance_commit`)."""
         peer = self._record_ack(sender, message.round)
         if peer is None or peer.snapshot is None or peer.snapshot.index != message.index:
             return False
@@ -363,23 +378,23 @@
             peer.snapshot_offset = message.offset
             self._send_chunk(sender, peer)
         else:
-            # It began anew; the next round sends from there.
+            # The receiver restarted the transfer; the next round resumes at its offset.
             peer.snapshot_offset = min(peer.snapshot_offset, message.offset)
         return False
 
     def clone(self, replica: ReplicaState) -> Replication:
-        """Return an independent copy over a copied state."""
+        """Return an independent copy that uses `replica`, a copy of the state."""
         other = self.__class__.__new__(self.__class__)
         for name in Replication.__slots__:
             setattr(other, name, getattr(self, name))
         other.replica = replica
         other.progress = {name: peer.clone() for name, peer in self.progress.items()}
-        other.rounds, other.pending_reads = deque(self.rounds), deque(self.pending_reads)
+        other.round_starts, other.pending_reads = deque(self.round_starts), deque(self.pending_reads)
         other.lost_reads = self.lost_reads[:]
         return other
 
     def key(self) -> tuple[object, ...]:
-        """Return what decides its behaviour when clocks do not, for the model checker's hash."""
+        """Return the state that determines its behavior, timing aside, for the model checker's hash."""
         return (
             tuple((name, peer.key()) for name, peer in sorted(self.progress.items())), self.round,
             self.first_index_of_term, self.transfer_target, tuple(self.pending_reads),
--- a/cressrock/consensus/raft/state.py
+++ b/cressrock/consensus/raft/state.py
@@ -1,4 +1,4 @@
-"""The state that every replica has in every role: term, vote, log, clock, outbox, what is not yet stored."""
+"""The state of a replica in every role: term, vote, log, clock, outbox and unpersisted changes."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class Role(Enum):
-    """What a replica is at the moment; a learner has no vote and never campaigns."""
+    """The current role of a replica; a learner has no vote and never campaigns."""
 
     LEARNER = "learner"
     FOLLOWER = "follower"
@@ -26,15 +26,15 @@
 
 
 class ReplicaState:
-    """State that elections, replication and the follower's side share.
+    """The state shared by elections, replication and follower handling.
 
-    `role` is FOLLOWER for a learner too.  `drop_counts` counts what was dropped by reason; `excluded_reason`
-    says why the group no longer knows this replica.
+    `role` is FOLLOWER for a learner too.  `drop_counts` counts dropped messages and lost leaderships by
+    reason; `excluded_reason` says why the group has excluded this replica.
     """
 
     __slots__ = (
         "name", "settings", "random_source", "now_ms", "generation", "term", "voted_for", "commit", "log",
-        "snapshot", "role", "leader", "leader_heard_at_ms", "deadline_ms", "outbox", "applied",
+        "snapshot", "role", "leader", "last_leader_contact_ms", "deadline_ms", "outbox", "applied",
         "persisted_hard_state", "stable_index", "truncated_from", "unpersisted_snapshot", "restore_pending",
         "excluded_reason", "drop_counts",
     )  # fmt: skip
@@ -47,7 +47,7 @@
         random_source: random.Random,
         now_ms: float,
     ) -> None:
-        """Begin as a follower with what the store has."""
+        """Start as a follower with the state loaded from the store."""
         self.name, self.settings, self.random_source, self.now_ms = name, settings, random_source, now_ms
         hard_state = stored.hard_state
         self.generation, self.term = hard_state.generation, hard_state.term
@@ -55,46 +55,46 @@
         self.snapshot = stored.snapshot
         self.log = RaftLog(stored.snapshot, stored.entries)
         self.commit = max(self.log.snapshot_index, min(hard_state.commit, self.log.last_index))
-        self.applied = self.log.snapshot_index  # handed out to the state machine
+        self.applied = self.log.snapshot_index  # last entry handed out to the state machine
         self.persisted_hard_state = hard_state
-        self.stable_index = self.log.last_index  # handed out to the store
+        self.stable_index = self.log.last_index  # last entry handed out to the store
         self.truncated_from: int | None = None
         self.unpersisted_snapshot: Snapshot | None = None
         self.restore_pending = False
         self.role = Role.FOLLOWER
         self.leader = ""
-        self.leader_heard_at_ms = NEVER
+        self.last_leader_contact_ms = NEVER
         self.deadline_ms = FOREVER
         self.outbox: deque[tuple[str, RaftMessage]] = deque()
         self.excluded_reason = ""
         self.drop_counts: Counter[str] = Counter()
-        self.draw_election_deadline()
+        self.reset_election_deadline()
 
     def advance_clock(self, now_ms: float) -> None:
-        """Take over a newer time; time never goes back here."""
+        """Set the current time; earlier times are ignored."""
         self.now_ms = max(self.now_ms, now_ms)
 
-    def draw_election_deadline(self) -> None:
-        """Set the next deadline at random in one to two election times from now."""
+    def reset_election_deadline(self) -> None:
+        """Set the election deadline to a random one to two `election_ms` from now."""
         self.deadline_ms = self.now_ms + self.settings.election_ms * (1.0 + self.random_source.random())
 
     def may_campaign(self) -> bool:
-        """Whether this replica is a voter that the group still knows."""
+        """Whether this replica is a voter and has not been excluded from the group."""
         return self.name in self.log.voters and not self.excluded_reason
 
     def send(self, receiver: str, message: RaftMessage) -> None:
-        """Queue a message; a full outbox loses its oldest one."""
+        """Queue a message; a full outbox drops its oldest message."""
         if len(self.outbox) >= self.settings.max_outbox_messages:
             self.drop_counts["outbox_full"] += 1
             self.outbox.popleft()
         self.outbox.append((receiver, message))
 
     def hard_state(self) -> HardState:
-        """Return term, vote, commit and generation as they are to be persisted."""
+        """Return the current term, vote, commit index and generation, to be persisted."""
         return HardState(self.term, self.voted_for, self.commit, self.generation)
 
     def hard_state_changed(self) -> bool:
-        """Whether term, vote or generation changed; a commit alone is kept with whatever is written next."""
+        """Whether term, vote or generation changed; the commit index is only written with other changes."""
         persisted = self.persisted_hard_state
         return (
             self.term != persisted.term
@@ -103,7 +103,7 @@
         )
 
     def must_persist(self) -> bool:
-        """Whether anything has changed that the store does not have."""
+        """Whether there are changes that have not been handed out to the store."""
         return bool(
             self.unpersisted_snapshot
             or self.truncated_from is not None
@@ -112,11 +112,11 @@
         )
 
     def record_truncation(self, start: int) -> None:
-        """Have the store drop its entries from `start` on."""
+        """Make the next batch delete the store's entries from `start` on."""
         self.truncated_from = start if self.truncated_from is None else min(self.truncated_from, start)
 
     def clone(self) -> ReplicaState:
-        """Return an independent copy; the source of randomness is shared."""
+        """Return an independent copy; only the random number generator is shared."""
         other = ReplicaState.__new__(ReplicaState)
         for name in ReplicaState.__slots__:
             setattr(other, name, getattr(self, name))
@@ -125,7 +125,7 @@
         return other
 
     def key(self) -> tuple[object, ...]:
-        """Return all that decides its behaviour when clocks do not, for the model checker's hash."""
+        """Return the state that determines its behavior, timing aside, for the model checker's hash."""
         return (
             self.generation, self.term, self.voted_for, self.commit, self.applied, self.snapshot,
             tuple(self.log.entries), self.role, self.leader, self.excluded_reason, self.stable_index,
--- a/tests/consensus/test_raft.py
+++ b/tests/consensus/test_raft.py
@@ -181,7 +181,7 @@
     cluster = Cluster("a", "b", "c")
     leader = cluster.lead("a")
     cluster.start("d", StoredState())
-    with pytest.raises(MembershipChangeRefusedError, match="taught"):
+    with pytest.raises(MembershipChangeRefusedError, match="catching up"):
         leader.change_voters(cluster.now, add="d")
     assert cluster.nodes["d"].role is Role.LEARNER and cluster.nodes["d"].next_deadline_ms() == float("inf")
     cluster.run(50)
