--- a/tests/consensus/raft_cluster.py
+++ b/tests/consensus/raft_cluster.py
@@ -1,4 +1,4 @@
-"""A cluster of Raft nodes in one process, driven by hand."""
+"""A cluster of Raft nodes in one process with simulated time and in-memory stores, driven by the test."""
 
 import random
 
@@ -11,15 +11,15 @@
 
 
 class Cluster:
-    """Nodes whose batches are persisted, sent and applied at once, in order, unless a link is cut."""
+    """Nodes whose batches are persisted, sent and applied at once; messages on cut links are lost."""
 
-    def __init__(self, *names, timing=None, stored=None):
-        self.timing = timing or RaftSettings(election_ms=100, heartbeat_ms=10)
-        self.now = 0.0
+    def __init__(self, *names, settings=None, stored=None):
+        self.settings = settings or RaftSettings(election_ms=100, heartbeat_ms=10)
+        self.now_ms = 0.0
         self.stores = {
             name: InMemoryReplicaStore((stored or {}).get(name) or initial_state(names)) for name in names
         }
-        self.cut_links = set()  # of (sender, receiver)
+        self.cut_links = set()  # (sender, receiver)
         self.in_flight = []  # (sender, receiver, message)
         self.sent = []
         self.applied = {}
@@ -32,7 +32,7 @@
         if stored is not None:
             self.stores[name] = InMemoryReplicaStore(stored)
         stored = self.stores[name].load()
-        self.nodes[name] = RaftNode(name, stored, self.timing, random.Random(name), self.now)
+        self.nodes[name] = RaftNode(name, stored, self.settings, random.Random(name), self.now_ms)
         self.applied[name] = [stored.snapshot.data] if stored.snapshot else []
 
     def stop(self, name):
@@ -41,8 +41,8 @@
     def isolate(self, name):
         self.cut_links |= {(name, other) for other in self.stores} | {(other, name) for other in self.stores}
 
-    def settle(self, max_rounds=20000):
-        for _ in range(max_rounds):
+    def run_until_idle(self, max_messages=20000):
+        for _ in range(max_messages):
             for name, node in sorted(self.nodes.items()):
                 while node.has_ready():
                     ready = node.ready()
@@ -61,28 +61,28 @@
             if to in self.nodes and (sender, to) not in self.cut_links:
                 data = messages.encode("c", sender, to, message)
                 assert messages.decode(data, "c") == (sender, to, message)
-                self.nodes[to].receive(self.now, sender, message)
-        raise AssertionError("the nodes never stop sending")
+                self.nodes[to].receive(self.now_ms, sender, message)
+        raise AssertionError("nodes are still sending messages at the limit; they may never become idle")
 
-    def run(self, ms):
-        end = self.now + ms
-        self.settle()
+    def run_for(self, duration_ms):
+        end_ms = self.now_ms + duration_ms
+        self.run_until_idle()
         while True:
-            due = min((node.next_deadline_ms() for node in self.nodes.values()), default=end)
-            if due > end:
+            deadline_ms = min((node.next_deadline_ms() for node in self.nodes.values()), default=end_ms)
+            if deadline_ms > end_ms:
                 break
-            self.now = max(self.now, due)
+            self.now_ms = max(self.now_ms, deadline_ms)
             for _, node in sorted(self.nodes.items()):
-                node.tick(self.now)
-            self.settle()
-        self.now = end
+                node.tick(self.now_ms)
+            self.run_until_idle()
+        self.now_ms = end_ms
 
-    def lead(self, name):
-        self.run(250)
+    def make_leader(self, name):
+        self.run_for(250)
         leader = self.leader()
         if leader.name != name:
-            leader.transfer_leadership(self.now, name)
-            self.settle()
+            leader.transfer_leadership(self.now_ms, name)
+            self.run_until_idle()
         assert self.leader().name == name
         return self.leader()
 
--- a/tests/consensus/test_model_checker.py
+++ b/tests/consensus/test_model_checker.py
@@ -1,4 +1,4 @@
-"""The explorer sees all states within its bounds, finds what is broken on purpose, and nothing else."""
+"""The model checker covers all states within its bounds and finds only deliberately broken variants."""
 
 from dataclasses import replace
 
@@ -10,42 +10,44 @@
 from cressrock.lab.explored import BROKEN, QUICK
 from cressrock.lab.explorer import Bounds, Explorer, Scenario
 
-NAMES = [scenario.name for scenario in QUICK]
+SCENARIO_NAMES = [scenario.name for scenario in QUICK]
 
 
-@pytest.mark.parametrize("scenario", QUICK, ids=NAMES)
-def test_every_state_within_the_bounds_keeps_every_invariant(scenario):
+@pytest.mark.parametrize("scenario", QUICK, ids=SCENARIO_NAMES)
+def test_all_invariants_hold_in_every_state_within_the_bounds(scenario):
     result = Explorer(scenario, traces=False).run(most_states=150_000)
     print(result.row())
     assert result.violation is None, result.violation
     assert result.complete and result.states > 1000 and result.leaders > 500 and result.committed > 1
 
 
-@pytest.mark.parametrize("kind, invariant, scenario", BROKEN, ids=lambda x: getattr(x, "__name__", ""))
-def test_what_is_broken_on_purpose_is_found(kind, invariant, scenario):
-    result = Explorer(replace(scenario, make=kind, name=kind.__name__)).run(most_states=100_000)
+@pytest.mark.parametrize(
+    "node_type, invariant, scenario", BROKEN, ids=lambda value: getattr(value, "__name__", "")
+)
+def test_deliberately_broken_variants_are_found(node_type, invariant, scenario):
+    result = Explorer(replace(scenario, make=node_type, name=node_type.__name__)).run(most_states=100_000)
     print(result.row())
     assert result.violation is not None
     assert result.violation.text.startswith(invariant), result.violation.text
     assert result.violation.trace
 
 
-def test_the_same_bounds_give_the_same_states_and_the_same_verdict():
+def test_exploration_of_the_same_bounds_is_deterministic():
     scenario = Scenario("twice", Bounds(max_term=2, wire=3, stands=2, proposals=1, crashes=0))
-    one, two = Explorer(scenario).run(), Explorer(scenario).run()
-    assert one == two and one.complete
+    first, second = Explorer(scenario).run(), Explorer(scenario).run()
+    assert first == second and first.complete
 
 
-def test_a_copy_of_a_replica_acts_as_the_replica_and_shares_nothing_with_it():
+def test_a_cloned_node_behaves_identically_and_shares_no_state():
     import random
 
-    timing = RaftSettings()
-    seat = RaftNode("a", initial_state(("a",)), timing, random.Random(1), 0.0)
-    seat.campaign(0.0)
-    copy = seat.clone()
-    assert copy.key() == seat.key()
-    for one in (seat, copy):
-        one.propose(0.0, b"x")
-    assert copy.ready() == seat.ready() and copy.key() == seat.key()
+    settings = RaftSettings()
+    node = RaftNode("a", initial_state(("a",)), settings, random.Random(1), 0.0)
+    node.campaign(0.0)
+    copy = node.clone()
+    assert copy.key() == node.key()
+    for replica in (node, copy):
+        replica.propose(0.0, b"x")
+    assert copy.ready() == node.ready() and copy.key() == node.key()
     copy.propose(0.0, b"y")
-    assert copy.key() != seat.key() and seat.log.last_index == 3
+    assert copy.key() != node.key() and node.log.last_index == 3
