--- a/cressrock/consensus/raft/elections.py
+++ b/cressrock/consensus/raft/elections.py
@@ -106,5 +106,5 @@
         return other
 
     def key(self) -> tuple[object, ...]:
-        """Return the state that determines its behavior, timing aside, for the model checker's hash."""
+        """Return the state that determines its behaviour, timing aside, for the model checker's hash."""
         return frozenset(self.votes_granted), frozenset(self.votes_rejected)
--- a/cressrock/consensus/raft/follower.py
+++ b/cressrock/consensus/raft/follower.py
@@ -177,5 +177,5 @@
         return other
 
     def key(self) -> tuple[object, ...]:
-        """Return the state that determines its behavior, timing aside, for the model checker's hash."""
+        """Return the state that determines its behaviour, timing aside, for the model checker's hash."""
         return bytes(self._buffer), self._transfer
--- a/cressrock/consensus/raft/node.py
+++ b/cressrock/consensus/raft/node.py
@@ -243,11 +243,11 @@
         self.replication.start_transfer(target)
 
     def read_index(self, now_ms: float, token: ReadToken) -> None:
-        """Request a linearizable read.
+        """Request a linearizable read; `Ready.confirmed_reads` has `token` once a quorum has confirmed this
+        leader.
 
-        `Ready.confirmed_reads` returns `token` once a quorum has confirmed this leader, `Ready.lost_reads` if
-        leadership is lost before that.  Raises NotLeaderError, and ConsensusBusyError if too many reads are
-        pending.
+        `Ready.lost_reads` has it if leadership is lost before that.  Raises NotLeaderError, and
+        ConsensusBusyError if too many reads are pending.
         """
         self._check_is_leader(now_ms)
         self.replication.request_read(token)
@@ -472,5 +472,5 @@
         return other
 
     def key(self) -> tuple[object, ...]:
-        """Return the state that determines this node's behavior, timing aside."""
+        """Return the state that determines this node's behaviour, timing aside."""
         return (self.replica.key(), self._election.key(), self.replication.key(), self._follower.key())
--- a/cressrock/consensus/raft/persistent_state.py
+++ b/cressrock/consensus/raft/persistent_state.py
@@ -56,7 +56,8 @@
 
 
 def force_single_voter(stored: StoredState, name: str) -> StoredState:
-    """Return `stored` with `name` as the only voter, to recover from the loss of a majority.
+    """Return `stored` in a new generation with `name` as the only voter, to recover a group that has lost its
+    majority.
 
     Committed and acknowledged entries that only the lost replicas had are lost, and uncommitted entries in
     this store become committed.  Log indexes may be reused with other content, so anything numbered by index
--- a/cressrock/consensus/raft/progress.py
+++ b/cressrock/consensus/raft/progress.py
@@ -52,7 +52,7 @@
         )  # fmt: skip
 
     def key(self) -> tuple[object, ...]:
-        """Return the state that determines its behavior, timing aside, for the model checker's hash."""
+        """Return the state that determines its behaviour, timing aside, for the model checker's hash."""
         snapshot_index = self.snapshot.index if self.snapshot else 0
         return (
             self.match_index, self.next_index, self.state, self.probe_sent, tuple(self.inflight_last_indexes),
--- a/cressrock/consensus/raft/replication.py
+++ b/cressrock/consensus/raft/replication.py
@@ -394,7 +394,7 @@
         return other
 
     def key(self) -> tuple[object, ...]:
-        """Return the state that determines its behavior, timing aside, for the model checker's hash."""
+        """Return the state that determines its behaviour, timing aside, for the model checker's hash."""
         return (
             tuple((name, peer.key()) for name, peer in sorted(self.progress.items())), self.round,
             self.first_index_of_term, self.transfer_target, tuple(self.pending_reads),
--- a/cressrock/consensus/raft/state.py
+++ b/cressrock/consensus/raft/state.py
@@ -125,7 +125,7 @@
         return other
 
     def key(self) -> tuple[object, ...]:
-        """Return the state that determines its behavior, timing aside, for the model checker's hash."""
+        """Return the state that determines its behaviour, timing aside, for the model checker's hash."""
         return (
             self.generation, self.term, self.voted_for, self.commit, self.applied, self.snapshot,
             tuple(self.log.entries), self.role, self.leader, self.excluded_reason, self.stable_index,
--- a/tests/consensus/test_raft.py
+++ b/tests/consensus/test_raft.py
@@ -39,20 +39,20 @@
 
 def test_an_isolated_leader_steps_down_and_its_uncommitted_entries_are_replaced():
     cluster = Cluster("a", "b", "c")
-    old = cluster.make_leader("a")
-    old.propose(cluster.now_ms, b"kept")
+    old_leader = cluster.make_leader("a")
+    old_leader.propose(cluster.now_ms, b"kept")
     cluster.run_until_idle()
     cluster.isolate("a")
-    lost = old.propose(cluster.now_ms, b"lost")
-    assert old.role is Role.LEADER
+    lost_index = old_leader.propose(cluster.now_ms, b"lost")
+    assert old_leader.role is Role.LEADER
     cluster.run_for(400)
-    assert old.role is not Role.LEADER and old.drop_counts["quorum_lost"] == 1
+    assert old_leader.role is not Role.LEADER and old_leader.drop_counts["quorum_lost"] == 1
     cluster.leader().propose(cluster.now_ms, b"new")
     cluster.cut_links.clear()
     cluster.run_for(400)
     assert set(map(tuple, cluster.applied.values())) == {(b"kept", b"new")}
     assert cluster.stores["a"].entries == cluster.stores["b"].entries
-    assert lost <= cluster.stores["a"].last_index
+    assert lost_index <= cluster.stores["a"].last_index
 
 
 def test_an_isolated_replica_does_not_raise_its_term_nor_depose_the_leader_on_return():
@@ -81,11 +81,11 @@
 @pytest.mark.parametrize("trigger", ["propose", "read", "tick", "late replies", "membership"])
 def test_a_leader_paused_beyond_its_lease_steps_down_before_doing_anything_else(trigger):
     cluster = Cluster("a", "b", "c")
-    old = cluster.make_leader("a")
+    old_leader = cluster.make_leader("a")
     cluster.run_for(15)
-    old.tick(cluster.now_ms + 10)
-    batch = old.ready()
-    old.advance(batch)
+    old_leader.tick(cluster.now_ms + 10)
+    batch = old_leader.ready()
+    old_leader.advance(batch)
     replies = []
     for to, message in batch.messages:
         cluster.nodes[to].receive(cluster.now_ms + 10, "a", message)
@@ -96,19 +96,19 @@
     resumed_at_ms = cluster.now_ms + 5000
     if trigger == "late replies":  # they waited in its sockets meanwhile; they must not renew the lease
         for sender, reply in replies:
-            old.receive(resumed_at_ms, sender, reply)
+            old_leader.receive(resumed_at_ms, sender, reply)
     elif trigger == "tick":
-        old.tick(resumed_at_ms)
+        old_leader.tick(resumed_at_ms)
     else:
         with pytest.raises(NotLeaderError):
             if trigger == "propose":
-                old.propose(resumed_at_ms, b"x")
+                old_leader.propose(resumed_at_ms, b"x")
             elif trigger == "read":
-                old.read_index(resumed_at_ms, 1)
+                old_leader.read_index(resumed_at_ms, 1)
             else:
-                old.change_voters(resumed_at_ms, remove="b")
-    assert old.role is not Role.LEADER
-    assert not any(isinstance(message, messages.AppendEntries) for _, message in old.ready().messages)
+                old_leader.change_voters(resumed_at_ms, remove="b")
+    assert old_leader.role is not Role.LEADER
+    assert not any(isinstance(message, messages.AppendEntries) for _, message in old_leader.ready().messages)
 
 
 def test_messages_of_a_batch_only_state_what_the_batch_persists():
@@ -134,22 +134,24 @@
 
 
 def test_diverged_logs_are_reconciled_term_by_term_not_entry_by_entry():
-    """A follower with 500 uncommitted entries of an old term is corrected in a few messages."""
+    """A follower with 500 uncommitted entries of a former leader's term is corrected in a few messages."""
     cluster = Cluster("a", "b", "c")
     cluster.make_leader("a")
-    base, term = cluster.stores["a"].last_index, cluster.nodes["a"].term
-    divergent_entries = tuple(LogEntry(term, base + 1 + number, "command", b"w") for number in range(500))
+    last_common_index, term = cluster.stores["a"].last_index, cluster.nodes["a"].term
+    divergent_entries = tuple(
+        LogEntry(term, last_common_index + 1 + number, "command", b"w") for number in range(500)
+    )
     cluster.stop("c")
     for _ in range(3):  # several terms in which c is stopped
-        other = cluster.leader().name
-        cluster.make_leader("b" if other == "a" else "a")
+        leader_name = cluster.leader().name
+        cluster.make_leader("b" if leader_name == "a" else "a")
     for number in range(400):
         cluster.leader().propose(cluster.now_ms, b"%d" % number)
     cluster.run_until_idle()
-    hard = cluster.stores["c"].hard
-    stored = tuple(entry for entry in cluster.stores["c"].entries if entry.index <= base)
-    cluster.start("c", StoredState(hard, None, stored + divergent_entries))
-    before = cluster.nodes["c"].commit
+    hard_state = cluster.stores["c"].hard
+    stored_entries = tuple(entry for entry in cluster.stores["c"].entries if entry.index <= last_common_index)
+    cluster.start("c", StoredState(hard_state, None, stored_entries + divergent_entries))
+    commit_before = cluster.nodes["c"].commit
     leader = cluster.leader()
     cluster.run_for(100)
     rejected = [
@@ -157,7 +159,7 @@
         for message in cluster.sent
         if isinstance(message, messages.AppendEntriesReply) and not message.accepted
     ]
-    assert len(rejected) <= 4 and before <= base
+    assert len(rejected) <= 4 and commit_before <= last_common_index
     assert cluster.stores["c"].entries == cluster.stores[leader.name].entries
     assert cluster.applied["c"][-400:] == [b"%d" % number for number in range(400)]
 
@@ -198,9 +200,8 @@
     assert all(cluster.nodes[name].voters == ("a", "b", "d") for name in "abd")
     assert cluster.nodes["c"].role is Role.LEARNER
     cluster.run_for(50)
-    assert (
-        "c" not in leader.progress and cluster.leader() is leader
-    )  # it knows of its removal and is no longer tracked
+    # c knows of its removal and is no longer tracked.
+    assert "c" not in leader.progress and cluster.leader() is leader
     with pytest.raises(MembershipChangeRefusedError):
         leader.change_voters(cluster.now_ms, add="e", remove="b")
     new_leader = RaftNode("a", initial_state(("a", "b", "c")), cluster.settings, random.Random(1), 0.0)
@@ -285,26 +286,26 @@
     assert cluster.stores["a"].snapshot.index == leader.log.snapshot_index
     with pytest.raises(ConsensusBusyError):
         leader.compact(leader.commit, bytes(settings.max_snapshot_bytes + 1))
-    source = random.Random(5)
-    reliable_receive = cluster.nodes["c"].receive
+    random_source = random.Random(5)
+    deliver = cluster.nodes["c"].receive
 
     class LossyNode:
         def __getattr__(self, name):
             return getattr(node, name)
 
         def receive(self, now_ms, sender, message):
-            if source.random() < 0.7:
-                reliable_receive(now_ms, sender, message)
-            if source.random() < 0.2:
-                reliable_receive(now_ms, sender, message)
+            if random_source.random() < 0.7:
+                deliver(now_ms, sender, message)
+            if random_source.random() < 0.2:
+                deliver(now_ms, sender, message)
 
     node, cluster.nodes["c"] = cluster.nodes["c"], LossyNode()
     cluster.cut_links.clear()
     cluster.run_for(1500)
     assert cluster.applied["c"] == [b"state after twenty entries, in many pieces", b"after"]
     assert cluster.stores["c"].snapshot.voters == ("a", "b", "c")
-    again = RaftNode("c", cluster.stores["c"].load(), settings, random.Random(1), 0.0)
-    assert again.voters == ("a", "b", "c") and again.commit >= again.log.snapshot_index
+    restarted = RaftNode("c", cluster.stores["c"].load(), settings, random.Random(1), 0.0)
+    assert restarted.voters == ("a", "b", "c") and restarted.commit >= restarted.log.snapshot_index
     assert cluster.leader().name == "a"
 
 
@@ -364,28 +365,28 @@
     leader = cluster.make_leader("a")
     leader.propose(cluster.now_ms, b"x")
     cluster.run_until_idle()
-    old = {name: cluster.stores[name].load() for name in "ab"}
-    forced = force_single_voter(old["b"], "b")
-    assert forced.hard_state.generation == 2 and forced.hard_state.term == old["b"].hard_state.term + 1
-    assert forced.entries[:-1] == old["b"].entries
-    new = Cluster("b", stored={"b": forced})
-    new.run_for(250)
-    new.leader().propose(new.now_ms, b"y")
-    new.run_until_idle()
-    assert new.applied["b"] == [b"x", b"y"] and new.nodes["b"].voters == ("b",)
-    new.start("a", old["a"])
-    new.run_for(500)
-    back = new.nodes["a"]
-    assert "generation 2" in back.excluded_reason and back.next_deadline_ms() == float("inf")
-    assert new.nodes["b"].drop_counts["generation"] >= 1 and new.leader().name == "b"
-    new.stop("a")
-    new.start("d", StoredState())
+    saved = {name: cluster.stores[name].load() for name in "ab"}
+    forced = force_single_voter(saved["b"], "b")
+    assert forced.hard_state.generation == 2 and forced.hard_state.term == saved["b"].hard_state.term + 1
+    assert forced.entries[:-1] == saved["b"].entries
+    forced_cluster = Cluster("b", stored={"b": forced})
+    forced_cluster.run_for(250)
+    forced_cluster.leader().propose(forced_cluster.now_ms, b"y")
+    forced_cluster.run_until_idle()
+    assert forced_cluster.applied["b"] == [b"x", b"y"] and forced_cluster.nodes["b"].voters == ("b",)
+    forced_cluster.start("a", saved["a"])
+    forced_cluster.run_for(500)
+    stale_node = forced_cluster.nodes["a"]
+    assert "generation 2" in stale_node.excluded_reason and stale_node.next_deadline_ms() == float("inf")
+    assert forced_cluster.nodes["b"].drop_counts["generation"] >= 1 and forced_cluster.leader().name == "b"
+    forced_cluster.stop("a")
+    forced_cluster.start("d", StoredState())
     with pytest.raises(MembershipChangeRefusedError):
-        new.leader().change_voters(new.now_ms, add="d")
-    new.run_for(50)
-    new.leader().change_voters(new.now_ms, add="d")
-    new.run_until_idle()
-    assert new.nodes["d"].generation == 2 and new.applied["d"] == [b"x", b"y"]
+        forced_cluster.leader().change_voters(forced_cluster.now_ms, add="d")
+    forced_cluster.run_for(50)
+    forced_cluster.leader().change_voters(forced_cluster.now_ms, add="d")
+    forced_cluster.run_until_idle()
+    assert forced_cluster.nodes["d"].generation == 2 and forced_cluster.applied["d"] == [b"x", b"y"]
 
 
 def test_a_full_restart_keeps_committed_entries():
@@ -502,13 +503,13 @@
 
 
 def test_corrupted_messages_raise_only_expected_errors():
-    source = random.Random(11)
+    random_source = random.Random(11)
     node = RaftNode("b", initial_state(("a", "b", "c")), RaftSettings(), random.Random(1), 0.0)
     accepted_count = 0
     for _ in range(9000):
-        data = bytearray(bytes.fromhex(source.choice(GOLDEN_MESSAGES_HEX)))
-        for _ in range(source.randint(1, 4)):
-            data[source.randrange(len(data))] = source.randrange(256)
+        data = bytearray(bytes.fromhex(random_source.choice(GOLDEN_MESSAGES_HEX)))
+        for _ in range(random_source.randint(1, 4)):
+            data[random_source.randrange(len(data))] = random_source.randrange(256)
         try:
             sender, _, message = messages.decode(bytes(data), "c")
             node.receive(0.0, sender, message)
