--- a/cressrock/consensus/raft/elections.py
+++ b/cressrock/consensus/raft/elections.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from cressrock.consensus.raft.messages import PreVote, PreVoteReply, RequestVote, RequestVoteReply
-from cressrock.consensus.raft.progress import NEVER
+from cressrock.consensus.raft.progress import NEVER_MS
 from cressrock.consensus.raft.state import ReplicaState, Role
 
 
@@ -17,7 +17,7 @@
         self._replica = replica
         self.votes_granted: set[str] = set()
         self.votes_rejected: set[str] = set()
-        self.started_at_ms = NEVER
+        self.started_at_ms = NEVER_MS
 
     def reset(self) -> None:
         """Discard the votes of a finished campaign."""
--- a/cressrock/consensus/raft/node.py
+++ b/cressrock/consensus/raft/node.py
@@ -41,7 +41,7 @@
 from cressrock.consensus.raft.ready import ReadToken, Ready
 from cressrock.consensus.raft.replication import Replication
 from cressrock.consensus.raft.settings import RaftSettings
-from cressrock.consensus.raft.state import FOREVER, ReplicaState, Role
+from cressrock.consensus.raft.state import FOREVER_MS, ReplicaState, Role
 from cressrock.errors.consensus import (
     ConsensusBusyError,
     LogDivergedError,
@@ -164,7 +164,7 @@
         """Return the time of the next due `tick` in milliseconds; infinity if none is due."""
         replica = self.replica
         if replica.role is not Role.LEADER:
-            return replica.deadline_ms if replica.may_campaign() else FOREVER
+            return replica.deadline_ms if replica.may_campaign() else FOREVER_MS
         return min(replica.deadline_ms, self.replication.lease_expires_at_ms())
 
     def tick(self, now_ms: float) -> None:
--- a/cressrock/consensus/raft/progress.py
+++ b/cressrock/consensus/raft/progress.py
@@ -9,7 +9,7 @@
 
 from cressrock.consensus.raft.persistent_state import Snapshot
 
-NEVER = float("-inf")
+NEVER_MS = float("-inf")
 
 
 class ProgressState(Enum):
@@ -36,11 +36,11 @@
     inflight_last_indexes: deque[int] = field(default_factory=deque)
     sent_commit: int = 0  # the last commit index sent
     acked_round: int = 0  # the latest heartbeat round acknowledged
-    acked_at_ms: float = NEVER  # start of the latest acknowledged round by the leader's clock
-    tracked_since_ms: float = NEVER
+    acked_at_ms: float = NEVER_MS  # start of the latest acknowledged round by the leader's clock
+    tracked_since_ms: float = NEVER_MS
     snapshot: Snapshot | None = None  # SNAPSHOT: the snapshot being sent
     snapshot_offset: int = 0
-    chunk_sent_at_ms: float = NEVER
+    chunk_sent_at_ms: float = NEVER_MS
     removal_index: int = 0  # index of the entry that removes it; tracked until it knows the commit
 
     def clone(self) -> Progress:
--- a/cressrock/consensus/raft/replication.py
+++ b/cressrock/consensus/raft/replication.py
@@ -13,7 +13,7 @@
     LogEntry,
     TimeoutNow,
 )
-from cressrock.consensus.raft.progress import NEVER, Progress, ProgressState, quorum_value
+from cressrock.consensus.raft.progress import NEVER_MS, Progress, ProgressState, quorum_value
 from cressrock.consensus.raft.ready import ConfirmedRead, ReadToken
 from cressrock.consensus.raft.state import ReplicaState, Role
 from cressrock.errors.consensus import ConsensusBusyError, MembershipChangeRefusedError
@@ -37,7 +37,7 @@
         self.round = 0
         self.round_starts: deque[tuple[int, float]] = deque()  # round number and start time in ms
         self.round_requested = False
-        self.transfer_target, self.transfer_deadline_ms = "", NEVER
+        self.transfer_target, self.transfer_deadline_ms = "", NEVER_MS
         self.first_index_of_term = 0
         self.uncommitted_bytes = 0
         self.pending_reads: deque[tuple[ReadToken, int, int]] = deque()  # token, read index, required round
@@ -52,7 +52,7 @@
             if voter != replica.name:
                 self.progress[voter] = Progress(
                     next_index=replica.log.last_index + 1,
-                    acked_at_ms=campaign_started_at_ms if voter in granting_voters else NEVER,
+                    acked_at_ms=campaign_started_at_ms if voter in granting_voters else NEVER_MS,
                     tracked_since_ms=replica.now_ms,
                 )
         uncommitted = replica.log.entries_between(replica.commit + 1, replica.log.last_index)
--- a/cressrock/consensus/raft/state.py
+++ b/cressrock/consensus/raft/state.py
@@ -9,10 +9,10 @@
 from cressrock.consensus.raft.log import RaftLog
 from cressrock.consensus.raft.messages import RaftMessage
 from cressrock.consensus.raft.persistent_state import HardState, Snapshot, StoredState
-from cressrock.consensus.raft.progress import NEVER
+from cressrock.consensus.raft.progress import NEVER_MS
 from cressrock.consensus.raft.settings import RaftSettings
 
-FOREVER = float("inf")
+FOREVER_MS = float("inf")
 
 
 class Role(Enum):
@@ -63,8 +63,8 @@
         self.restore_pending = False
         self.role = Role.FOLLOWER
         self.leader = ""
-        self.last_leader_contact_ms = NEVER
-        self.deadline_ms = FOREVER
+        self.last_leader_contact_ms = NEVER_MS
+        self.deadline_ms = FOREVER_MS
         self.outbox: deque[tuple[str, RaftMessage]] = deque()
         self.excluded_reason = ""
         self.drop_counts: Counter[str] = Counter()
