--- a/cressrock/membership/__init__.py
+++ b/cressrock/membership/__init__.py
@@ -1,1 +1,1 @@
-"""Which processes there are: SWIM with Lifeguard's extensions, without sockets and clock."""
+"""Cluster membership and failure detection: SWIM with Lifeguard's extensions, free of I/O and clocks."""
--- a/cressrock/membership/broadcast_queue.py
+++ b/cressrock/membership/broadcast_queue.py
@@ -1,4 +1,4 @@
-"""SWIM's dissemination: updates that wait to be carried by outgoing messages, the least sent first."""
+"""SWIM's dissemination: a queue of updates to piggyback on outgoing messages, least transmitted first."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class _Key(NamedTuple):
-    """One update waits for each member, or one for each accuser of a suspected member."""
+    """Identifies a queued update: one for each member, or one for each accuser of a suspected member."""
 
     name: str
     accuser: str
@@ -21,30 +21,30 @@
 
 
 class BroadcastQueue:
-    """Updates by how often they were sent; each is sent a bounded number of times."""
+    """Updates ordered by their number of transmissions; each is transmitted a limited number of times."""
 
     def __init__(self) -> None:
-        """Begin empty."""
-        # One level for each number of transmissions.  Ordered, as a plain dict's front gets slow where much
-        # is taken from it.
+        """Start with an empty queue."""
+        # One level for each number of transmissions.  Iterating over a plain dict would get slow after many
+        # removals from its front, hence OrderedDict.
         self._levels: list[OrderedDict[_Key, _Entry]] = [OrderedDict()]
         self._keys_by_name: dict[str, list[_Key]] = {}
 
     def __bool__(self) -> bool:
-        """Whether any update waits."""
+        """Whether any update is queued."""
         return bool(self._keys_by_name)
 
     def __len__(self) -> int:
-        """Return about how many members updates wait."""
+        """Return the number of members with queued updates."""
         return len(self._keys_by_name)
 
     def enqueue(self, update: MemberUpdate) -> None:
-        """Queue an update in place of all that was queued about its member."""
+        """Queue an update, replacing all queued updates about its member."""
         self.discard(update.name)
-        self.enqueue_beside(update)
+        self.enqueue_additional(update)
 
-    def enqueue_beside(self, update: MemberUpdate) -> None:
-        """Queue an update beside those of other accusers of its member."""
+    def enqueue_additional(self, update: MemberUpdate) -> None:
+        """Queue an update, keeping those of other accusers; ignored if its accuser already has one queued."""
         key = _Key(update.name, update.accuser if update.state is MemberState.SUSPECT else "")
         keys = self._keys_by_name.setdefault(update.name, [])
         if key in keys:
@@ -53,19 +53,22 @@
         self._levels[0][key] = _Entry(update, encoded_size(update))
 
     def discard(self, name: str) -> None:
-        """Drop what is queued about a member."""
+        """Remove all queued updates about a member."""
         for key in self._keys_by_name.pop(name, ()):
             for level in self._levels:
                 if level.pop(key, None) is not None:
                     break
 
     def clear(self) -> None:
-        """Drop everything."""
+        """Remove all updates."""
         self._levels = [OrderedDict()]
         self._keys_by_name.clear()
 
     def next_updates(self, max_bytes: int, max_transmissions: int) -> list[MemberUpdate]:
-        """Return the least sent updates that fit; one that was sent `max_transmissions` times is dropped."""
+        """Return the least transmitted updates that fit into `max_bytes`, and count the transmission.
+
+        An update is removed after `max_transmissions` transmissions.
+        """
         updates: list[MemberUpdate] = []
         sent: list[tuple[int, _Key]] = []
         remaining = max_bytes
--- a/cressrock/membership/events.py
+++ b/cressrock/membership/events.py
@@ -1,4 +1,4 @@
-"""What the membership reports: changes in the state of members, and conflicts over this process's name."""
+"""Events reported by the membership: changes of member state, and conflicts over this process's name."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 @dataclass(frozen=True, slots=True)
 class MemberJoined:
-    """A process that was not known before."""
+    """A previously unknown process is alive or suspected."""
 
     name: str
     process_incarnation: int
@@ -15,7 +15,7 @@
 
 @dataclass(frozen=True, slots=True)
 class MemberSuspected:
-    """A process is suspected, since a time on this process's clock."""
+    """A process became suspected, at `since_ms` on this process's clock."""
 
     name: str
     process_incarnation: int
@@ -24,7 +24,7 @@
 
 @dataclass(frozen=True, slots=True)
 class MemberRecovered:
-    """A process that was suspected or dead is heard of again, in the same process incarnation."""
+    """A suspected or dead process is alive again, in the same process incarnation."""
 
     name: str
     process_incarnation: int
@@ -32,7 +32,7 @@
 
 @dataclass(frozen=True, slots=True)
 class MemberLeft:
-    """A process said that it leaves."""
+    """A process announced that it is leaving."""
 
     name: str
     process_incarnation: int
@@ -40,7 +40,7 @@
 
 @dataclass(frozen=True, slots=True)
 class MemberDead:
-    """A process was not heard of for the whole time of suspicion."""
+    """A process was declared dead, as it did not refute the suspicion within the timeout."""
 
     name: str
     process_incarnation: int
@@ -48,7 +48,7 @@
 
 @dataclass(frozen=True, slots=True)
 class MemberRestarted:
-    """A name is back in a newer process incarnation; the previous is over, whatever was believed of it."""
+    """A newer process incarnation replaced the previous one of the same name, whatever its state was."""
 
     name: str
     previous: int
@@ -57,7 +57,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Fenced:
-    """A newer process has this process's name: this one has to stop, and sends nothing more."""
+    """A newer process has this process's name: this one sends nothing more and must stop."""
 
     name: str
     newer: int
@@ -65,7 +65,7 @@
 
 @dataclass(frozen=True, slots=True)
 class DuplicateIdentity:
-    """An older process with this process's name still sends; it is told to stop."""
+    """An older process with this process's name is still sending; it is notified to fence itself."""
 
     name: str
     process_incarnation: int
--- a/cressrock/membership/joining.py
+++ b/cressrock/membership/joining.py
@@ -1,4 +1,4 @@
-"""Joining by way of seeds: requests with backoff, a bounded answer, then a full exchange with one member."""
+"""Joining a cluster through seeds: requests with backoff, a bounded response, then one full exchange."""
 
 from __future__ import annotations
 
@@ -9,13 +9,15 @@
 from cressrock.membership.state import MembershipState
 from cressrock.membership.timers import TimerKind
 
-JOIN_FANOUT = 3  # at a time, until joined
-MEMBERS_ANNOUNCED = 8  # in an answer to a request, as far as they fit
-REJOIN_PERIODS = 10  # between requests to a seed that is not among the live, once joined
+JOIN_FANOUT = 3  # seeds contacted in one attempt until joined
+MAX_JOIN_RESPONSE_MEMBERS = 8  # in a response, as far as they fit into the datagram
+REJOIN_INTERVAL_PERIODS = (
+    10  # mean interval between requests, once joined, to a seed that is not a live member
+)
 
 
 class SeedJoiner:
-    """Asks seeds to be let in, and answers who asks this process."""
+    """Sends join requests to seeds, and responds to join requests of other processes."""
 
     def __init__(
         self,
@@ -25,7 +27,7 @@
         exchanges: ExchangeScheduler,
         merger: UpdateMerger,
     ) -> None:
-        """`seeds` are addresses; without any the process counts as joined."""
+        """`seeds` are addresses; without seeds the process counts as joined."""
         self.seeds = seeds
         self.joined = not seeds
         self._state = state
@@ -35,21 +37,21 @@
         self._retry_ms = state.settings.protocol_period_ms / 2
 
     def schedule_first(self, now_ms: float) -> None:
-        """Schedule the first request, if there are seeds."""
+        """Schedule the first join request with jitter, if there are seeds."""
         if self.seeds:
             wait_ms = self._retry_ms * self._state.rng.random() / 2
             self._state.timers.schedule(now_ms + wait_ms, TimerKind.JOIN)
 
     def request_join(self, now_ms: float) -> None:
-        """Ask some seeds to be let in; once joined, now and then one that is not among the live."""
+        """Send join requests to up to JOIN_FANOUT seeds; once joined, to one that is not a live member."""
         settings, rng, live = self._state.settings, self._state.rng, self._state.table.live
         if self.joined and live:
-            # So that clusters which forgot each other over a long partition meet again.
-            known = {self._state.table.address_of(name) for name in live.names}
-            candidates = [seed for seed in self.seeds if seed not in known][: settings.max_members]
+            # Lets clusters merge again after a partition so long that each has forgotten the other's members.
+            known_addresses = {self._state.table.address_of(name) for name in live.names}
+            candidates = [seed for seed in self.seeds if seed not in known_addresses][: settings.max_members]
             count = 1
             self._retry_ms = settings.protocol_period_ms
-            wait_ms = REJOIN_PERIODS * settings.protocol_period_ms * (0.5 + rng.random())
+            wait_ms = REJOIN_INTERVAL_PERIODS * settings.protocol_period_ms * (0.5 + rng.random())
         else:
             candidates, count = list(self.seeds), JOIN_FANOUT
             wait_ms = self._retry_ms * (1 + rng.random())
@@ -62,13 +64,13 @@
             self._exchanges.request(now_ms, name, settings.protocol_period_ms, with_gossip_state=True)
 
     def answer(self, now_ms: float, packet: Packet, request: JoinRequest) -> None:
-        """Take in a process that asks to be let in, and tell it of some live members."""
+        """Merge a joining process, and respond with a few live members."""
         joiner = request.joiner
         if joiner.name != packet.sender or joiner.info is None:
             self._state.counters["hello-of-another"] += 1
             return
         self._merger.merge(now_ms, joiner, packet.sender)
-        if not self._outbox.allow_reply():
+        if not self._outbox.try_consume_reply():
             return
         table = self._state.table
         updates = [self._state.local.as_update(full=True)]
@@ -76,7 +78,7 @@
         if record is not None and record.state is not MemberState.ALIVE:
             updates.append(record.as_update())
         remaining = self._outbox.updates_capacity - sum(map(encoded_size, updates))
-        for name in table.live.sample(self._state.rng, MEMBERS_ANNOUNCED, (packet.sender,)):
+        for name in table.live.sample(self._state.rng, MAX_JOIN_RESPONSE_MEMBERS, (packet.sender,)):
             update = table.records[name].as_update(full=True)
             remaining -= encoded_size(update)
             if remaining < 0:
@@ -85,10 +87,10 @@
         self._outbox.send(packet.sender, joiner.info.address, JoinResponse(updates))
 
     def receive_response(self, now_ms: float, sender: str) -> None:
-        """Make the full exchange that joining takes, with one of the members that a seed named."""
+        """Request the full exchange that completes the join, with a random known member."""
         if self.joined:
             return
-        # Not with the seed itself: one that everybody knows must not send its list to everybody.
+        # Any member rather than the seed: a seed shared by all would send its full list to every joiner.
         names = self._state.table.live.sample(self._state.rng, 1)
         period_ms = self._state.settings.protocol_period_ms
         self._exchanges.request(now_ms, names[0] if names else sender, period_ms, with_gossip_state=True)
--- a/cressrock/membership/local_member.py
+++ b/cressrock/membership/local_member.py
@@ -1,4 +1,4 @@
-"""What this process says of itself."""
+"""The local process as a member of the cluster."""
 
 from __future__ import annotations
 
@@ -9,10 +9,10 @@
 
 
 class LocalMember:
-    """This process's identity, SWIM incarnation, and whether it leaves or has been fenced."""
+    """This process's identity, SWIM incarnation, and whether it is leaving or has been fenced."""
 
     def __init__(self, identity: Identity, started_at_ms: float) -> None:
-        """Begin alive, at incarnation 0."""
+        """Start alive, at incarnation 0."""
         self.identity = identity
         self.info = MemberInfo(
             identity.address, identity.role, identity.zone, identity.region, identity.extra
@@ -24,21 +24,21 @@
 
     @property
     def name(self) -> str:
-        """The name in the settings."""
+        """The configured name of this process."""
         return self.identity.name
 
     @property
     def fenced(self) -> bool:
-        """Whether a newer process has this one's name."""
+        """Whether this process was fenced because a newer process has its name."""
         return self.fenced_by != NOT_FENCED
 
     @property
     def state(self) -> MemberState:
-        """What this process says of its own state."""
+        """The state that this process announces."""
         return MemberState.LEFT if self.leaving else MemberState.ALIVE
 
     def as_update(self, *, full: bool = False) -> MemberUpdate:
-        """Return this process's update; the description comes with the first one and where `full` asks."""
+        """Return an update about this process, with its description at incarnation 0 or if `full`."""
         info = self.info if full or self.incarnation == 0 else None
         identity = self.identity
         return MemberUpdate(
@@ -46,7 +46,7 @@
         )
 
     def as_member(self) -> Member:
-        """Return this process's line in its own view."""
+        """Return this process as a Member of its own view."""
         identity = self.identity
         return Member.of(
             identity.name, identity.process_incarnation, self.info, self.state, self.started_at_ms
--- a/cressrock/membership/membership.py
+++ b/cressrock/membership/membership.py
@@ -1,9 +1,9 @@
-"""Which processes there are: SWIM with Lifeguard's extensions, as a state machine without clock and sockets.
+"""Cluster membership: SWIM with Lifeguard's extensions, as a state machine without clock and sockets.
 
-SWIM (Das, Gupta, Motivala, DSN 2002) and Lifeguard (Dadgar, Phillips, Currey, 2018), each part in a module of
-its own: `probes`, `relays`, `transitions` and `suspicion`, `broadcast_queue` and `outbox`, `merge`, `health`.
-Beside the papers: `exchanges` and `view_checksum`, `reconnect`, `identity_conflicts`, and a process that did
-not run for a while accuses nobody.  docs/members.md has the reasons.
+Implements SWIM (Das, Gupta, Motivala, DSN 2002) and Lifeguard (Dadgar, Phillips, Currey, 2018) in separate
+modules: `probes`, `relays`, `transitions` and `suspicion`, `broadcast_queue` and `outbox`, `merge`, `health`.
+Additions to the papers: `exchanges` and `view_checksum`, `reconnect`, `identity_conflicts`, and a process
+that was paused suspects no member for a while.  docs/members.md has the reasons.
 """
 
 from __future__ import annotations
@@ -33,7 +33,7 @@
     Ping,
     PingRequest,
     Updates,
-    batched,
+    split_into_batches,
 )
 from cressrock.membership.probes import Prober
 from cressrock.membership.relays import PingRelay
@@ -55,7 +55,7 @@
 
 
 class Membership:
-    """One process's view of all others, and what it has to say to them."""
+    """One process's view of the cluster, and the messages it has to send to other members."""
 
     def __init__(
         self,
@@ -66,7 +66,7 @@
         now_ms: float,
         table: MemberTable | None = None,
     ) -> None:
-        """`seeds` are addresses; the own one is passed over.  Simulations share records by their `table`."""
+        """`seeds` are addresses; the process's own is ignored.  Simulations pass `table` to share records."""
         self.settings = settings
         self.rng = rng
         local = LocalMember(identity, now_ms)
@@ -85,10 +85,10 @@
         other_seeds = tuple(seed for seed in seeds if seed != identity.address)
         self._joiner = SeedJoiner(state, other_seeds, self._outbox, self._exchanges, self._merger)
         self._last_call_ms = now_ms
-        self._schedule_first(now_ms)
+        self._schedule_initial_timers(now_ms)
 
-    def _schedule_first(self, now_ms: float) -> None:
-        """Schedule the first of each timer at random: processes started together must not go on in step."""
+    def _schedule_initial_timers(self, now_ms: float) -> None:
+        """Schedule the first timers with jitter, so that processes started together do not stay in step."""
         settings = self.settings
         for kind, interval_ms in (
             (TimerKind.PROBE, settings.protocol_period_ms / settings.probes_per_period),
@@ -99,16 +99,16 @@
             self.state.timers.schedule(now_ms + interval_ms * self.rng.random(), kind)
         self._joiner.schedule_first(now_ms)
 
-    # --- what can be read
+    # --- queries
 
     @property
     def local(self) -> Identity:
-        """This process."""
+        """The identity of this process."""
         return self._local.identity
 
     @property
     def incarnation(self) -> int:
-        """This process's SWIM incarnation: how often it refuted a suspicion."""
+        """This process's SWIM incarnation, raised each time it refutes a suspicion."""
         return self._local.incarnation
 
     @property
@@ -118,98 +118,98 @@
 
     @property
     def fenced_by(self) -> int:
-        """The process incarnation that has this process's name, NOT_FENCED without."""
+        """The process incarnation of the process that fenced this one, or NOT_FENCED."""
         return self._local.fenced_by
 
     @property
     def leaving(self) -> bool:
-        """Whether this process said that it leaves."""
+        """Whether this process has announced that it is leaving the cluster."""
         return self._local.leaving
 
     @property
     def joined(self) -> bool:
-        """Whether a full exchange was made since the start."""
+        """Whether a full exchange has succeeded since the start; always true without seeds."""
         return self._joiner.joined
 
     @property
     def counters(self) -> dict[str, int]:
-        """What was odd, by reason."""
+        """Counts of unexpected events, by reason."""
         return self.state.counters
 
     @property
     def process_ids_version(self) -> int:
-        """Grows with each change of `process_ids`, so that nobody has to compare them."""
+        """Increases with each change of `process_ids`, which saves callers the comparison."""
         return self._table.process_ids_version
 
     def view(self, now_ms: float) -> tuple[Member, ...]:
-        """Return every member known, this process among them, by name."""
+        """Return all known members, this process included, sorted by name."""
         members = [self._local.as_member(), *(record.as_member() for record in self._table.records.values())]
         return tuple(sorted(members, key=lambda member: member.name))
 
     def live_names(self) -> tuple[str, ...]:
-        """Return the names of members that are alive or suspected, without this process; unordered."""
+        """Return the names of alive and suspected members in no particular order, excluding this process."""
         return tuple(self._table.live.names)
 
     def process_ids(self) -> set[ProcessId]:
-        """Return every process known, the dead and the left that are still kept among them."""
+        """Return all known processes, including dead and left ones that are still retained."""
         known = {ProcessId(r.name, r.process_incarnation) for r in self._table.records.values()}
         return known | {ProcessId(self.local.name, self.local.process_incarnation)}
 
     def draw_peers(self, count: int) -> list[Peer]:
-        """Draw live members."""
+        """Return up to `count` random live members, excluding this process."""
         names = self._table.live.sample(self.rng, count)
         return [Peer(name, self._table.address_of(name)) for name in names]
 
     def address_of(self, name: str) -> str | None:
-        """Return the address a member announced, if it is known."""
+        """Return the address that a member announced, or None if the member or its address is unknown."""
         record = self._table.records.get(name)
         return record.info.address if record is not None and record.info is not None else None
 
     def cluster_size(self) -> int:
-        """Return how many members are believed to live, this process among them."""
+        """Return the number of alive and suspected members, this process included."""
         return self._table.cluster_size
 
     def min_suspicion_ms(self) -> float:
-        """Return the shortest time of suspicion for the present size."""
+        """Return the minimum suspicion timeout for the current cluster size."""
         return min_suspicion_ms(self.settings, self._table.cluster_size)
 
-    # --- what is to be carried out
+    # --- output for the caller
 
     def next_tick_ms(self) -> float:
-        """Return when `tick` is to be called next; infinity once fenced."""
+        """Return when `tick` must be called next; infinity once fenced."""
         return NEVER_MS if self._local.fenced else self.state.timers.next_fire_ms()
 
     def drain_messages(self) -> list[OutgoingMessage]:
-        """Return, once, what goes on the wire."""
+        """Return and clear the messages to send."""
         messages, self._outbox.messages = self._outbox.messages, []
         return messages
 
     def drain_events(self) -> list[Event]:
-        """Return, once, what has changed, in order."""
+        """Return and clear the pending events, oldest first."""
         events = list(self.state.events)
         self.state.events.clear()
         return events
 
     def drain_exchanges(self) -> list[ExchangeRequest]:
-        """Return, once, the members to make a full exchange with."""
+        """Return and clear the requests for full exchanges."""
         requests, self._exchanges.requests = self._exchanges.requests, []
         return requests
 
     # --- packets
 
     def receive(self, now_ms: float, sender_address: str, packet: Packet) -> None:
-        """Take in one packet of the own cluster."""
+        """Process one packet of this cluster; ignored once fenced."""
         if self._local.fenced:
             return
-        self._note_activity(now_ms)
+        self._detect_pause(now_ms)
         sender, message = packet.sender, packet.body
         if sender == self._local.name:
             if packet.process_incarnation != self.local.process_incarnation:
-                self._conflicts.receive_from_namesake(packet.process_incarnation, sender_address)
+                self._conflicts.handle_name_conflict(packet.process_incarnation, sender_address)
             return
         record = self._table.records.get(sender)
         if record is not None and packet.process_incarnation < record.process_incarnation:
-            self._answer_replaced(record, sender_address)
+            self._reply_to_replaced(record, sender_address)
             return
         if isinstance(message, JoinRequest):
             self._joiner.answer(now_ms, packet, message)
@@ -225,25 +225,28 @@
                 return
         else:
             self._handle(now_ms, packet, address)
-        if corrections and self._outbox.allow_reply():
+        if corrections and self._outbox.try_consume_reply():
             self._outbox.send_updates(sender, address, corrections)
 
-    def _answer_replaced(self, record: MemberRecord, sender_address: str) -> None:
-        """Tell an older process who has its name now; nothing that it says is believed."""
+    def _reply_to_replaced(self, record: MemberRecord, sender_address: str) -> None:
+        """Send a replaced process the record of its newer namesake; its own updates are ignored."""
         self.state.counters["older-life"] += 1
-        if self._outbox.allow_reply():
+        if self._outbox.try_consume_reply():
             self._outbox.send(None, sender_address, Updates([record.as_update(full=True)]))
 
     def _reply_address(self, packet: Packet, sender_address: str, corrections: list[MemberUpdate]) -> str:
-        """Return where to answer; ask an unknown sender who it is, and correct one that is believed dead."""
+        """Return the address to reply to.
+
+        Sends an unknown sender an IdentityRequest, and adds a correction for a sender that is believed dead.
+        """
         record = self._table.records.get(packet.sender)
         if record is None or record.process_incarnation < packet.process_incarnation:
-            if self._outbox.allow_reply():
+            if self._outbox.try_consume_reply():
                 self.state.counters["unknown-sender"] += 1
                 self._outbox.send(packet.sender, sender_address, IdentityRequest())
             return sender_address
         if record.state is MemberState.DEAD:
-            # It speaks, so it lives: it is told what is believed of it, and refutes.
+            # The sender is running, so send it the DEAD record, which it will refute.
             corrections.insert(0, record.as_update())
         return record.info.address if record.info else sender_address
 
@@ -266,10 +269,10 @@
     # --- timers
 
     def tick(self, now_ms: float) -> None:
-        """Do all that has fallen due."""
+        """Run all expired timers."""
         if self._local.fenced:
             return
-        self._note_activity(now_ms)
+        self._detect_pause(now_ms)
         while (timer := self.state.timers.pop_expired(now_ms)) is not None:
             self._run(now_ms, timer)
 
@@ -290,7 +293,7 @@
             case TimerKind.RELAY_EXPIRY:
                 self.relay.expire(timer.number)
             case TimerKind.PERIOD:
-                self._begin_period(now_ms)
+                self._run_period_tasks(now_ms)
             case TimerKind.EXCHANGE:
                 self._exchanges.request_periodic(now_ms)
             case TimerKind.JOIN:
@@ -301,14 +304,14 @@
         if self.state.queue:
             self._outbox.gossip(self.settings.gossip_fanout)
 
-    def _begin_period(self, now_ms: float) -> None:
+    def _run_period_tasks(self, now_ms: float) -> None:
         self.state.timers.schedule(now_ms + self.settings.protocol_period_ms, TimerKind.PERIOD)
-        self._outbox.renew_replies()
-        reconnect.contact_dead(self.state, self._outbox)
-        reconnect.forget_ended(self.state, now_ms)
+        self._outbox.reset_reply_budget()
+        reconnect.ping_random_dead(self.state, self._outbox)
+        reconnect.reap_inactive(self.state, now_ms)
 
-    def _note_activity(self, now_ms: float) -> None:
-        """After a gap between calls, in which this process did not run, hold nothing in it against others."""
+    def _detect_pause(self, now_ms: float) -> None:
+        """Detect a pause of this process since the last call; do not suspect others for silence during it."""
         gap_ms, self._last_call_ms = now_ms - self._last_call_ms, max(now_ms, self._last_call_ms)
         period_ms = self.settings.protocol_period_ms
         if gap_ms <= period_ms / 2:
@@ -317,33 +320,36 @@
         self.state.health.adjust(2 if gap_ms > period_ms else 1)
         self.prober.abandon_all()
         self.relay.abandon_all()
-        self.transitions.postpone_verdicts(now_ms, gap_ms)
+        self.transitions.extend_suspicions(now_ms, gap_ms)
 
     # --- leaving and full exchanges
 
     def leave(self, now_ms: float) -> None:
-        """Leave in order: say so to some at once, to more at each gossip until the transport stops."""
+        """Announce a graceful leave to some members at once, and to more with each later gossip round."""
         self._local.leaving = True
         self.state.queue.enqueue(self._local.as_update())
         self._outbox.gossip(self.settings.gossip_fanout * 2)
 
     def state_batches(self, max_bytes: int = MAX_FRAME_BYTES // 2) -> list[list[MemberUpdate]]:
-        """Return everything known in batches of at most so many bytes, for the exchange."""
+        """Return full updates of all known members for an exchange, in batches of at most `max_bytes`."""
         records = self._table.records.values()
         updates = [self._local.as_update(full=True), *(record.as_update(full=True) for record in records)]
-        return batched(updates, max_bytes)
+        return split_into_batches(updates, max_bytes)
 
     def merge_remote_state(self, now_ms: float, sender: str, updates: list[MemberUpdate]) -> None:
-        """Take in one batch of an exchange with `sender`."""
+        """Merge one batch of updates from an exchange with `sender`; ignored once fenced."""
         if self._local.fenced:
             return
-        self._note_activity(now_ms)
+        self._detect_pause(now_ms)
         for update in updates:
             self._merger.merge(now_ms, update, sender, from_exchange=True)
 
     def record_exchange_result(self, now_ms: float, succeeded: bool) -> None:
-        """Say how an exchange that this process began went; one that failed is tried again at the next."""
-        self._exchanges.finished(now_ms, succeeded=succeeded)
+        """Record the result of an exchange that this process initiated.
+
+        After a failure the next request for an exchange is not rate limited.
+        """
+        self._exchanges.record_result(now_ms, succeeded=succeeded)
         if succeeded:
             self._joiner.joined = True
         else:
--- a/cressrock/membership/merge.py
+++ b/cressrock/membership/merge.py
@@ -1,9 +1,9 @@
-"""Merges updates into what is believed, by one order: whatever their order, loss and repetition, views meet.
+"""Merges updates into the member table so that views converge despite reordering, loss and duplication.
 
-Updates of one (name, process incarnation) are ordered by (left, incarnation, state), process incarnations of
-one name by number; what is believed only goes up in that order.  The one step back is from dead to suspected,
-at an exchange with a member that still believes the dead one alive: a partition's two sides disagree, and
-only the one concerned can say.
+Updates of one (name, process incarnation) are ordered by (left, incarnation, state), and process incarnations
+of one name by number; a record only moves up in that order.  The one exception is the step from dead back to
+suspected, in an exchange with a member that still believes the dead member alive: the two sides of a
+partition disagree, and only the member itself can resolve this by refuting.
 """
 
 from __future__ import annotations
@@ -13,19 +13,21 @@
 from cressrock.membership.events import MemberJoined, MemberRestarted
 from cressrock.membership.exchanges import ExchangeScheduler
 from cressrock.membership.identity_conflicts import IdentityConflicts
-from cressrock.membership.member_table import ENDED, MemberRecord
+from cressrock.membership.member_table import DEAD_OR_LEFT, MemberRecord
 from cressrock.membership.outbox import Outbox
 from cressrock.membership.packets import MemberState, MemberUpdate
 from cressrock.membership.state import MembershipState
 from cressrock.membership.transitions import StateTransitions
 
-MAX_CORRECTIONS = 8  # answers to one packet's outdated updates
-RECENT_PERIODS = 3  # dead for longer: a partition lay between, not an update that is late
-RECOVERY_EXCHANGE_PERIODS = 5  # between full exchanges with members that came back
+MAX_CORRECTIONS = 8  # in reply to the outdated updates of one packet
+RECENT_DEATH_PERIODS = (
+    3  # a member dead for longer and reported alive was partitioned; the update is not just late
+)
+RECOVERY_EXCHANGE_INTERVAL_PERIODS = 5  # minimum interval of full exchanges with recovered members
 
 
 class UpdateMerger:
-    """Takes in updates from packets and exchanges."""
+    """Merges updates from packets and exchanges into the member table."""
 
     def __init__(
         self,
@@ -35,7 +37,7 @@
         exchanges: ExchangeScheduler,
         conflicts: IdentityConflicts,
     ) -> None:
-        """Merge into the table of `state`."""
+        """Merge into `state.table`; queue and report the changes through the other components."""
         self._state = state
         self._table = state.table
         self._outbox = outbox
@@ -44,7 +46,7 @@
         self._conflicts = conflicts
 
     def merge_all(self, now_ms: float, updates: Iterable[MemberUpdate], sender: str) -> list[MemberUpdate]:
-        """Merge a packet's updates; returns what is known better here, as corrections for the sender."""
+        """Merge a packet's updates; returns at most MAX_CORRECTIONS newer records to send back."""
         corrections: list[MemberUpdate] = []
         records = self._table.records
         for update in updates:
@@ -61,7 +63,7 @@
                     or update.accuser in record.accusers
                 )
             ):
-                continue  # most updates were heard before
+                continue  # fast path: most updates are duplicates
             correction = self.merge(now_ms, update, sender)
             if correction is not None and len(corrections) < MAX_CORRECTIONS:
                 corrections.append(correction)
@@ -70,9 +72,9 @@
     def merge(
         self, now_ms: float, update: MemberUpdate, sender: str, *, from_exchange: bool = False
     ) -> MemberUpdate | None:
-        """Merge one update; returns what is known better here, if the update is behind it."""
+        """Merge one update; returns the newer local record if the update is outdated, otherwise None."""
         if update.name == self._state.local.name:
-            return self._merge_about_local(update)
+            return self._merge_local_update(update)
         record = self._table.records.get(update.name)
         if record is None:
             self._add(now_ms, update)
@@ -85,11 +87,11 @@
         if record.state is MemberState.LEFT:
             return None
         if update.state is MemberState.LEFT:
-            self._transitions.change(now_ms, record, MemberState.LEFT, update.incarnation, "")
+            self._transitions.set_state(now_ms, record, MemberState.LEFT, update.incarnation, "")
             return None
         if update.incarnation < record.incarnation:
-            outdated = update.state is not MemberState.ALIVE or from_exchange
-            return record.as_update() if outdated else None
+            is_outdated = update.state is not MemberState.ALIVE or from_exchange
+            return record.as_update() if is_outdated else None
         match update.state:
             case MemberState.ALIVE:
                 return self._merge_alive(now_ms, record, update, sender, from_exchange=from_exchange)
@@ -99,26 +101,27 @@
                 self._merge_dead(now_ms, record, update, from_exchange=from_exchange)
         return None
 
-    # --- the same process
+    # --- updates about a known process
 
     def _merge_alive(
         self, now_ms: float, record: MemberRecord, update: MemberUpdate, sender: str, *, from_exchange: bool
     ) -> MemberUpdate | None:
         period_ms = self._state.settings.protocol_period_ms
-        long_dead = (
-            record.state is MemberState.DEAD and now_ms - record.state_since_ms > RECENT_PERIODS * period_ms
+        is_long_dead = (
+            record.state is MemberState.DEAD
+            and now_ms - record.state_since_ms > RECENT_DEATH_PERIODS * period_ms
         )
         if update.incarnation > record.incarnation:
-            self._transitions.change(now_ms, record, MemberState.ALIVE, update.incarnation, "")
-            if long_dead and sender == update.name:
-                min_interval_ms = RECOVERY_EXCHANGE_PERIODS * period_ms
+            self._transitions.set_state(now_ms, record, MemberState.ALIVE, update.incarnation, "")
+            if is_long_dead and sender == update.name:
+                min_interval_ms = RECOVERY_EXCHANGE_INTERVAL_PERIODS * period_ms
                 self._exchanges.request(now_ms, sender, min_interval_ms, with_gossip_state=True)
         elif record.state is MemberState.DEAD:
-            if not from_exchange or not long_dead:
+            if not from_exchange or not is_long_dead:
                 return record.as_update()
-            # Long dead here and alive there: a partition lay between.  Only the one concerned can say;
-            # nobody accuses, so that many such meetings do not count as many accusers.
-            self._transitions.change(now_ms, record, MemberState.SUSPECT, record.incarnation, "")
+            # Dead for long here and alive there indicates a partition; only the member itself can resolve it.
+            # The accuser is empty, so that several such exchanges do not count as several accusers.
+            self._transitions.set_state(now_ms, record, MemberState.SUSPECT, record.incarnation, "")
         elif record.state is MemberState.SUSPECT:
             return record.as_update()
         return None
@@ -133,23 +136,23 @@
         self, now_ms: float, record: MemberRecord, update: MemberUpdate, *, from_exchange: bool
     ) -> None:
         if record.state is MemberState.ALIVE:
-            # Not taken on one word: who was believed alive is suspected first, and can answer.
+            # One report of death is not trusted: a member believed alive is suspected first and can refute.
             accuser = "" if from_exchange else update.accuser
             self._transitions.suspect(now_ms, record, update.incarnation, accuser)
         elif record.state is MemberState.SUSPECT and not from_exchange:
-            self._transitions.change(now_ms, record, MemberState.DEAD, update.incarnation, update.accuser)
+            self._transitions.set_state(now_ms, record, MemberState.DEAD, update.incarnation, update.accuser)
         elif update.incarnation > record.incarnation:
             self._table.writable(record).incarnation = update.incarnation
 
-    # --- this process
+    # --- updates about this process
 
-    def _merge_about_local(self, update: MemberUpdate) -> MemberUpdate | None:
+    def _merge_local_update(self, update: MemberUpdate) -> MemberUpdate | None:
         local = self._state.local
-        own = local.identity.process_incarnation
-        if update.process_incarnation > own:
+        own_incarnation = local.identity.process_incarnation
+        if update.process_incarnation > own_incarnation:
             self._conflicts.fence(update.process_incarnation)
             return None
-        if update.process_incarnation < own:
+        if update.process_incarnation < own_incarnation:
             return local.as_update(full=True)
         if update.info is not None and update.info.address != local.identity.address:
             if update.info.address > local.identity.address:
@@ -165,22 +168,25 @@
         return self._refute(update)
 
     def _refute(self, update: MemberUpdate) -> MemberUpdate:
-        """Raise this process's incarnation above an accusation and tell some members at once."""
+        """Raise this process's incarnation above that of `update`, and gossip the refutation at once."""
         local = self._state.local
         if update.state is MemberState.SUSPECT:
-            # Lifeguard: whoever has to refute was slow itself, as far as it can tell.
+            # Lifeguard: a process that has to refute a suspicion assumes that it was slow itself.
             self._state.health.adjust(1)
         local.incarnation = update.incarnation + 1
         self._state.queue.enqueue(local.as_update())
         self._outbox.gossip(self._state.settings.gossip_fanout)
         return local.as_update()
 
-    # --- processes that are new here
+    # --- processes that are not in the table
 
     def _add(self, now_ms: float, update: MemberUpdate) -> None:
-        if update.state not in ENDED and update.info is None:
-            return  # without an address there is nobody to speak to yet; the full update follows
-        if len(self._table.records) >= self._state.settings.max_members - 1 and not self._forget_oldest():
+        if update.state not in DEAD_OR_LEFT and update.info is None:
+            return  # the member cannot be contacted without an address; a full update follows
+        if (
+            len(self._table.records) >= self._state.settings.max_members - 1
+            and not self._evict_oldest_inactive()
+        ):
             self._state.counters["members-full"] += 1
             return
         name, process_incarnation = update.name, update.process_incarnation
@@ -188,7 +194,7 @@
             name, process_incarnation, update.incarnation, update.state, update.info, now_ms
         )
         self._table.add(record)
-        if update.state in ENDED:
+        if update.state in DEAD_OR_LEFT:
             if update.state is MemberState.DEAD:
                 self._table.mark_dead(name)
             return
@@ -198,15 +204,15 @@
         self._announce(now_ms, record, update)
 
     def _announce(self, now_ms: float, record: MemberRecord, update: MemberUpdate) -> None:
-        """Pass on a new process as it was heard of: alive or already suspected."""
+        """Queue a broadcast of a new process in its reported state: alive or already suspected."""
         if update.state is MemberState.SUSPECT:
             self._transitions.suspect(now_ms, record, update.incarnation, update.accuser)
         else:
             self._state.queue.enqueue(record.as_update(full=True))
 
-    def _forget_oldest(self) -> bool:
-        """Make room for a new name; the live are never pushed out."""
-        name = self._table.oldest_ended()
+    def _evict_oldest_inactive(self) -> bool:
+        """Evict the oldest dead or left member, never a live one; returns False if there is none."""
+        name = self._table.oldest_inactive()
         if name is None:
             return False
         self._table.forget(name)
@@ -216,20 +222,23 @@
     def _merge_other_process(
         self, now_ms: float, record: MemberRecord, update: MemberUpdate
     ) -> MemberUpdate | None:
-        """Of two processes with one name keep the newer; returns the known one if it is that."""
-        known, announced = record.info, update.info
-        both = known is not None and announced is not None
-        # Two starts within one millisecond: the greater address is the newer, for all alike.
-        known_order = (record.process_incarnation, known.address if known and both else "")
-        announced_order = (update.process_incarnation, announced.address if announced and both else "")
+        """Keep the newer of two processes with one name; returns the known record if it is the newer."""
+        known_info, announced_info = record.info, update.info
+        both_known = known_info is not None and announced_info is not None
+        # Both may have started within one millisecond: all members then treat the greater address as newer.
+        known_order = (record.process_incarnation, known_info.address if known_info and both_known else "")
+        announced_order = (
+            update.process_incarnation,
+            announced_info.address if announced_info and both_known else "",
+        )
         if announced_order < known_order:
             return record.as_update(full=True)
-        if update.state in ENDED or announced is not None:
+        if update.state in DEAD_OR_LEFT or announced_info is not None:
             self._replace(now_ms, record, update)
         return None
 
     def _replace(self, now_ms: float, record: MemberRecord, update: MemberUpdate) -> None:
-        """Put a newer process of the same name in the place of the known one."""
+        """Replace the known process with a newer one of the same name."""
         table = self._table
         record = table.writable(record)
         restarted = MemberRestarted(record.name, record.process_incarnation, update.process_incarnation)
@@ -242,15 +251,17 @@
         record.accuser, record.confirmed = "", False
         record.accusers.clear()
         self._state.queue.discard(record.name)
-        if update.state in ENDED:
-            self._transitions.change(now_ms, record, update.state, update.incarnation, update.accuser)
+        if update.state in DEAD_OR_LEFT:
+            self._transitions.set_state(now_ms, record, update.state, update.incarnation, update.accuser)
         else:
             table.mark_live(record.name)
             self._announce(now_ms, record, update)
 
 
 def _is_other_process(record: MemberRecord, update: MemberUpdate) -> bool:
-    """Whether an update is of another process than the one known under its name."""
-    known, announced = record.info, update.info
-    elsewhere = known is not None and announced is not None and known.address != announced.address
-    return update.process_incarnation != record.process_incarnation or elsewhere
+    """Whether an update describes a different process than the one recorded under its name."""
+    known_info, announced_info = record.info, update.info
+    address_differs = (
+        known_info is not None and announced_info is not None and known_info.address != announced_info.address
+    )
+    return update.process_incarnation != record.process_incarnation or address_differs
--- a/cressrock/membership/outbox.py
+++ b/cressrock/membership/outbox.py
@@ -1,4 +1,4 @@
-"""Messages to send: each carries as many waiting updates as fit one datagram (SWIM's piggybacking)."""
+"""Outgoing messages, each with as many queued updates as fit into one datagram (SWIM's piggybacking)."""
 
 from __future__ import annotations
 
@@ -21,15 +21,15 @@
 from cressrock.membership.types import OutgoingMessage
 from cressrock.membership.view_checksum import ViewChecksum
 
-ACCUSED = (MemberState.SUSPECT, MemberState.DEAD)
+SUSPECT_OR_DEAD = (MemberState.SUSPECT, MemberState.DEAD)
 MIN_TRANSMISSIONS = 2
 
 
 class Outbox:
-    """Composes messages, hands out the numbers of pings, and bounds replies to unknown senders."""
+    """Composes messages, allocates ping numbers, and rate limits replies."""
 
     def __init__(self, state: MembershipState, checksum: ViewChecksum) -> None:
-        """Begin empty, with a random number, so that a restarted process takes no old answer for its own."""
+        """Start at a random ping number, so that a restarted process ignores answers to earlier pings."""
         self.messages: list[OutgoingMessage] = []
         self._state = state
         self._checksum = checksum
@@ -40,60 +40,60 @@
         )
 
     def next_number(self) -> int:
-        """Return the number of a new ping."""
+        """Allocate the number of a new ping."""
         self._last_number += 1
         return self._last_number
 
-    # --- replies to unknown senders
+    # --- rate limit of replies
 
-    def allow_reply(self) -> bool:
-        """Spend one of the period's replies; a flood of questions costs no more than these."""
+    def try_consume_reply(self) -> bool:
+        """Consume one of the period's replies, or return False; this bounds the cost of a request flood."""
         if self._replies_left <= 0:
             self._state.counters["no-reply-left"] += 1
             return False
         self._replies_left -= 1
         return True
 
-    def renew_replies(self) -> None:
-        """Begin a period."""
+    def reset_reply_budget(self) -> None:
+        """Restore the reply budget at the start of a protocol period."""
         self._replies_left = self._state.settings.replies_per_period
 
     # --- messages
 
     def send(self, name: str | None, address: str, message: Message) -> None:
-        """Send a message as it is."""
+        """Queue a message for sending, without adding updates."""
         self.messages.append(OutgoingMessage(name, address, message))
 
     def send_ping(self, name: str, address: str, number: int) -> None:
-        """Ping a member."""
+        """Queue a ping with piggybacked updates."""
         updates = self._piggyback(name)
         self.send(name, address, Ping(number, name, updates, self._checksum.value()))
 
     def send_ack(
         self, name: str, address: str, number: int, corrections: Iterable[MemberUpdate] = ()
     ) -> None:
-        """Answer a ping; `corrections` go first."""
+        """Queue an answer to a ping; `corrections` precede other updates."""
         updates = self._piggyback(name, corrections)
         self.send(name, address, Ack(number, updates, self._checksum.value()))
 
     def send_ping_request(self, helper: str, number: int, target: str, target_address: str) -> None:
-        """Ask a helper to ping a member."""
+        """Queue a request that `helper` ping `target`."""
         updates = self._piggyback(helper, reserved_bytes=len(target) + len(target_address))
         address = self._state.table.address_of(helper)
         self.send(helper, address, PingRequest(number, target, target_address, updates))
 
     def send_nack(self, name: str, number: int) -> None:
-        """Tell who asked for a ping that there was no answer."""
+        """Queue a notice to the requester of an indirect ping that the target has not answered."""
         updates = self._piggyback(name)
         self.send(name, self._state.table.address_of(name), Nack(number, updates))
 
     def send_updates(self, name: str, address: str, corrections: Iterable[MemberUpdate] = ()) -> None:
-        """Send `corrections` and waiting updates, if there are any."""
+        """Queue a message of `corrections` and pending updates, if there are any."""
         if updates := self._piggyback(name, corrections):
             self.send(name, address, Updates(updates))
 
     def gossip(self, count: int) -> None:
-        """Send waiting updates to `count` live members."""
+        """Send pending updates to `count` random live members."""
         table = self._state.table
         for name in table.live.sample(self._state.rng, count):
             self.send_updates(name, table.address_of(name))
@@ -101,12 +101,16 @@
     def _piggyback(
         self, name: str, corrections: Iterable[MemberUpdate] = (), reserved_bytes: int = 0
     ) -> list[MemberUpdate]:
-        """Return updates for a message to `name`: corrections, then the least sent ones that still fit."""
+        """Return updates for a message to `name`: corrections, then the least transmitted ones that fit."""
         updates = list(corrections)
         state = self._state
         record = state.table.records.get(name)
-        if record is not None and record.state in ACCUSED and not any(u.name == name for u in updates):
-            # Lifeguard's buddy system: the accused is the first to hear of it.
+        if (
+            record is not None
+            and record.state in SUSPECT_OR_DEAD
+            and not any(u.name == name for u in updates)
+        ):
+            # Lifeguard's buddy system: messages to a suspected member carry the suspicion, so it can refute.
             updates.insert(0, record.as_update())
         remaining = self.updates_capacity - sum(map(encoded_size, updates)) - reserved_bytes - len(name)
         while remaining < 0 and updates:
--- a/cressrock/membership/packets.py
+++ b/cressrock/membership/packets.py
@@ -1,9 +1,9 @@
 """The wire format of datagrams and exchange frames, version 1: MessagePack arrays in one envelope.
 
-The envelope names version, cluster id, sender and the sender's process incarnation; a receiver believes the
-name in the envelope and never the source address, so that relays and translated addresses change nothing.
-Elements that a newer minor version appends to an array are ignored.  Nothing here is signed: the port belongs
-on a network of the operators' own.
+The envelope contains version, cluster id, sender and the sender's process incarnation.  A receiver identifies
+the sender by the name in the envelope, not by the source address, so relays and address translation are
+transparent.  Elements that a newer minor version appends to an array are ignored.  Messages are not
+authenticated: expose the port only on a trusted network.
 """
 
 from __future__ import annotations
@@ -23,10 +23,10 @@
 )
 
 VERSION = 1
-MAX_DATAGRAM_BYTES = 1200  # below what every path of IPv6 (1280) carries whole, with headers and a tunnel
-MAX_FRAME_BYTES = 65536  # of one frame of the exchange
+MAX_DATAGRAM_BYTES = 1200  # fits the minimum IPv6 MTU (1280) with headers and a tunnel, without fragmentation
+MAX_FRAME_BYTES = 65536  # of one exchange frame
 FRAME_LENGTH_BYTES = 4
-ENVELOPE_BYTES = 40  # at most, without the cluster's and the sender's names and the updates
+ENVELOPE_BYTES = 40  # upper bound, excluding the names of cluster and sender and the updates
 
 Name = Annotated[str, Meta(min_length=1, max_length=64, pattern=r"^[A-Za-z0-9][A-Za-z0-9._-]*\Z")]
 Label = Annotated[str, Meta(max_length=64)]
@@ -36,16 +36,16 @@
 
 
 class MemberState(IntEnum):
-    """What is believed of a member; of two updates with one incarnation the greater number counts."""
+    """The state of a member; of two updates with the same incarnation the greater value takes precedence."""
 
     ALIVE = 0
     SUSPECT = 1
     DEAD = 2
-    LEFT = 3  # said by the member itself, and final for its process incarnation
+    LEFT = 3  # announced by the member itself; final for its process incarnation
 
     @property
     def status_name(self) -> str:
-        """The name that operators and other programs read; it stays, whatever the code calls the state."""
+        """The name shown to operators and other programs; stable even if the enum member is renamed."""
         return _STATUS_NAMES[self]
 
 
@@ -58,7 +58,7 @@
 
 
 class MemberInfo(Struct, frozen=True, array_like=True):
-    """What a process says of itself, unchanged in one process incarnation."""
+    """The description that a process announces; constant within one process incarnation."""
 
     address: Address
     role: Label
@@ -68,10 +68,11 @@
 
 
 class MemberUpdate(Struct, frozen=True, array_like=True):
-    """What somebody believes of one member.
+    """The state of one member as believed by the sender.
 
-    `process_incarnation` grows with every start of the name; `incarnation` is SWIM's: it grows within one
-    process incarnation whenever the member refutes a suspicion.  `accuser` is who suspects it, if one does.
+    `process_incarnation` increases with every start under the name; `incarnation` is SWIM's: it increases
+    within one process incarnation whenever the member refutes a suspicion.  `accuser` is the member that
+    suspects it, or empty.
     """
 
     name: Name
@@ -82,26 +83,26 @@
     info: MemberInfo | None = None
 
 
-MAX_UPDATES = 1024  # of one message
+MAX_UPDATES = 1024  # per message
 UPDATES_PER_BATCH = 1000
 MemberUpdates = Annotated[list[MemberUpdate], Meta(max_length=MAX_UPDATES)]
 
 
 class MessageBody(Struct, frozen=True, array_like=True, tag_field="t"):
-    """Any message."""
+    """The base class of all messages, tagged by type."""
 
 
 class Ping(MessageBody, frozen=True, tag=1):
-    """Asks `target` for an Ack of its number; another process that now has its address stays silent."""
+    """Asks `target` for an Ack with the same number; another process at its address does not answer."""
 
     number: Number
     target: Name
     updates: MemberUpdates = []
-    view_checksum: Number = 0  # over whom the sender believes live; 0 while that is changing
+    view_checksum: Number = 0  # of the sender's live members; 0 while it has updates to send
 
 
 class Ack(MessageBody, frozen=True, tag=2):
-    """The answer to a Ping, or a helper's report that the member it was asked about has answered."""
+    """The answer to a Ping, or a helper's report that the target of a PingRequest has answered."""
 
     number: Number
     updates: MemberUpdates = []
@@ -109,7 +110,7 @@
 
 
 class PingRequest(MessageBody, frozen=True, tag=3):
-    """Asks a helper to ping another member (SWIM's ping-req): one bad path is no dead member."""
+    """Asks a helper to ping another member (SWIM's ping-req), as only the direct path may have failed."""
 
     number: Number
     target: Name
@@ -118,14 +119,14 @@
 
 
 class Nack(MessageBody, frozen=True, tag=4):
-    """A helper lives but had no answer; no word from it would count against the asker's own health."""
+    """A helper's report that it got no answer; a missing Nack raises the requester's own health score."""
 
     number: Number
     updates: MemberUpdates = []
 
 
 class Updates(MessageBody, frozen=True, tag=5):
-    """Updates and nothing else."""
+    """Carries only updates."""
 
     updates: MemberUpdates = []
 
@@ -137,38 +138,38 @@
 
 
 class JoinResponse(MessageBody, frozen=True, tag=7):
-    """A seed's answer: itself and a few live members at random; the whole list comes by an exchange."""
+    """A seed's response: itself and a few random live members; a full exchange transfers the rest."""
 
     updates: MemberUpdates = []
 
 
 class IdentityRequest(MessageBody, frozen=True, tag=8):
-    """Asks the sender of a datagram, who is not known here, to describe itself."""
+    """Asks an unknown sender for a full update about itself."""
 
 
 class GossipDigest(MessageBody, frozen=True, tag=9):
-    """Opaque bytes of the gossip: the versions that the sender has, for a range of origins."""
+    """Opaque gossip payload: the versions that the sender has, for a range of origins."""
 
     data: Payload
 
 
 class GossipDelta(MessageBody, frozen=True, tag=10):
-    """Opaque bytes of the gossip: changes."""
+    """Opaque gossip payload: changes."""
 
     data: Payload
 
 
 class ExchangePart(MessageBody, frozen=True, tag=11):
-    """One frame of an exchange: full updates, a part of the gossip's state, and whether it is the last."""
+    """One frame of an exchange: full updates, a part of the gossip state, and whether it is the last."""
 
     updates: MemberUpdates = []
     gossip_state: Payload = b""
     last: bool = False
-    with_gossip_state: bool = False  # the gossip's state is wanted and sent as well
+    with_gossip_state: bool = False  # the gossip state is exchanged as well
 
 
 class CollectorMessage(MessageBody, frozen=True, tag=12):
-    """Opaque bytes of evidence reports; a process that does not know the message drops it as malformed."""
+    """Opaque payload of evidence reports; a version that does not know this type drops it as malformed."""
 
     data: Payload
 
@@ -197,13 +198,13 @@
     body: msgspec.Raw
 
 
-class _Head(Struct, frozen=True, array_like=True):
+class _EnvelopeHeader(Struct, frozen=True, array_like=True):
     version: int
     cluster: str = ""
 
 
 class Packet(Struct, frozen=True):
-    """A decoded datagram or frame: which process sent it, and the message."""
+    """A decoded datagram or frame: the sending process and the message."""
 
     sender: str
     process_incarnation: int
@@ -212,17 +213,20 @@
 
 _encode = msgspec.msgpack.Encoder().encode
 _decode_envelope = msgspec.msgpack.Decoder(_Envelope).decode
-_decode_head = msgspec.msgpack.Decoder(_Head).decode
+_decode_header = msgspec.msgpack.Decoder(_EnvelopeHeader).decode
 _decode_message = msgspec.msgpack.Decoder(Message).decode
 
 
 def encoded_size(update: MemberUpdate) -> int:
-    """Return an update's bytes on the wire."""
+    """Return the encoded size of an update in bytes."""
     return len(_encode(update))
 
 
-def batched(updates: Iterable[MemberUpdate], max_bytes: int) -> list[list[MemberUpdate]]:
-    """Return updates in batches of at most so many bytes, and of no more updates than a message holds."""
+def split_into_batches(updates: Iterable[MemberUpdate], max_bytes: int) -> list[list[MemberUpdate]]:
+    """Split updates into batches of at most `max_bytes` and at most UPDATES_PER_BATCH updates.
+
+    An update larger than `max_bytes` gets a batch of its own; the first batch may be empty.
+    """
     batches: list[list[MemberUpdate]] = [[]]
     remaining = max_bytes
     for update in updates:
@@ -236,30 +240,32 @@
 
 
 def updates_capacity(max_datagram_bytes: int, cluster: str, sender: str) -> int:
-    """Return the bytes that are left for updates in a datagram, with the longest fields beside them."""
+    """Return the bytes available for updates in a datagram whose other fields have maximum length."""
     return max_datagram_bytes - len(cluster) - len(sender) - ENVELOPE_BYTES
 
 
 def encode(cluster: str, sender: str, process_incarnation: int, message: Message) -> bytes:
-    """Return a datagram's bytes."""
-    raw = msgspec.Raw(_encode(message))
-    return _encode(_Envelope(VERSION, cluster, sender, process_incarnation, raw))
+    """Return the encoded datagram; its size is not checked."""
+    raw_body = msgspec.Raw(_encode(message))
+    return _encode(_Envelope(VERSION, cluster, sender, process_incarnation, raw_body))
 
 
 def decode(data: bytes, cluster: str, max_bytes: int = MAX_DATAGRAM_BYTES) -> Packet:
-    """Read a datagram.
+    """Decode a datagram or an exchange frame without its length prefix.
 
     Raises PacketTooLargeError, UnsupportedPacketVersionError, ForeignClusterError or MalformedPacketError.
     """
     if len(data) > max_bytes:
-        raise PacketTooLargeError(f"{len(data)} bytes; at most {max_bytes} are taken")
+        raise PacketTooLargeError(f"packet of {len(data)} bytes exceeds the limit of {max_bytes} bytes")
     try:
-        # Version and cluster first: of a foreign message nothing more than these is read.
-        head = _decode_head(data)
-        if head.version != VERSION:
-            raise UnsupportedPacketVersionError(f"version {head.version}; spoken here is {VERSION}")
-        if head.cluster != cluster:
-            raise ForeignClusterError(f"cluster {head.cluster[:64]!r}")
+        # Check version and cluster first: nothing else of a foreign packet is decoded.
+        header = _decode_header(data)
+        if header.version != VERSION:
+            raise UnsupportedPacketVersionError(
+                f"unsupported packet version {header.version}; this process uses version {VERSION}"
+            )
+        if header.cluster != cluster:
+            raise ForeignClusterError(f"packet belongs to another cluster: {header.cluster[:64]!r}")
         envelope = _decode_envelope(data)
         return Packet(envelope.sender, envelope.process_incarnation, _decode_message(envelope.body))
     except (msgspec.DecodeError, RecursionError, UnicodeDecodeError) as error:
@@ -267,5 +273,5 @@
 
 
 def encode_frame(data: bytes) -> bytes:
-    """Return an exchange frame: four bytes of length, big end first, and the envelope."""
+    """Return an exchange frame: a four-byte big-endian length prefix and the envelope."""
     return len(data).to_bytes(FRAME_LENGTH_BYTES, "big") + data
--- a/cressrock/membership/probes.py
+++ b/cressrock/membership/probes.py
@@ -1,4 +1,4 @@
-"""SWIM's probes: ping one member after another, ask others to ping who does not answer, then suspect."""
+"""SWIM's failure detector: ping members in turn, then indirectly through helpers, then suspect."""
 
 from __future__ import annotations
 
@@ -11,12 +11,12 @@
 from cressrock.membership.timers import TimerKind
 from cressrock.membership.transitions import StateTransitions
 
-CANDIDATES_PER_HELPER = 3  # drawn for each helper, as suspected ones are passed over
+CANDIDATES_PER_HELPER = 3  # sampled for each helper, as suspected candidates are skipped
 
 
 @dataclass(slots=True)
 class _Probe:
-    """A probe without an answer so far, of a member as it was then."""
+    """An unanswered probe, with the target's incarnations at the time that it was sent."""
 
     name: str
     process_incarnation: int
@@ -26,10 +26,10 @@
 
 
 class Prober:
-    """Probes at the pace of this process's health, and accuses who answers nobody."""
+    """Probes members, more slowly when this process is unhealthy, and suspects those that do not answer."""
 
     def __init__(self, state: MembershipState, outbox: Outbox, transitions: StateTransitions) -> None:
-        """Begin without open probes."""
+        """Start without open probes."""
         self._state = state
         self._settings = state.settings
         self._outbox = outbox
@@ -37,11 +37,11 @@
         self._probes: dict[int, _Probe] = {}
 
     def __len__(self) -> int:
-        """Return how many probes are open."""
+        """Return the number of open probes."""
         return len(self._probes)
 
     def start_next(self, now_ms: float) -> None:
-        """Probe the next member in order, and schedule the one after it."""
+        """Probe the next member in the probe order, and schedule the probe after it."""
         settings, state = self._settings, self._state
         slowed_period_ms = settings.protocol_period_ms * state.health.probe_multiplier
         schedule = state.timers.schedule
@@ -58,16 +58,17 @@
         schedule(now_ms + slowed_period_ms, TimerKind.PROBE_DEADLINE, number=number)
 
     def probe_indirectly(self, number: int) -> None:
-        """Ping a member that did not answer once more, and ask helpers to ping it."""
+        """Ping an unresponsive member again, and ask helpers to ping it."""
         table = self._state.table
         probe = self._probes.get(number)
         if probe is None or probe.name not in table.live:
             return
         address = table.address_of(probe.name)
-        self._outbox.send_ping(probe.name, address, number)  # one lost datagram is no sign
+        self._outbox.send_ping(probe.name, address, number)  # the first ping may have been lost
         max_helpers = self._settings.indirect_probes
         candidates = table.live.sample(self._state.rng, max_helpers * CANDIDATES_PER_HELPER, (probe.name,))
-        # Of suspected members no answer is expected: a partition must not read as bad health of one's own.
+        # Suspected members may not answer: a missing Nack from them in a partition would wrongly raise the
+        # local health score.
         alive = [name for name in candidates if table.records[name].state is MemberState.ALIVE]
         helpers = alive[:max_helpers]
         for helper in helpers:
@@ -75,24 +76,24 @@
         probe.helpers = len(helpers)
 
     def receive_ack(self, number: int) -> bool:
-        """Close the probe that is answered; False if the number is none of an open probe."""
+        """Close the probe with this number; returns False if there is no such open probe."""
         if self._probes.pop(number, None) is None:
             return False
         self._state.health.adjust(-1)
         return True
 
     def receive_nack(self, number: int) -> None:
-        """Count a helper that lives but had no answer."""
+        """Count a helper that is alive but got no answer from the target."""
         probe = self._probes.get(number)
         if probe is not None:
             probe.nacks += 1
 
     def conclude(self, now_ms: float, number: int) -> None:
-        """Accuse the member of a probe that nobody answered."""
+        """Suspect the target of a probe that is still unanswered at its deadline."""
         probe = self._probes.pop(number, None)
         if probe is None:
             return
-        # Lifeguard: helpers that did not even say no make a fault on this side as likely.
+        # Lifeguard: a missing Nack from a helper indicates that the fault may be on this side.
         self._state.health.adjust(probe.helpers - probe.nacks if probe.helpers else 1)
         record = self._state.table.records.get(probe.name)
         if record is None or not self._transitions.may_accuse(now_ms) or _has_changed(record, probe):
@@ -104,10 +105,10 @@
             self._transitions.confirm(now_ms, record, accuser)
 
     def abandon_all(self) -> None:
-        """Drop the open probes: this process did not run, and their answers may be lost."""
+        """Drop all open probes after a pause of this process, as their answers may be lost."""
         self._probes.clear()
 
 
 def _has_changed(record: MemberRecord, probe: _Probe) -> bool:
-    """Whether the member restarted or refuted since: what was asked before is no evidence any more."""
+    """Whether the member restarted or refuted a suspicion since, which makes the probe's result obsolete."""
     return record.process_incarnation != probe.process_incarnation or record.incarnation != probe.incarnation
--- a/cressrock/membership/reconnect.py
+++ b/cressrock/membership/reconnect.py
@@ -1,6 +1,6 @@
-"""Dead members: contacted, so that the halves of a partition meet again, and forgotten at last.
+"""Contacts dead members, so that the sides of a partition reconnect, and finally removes them.
 
-Serf calls the two reconnect and reap.
+Serf calls these operations reconnect and reap.
 """
 
 from __future__ import annotations
@@ -9,8 +9,11 @@
 from cressrock.membership.state import MembershipState
 
 
-def contact_dead(state: MembershipState, outbox: Outbox) -> None:
-    """Ping a random dead member; all processes together reach each `dead_contacts_per_period` times."""
+def ping_random_dead(state: MembershipState, outbox: Outbox) -> None:
+    """Ping a random dead member, with a probability that depends on the cluster size.
+
+    On average all processes together ping each dead member `dead_contacts_per_period` times per period.
+    """
     table = state.table
     if not table.dead:
         return
@@ -20,10 +23,10 @@
             outbox.send_ping(name, address, outbox.next_number())
 
 
-def forget_ended(state: MembershipState, now_ms: float) -> None:
-    """Forget members that have been dead or left for so long that no late update can be about them."""
+def reap_inactive(state: MembershipState, now_ms: float) -> None:
+    """Remove members that have been dead or left for so long that no delayed update about them can arrive."""
     table = state.table
     if len(table.records) > len(table.live):
-        for name in table.ended_for(state.settings.dead_retention_ms, now_ms):
+        for name in table.inactive_longer_than(state.settings.dead_retention_ms, now_ms):
             table.forget(name)
             state.queue.discard(name)
--- a/cressrock/membership/state.py
+++ b/cressrock/membership/state.py
@@ -1,4 +1,4 @@
-"""The data that the parts of one process's membership share."""
+"""State that the components of one process's membership share."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 @dataclass(frozen=True, slots=True)
 class MembershipState:
-    """Settings, random source, beliefs, what waits to be sent, timers, and what is to be reported."""
+    """Settings, random source, member table, queued updates, timers, pending events and counters."""
 
     settings: MembershipSettings
     rng: random.Random
@@ -27,4 +27,4 @@
     queue: BroadcastQueue = field(default_factory=BroadcastQueue)
     timers: TimerQueue = field(default_factory=TimerQueue)
     events: list[Event] = field(default_factory=list)
-    counters: Counter[str] = field(default_factory=Counter)  # what was odd, by reason
+    counters: Counter[str] = field(default_factory=Counter)  # unexpected events, by reason
--- a/cressrock/membership/suspicion.py
+++ b/cressrock/membership/suspicion.py
@@ -1,4 +1,4 @@
-"""How long suspicion lasts, by Lifeguard's formula (LHA-Suspicion): the more accusers, the shorter."""
+"""Suspicion timeouts by Lifeguard's formula (LHA-Suspicion): more accusers shorten the timeout."""
 
 from __future__ import annotations
 
@@ -8,10 +8,10 @@
 
 
 def min_suspicion_ms(settings: MembershipSettings, cluster_size: int) -> float:
-    """Return the shortest time of suspicion for a cluster size.
+    """Return the minimum suspicion timeout for a cluster size.
 
-    Lifeguard's alpha * log10(n) periods, but never so short that a process which was stopped for
-    `tolerated_pause_ms` (suspected at the earliest one period after it stopped) could not be heard by all.
+    This is Lifeguard's alpha * log10(n) periods, but long enough that the refutation of a process paused for
+    `tolerated_pause_ms` (suspected no earlier than one period after its pause began) reaches all members.
     """
     period_ms = settings.protocol_period_ms
     gossip_rounds = math.ceil(math.log(max(cluster_size, 2), settings.gossip_fanout + 1)) + 2
@@ -21,15 +21,15 @@
 
 
 def suspicion_ms(
-    settings: MembershipSettings, cluster_size: int, accusers: int, *, accused_by_name: bool
+    settings: MembershipSettings, cluster_size: int, accusers: int, *, has_named_accuser: bool
 ) -> float:
-    """Return how long suspicion lasts for this many accusers, before this process's own health is counted.
+    """Return the suspicion timeout for a number of accusers, not scaled by the local health score.
 
-    `accused_by_name`: somebody named accuses, and the suspicion does not come from two lists that disagree.
+    `has_named_accuser`: a named member raised the suspicion; it does not stem from two lists that disagree.
     """
     min_ms = min_suspicion_ms(settings, cluster_size)
     confirmations = min(settings.confirmations, max(cluster_size - 3, 0))
-    if confirmations == 0 and accused_by_name:
+    if confirmations == 0 and has_named_accuser:
         return min_ms
     max_ms = min_ms * settings.max_suspicion_factor
     confirmed = max(accusers - 1, 0)
--- a/cressrock/membership/timers.py
+++ b/cressrock/membership/timers.py
@@ -1,4 +1,4 @@
-"""The membership's timers: what falls due when, in one heap."""
+"""The membership's timers, in one heap ordered by expiry."""
 
 from __future__ import annotations
 
@@ -10,53 +10,53 @@
 
 
 class TimerKind(Enum):
-    """What a timer is for."""
+    """The action to run when a timer expires."""
 
-    PROBE = auto()  # the next probe
-    INDIRECT_PROBE = auto()  # a ping was not answered: ask others to ping
-    PROBE_DEADLINE = auto()  # a probe's period is over
-    RELAY_DEADLINE = auto()  # a ping made for another member was not answered
-    RELAY_EXPIRY = auto()  # and not even late
-    GOSSIP = auto()  # the next round of waiting updates
-    SUSPICION = auto()  # a suspected member's last ping or verdict
-    EXCHANGE = auto()  # the next full exchange
-    JOIN = auto()  # the next request to a seed
-    PERIOD = auto()  # housekeeping once a period
+    PROBE = auto()  # start the next probe
+    INDIRECT_PROBE = auto()  # the direct ping timed out: ask helpers to ping
+    PROBE_DEADLINE = auto()  # conclude a probe at the end of its period
+    RELAY_DEADLINE = auto()  # a relayed ping timed out: send a Nack
+    RELAY_EXPIRY = auto()  # drop a relay that got no late answer either
+    GOSSIP = auto()  # start the next gossip round
+    SUSPICION = auto()  # final ping to a suspected member, or its suspicion timeout
+    EXCHANGE = auto()  # consider the next periodic full exchange
+    JOIN = auto()  # send the next join request to seeds
+    PERIOD = auto()  # housekeeping once per protocol period
 
 
 class Timer(NamedTuple):
-    """A timer of a member (`name`) or of a ping (`number`), or of the process itself."""
+    """A timer for a member (`name`), a ping (`number`) or neither; unused fields are empty or 0."""
 
     fires_at_ms: float
-    order: int  # equal times fall due in the order in which they were scheduled
+    order: int  # ties expire in the order in which they were scheduled
     kind: TimerKind
     name: str
     number: int
 
 
 class TimerQueue:
-    """Timers by due time."""
+    """A priority queue of timers, earliest first."""
 
     def __init__(self) -> None:
-        """Begin empty."""
+        """Start without timers."""
         self._heap: list[Timer] = []
-        self._scheduled = 0
+        self._scheduled_count = 0
 
     def __len__(self) -> int:
-        """Return how many timers wait."""
+        """Return the number of pending timers."""
         return len(self._heap)
 
     def schedule(self, fires_at_ms: float, kind: TimerKind, *, name: str = "", number: int = 0) -> None:
-        """Add a timer; timers are never cancelled, whoever handles one looks whether it still applies."""
-        self._scheduled += 1
-        heapq.heappush(self._heap, Timer(fires_at_ms, self._scheduled, kind, name, number))
+        """Add a timer; timers cannot be cancelled, so handlers check whether an expired one still applies."""
+        self._scheduled_count += 1
+        heapq.heappush(self._heap, Timer(fires_at_ms, self._scheduled_count, kind, name, number))
 
     def next_fire_ms(self) -> float:
-        """Return when the next timer falls due, infinity without any."""
+        """Return when the next timer expires, or infinity if there is none."""
         return self._heap[0].fires_at_ms if self._heap else NEVER_MS
 
     def pop_expired(self, now_ms: float) -> Timer | None:
-        """Remove and return the next timer that has fallen due."""
+        """Remove and return the earliest timer if it has expired, otherwise None."""
         if self._heap and self._heap[0].fires_at_ms <= now_ms:
             return heapq.heappop(self._heap)
         return None
--- a/cressrock/membership/transitions.py
+++ b/cressrock/membership/transitions.py
@@ -1,4 +1,4 @@
-"""Moves members between alive, suspected, dead and left, and times suspicion (SWIM section 4.2)."""
+"""Member state transitions (alive, suspect, dead, left) and suspicion timeouts (SWIM section 4.2)."""
 
 from __future__ import annotations
 
@@ -14,23 +14,25 @@
 
 
 class StateTransitions:
-    """Every change of a member's state passes here: it is recorded, reported and queued for broadcast."""
+    """Applies every change of a member's state: records it, reports an event and queues it for broadcast."""
 
     def __init__(self, state: MembershipState, outbox: Outbox, now_ms: float) -> None:
-        """Accuse from the beginning."""
+        """Start with no suspended accusations: members may be suspected from `now_ms` on."""
         self._state = state
         self._outbox = outbox
         self._settings = state.settings
-        # The last part of a suspicion, in which the accused is pinged directly, twice.
-        self._last_pings_ms = 2 * state.settings.ping_timeout_fraction * state.settings.protocol_period_ms
-        self._no_verdict_before_ms = now_ms
+        # Length of the last part of a suspicion, in which the suspected member is pinged directly, twice.
+        self._final_ping_window_ms = (
+            2 * state.settings.ping_timeout_fraction * state.settings.protocol_period_ms
+        )
+        self._no_accusation_before_ms = now_ms
 
     # --- transitions
 
-    def change(
+    def set_state(
         self, now_ms: float, record: MemberRecord, state: MemberState, incarnation: int, accuser: str
     ) -> None:
-        """Put a member into a state, report it and queue it for broadcast."""
+        """Set a member's state and incarnation, report the change and queue it for broadcast."""
         table = self._state.table
         record = table.writable(record)
         previous, record.state = record.state, state
@@ -46,7 +48,7 @@
             case MemberState.SUSPECT:
                 table.mark_live(record.name)
                 record.suspected_at_ms = now_ms
-                self._schedule_last_pings(now_ms, record)
+                self._schedule_final_pings(now_ms, record)
             case MemberState.DEAD:
                 table.mark_dead(record.name)
             case MemberState.LEFT:
@@ -69,16 +71,16 @@
                 events.append(MemberLeft(name, process_incarnation))
 
     def suspect(self, now_ms: float, record: MemberRecord, incarnation: int, accuser: str) -> None:
-        """Suspect a member; `accuser` is empty where two lists disagree and nobody accuses."""
+        """Suspect a member; `accuser` is empty if the suspicion stems from two member lists that disagree."""
         if record.state is MemberState.DEAD:
             return
         record = self._state.table.writable(record)
-        self.change(now_ms, record, MemberState.SUSPECT, incarnation, accuser)
+        self.set_state(now_ms, record, MemberState.SUSPECT, incarnation, accuser)
         if accuser:
             record.accusers.add(accuser)
 
     def confirm(self, now_ms: float, record: MemberRecord, accuser: str) -> None:
-        """Count a further accuser of a suspected member, which shortens suspicion, and pass it on."""
+        """Record and broadcast another accuser of a suspected member, which shortens the suspicion."""
         max_accusers = self._settings.confirmations
         if not accuser or accuser in record.accusers or len(record.accusers) > max_accusers:
             return
@@ -88,55 +90,55 @@
         update = MemberUpdate(
             record.name, record.process_incarnation, record.incarnation, MemberState.SUSPECT, accuser
         )
-        self._state.queue.enqueue_beside(update)
-        deadline_ms = record.suspected_at_ms + self.suspicion_ms(record) - self._last_pings_ms
+        self._state.queue.enqueue_additional(update)
+        deadline_ms = record.suspected_at_ms + self.suspicion_ms(record) - self._final_ping_window_ms
         self._state.timers.schedule(max(now_ms, deadline_ms), TimerKind.SUSPICION, name=record.name)
 
     # --- suspicion
 
     def suspicion_ms(self, record: MemberRecord) -> float:
-        """Return how long suspicion of a member lasts, as this process's health is now."""
+        """Return the suspicion timeout of a member, scaled by this process's current health score."""
         base_ms = suspicion_ms(
             self._settings,
             self._state.table.cluster_size,
             len(record.accusers),
-            accused_by_name=bool(record.accuser),
+            has_named_accuser=bool(record.accuser),
         )
         return base_ms * self._state.health.suspicion_multiplier
 
-    def _schedule_last_pings(self, now_ms: float, record: MemberRecord) -> None:
-        deadline_ms = now_ms + self.suspicion_ms(record) - self._last_pings_ms
+    def _schedule_final_pings(self, now_ms: float, record: MemberRecord) -> None:
+        deadline_ms = now_ms + self.suspicion_ms(record) - self._final_ping_window_ms
         self._state.timers.schedule(deadline_ms, TimerKind.SUSPICION, name=record.name)
 
     def check_suspicion(self, now_ms: float, name: str) -> None:
-        """Ping a suspected member for the last time, or declare it dead at the end of its suspicion."""
+        """Send a suspected member a final ping, or declare it dead once its suspicion timeout has expired."""
         table, schedule = self._state.table, self._state.timers.schedule
         record = table.records.get(name)
         if record is None or record.state is not MemberState.SUSPECT:
             return
-        deadline_ms = max(record.suspected_at_ms + self.suspicion_ms(record), self._no_verdict_before_ms)
+        deadline_ms = max(record.suspected_at_ms + self.suspicion_ms(record), self._no_accusation_before_ms)
         if deadline_ms <= now_ms:
             accuser = self._state.local.name
-            self.change(now_ms, record, MemberState.DEAD, record.incarnation, accuser)
-        elif deadline_ms - now_ms > self._last_pings_ms + TIMER_SLACK_MS:
-            schedule(deadline_ms - self._last_pings_ms, TimerKind.SUSPICION, name=name)
+            self.set_state(now_ms, record, MemberState.DEAD, record.incarnation, accuser)
+        elif deadline_ms - now_ms > self._final_ping_window_ms + TIMER_SLACK_MS:
+            schedule(deadline_ms - self._final_ping_window_ms, TimerKind.SUSPICION, name=name)
         else:
             if now_ms >= record.next_last_ping_ms:
-                # Whoever missed the member's refutation hears it now.  No time is added.
+                # A refutation that was lost is repeated in the answer.  The deadline is not extended.
                 record = table.writable(record)
-                record.next_last_ping_ms = now_ms + self._last_pings_ms / 2
+                record.next_last_ping_ms = now_ms + self._final_ping_window_ms / 2
                 self._outbox.send_ping(name, table.address_of(name), self._outbox.next_number())
             schedule(min(deadline_ms, record.next_last_ping_ms), TimerKind.SUSPICION, name=name)
 
-    # --- after a time in which this process did not run
+    # --- after a pause of this process
 
     def may_accuse(self, now_ms: float) -> bool:
-        """Whether this process ran for long enough to accuse others."""
-        return now_ms >= self._no_verdict_before_ms
+        """Whether enough time has passed since the last pause of this process to suspect others."""
+        return now_ms >= self._no_accusation_before_ms
 
-    def postpone_verdicts(self, now_ms: float, gap_ms: float) -> None:
-        """Hold nothing that fell due in a gap against others, and accuse nobody for a period."""
-        self._no_verdict_before_ms = now_ms + self._settings.protocol_period_ms
+    def extend_suspicions(self, now_ms: float, gap_ms: float) -> None:
+        """Extend all suspicions by the length of a pause, and suspect no member for one protocol period."""
+        self._no_accusation_before_ms = now_ms + self._settings.protocol_period_ms
         table = self._state.table
         for record in table.records.values():
             if record.state is MemberState.SUSPECT:
--- a/cressrock/membership/types.py
+++ b/cressrock/membership/types.py
@@ -1,4 +1,4 @@
-"""What the membership is asked with and answers with: identities, the members in view, outgoing messages."""
+"""Value types of the membership API: identities, members, outgoing messages and exchange requests."""
 
 from __future__ import annotations
 
@@ -11,14 +11,14 @@
 
 
 class ProcessId(NamedTuple):
-    """One run of a process: its configured name and its process incarnation, which grows with every start."""
+    """One run of a process: its configured name, and a process incarnation that grows with every start."""
 
     name: str
     process_incarnation: int
 
 
 class Peer(NamedTuple):
-    """A member to send to."""
+    """The name and address of a member to send to."""
 
     name: str
     address: str
@@ -26,7 +26,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Identity:
-    """One process: its name in the settings, its process incarnation, and what it says of itself."""
+    """One process: its configured name, its process incarnation, and the description it announces."""
 
     name: str
     process_incarnation: int
@@ -39,7 +39,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Member:
-    """One member as this process sees it; `state_since_ms` is when this process came to believe the state."""
+    """One member as this process sees it; `state_since_ms` is when this process recorded the state."""
 
     name: str
     process_incarnation: int
@@ -55,7 +55,7 @@
     def of(
         cls, name: str, process_incarnation: int, info: MemberInfo, state: MemberState, since_ms: float
     ) -> Member:
-        """Return a member with what it announced of itself."""
+        """Return a member with the description that it announced."""
         return cls(
             name,
             process_incarnation,
@@ -73,7 +73,7 @@
 class OutgoingMessage:
     """A message to send.
 
-    `address` is what the member announced; a route configured for `name` takes precedence over it.
+    `address` is the announced address; a route configured for `name` takes precedence over it.
     """
 
     name: str | None
@@ -83,7 +83,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ExchangeRequest:
-    """A full exchange to make over a stream; when joining and after a partition with the gossip's state."""
+    """A full exchange to make over a stream; after a join or a partition the gossip state is included."""
 
     name: str
     address: str
--- a/cressrock/membership/view_checksum.py
+++ b/cressrock/membership/view_checksum.py
@@ -1,4 +1,4 @@
-"""A checksum over the live members as believed, by which two processes find that their views differ."""
+"""A checksum of the live members, with which two processes detect that their views differ."""
 
 from __future__ import annotations
 
@@ -6,33 +6,34 @@
 
 from cressrock.membership.state import MembershipState
 
-UNSETTLED = 0  # sent while updates are still on their way, when views differ without a fault
+UNSETTLED = 0  # sent while updates are still spreading, when views legitimately differ
 
 
 class ViewChecksum:
-    """The checksum of this process's view, kept until a belief changes.
+    """The checksum of this process's view, cached until a live member changes.
 
-    Updates reach all but about e^-transmissions of the pairs; in calm, checksums that differ find the rest.
+    Broadcasts miss a fraction of about e^-transmissions of the pairs; once no updates are queued, differing
+    checksums reveal those.
     """
 
     def __init__(self, state: MembershipState) -> None:
-        """Compute nothing yet."""
+        """Start without a cached checksum."""
         self._state = state
-        self._cached = UNSETTLED
+        self._cached_checksum = UNSETTLED
         self._cached_version = -1
 
     def value(self) -> int:
-        """Return the checksum, UNSETTLED while updates wait to be sent."""
+        """Return the checksum, or UNSETTLED while updates are queued."""
         if self._state.queue:
             return UNSETTLED
         table = self._state.table
         if self._cached_version != table.beliefs_version:
             self.adopt(self._compute())
-        return self._cached
+        return self._cached_checksum
 
     def adopt(self, checksum: int) -> None:
-        """Take a checksum of the present beliefs that was computed elsewhere (simulations share it)."""
-        self._cached = checksum
+        """Cache a checksum of the current view that was computed elsewhere (simulations share it)."""
+        self._cached_checksum = checksum
         self._cached_version = self._state.table.beliefs_version
 
     def _compute(self) -> int:
--- a/tests/membership/test_broadcast_queue.py
+++ b/tests/membership/test_broadcast_queue.py
@@ -40,7 +40,7 @@
 
 def test_a_newer_update_replaces_all_that_wait_about_its_member(queue):
     queue.enqueue(suspect("a", "x"))
-    queue.enqueue_beside(suspect("a", "y"))
+    queue.enqueue_additional(suspect("a", "y"))
     queue.enqueue(alive("b"))
     queue.enqueue(alive("a", incarnation=1))
     assert queue.next_updates(1000, 5) == [alive("b"), alive("a", incarnation=1)]
@@ -49,7 +49,7 @@
 def test_accusers_wait_side_by_side_and_each_once(queue):
     queue.enqueue(suspect("a", "x"))
     for accuser in ("y", "x", "y"):
-        queue.enqueue_beside(suspect("a", accuser))
+        queue.enqueue_additional(suspect("a", accuser))
     assert queue.next_updates(1000, 5) == [suspect("a", "x"), suspect("a", "y")]
     queue.discard("a")
     assert not queue
--- a/tests/membership/test_suspicion.py
+++ b/tests/membership/test_suspicion.py
@@ -10,7 +10,7 @@
 
 def test_suspicion_falls_from_its_longest_to_its_shortest_with_the_accusers():
     shortest = min_suspicion_ms(SETTINGS, 230)
-    lasts = [suspicion_ms(SETTINGS, 230, accusers, accused_by_name=True) for accusers in range(1, 5)]
+    lasts = [suspicion_ms(SETTINGS, 230, accusers, has_named_accuser=True) for accusers in range(1, 5)]
     assert lasts[0] == pytest.approx(SETTINGS.max_suspicion_factor * shortest)
     assert lasts[0] > lasts[1] > lasts[2]
     assert lasts[2:] == pytest.approx([shortest, shortest])
@@ -18,8 +18,8 @@
 
 def test_without_others_to_confirm_an_accusation_by_name_lasts_shortest():
     shortest = min_suspicion_ms(SETTINGS, 3)
-    assert suspicion_ms(SETTINGS, 3, 1, accused_by_name=True) == shortest
-    assert suspicion_ms(SETTINGS, 3, 0, accused_by_name=False) > shortest
+    assert suspicion_ms(SETTINGS, 3, 1, has_named_accuser=True) == shortest
+    assert suspicion_ms(SETTINGS, 3, 0, has_named_accuser=False) > shortest
 
 
 @pytest.mark.parametrize("size", [2, 10, 230, 4806])
