--- a/cressrock/membership/membership.py
+++ b/cressrock/membership/membership.py
@@ -229,7 +229,7 @@
             self._outbox.send_updates(sender, address, corrections)
 
     def _reply_to_replaced(self, record: MemberRecord, sender_address: str) -> None:
-        """Send a replaced process the record of its newer namesake; its own updates are ignored."""
+        """Send a replaced process the record of its successor; its own updates are ignored."""
         self.state.counters["older-life"] += 1
         if self._outbox.try_consume_reply():
             self._outbox.send(None, sender_address, Updates([record.as_update(full=True)]))
--- a/cressrock/membership/probes.py
+++ b/cressrock/membership/probes.py
@@ -43,7 +43,7 @@
     def start_next(self, now_ms: float) -> None:
         """Probe the next member in the probe order, and schedule the probe after it."""
         settings, state = self._settings, self._state
-        slowed_period_ms = settings.protocol_period_ms * state.health.probe_multiplier
+        scaled_period_ms = settings.protocol_period_ms * state.health.probe_multiplier
         schedule = state.timers.schedule
         interval_ms = settings.protocol_period_ms / settings.probes_per_period
         schedule(now_ms + interval_ms * state.health.probe_multiplier, TimerKind.PROBE)
@@ -55,7 +55,7 @@
         self._outbox.send_ping(name, state.table.address_of(name), number)
         timeout_ms = settings.protocol_period_ms * settings.ping_timeout_fraction
         schedule(now_ms + timeout_ms * state.health.probe_multiplier, TimerKind.INDIRECT_PROBE, number=number)
-        schedule(now_ms + slowed_period_ms, TimerKind.PROBE_DEADLINE, number=number)
+        schedule(now_ms + scaled_period_ms, TimerKind.PROBE_DEADLINE, number=number)
 
     def probe_indirectly(self, number: int) -> None:
         """Ping an unresponsive member again, and ask helpers to ping it."""
@@ -96,7 +96,7 @@
         # Lifeguard: a missing Nack from a helper indicates that the fault may be on this side.
         self._state.health.adjust(probe.helpers - probe.nacks if probe.helpers else 1)
         record = self._state.table.records.get(probe.name)
-        if record is None or not self._transitions.may_accuse(now_ms) or _has_changed(record, probe):
+        if record is None or not self._transitions.may_suspect(now_ms) or _has_changed(record, probe):
             return
         accuser = self._state.local.name
         if record.state is MemberState.ALIVE:
--- a/cressrock/membership/transitions.py
+++ b/cressrock/membership/transitions.py
@@ -17,7 +17,7 @@
     """Applies every change of a member's state: records it, reports an event and queues it for broadcast."""
 
     def __init__(self, state: MembershipState, outbox: Outbox, now_ms: float) -> None:
-        """Start with no suspended accusations: members may be suspected from `now_ms` on."""
+        """Start with failure detection enabled from `now_ms` on."""
         self._state = state
         self._outbox = outbox
         self._settings = state.settings
@@ -25,7 +25,7 @@
         self._final_ping_window_ms = (
             2 * state.settings.ping_timeout_fraction * state.settings.protocol_period_ms
         )
-        self._no_accusation_before_ms = now_ms
+        self._detection_resumes_at_ms = now_ms
 
     # --- transitions
 
@@ -116,7 +116,7 @@
         record = table.records.get(name)
         if record is None or record.state is not MemberState.SUSPECT:
             return
-        deadline_ms = max(record.suspected_at_ms + self.suspicion_ms(record), self._no_accusation_before_ms)
+        deadline_ms = max(record.suspected_at_ms + self.suspicion_ms(record), self._detection_resumes_at_ms)
         if deadline_ms <= now_ms:
             accuser = self._state.local.name
             self.set_state(now_ms, record, MemberState.DEAD, record.incarnation, accuser)
@@ -132,13 +132,13 @@
 
     # --- after a pause of this process
 
-    def may_accuse(self, now_ms: float) -> bool:
+    def may_suspect(self, now_ms: float) -> bool:
         """Whether enough time has passed since the last pause of this process to suspect others."""
-        return now_ms >= self._no_accusation_before_ms
+        return now_ms >= self._detection_resumes_at_ms
 
     def extend_suspicions(self, now_ms: float, gap_ms: float) -> None:
         """Extend all suspicions by the length of a pause, and suspect no member for one protocol period."""
-        self._no_accusation_before_ms = now_ms + self._settings.protocol_period_ms
+        self._detection_resumes_at_ms = now_ms + self._settings.protocol_period_ms
         table = self._state.table
         for record in table.records.values():
             if record.state is MemberState.SUSPECT:
--- a/tests/compatibility/test_membership.py
+++ b/tests/compatibility/test_membership.py
@@ -1,10 +1,10 @@
-"""The membership speaks the recorded bytes and decides as recorded."""
+"""Encodings and decisions of the membership match the recorded fixture."""
 
 from __future__ import annotations
 
 import pytest
 
-from cressrock.membership import packets as m
+from cressrock.membership import packets as wire
 from cressrock.membership.settings import MembershipSettings
 from tests.compatibility import membership_cases as cases
 from tests.compatibility.canonical import canonical, load
@@ -12,23 +12,25 @@
 RECORDED = load("membership")
 
 
-def test_every_message_has_its_recorded_bytes_and_is_read_back():
+def test_every_message_matches_its_recorded_encoding_both_ways():
     envelopes = cases.envelopes()
     assert len(envelopes) == len(RECORDED["datagrams"])
-    for (cluster, sender, life, body), recorded in zip(envelopes, RECORDED["datagrams"], strict=True):
-        assert m.encode(cluster, sender, life, body).hex() == recorded
-        assert m.decode(bytes.fromhex(recorded), cluster) == m.Packet(sender, life, body)
+    for (cluster, sender, process_incarnation, body), recorded in zip(
+        envelopes, RECORDED["datagrams"], strict=True
+    ):
+        assert wire.encode(cluster, sender, process_incarnation, body).hex() == recorded
+        assert wire.decode(bytes.fromhex(recorded), cluster) == wire.Packet(sender, process_incarnation, body)
 
 
 def test_frames_and_sizes_are_as_recorded():
-    assert m.encode_frame(b"body" * 100).hex() == RECORDED["frame"]
-    assert [m.encoded_size(claim) for claim in cases.CLAIM_LISTS[3]] == RECORDED["sizes"]
-    assert m.updates_capacity(1200, "cressrock", "edge-1") == RECORDED["room"]
+    assert wire.encode_frame(b"body" * 100).hex() == RECORDED["frame"]
+    assert [wire.encoded_size(update) for update in cases.UPDATE_LISTS[3]] == RECORDED["sizes"]
+    assert wire.updates_capacity(1200, "cressrock", "edge-1") == RECORDED["room"]
 
 
-def test_refused_bytes_have_their_recorded_reason():
+def test_rejected_packets_have_their_recorded_error_codes():
     for recorded, code in RECORDED["refused"]:
-        assert cases.refusal(bytes.fromhex(recorded)) == code
+        assert cases.rejection_code(bytes.fromhex(recorded)) == code
 
 
 def test_default_settings_are_as_recorded():
--- a/tests/membership/test_broadcast_queue.py
+++ b/tests/membership/test_broadcast_queue.py
@@ -1,4 +1,4 @@
-"""The queue of updates that wait to be carried by outgoing messages."""
+"""The queue of updates to piggyback on outgoing messages."""
 
 import pytest
 
@@ -16,7 +16,7 @@
     return BroadcastQueue()
 
 
-def test_the_least_sent_updates_go_first(queue):
+def test_the_least_transmitted_updates_are_sent_first(queue):
     queue.enqueue(alive("a"))
     assert queue.next_updates(1000, 3) == [alive("a")]
     queue.enqueue(alive("b"))
@@ -33,12 +33,12 @@
     updates = [alive(name) for name in "abc"]
     for update in updates:
         queue.enqueue(update)
-    room = encoded_size(updates[0]) + encoded_size(updates[1])
-    assert queue.next_updates(room, 5) == updates[:2]
-    assert queue.next_updates(room, 5)[0] == updates[2]
+    capacity_bytes = encoded_size(updates[0]) + encoded_size(updates[1])
+    assert queue.next_updates(capacity_bytes, 5) == updates[:2]
+    assert queue.next_updates(capacity_bytes, 5)[0] == updates[2]
 
 
-def test_a_newer_update_replaces_all_that_wait_about_its_member(queue):
+def test_a_newer_update_replaces_all_queued_updates_about_its_member(queue):
     queue.enqueue(suspect("a", "x"))
     queue.enqueue_additional(suspect("a", "y"))
     queue.enqueue(alive("b"))
@@ -46,7 +46,7 @@
     assert queue.next_updates(1000, 5) == [alive("b"), alive("a", incarnation=1)]
 
 
-def test_accusers_wait_side_by_side_and_each_once(queue):
+def test_one_update_is_queued_for_each_accuser(queue):
     queue.enqueue(suspect("a", "x"))
     for accuser in ("y", "x", "y"):
         queue.enqueue_additional(suspect("a", accuser))
--- a/tests/membership/test_membership.py
+++ b/tests/membership/test_membership.py
@@ -1,4 +1,4 @@
-"""One process's membership: what it believes after updates, what it sends, and its bounds."""
+"""The membership state machine of one process: its view after updates, its messages and its limits."""
 
 import random
 
@@ -31,20 +31,25 @@
 
 @settings(max_examples=200, deadline=None)
 @given(st.lists(UPDATES, max_size=8), st.randoms(use_true_random=False))
-def test_updates_in_any_order_and_number_give_the_same_view(updates, shuffled):
+def test_updates_in_any_order_and_number_give_the_same_view(updates, rng):
     views = []
-    for order in (updates, shuffled.sample(updates, len(updates)) + updates):
+    for update_order in (updates, rng.sample(updates, len(updates)) + updates):
         membership = start_membership()
-        receive(membership, 1.0, "a", packets.Updates(order), process_incarnation=9)
+        receive(membership, 1.0, "a", packets.Updates(update_order), process_incarnation=9)
         records = membership.state.table.records
-        others = [member for member in membership.view(2.0) if member.name != "me"]
-        views.append([(v.name, v.process_incarnation, v.state, records[v.name].incarnation) for v in others])
-    # An incarnation that came with a state that was final by then says nothing more.
-    comparable = [[line[:3] if line[2] is MemberState.LEFT else line for line in view] for view in views]
+        other_members = [member for member in membership.view(2.0) if member.name != "me"]
+        views.append(
+            [
+                (entry.name, entry.process_incarnation, entry.state, records[entry.name].incarnation)
+                for entry in other_members
+            ]
+        )
+    # The incarnations of members that left may differ: LEFT is final, so later ones are not merged.
+    comparable = [[row[:3] if row[2] is MemberState.LEFT else row for row in view] for view in views]
     assert comparable[0] == comparable[1]
 
 
-def test_member_refutes_suspicion_and_its_own_death():
+def test_member_refutes_reports_that_it_is_suspected_or_dead():
     membership = start_membership()
     receive(
         membership,
@@ -55,7 +60,9 @@
     assert membership.incarnation == 1
     receive(membership, 2.0, "a", packets.Updates([MemberUpdate("me", 5, 3, MemberState.DEAD, "a")]))
     assert membership.incarnation == 4
-    sent = [c for s in membership.drain_messages() for c in s.message.updates if c.name == "me"]
+    sent = [
+        update for s in membership.drain_messages() for update in s.message.updates if update.name == "me"
+    ]
     assert sent[-1] == MemberUpdate("me", 5, 4, MemberState.ALIVE)
 
 
@@ -66,43 +73,45 @@
     assert membership.drain_events()[-1] == MemberSuspected("b", 1, 2.0)
 
 
-def test_further_accusers_shorten_suspicion_and_repeated_ones_do_not():
+def test_additional_accusers_shorten_the_suspicion_timeout_and_repeated_ones_do_not():
     membership = start_membership()
     receive(membership, 1.0, "a", packets.Updates([alive(n) for n in "abcdefgh"]))
-    waits = []
-    for by in "aabc":
-        receive(membership, 2.0, "a", packets.Updates([MemberUpdate("h", 1, 0, MemberState.SUSPECT, by)]))
-        waits.append(membership.transitions.suspicion_ms(membership.state.table.records["h"]))
-    assert waits[0] == waits[1] > waits[2] > waits[3] == membership.min_suspicion_ms()
+    timeouts_ms = []
+    for accuser in "aabc":
+        receive(
+            membership, 2.0, "a", packets.Updates([MemberUpdate("h", 1, 0, MemberState.SUSPECT, accuser)])
+        )
+        timeouts_ms.append(membership.transitions.suspicion_ms(membership.state.table.records["h"]))
+    assert timeouts_ms[0] == timeouts_ms[1] > timeouts_ms[2] > timeouts_ms[3] == membership.min_suspicion_ms()
 
 
 def test_late_updates_do_not_revive_a_member_that_left_while_it_is_retained():
-    limits = MembershipSettings(dead_retention_ms=5000.0)
-    membership = start_membership(settings=limits)
+    membership_settings = MembershipSettings(dead_retention_ms=5000.0)
+    membership = start_membership(settings=membership_settings)
     receive(membership, 1.0, "a", packets.Updates([alive("a"), alive("b")]))
     receive(membership, 2.0, "a", packets.Updates([MemberUpdate("b", 1, 0, MemberState.LEFT)]))
     receive(membership, 3.0, "a", packets.Updates([alive("b", incarnation=9)]))
-    state = {v.name: v.state for v in membership.view(3.0)}
+    state = {entry.name: entry.state for entry in membership.view(3.0)}
     assert state["b"] is MemberState.LEFT
-    now = 3.0
-    while now < 7000:
-        now += 200
-        membership.tick(now)
+    now_ms = 3.0
+    while now_ms < 7000:
+        now_ms += 200
+        membership.tick(now_ms)
     assert "b" not in membership.state.table.records
 
 
 def test_the_older_of_two_processes_with_one_name_is_fenced_and_both_report_it():
-    old, new = start_membership(process_incarnation=5), start_membership(process_incarnation=6)
-    new.receive(1.0, "old:1", packets.Packet("me", 5, packets.IdentityRequest()))
-    assert new.drain_events() == [DuplicateIdentity("me", 5, "old:1")]
-    (told,) = new.drain_messages()
-    assert told.address == "old:1"
-    old.receive(1.0, "me:1", packets.Packet("me", 6, told.message))
-    assert old.drain_events() == [Fenced("me", 6)]
-    old.tick(10_000.0)
-    old.receive(2.0, "a:1", packets.Packet("a", 1, packets.Ping(1, "me")))
-    assert old.drain_messages() == [] and old.next_tick_ms() == float("inf")  # never again a word
-    # Another member that knows the newer tells the older too.
+    older, newer = start_membership(process_incarnation=5), start_membership(process_incarnation=6)
+    newer.receive(1.0, "old:1", packets.Packet("me", 5, packets.IdentityRequest()))
+    assert newer.drain_events() == [DuplicateIdentity("me", 5, "old:1")]
+    (reply,) = newer.drain_messages()
+    assert reply.address == "old:1"
+    older.receive(1.0, "me:1", packets.Packet("me", 6, reply.message))
+    assert older.drain_events() == [Fenced("me", 6)]
+    older.tick(10_000.0)
+    older.receive(2.0, "a:1", packets.Packet("a", 1, packets.Ping(1, "me")))
+    assert older.drain_messages() == [] and older.next_tick_ms() == float("inf")
+    # A third member that knows the newer process notifies the older one as well.
     other = start_membership("other")
     receive(other, 1.0, "a", packets.Updates([alive("a"), alive("me", process_incarnation=6)]))
     other.receive(2.0, "old:1", packets.Packet("me", 5, packets.Updates([])))
@@ -110,14 +119,14 @@
 
 
 def test_equal_process_incarnations_are_ordered_by_address():
-    one = Membership(Identity("me", 5, "h:1"), MembershipSettings(), (), random.Random(1), 0.0)
-    two = Membership(Identity("me", 5, "h:2"), MembershipSettings(), (), random.Random(1), 0.0)
-    receive(one, 1.0, "a", packets.Updates([two.state.local.as_update(full=True)]))
-    receive(two, 1.0, "a", packets.Updates([one.state.local.as_update(full=True)]))
-    assert one.fenced_by == 5 and two.fenced_by == -1
+    lower = Membership(Identity("me", 5, "h:1"), MembershipSettings(), (), random.Random(1), 0.0)
+    higher = Membership(Identity("me", 5, "h:2"), MembershipSettings(), (), random.Random(1), 0.0)
+    receive(lower, 1.0, "a", packets.Updates([higher.state.local.as_update(full=True)]))
+    receive(higher, 1.0, "a", packets.Updates([lower.state.local.as_update(full=True)]))
+    assert lower.fenced_by == 5 and higher.fenced_by == -1
 
 
-def test_a_process_that_did_not_run_accuses_nobody():
+def test_a_process_suspects_no_member_right_after_its_own_pause():
     membership = start_membership()
     receive(
         membership,
@@ -125,36 +134,36 @@
         "a",
         packets.Updates([alive("a"), alive("b"), MemberUpdate("b", 1, 0, MemberState.SUSPECT, "a")]),
     )
-    due = membership.state.table.records["b"].suspected_at_ms + membership.transitions.suspicion_ms(
+    deadline_ms = membership.state.table.records["b"].suspected_at_ms + membership.transitions.suspicion_ms(
         membership.state.table.records["b"]
     )
     membership.tick(1200.0)
     membership.drain_events()
-    membership.tick(1200.0 + 100_000.0)  # stopped far beyond every deadline
+    membership.tick(1200.0 + 100_000.0)  # paused far beyond every deadline
     assert membership.drain_events() == [] and membership.health_score >= 2
     assert (
         membership.state.table.records["b"].suspected_at_ms
         + membership.transitions.suspicion_ms(membership.state.table.records["b"])
-        > due + 100_000 - 1
+        > deadline_ms + 100_000 - 1
     )
 
 
-def test_a_probe_from_before_a_refutation_accuses_nobody():
+def test_a_probe_sent_before_a_refutation_does_not_raise_suspicion():
     for refuted in (False, True):
         membership = start_membership()
         receive(membership, 1.0, "a", packets.Updates([alive("a")]))
-        now = 1.0
-        while now < 1400.0 and not (len(membership.prober) and refuted and now > 600):
-            now += 50
-            membership.tick(now)
+        now_ms = 1.0
+        while now_ms < 1400.0 and not (len(membership.prober) and refuted and now_ms > 600):
+            now_ms += 50
+            membership.tick(now_ms)
         if refuted:
-            receive(membership, now, "a", packets.Updates([MemberUpdate("a", 1, 3, MemberState.ALIVE)]))
+            receive(membership, now_ms, "a", packets.Updates([MemberUpdate("a", 1, 3, MemberState.ALIVE)]))
             heap = membership.state.timers._heap
             heap[:] = [timer for timer in heap if timer.kind is not TimerKind.PROBE]
         assert len(membership.prober)
-        while now < 3000.0:
-            now += 50
-            membership.tick(now)
+        while now_ms < 3000.0:
+            now_ms += 50
+            membership.tick(now_ms)
         assert any(isinstance(e, MemberSuspected) for e in membership.drain_events()) is not refuted
 
 
@@ -169,8 +178,8 @@
 
 
 def test_a_flood_of_unknown_senders_costs_bounded_memory_and_replies():
-    limits = MembershipSettings(max_members=50, replies_per_period=20)
-    membership = start_membership(settings=limits)
+    membership_settings = MembershipSettings(max_members=50, replies_per_period=20)
+    membership = start_membership(settings=membership_settings)
     for number in range(5000):
         receive(membership, 1.0, f"s{number}", packets.JoinRequest(alive(f"s{number}")))
         receive(membership, 1.0, f"t{number}", packets.PingRequest(number, f"q{number}", "h:1"))
@@ -184,40 +193,42 @@
     assert membership.counters["members-full"] > 0
 
 
-def test_no_datagram_is_larger_than_the_bound():
-    for bound in (300, 1200):
+def test_no_datagram_exceeds_the_size_limit():
+    for limit_bytes in (300, 1200):
         membership = start_membership(
-            "m" * 64, settings=MembershipSettings(max_datagram_bytes=bound, cluster="c" * 30)
+            "m" * 64, settings=MembershipSettings(max_datagram_bytes=limit_bytes, cluster="c" * 30)
         )
         names = [f"{n:04d}" + "x" * 60 for n in range(200)]
-        pieces = [alive(n, process_incarnation=2**50, address="h" * 20 + ":1") for n in names]
-        membership.merge_remote_state(1.0, "a", pieces)
-        now = 1.0
-        for turn in range(40):
-            accused = [MemberUpdate(n, 2**50, turn, MemberState.SUSPECT, "b" * 64) for n in names[:20]]
+        updates = [alive(n, process_incarnation=2**50, address="h" * 20 + ":1") for n in names]
+        membership.merge_remote_state(1.0, "a", updates)
+        now_ms = 1.0
+        for step in range(40):
+            suspect_updates = [
+                MemberUpdate(n, 2**50, step, MemberState.SUSPECT, "b" * 64) for n in names[:20]
+            ]
             receive(
                 membership,
-                now,
-                names[turn],
-                packets.PingRequest(2**52, names[turn + 1], "h" * 60, accused),
+                now_ms,
+                names[step],
+                packets.PingRequest(2**52, names[step + 1], "h" * 60, suspect_updates),
                 process_incarnation=2**50,
             )
-            now += 100
-            membership.tick(now)
+            now_ms += 100
+            membership.tick(now_ms)
             for sent in membership.drain_messages():
-                assert len(packets.encode("c" * 30, "m" * 64, 5, sent.message)) <= bound
+                assert len(packets.encode("c" * 30, "m" * 64, 5, sent.message)) <= limit_bytes
 
 
 def test_a_large_member_list_is_exchanged_in_batches():
     membership = start_membership()
     membership.merge_remote_state(1.0, "a", [alive(f"m{n}") for n in range(1023)])
-    pieces = membership.state_batches()
-    assert sum(map(len, pieces)) == 1024 and len(pieces) > 1
-    for piece in pieces:
+    batches = membership.state_batches()
+    assert sum(map(len, batches)) == 1024 and len(batches) > 1
+    for batch in batches:
         assert (
-            len(packets.encode("cressrock", "me", 5, packets.ExchangePart(piece))) <= packets.MAX_FRAME_BYTES
+            len(packets.encode("cressrock", "me", 5, packets.ExchangePart(batch))) <= packets.MAX_FRAME_BYTES
         )
     other = start_membership("other")
-    for piece in pieces:
-        other.merge_remote_state(1.0, "me", piece)
+    for batch in batches:
+        other.merge_remote_state(1.0, "me", batch)
     assert other.cluster_size() == 1025
--- a/tests/membership/test_packets.py
+++ b/tests/membership/test_packets.py
@@ -1,4 +1,4 @@
-"""The wire format: golden bytes, and bytes that are refused."""
+"""The wire format: golden encodings, and packets that are rejected."""
 
 import pytest
 from hypothesis import given, settings
@@ -44,7 +44,7 @@
         ),
     ],
 )
-def test_message_has_its_golden_bytes(body, golden):
+def test_each_message_has_its_golden_encoding(body, golden):
     data = packets.encode("c", "n", 7, body)
     assert data.hex() == golden
     assert packets.decode(data, "c") == packets.Packet("n", 7, body)
@@ -64,19 +64,19 @@
         packets.decode(packets.encode("c", "no name", 7, packets.IdentityRequest()), "c")
 
 
-def test_elements_of_a_newer_minor_version_are_ignored():
-    newer = packets._encode([1, "c", "n", 7, [8, "new", 1], "more"])
-    assert packets.decode(newer, "c").body == packets.IdentityRequest()
+def test_extra_elements_of_a_newer_minor_version_are_ignored():
+    extended = packets._encode([1, "c", "n", 7, [8, "new", 1], "more"])
+    assert packets.decode(extended, "c").body == packets.IdentityRequest()
 
 
 @settings(max_examples=300, deadline=None)
 @given(st.binary(max_size=200), st.integers(0, 60), st.integers(0, 255))
-def test_arbitrary_bytes_are_a_packet_or_a_datagram_error(data, at, byte):
-    good = bytearray(packets.encode("c", "n", 7, packets.Ping(1, "me", [FULL_UPDATE, SUSPECT_UPDATE])))
-    good[at % len(good)] = byte
-    for some in (data, bytes(good), bytes(good[:at])):
+def test_arbitrary_bytes_decode_to_a_packet_or_raise_datagram_error(data, index, byte):
+    valid = bytearray(packets.encode("c", "n", 7, packets.Ping(1, "me", [FULL_UPDATE, SUSPECT_UPDATE])))
+    valid[index % len(valid)] = byte
+    for candidate in (data, bytes(valid), bytes(valid[:index])):
         try:
-            packet = packets.decode(some, "c")
+            packet = packets.decode(candidate, "c")
         except DatagramError:
             continue
         membership = start_membership(settings=MembershipSettings(cluster="c"))
--- a/tests/membership/test_selection.py
+++ b/tests/membership/test_selection.py
@@ -1,4 +1,4 @@
-"""Random choice of members."""
+"""Random selection of members, and the probe order."""
 
 import random
 
@@ -22,7 +22,7 @@
     assert sorted(pool.sample(rng, 9)) == ["b", "c", "d"] and len(pool) == 3 and "a" not in pool
 
 
-def test_a_round_of_probes_meets_every_live_member_once():
+def test_a_probe_round_contains_every_live_member_once():
     live, order = RandomPool(), ProbeOrder(random.Random(1))
     assert order.next_name(live) is None
     for name in "abcde":
