--- a/cressrock/membership/broadcast_queue.py
+++ b/cressrock/membership/broadcast_queue.py
@@ -35,7 +35,7 @@
         return bool(self._keys_by_name)
 
     def __len__(self) -> int:
-        """Return the number of members with queued updates."""
+        """Return the number of members about which updates are queued."""
         return len(self._keys_by_name)
 
     def enqueue(self, update: MemberUpdate) -> None:
--- a/cressrock/membership/joining.py
+++ b/cressrock/membership/joining.py
@@ -11,9 +11,7 @@
 
 JOIN_FANOUT = 3  # seeds contacted in one attempt until joined
 MAX_JOIN_RESPONSE_MEMBERS = 8  # in a response, as far as they fit into the datagram
-REJOIN_INTERVAL_PERIODS = (
-    10  # mean interval between requests, once joined, to a seed that is not a live member
-)
+REJOIN_INTERVAL_PERIODS = 10  # mean; once joined, for seeds that are not live members
 
 
 class SeedJoiner:
--- a/cressrock/membership/member_table.py
+++ b/cressrock/membership/member_table.py
@@ -57,7 +57,7 @@
         self.dead = RandomPool()
         self.probe_order = ProbeOrder(rng)
         self.beliefs_version = 0  # increases when a live member or its state changes
-        self.process_ids_version = 0  # increases when a process is added, replaced or forgotten
+        self.process_ids_version = 0  # increases when a process is added, replaced or removed
 
     @property
     def cluster_size(self) -> int:
@@ -111,7 +111,7 @@
             min(inactive, key=lambda record: (record.state_since_ms, record.name)).name if inactive else None
         )
 
-    def forget(self, name: str) -> None:
+    def remove_member(self, name: str) -> None:
         """Delete the record of a dead or left member."""
         del self.records[name]
         self.process_ids_version += 1
--- a/cressrock/membership/membership.py
+++ b/cressrock/membership/membership.py
@@ -325,7 +325,7 @@
     # --- leaving and full exchanges
 
     def leave(self, now_ms: float) -> None:
-        """Announce a graceful leave to some members at once, and to more with each later gossip round."""
+        """Announce a graceful leave to some members at once, and to more by gossip until shutdown."""
         self._local.leaving = True
         self.state.queue.enqueue(self._local.as_update())
         self._outbox.gossip(self.settings.gossip_fanout * 2)
--- a/cressrock/membership/merge.py
+++ b/cressrock/membership/merge.py
@@ -20,9 +20,7 @@
 from cressrock.membership.transitions import StateTransitions
 
 MAX_CORRECTIONS = 8  # in reply to the outdated updates of one packet
-RECENT_DEATH_PERIODS = (
-    3  # a member dead for longer and reported alive was partitioned; the update is not just late
-)
+RECENT_DEATH_PERIODS = 3  # dead for longer and reported alive: a partition, not a late update
 RECOVERY_EXCHANGE_INTERVAL_PERIODS = 5  # minimum interval of full exchanges with recovered members
 
 
@@ -215,7 +213,7 @@
         name = self._table.oldest_inactive()
         if name is None:
             return False
-        self._table.forget(name)
+        self._table.remove_member(name)
         self._state.queue.discard(name)
         return True
 
--- a/cressrock/membership/reconnect.py
+++ b/cressrock/membership/reconnect.py
@@ -28,5 +28,5 @@
     table = state.table
     if len(table.records) > len(table.live):
         for name in table.inactive_longer_than(state.settings.dead_retention_ms, now_ms):
-            table.forget(name)
+            table.remove_member(name)
             state.queue.discard(name)
--- a/cressrock/membership/transitions.py
+++ b/cressrock/membership/transitions.py
@@ -124,7 +124,7 @@
             schedule(deadline_ms - self._final_ping_window_ms, TimerKind.SUSPICION, name=name)
         else:
             if now_ms >= record.next_last_ping_ms:
-                # A refutation that was lost is repeated in the answer.  The deadline is not extended.
+                # The answer repeats a refutation that this process missed.  The deadline is not extended.
                 record = table.writable(record)
                 record.next_last_ping_ms = now_ms + self._final_ping_window_ms / 2
                 self._outbox.send_ping(name, table.address_of(name), self._outbox.next_number())
