--- a/cressrock/consensus/__init__.py
+++ b/cressrock/consensus/__init__.py
@@ -1,1 +1,1 @@
-"""Decisions that planners make in common: the replicated log, its store, replicas and clients."""
+"""Decisions that planners make by consensus: the replicated log, its store, replicas and clients."""
--- a/cressrock/consensus/connection_protocol.py
+++ b/cressrock/consensus/connection_protocol.py
@@ -1,8 +1,8 @@
-"""The protocol of one connection: bytes and time in, events and bytes out; pure.
+"""The protocol of one connection without I/O: takes bytes and the time, returns events and bytes.
 
-A newer peer and one that is a version older agree on the older version; two without a common version close.
-Nothing of a replica is believed before the greeting is done.  The dialler pings, so a connection over which
-bytes are lost in either direction is closed and dialled anew.
+Two peers agree on the newest version that both know, and close the connection if there is none.  No message
+is accepted before the handshake is complete.  The side that dialled sends pings, so a connection that loses
+bytes in either direction times out and is dialled again.
 """
 
 from __future__ import annotations
@@ -30,24 +30,28 @@
 )
 
 FOREVER = float("inf")
-MAX_CODE, MAX_REASON = 64, 512  # characters of a CloseNotice
+MAX_CODE_CHARACTERS, MAX_REASON_CHARACTERS = 64, 512  # of a CloseNotice
 
 
 @dataclass(frozen=True, slots=True)
 class ConnectionLimits:
-    """Bounds of one connection; times in milliseconds, sizes in bytes."""
+    """Size limits and timeouts of one connection."""
 
-    max_frame: int = 1 << 20  # above the largest AppendEntries (256 KiB of entries) and a decision
-    max_greeting: int = 4096  # until it is known who sends: a greeting of 16 replicas has 1.3 KB
-    max_queue: int = 4 << 20  # waiting to be written; beyond it what is sent is lost, as on a wire
-    ping_ms: float = 300.0
-    silent_ms: float = 1200.0  # a few pings: near a term, so that a dead path is dialled anew by its end
-    greeting_ms: float = 1200.0
+    max_frame_bytes: int = (
+        1 << 20
+    )  # above the largest AppendEntries (256 KiB of entries) and the largest decision
+    max_greeting_bytes: int = 4096  # before the handshake; a greeting with 16 replicas has 1.3 KB
+    max_queued_bytes: int = 4 << 20  # waiting to be written; further messages are dropped
+    ping_interval_ms: float = 300.0
+    peer_timeout_ms: float = (
+        1200.0  # a few pings; close to a term, so that a dead path is dialled again within it
+    )
+    handshake_timeout_ms: float = 1200.0
 
 
 @dataclass(frozen=True, slots=True)
 class Opened:
-    """Both agreed on `version`; who the peer is, its group, what it has applied."""
+    """The handshake succeeded: the agreed version, the peer's identity and group, and its applied index."""
 
     version: int
     peer: str
@@ -59,26 +63,26 @@
 
 @dataclass(frozen=True, slots=True)
 class Closed:
-    """The connection is over: code, reason in words, and whether this side closed it."""
+    """The connection has ended: a code, a readable reason, and whether this side closed it."""
 
     code: str
     reason: str
-    by_us: bool
+    closed_locally: bool
 
 
 Event = Opened | Closed | RaftFrame | Request | Response
 
 
 class ConnectionState(Enum):
-    """How far a connection has come."""
+    """Lifecycle state of a connection."""
 
-    GREETING = "greeting"
+    HANDSHAKE = "greeting"
     OPEN = "open"
     CLOSED = "closed"
 
 
 class _PeerProtocolError(Exception):
-    """The peer broke the protocol; code and text go to it before the end."""
+    """The peer violated the protocol; code and text are sent to it before the connection closes."""
 
     def __init__(self, code: str, text: str) -> None:
         super().__init__(text)
@@ -87,7 +91,10 @@
 
 @dataclass(frozen=True, slots=True)
 class LocalEndpoint:
-    """Who this side is; see Hello.  A client has no group of its own and accepts any of its cluster."""
+    """The identity that this side presents in its handshake; see Hello.
+
+    A client belongs to no group and accepts any group of its cluster.
+    """
 
     cluster: str
     identity: str
@@ -109,17 +116,17 @@
         limits: ConnectionLimits | None = None,
         versions: tuple[int, ...] = VERSIONS,
     ) -> None:
-        """A dialler's greeting is ready at once in `take_bytes`."""
+        """Start the handshake: the dialler's Hello can be taken from `take_bytes` at once."""
         self.is_dialler, self.local, self.versions = is_dialler, local, versions
         self.limits = limits or ConnectionLimits()
-        self.state = ConnectionState.GREETING
+        self.state = ConnectionState.HANDSHAKE
         self.peer = ""
         self.peer_is_replica = False
-        self.peer_applied = 0  # the newest index that the peer said it has applied
-        self.heard_at_ms = now_ms
-        self.dropped_messages = 0  # that found the queue full or the connection not open
-        self._started_at_ms = self._pinged_at_ms = now_ms
-        self._pings = 0
+        self.peer_applied = 0  # the highest index that the peer has reported as applied
+        self.last_received_ms = now_ms
+        self.dropped_messages = 0  # because the queue was full or the connection not open
+        self._started_at_ms = self._last_ping_ms = now_ms
+        self._last_ping_number = 0
         self._buffer = bytearray()
         self._output: deque[bytes] = deque()
         self._queued_bytes = 0
@@ -143,35 +150,35 @@
         self._queued_bytes += len(data)
 
     def take_bytes(self) -> bytes:
-        """Return what is to be written now."""
+        """Return the queued bytes to write to the stream, and empty the queue."""
         data = b"".join(self._output)
         self._output.clear()
         self._queued_bytes = 0
         return data
 
     def send(self, message: RaftFrame | Request | Response) -> bool:
-        """Queue a message; False where it was lost, because nothing is open or too much waits."""
-        if self.state is not ConnectionState.OPEN or self._queued_bytes > self.limits.max_queue:
+        """Queue a message; return False if it was dropped (connection not open, or queue full)."""
+        if self.state is not ConnectionState.OPEN or self._queued_bytes > self.limits.max_queued_bytes:
             self.dropped_messages += 1
             return False
         self._queue(message)
         return True
 
     def close(self, code: str, reason: str) -> list[Event]:
-        """End the connection from this side, telling the peer why."""
+        """Close the connection from this side and send the reason to the peer."""
         if self.state is ConnectionState.CLOSED:
             return []
         self.state = ConnectionState.CLOSED
-        self._queue(CloseNotice(code[:MAX_CODE], reason[:MAX_REASON]))
-        return [Closed(code, reason, by_us=True)]
+        self._queue(CloseNotice(code[:MAX_CODE_CHARACTERS], reason[:MAX_REASON_CHARACTERS]))
+        return [Closed(code, reason, closed_locally=True)]
 
     # --- receiving
 
     def receive_data(self, data: bytes, now_ms: float) -> list[Event]:
-        """Take bytes in, in whatever pieces, and return the events in them."""
+        """Process received bytes, split at any position, and return the resulting events."""
         if self.state is ConnectionState.CLOSED:
             return []
-        self.heard_at_ms = now_ms
+        self.last_received_ms = now_ms
         self._buffer += data
         events: list[Event] = []
         try:
@@ -184,13 +191,13 @@
         return events
 
     def _next_body(self) -> bytes | None:
-        """Take the next whole frame out of the buffer."""
+        """Remove the next complete frame from the buffer and return its body; None if it is incomplete."""
         if len(self._buffer) < LENGTH_BYTES:
             return None
         size = int.from_bytes(self._buffer[:LENGTH_BYTES], "big")
-        is_greeting = self.state is ConnectionState.GREETING
-        max_size = self.limits.max_greeting if is_greeting else self.limits.max_frame
-        # Before the body is waited for: a length alone must not make anybody keep that much.
+        in_handshake = self.state is ConnectionState.HANDSHAKE
+        max_size = self.limits.max_greeting_bytes if in_handshake else self.limits.max_frame_bytes
+        # Checked before the body arrives: a length field alone must not make this side buffer that much.
         if size > max_size:
             raise _PeerProtocolError("council-frame", f"a frame of {size} bytes; at most {max_size}")
         if len(self._buffer) < LENGTH_BYTES + size:
@@ -200,27 +207,27 @@
         return body
 
     def receive_end(self) -> list[Event]:
-        """Take in that the stream has ended."""
+        """Handle the end of the stream."""
         if self.state is ConnectionState.CLOSED:
             return []
         self.state = ConnectionState.CLOSED
-        return [Closed("ended", "the connection ended", by_us=False)]
+        return [Closed("ended", "the connection was closed by the other end", closed_locally=False)]
 
     def _receive_frame(self, body: bytes) -> list[Event]:
         try:
             frame = decode_body(body)
         except (msgspec.DecodeError, RecursionError) as error:
             raise _PeerProtocolError(
-                "council-frame", f"a frame that cannot be read: {str(error)[:200]}"
+                "council-frame", f"frame cannot be decoded: {str(error)[:200]}"
             ) from None
-        is_greeting = self.state is ConnectionState.GREETING
+        in_handshake = self.state is ConnectionState.HANDSHAKE
         match frame:
             case CloseNotice(code, reason):
                 self.state = ConnectionState.CLOSED
-                return [Closed(code, reason, by_us=False)]
-            case Hello() if is_greeting and not self.is_dialler:
+                return [Closed(code, reason, closed_locally=False)]
+            case Hello() if in_handshake and not self.is_dialler:
                 return self._receive_hello(frame)
-            case Welcome() if is_greeting and self.is_dialler:
+            case Welcome() if in_handshake and self.is_dialler:
                 return self._receive_welcome(frame)
             case Hello() | Welcome():
                 raise _unexpected(frame)
@@ -237,21 +244,24 @@
                 self.peer_applied = max(self.peer_applied, applied)
                 return []
             case RaftFrame() if not (self.peer_is_replica and self.local.is_replica):
-                raise _PeerProtocolError("council-frame", "a replica's message from or to what is no replica")
+                raise _PeerProtocolError(
+                    "council-frame", "raft message on a connection that is not between two replicas"
+                )
             case Request() if self.is_dialler:
-                raise _PeerProtocolError("council-frame", "a request from who was dialled")
+                raise _PeerProtocolError("council-frame", "request from the side that was dialled")
             case Response() if not self.is_dialler:
-                raise _PeerProtocolError("council-frame", "a response to no request")
+                raise _PeerProtocolError("council-frame", "response to the side that sends no requests")
             case Response():
                 self.peer_applied = max(self.peer_applied, frame.applied)
         return [frame]
 
-    # --- greeting
+    # --- handshake
 
     def _check_group(self, cluster: str, group: str) -> None:
         if cluster != self.local.cluster:
             raise _PeerProtocolError(
-                "council-cluster", f"cluster {cluster!r}, this is {self.local.cluster!r}"
+                "council-cluster",
+                f"cluster {cluster!r}, this is {self.local.cluster!r}",
             )
         if group and self.local.group and group != self.local.group:
             raise _PeerProtocolError(
@@ -262,7 +272,10 @@
         common = [version for version in self.versions if version in hello.versions]
         if not common:
             offered, known = list(hello.versions), list(self.versions)
-            raise _PeerProtocolError("council-version", f"no common version: {known} here, {offered} there")
+            raise _PeerProtocolError(
+                "council-version",
+                f"no common version: {known} here, {offered} there",
+            )
         self._check_group(hello.cluster, hello.group)
         self.state, self.peer = ConnectionState.OPEN, hello.sender
         self.peer_is_replica = hello.is_replica
@@ -290,28 +303,28 @@
     # --- time
 
     def next_deadline_ms(self) -> float:
-        """Return when `tick` has to be called next."""
+        """Return when `tick` must be called next (ms on the caller's clock); inf once closed."""
         if self.state is ConnectionState.CLOSED:
             return FOREVER
-        if self.state is ConnectionState.GREETING:
-            return self._started_at_ms + self.limits.greeting_ms
-        silent_at_ms = self.heard_at_ms + self.limits.silent_ms
+        if self.state is ConnectionState.HANDSHAKE:
+            return self._started_at_ms + self.limits.handshake_timeout_ms
+        times_out_at_ms = self.last_received_ms + self.limits.peer_timeout_ms
         if not self.is_dialler:
-            return silent_at_ms
-        return min(silent_at_ms, self._pinged_at_ms + self.limits.ping_ms)
+            return times_out_at_ms
+        return min(times_out_at_ms, self._last_ping_ms + self.limits.ping_interval_ms)
 
     def tick(self, now_ms: float) -> list[Event]:
-        """Ping, and close the connection to a peer that is silent."""
+        """Send a ping when it is due, and close the connection if the peer has timed out."""
         if now_ms < self.next_deadline_ms():
             return []
-        if self.state is ConnectionState.GREETING:
+        if self.state is ConnectionState.HANDSHAKE:
             return self.close("council-silent", "no greeting in time")
-        if now_ms >= self.heard_at_ms + self.limits.silent_ms:
+        if now_ms >= self.last_received_ms + self.limits.peer_timeout_ms:
             return self.close("council-silent", "silent for too long")
-        if self._queued_bytes <= self.limits.max_queue:
-            self._pings += 1
-            self._queue(Ping(self._pings))
-        self._pinged_at_ms = now_ms
+        if self._queued_bytes <= self.limits.max_queued_bytes:
+            self._last_ping_number += 1
+            self._queue(Ping(self._last_ping_number))
+        self._last_ping_ms = now_ms
         return []
 
 
--- a/cressrock/consensus/decision_cache.py
+++ b/cressrock/consensus/decision_cache.py
@@ -1,4 +1,4 @@
-"""A process's decisions with their memory on disk."""
+"""A process's decisions, with a record of the versions it has seen on disk."""
 
 from __future__ import annotations
 
@@ -13,45 +13,47 @@
 
 
 class DecisionCache:
-    """A DecisionReader whose memory is on disk before anybody is notified of a decision.
+    """A DecisionReader that saves its state to disk before it notifies listeners of a decision.
 
-    One small write and flush for each new version, on the caller's own task: decisions are few.
+    Each new version costs one small write and flush on the caller's task, which is acceptable because
+    decisions are rare.
     """
 
     def __init__(
         self, path: str | Path | None, clock: Callable[[], float], *, max_topics: int = MAX_TOPICS
     ) -> None:
-        """Without a path nothing is kept.  A file that cannot be read is ignored: `corrupt_reason` says why.
+        """Load the saved state from `path`; without a path nothing is saved.
 
-        Raises StoreTooNewError for a newer program's file.
+        A corrupt file is ignored, and `corrupt_reason` says why.  Raises StoreTooNewError if a newer
+        program wrote the file.
         """
         self.path = Path(path) if path else None
         self.clock = clock
         self.corrupt_reason = ""
-        self.unsaved_reason = ""  # why the last write failed; "" while all is kept
+        self.unsaved_reason = ""  # why the last write failed; "" if the file is up to date
         self.listeners: list[Callable[[Decision], None]] = []
         stored = b""
         if self.path is not None:
             try:
                 stored = self.path.read_bytes()
             except FileNotFoundError:
-                pass  # the first start of this process
+                pass  # nothing has been saved yet
         try:
             self.reader = DecisionReader(stored, max_topics=max_topics)
         except StoreTooNewError:
             raise
         except InvalidDecisionError as error:
-            # Only the guard against older decisions is lost, and the next renewal sets it again.
+            # Only the protection against older decisions is lost, until the next renewal restores it.
             self.corrupt_reason = str(error)
             self.reader = DecisionReader(max_topics=max_topics)
 
     def receive(self, decision: Decision) -> bool:
-        """Take a decision from wherever it came; return whether it is new.
+        """Process a decision from any source; return whether it is new.
 
-        A new version is on disk before anybody is notified; renewals are kept with the next version, since a
-        process that begins with an older renewal only counts a decision for one more lease.  Where the disk
-        takes nothing the decision counts all the same (no rule depends on it) and `unsaved_reason` says so
-        until a write succeeds.
+        A new version is saved before the listeners are notified.  Renewals are saved with the next version:
+        a process that restarts with an older renewal only honours a decision for one more lease.  If the
+        write fails, the decision still takes effect (no rule depends on the file), and `unsaved_reason` is
+        set until a write succeeds.
         """
         former_version = self.reader.last_version(decision.topic)
         is_new = self.reader.receive(decision, self.clock())
@@ -67,15 +69,15 @@
         return is_new
 
     def receive_bytes(self, data: bytes) -> bool:
-        """Take the bytes that replicas publish.  Raises InvalidDecisionError, StoreTooNewError."""
+        """Process a decision as replicas encode it.  Raises InvalidDecisionError, StoreTooNewError."""
         return self.receive(decode_decision(data))
 
     def get(self, topic: str) -> Decision | Expired | None:
-        """Return what counts now; see DecisionReader.get."""
+        """Return the topic's decision at the current time; see DecisionReader.get."""
         return self.reader.get(topic, self.clock())
 
     def save(self) -> None:
-        """Write what was seen to disk, whole or not at all.  Raises OSError."""
+        """Write the reader's state to disk atomically.  Raises OSError."""
         if self.path is None:
             return
         part = self.path.with_name(self.path.name + ".part")
--- a/cressrock/consensus/decision_gossip.py
+++ b/cressrock/consensus/decision_gossip.py
@@ -1,13 +1,14 @@
-"""How decisions travel by gossip: what a replica publishes, what a process makes of all replicas' entries.
+"""Distribution of decisions by gossip: the entries that replicas publish, and how processes read them.
 
-- `decree/TOPIC`: the decision itself, published once for each version.  One that is too large for gossip is
-  published as a reference to its version, and is fetched from a replica.
-- `beat/I`: the newest renewal, with the versions of the decisions that stood when a quorum confirmed it, in
-  several entries.  So renewing any number of decisions costs a few hundred bytes, not each decision again.
+- `decree/TOPIC`: the decision itself, published once for each version.  A decision that is too large for
+  gossip is published as a reference to its version, and is fetched from a replica.
+- `beat/I`: the newest renewal, with the versions of the decisions that were current when a quorum confirmed
+  it, split over several entries.  A renewal therefore costs a few hundred bytes instead of repeating each
+  decision.
 
-A process uses the newest of what all replicas publish.  A decision whose version is in a renewal is renewed
-by it; another lives on to the end of its lease.  A replica that was cut off goes on publishing what it knew,
-which renews nothing.
+A process uses the newest entry that any replica publishes.  A renewal extends the leases of the decisions
+whose versions it lists; any other decision expires at the end of its lease.  A partitioned replica keeps
+publishing its old entries, which renew nothing.
 """
 
 from __future__ import annotations
@@ -31,11 +32,11 @@
 
 FORMAT_VERSION = 1
 DECISION_PREFIX, RENEWAL_PREFIX = "decree/", "beat/"
-VERSIONS_PER_ENTRY = 48  # at nine bytes each they fit gossip's largest value
+VERSIONS_PER_ENTRY = 48  # at nine bytes each, an entry fits the largest gossip value
 
 
 class DecisionReference(msgspec.Struct, frozen=True, array_like=True, tag="mark"):
-    """A decision that is too large for gossip."""
+    """Published instead of a decision that is too large for gossip."""
 
     topic: Topic
     version: Count
@@ -43,7 +44,7 @@
 
 
 class LeaseRenewal(msgspec.Struct, frozen=True, array_like=True, tag="beat"):
-    """Some of the versions that a renewal renews."""
+    """One part of the versions that a renewal extends."""
 
     renewal: Count
     versions: Annotated[list[Count], msgspec.Meta(max_length=4 * VERSIONS_PER_ENTRY)]
@@ -51,16 +52,18 @@
 
 _encoder = msgspec.msgpack.Encoder()
 _decoder = msgspec.msgpack.Decoder(DecisionReference | LeaseRenewal)
-_FIRST_BYTE = 0x80 + FORMAT_VERSION  # no decision begins so: its first byte is its format version
+_FIRST_BYTE = (
+    0x80 + FORMAT_VERSION
+)  # cannot start an encoded decision, whose first byte is its format version
 
 
 def encode_entry(message: DecisionReference | LeaseRenewal) -> bytes:
-    """Return the bytes of a reference or a renewal."""
+    """Return the gossip value of a reference or a renewal."""
     return bytes((_FIRST_BYTE,)) + _encoder.encode(message)
 
 
 def _decode_entry(data: bytes) -> DecisionReference | LeaseRenewal | None:
-    """Read a reference or a renewal; None for anything else, as another version may put here."""
+    """Decode a reference or a renewal; return None for anything else, such as a newer format."""
     if not data or data[0] != _FIRST_BYTE:
         return None
     try:
@@ -71,23 +74,23 @@
 
 @dataclass(frozen=True, slots=True)
 class GossipChange:
-    """An entry of this process to put into gossip; None removes it."""
+    """An entry of this process to set in gossip; a `value` of None removes it."""
 
     key: str
     value: bytes | None
 
 
 class DecisionPublisher:
-    """One replica's gossip entries."""
+    """Computes the changes to one replica's gossip entries."""
 
     def __init__(self, max_value_bytes: int) -> None:
-        """Begin with nothing published; the bound is gossip's largest value."""
+        """Start with nothing published; `max_value_bytes` is the largest value that gossip accepts."""
         self.max_value_bytes = max_value_bytes
         self.published_versions: dict[str, int] = {}  # by topic
         self.renewal_entries = 0
 
     def publish(self, current: Iterable[Decision], renewal: int) -> list[GossipChange]:
-        """Return what to change, given all current decisions; `renewal` 0: none was confirmed now."""
+        """Return the changes for all current decisions; `renewal` is 0 if none was confirmed."""
         decisions = {decision.topic: decision for decision in current}
         changes = self._remove_dropped(decisions)
         for topic, decision in sorted(decisions.items()):
@@ -127,22 +130,22 @@
 
 
 class DecisionSubscriber:
-    """One process's side: gossip entries in, decisions for its reader out, and topics to fetch.
+    """Turns the gossip entries that a process receives into decisions for its reader and topics to fetch.
 
-    Bounded by `max_topics` decisions, and by the renewals of the newest versions.
+    Holds at most `max_topics` decisions and twice as many renewals, of which the newest are kept.
     """
 
     def __init__(self, max_topics: int = MAX_TOPICS) -> None:
-        """Begin with nothing received."""
+        """Start empty, with room for `max_topics` decisions."""
         self.max_topics = max_topics
         self.decisions: dict[str, Decision] = {}  # by topic
         self.renewals: dict[int, int] = {}  # version -> newest renewal
         self.pending_fetches: dict[str, DecisionReference] = {}  # by topic
 
     def receive_entry(self, key: str, value: bytes) -> tuple[list[Decision], list[str]]:
-        """Take an entry of any replica; return decisions for the reader, and topics to fetch.
+        """Process an entry of any replica; return decisions for the reader, and topics to fetch.
 
-        Raises InvalidDecisionError, StoreTooNewError for a decision that cannot be read.
+        Raises InvalidDecisionError, StoreTooNewError for a decision that cannot be decoded.
         """
         if key.startswith(RENEWAL_PREFIX):
             message = _decode_entry(value)
@@ -155,9 +158,9 @@
         return self.receive_decision(decode_decision(value)), []
 
     def receive_decision(self, decision: Decision) -> list[Decision]:
-        """Cache a decision that came by gossip or from a replica; return what the local reader must apply.
+        """Cache a decision from gossip or from a replica; return the decisions that the reader must apply.
 
-        An older version than the cached one is ignored.  A full cache passes the decision on without caching
+        A version older than the cached one is ignored.  A full cache returns the decision without caching
         it, so that a flood of topics cannot make this process lose a decision.
         """
         self._complete_fetch(decision)
@@ -196,14 +199,14 @@
         for version in message.versions:
             self.renewals[version] = max(self.renewals.get(version, 0), message.renewal)
         if len(self.renewals) > 2 * self.max_topics:
-            by_age = sorted(self.renewals, key=lambda version: (self.renewals[version], version))
-            self.renewals = {version: self.renewals[version] for version in by_age[-self.max_topics :]}
+            by_renewal = sorted(self.renewals, key=lambda version: (self.renewals[version], version))
+            self.renewals = {version: self.renewals[version] for version in by_renewal[-self.max_topics :]}
         versions = set(message.versions)
-        named = [decision for decision in self.decisions.values() if decision.version in versions]
-        return self._renew(named, message.renewal)
+        listed = [decision for decision in self.decisions.values() if decision.version in versions]
+        return self._renew(listed, message.renewal)
 
     def _renew(self, cached: list[Decision], renewal: int) -> list[Decision]:
-        """Renew those decisions to which the renewal is new, and return them."""
+        """Apply a renewal to the decisions that have an older one, and return those."""
         renewed = with_renewal((one for one in cached if one.renewal < renewal), renewal)
         self.decisions.update((decision.topic, decision) for decision in renewed)
         return list(renewed)
--- a/cressrock/consensus/decision_state.py
+++ b/cressrock/consensus/decision_state.py
@@ -1,13 +1,12 @@
-"""The state machine that every replica runs over the same committed log: same commands, same state.
+"""The deterministic state machine that every replica applies the committed log to.
 
-Nothing in it reads time, and its limits are themselves part of the state: two replicas with different
-settings would otherwise diverge unnoticed.
+It never reads a clock, and its limits are part of the state: otherwise replicas with different settings would
+diverge unnoticed.
 
 Requests are applied once.  Each carries an id and `asked_at_index`, the index that a replica had applied
-before
-it was first asked.  The memory of ids is bounded; a request that is older than what was forgotten, and not in
-the memory, is rejected as *forgotten* instead of being applied perhaps twice (the bounded form of the client
-sessions in Ongaro's dissertation, 6.3).
+before the request was first sent.  The set of remembered ids is bounded.  A request that is not in it and is
+older than the last id evicted is rejected as *forgotten*, because applying it could apply it twice (a bounded
+form of the client sessions in Ongaro's dissertation, 6.3).
 """
 
 from __future__ import annotations
@@ -52,14 +51,14 @@
 
 
 class DecisionState:
-    """The state that the committed log makes; the same at every replica that applied the same index."""
+    """The decisions and recent requests; identical at all replicas that applied the same index."""
 
     def __init__(self, limits: DecisionLimits | None = None) -> None:
-        """Begin empty; the limits hold until a SetVersionBase sets others."""
+        """Start empty; `limits` apply until a SetVersionBase command sets others."""
         self.limits = limits or DecisionLimits()
         self.applied = 0
         self.version_offset = 0
-        self.forgotten_until_index = 0  # requests first asked at or before it may have been forgotten
+        self.forgotten_until_index = 0  # requests first sent at or before it may be evicted
         self.total_bytes = 0
         self._decisions: dict[str, Decision] = {}
         self._requests: OrderedDict[str, tuple[int, Outcome]] = OrderedDict()
@@ -67,33 +66,35 @@
     # --- reading
 
     def get(self, topic: str) -> Decision | None:
-        """Return a topic's decision."""
+        """Return a topic's decision, or None."""
         return self._decisions.get(topic)
 
     def all_decisions(self) -> tuple[Decision, ...]:
-        """Return all decisions, by topic."""
+        """Return all decisions, sorted by topic."""
         return tuple(self._decisions[topic] for topic in sorted(self._decisions))
 
     @property
     def version(self) -> int:
-        """The newest version that can have been given."""
+        """The highest version that can have been assigned."""
         return self.applied + self.version_offset
 
     def outcome(self, request_id: str) -> Outcome | None:
-        """Return a request's outcome, if it was applied and is remembered."""
+        """Return a request's outcome; None if it was not applied or is no longer remembered."""
         remembered = self._requests.get(request_id)
         return remembered[1] if remembered else None
 
     # --- writing
 
     def apply(self, index: int, data: bytes) -> tuple[Command, Outcome] | None:
-        """Apply the entry at `index`; b"" is one that carries no command.
+        """Apply the entry at `index`; `data` is b"" for an entry without a command.
 
-        Raises InvalidDecisionError or StoreTooNewError for a command that this program does not know: the
-        replica must stop then, since to skip what others apply would make it diverge unnoticed.
+        Raises InvalidDecisionError or StoreTooNewError for a command that this program cannot decode.  The
+        replica must then stop, since skipping a command that others apply would make it diverge unnoticed.
         """
         if index != self.applied + 1:
-            raise InvalidDecisionError(f"entry {index} after {self.applied}")
+            raise InvalidDecisionError(
+                f"cannot apply entry {index} after {self.applied}: entries are missing or repeated"
+            )
         command = decode_command(data) if data else None
         self.applied = index
         if command is None:
@@ -114,7 +115,7 @@
         uncertain: list[Decision] = []
         if command.committed_index is not None:
             uncertain = self._decided_after(command.committed_index)
-        # Never below: a repeat, or a clock that was set back, must not let a version be given twice.
+        # Never lowered: a repeated command or a clock set back must not assign a version twice.
         self.version_offset = max(self.version_offset + len(uncertain), command.version_base - index)
         for distance, decision in enumerate(reversed(uncertain)):
             renumbered = msgspec.structs.replace(decision, version=self.version - distance)
@@ -124,7 +125,7 @@
             self._forget_requests()
 
     def _decided_after(self, index: int) -> list[Decision]:
-        """Return the decisions made after an index, by version."""
+        """Return the decisions made after an index, sorted by version."""
         last_version = index + self.version_offset
         later = (decision for decision in self._decisions.values() if decision.version > last_version)
         return sorted(later, key=lambda decision: decision.version)
@@ -145,7 +146,7 @@
         former = self._decisions.get(command.topic)
         former_bytes = _size_of(former.topic, former.value) if former else 0
         total_bytes = self.total_bytes + _size_of(command.topic, command.value) - former_bytes
-        # What makes the state smaller is always accepted.
+        # A command that makes the state smaller is always accepted.
         is_over = total_bytes > max(self.limits.max_total_bytes, self.total_bytes)
         if is_over or len(command.value) > self.limits.max_value_bytes:
             return Rejected("too-large")
@@ -168,7 +169,7 @@
     # --- snapshots
 
     def snapshot(self) -> bytes:
-        """Return the whole state; equal states give equal bytes."""
+        """Return the encoded state; equal states have equal encodings."""
         requests = [(name, index, outcome) for name, (index, outcome) in self._requests.items()]
         return encode_versioned(
             _StateSnapshot(
@@ -183,9 +184,9 @@
 
     @classmethod
     def restore(cls, data: bytes, applied: int = 0) -> DecisionState:
-        """Return the state of a snapshot; b"" is the empty state, at index `applied`.
+        """Return the state encoded in a snapshot; for b"" the empty state at index `applied`.
 
-        Raises InvalidDecisionError; StoreTooNewError where only a newer program knows it.
+        Raises InvalidDecisionError, or StoreTooNewError for a newer program's format.
         """
         state = cls()
         if not data:
--- a/cressrock/consensus/decisions.py
+++ b/cressrock/consensus/decisions.py
@@ -1,12 +1,12 @@
 """Decisions, the commands that make them, and their encoding: one byte of format version, then MessagePack.
 
-Versions: a decision's version is the log's index plus an offset that is set when the group is formed to the
-wall clock's milliseconds, and raised by a recovery.  So one sequence over all topics grows for ever, also
-over a group that was formed again after all its stores were lost (unless the clock was set back further than
-that).
+Versions: a decision's version is its log index plus an offset, which is the wall clock in milliseconds when
+the group is formed and is raised by a recovery.  Versions of all topics therefore form one increasing
+sequence, even if a group is formed again after all its stores were lost (unless the clock was set back by
+more than the time in between).
 
-Leases and renewals: a decision counts for `lease_ms` on its reader's own clock since that reader first saw
-its newest renewal (see `lease_renewals`).
+Leases and renewals: a decision is valid for `lease_ms` on its reader's own clock, from when that reader first
+received its newest renewal (see `lease_renewals`).
 """
 
 from __future__ import annotations
@@ -20,8 +20,8 @@
 from cressrock.errors.consensus import InvalidDecisionError, StoreTooNewError
 
 FORMAT_VERSION = 1
-MAX_TOPICS = 16384  # that a reader keeps: one for each of 10,000 servers, and others
-MAX_VALUE_BYTES = 1 << 19  # the codec's outermost bound; `DecisionLimits` are far lower
+MAX_TOPICS = 16384  # of a reader: one for each of 10,000 servers, and others
+MAX_VALUE_BYTES = 1 << 19  # limit of the encoding; `DecisionLimits` are far lower
 
 _T = TypeVar("_T")
 Text = Annotated[str, msgspec.Meta(max_length=256)]
@@ -32,17 +32,17 @@
 
 
 class DecisionLimits(msgspec.Struct, frozen=True, array_like=True):
-    """Bounds of the group's memory; part of the replicated state."""
+    """Size limits of the group's state; themselves part of the replicated state."""
 
     max_topics: Annotated[int, msgspec.Meta(ge=1, le=1 << 20)] = 4096  # a few hundred volumes, zones, rooms
     max_value_bytes: Annotated[int, msgspec.Meta(ge=1, le=MAX_VALUE_BYTES)] = 49152  # below max_entry_bytes
-    # A snapshot of this size crosses in a second.
+    # A snapshot of this size is transferred within a second.
     max_total_bytes: Annotated[int, msgspec.Meta(ge=1, le=1 << 26)] = 4 << 20
-    max_requests: Annotated[int, msgspec.Meta(ge=1, le=1 << 20)] = 4096  # repeats come within seconds
+    max_requests: Annotated[int, msgspec.Meta(ge=1, le=1 << 20)] = 4096  # clients retry within seconds
 
 
 class Decision(msgspec.Struct, frozen=True, array_like=True):
-    """A versioned value for a topic: how long it counts without renewal, who asked, its newest renewal."""
+    """A versioned value of a topic, with its lease, its author and its newest renewal."""
 
     topic: Topic
     version: Count
@@ -53,7 +53,7 @@
 
 
 class Decide(msgspec.Struct, frozen=True, array_like=True, tag="decide"):
-    """Set a topic's value; with `if_version` only if that is the current version (0: if there is none)."""
+    """Set a topic's value; with `if_version` only if that is the current version (0: no decision)."""
 
     topic: Topic
     value: Value
@@ -65,7 +65,7 @@
 
 
 class Drop(msgspec.Struct, frozen=True, array_like=True, tag="drop"):
-    """Remove a topic's decision: it is renewed no more and expires at its readers."""
+    """Remove a topic's decision; it is no longer renewed and expires at its readers."""
 
     topic: Topic
     request_id: Topic
@@ -74,11 +74,11 @@
 
 
 class SetVersionBase(msgspec.Struct, frozen=True, array_like=True, tag="ground"):
-    """Let versions go on above `version_base`, and set limits; the first leader's first command.
+    """Continue versions above `version_base`, and set limits; the first leader's first command.
 
-    After a recovery from a lost majority `committed_index` is the last index that the recovered store knew as
-    committed: every later decision gets a new version, since the old one may have been given to another
-    value.
+    After a recovery from a lost majority, `committed_index` is the last index that the recovered store knew
+    to be committed.  Every later decision gets a new version, since its old one may have been assigned to
+    another value.
     """
 
     version_base: Count
@@ -90,19 +90,19 @@
 
 
 class Done(msgspec.Struct, frozen=True, array_like=True, tag="done"):
-    """A request was applied: the decision's version, or that of the drop."""
+    """The request was applied; `version` is that of the decision or of its removal."""
 
     version: Count
 
 
 class VersionConflict(msgspec.Struct, frozen=True, array_like=True, tag="clash"):
-    """`if_version` is not the current version; this one is (0: there is none)."""
+    """`if_version` is not the current version; `version` is (0: the topic has no decision)."""
 
     version: Count
 
 
 class Rejected(msgspec.Struct, frozen=True, array_like=True, tag="refused"):
-    """Not applied, by a stated reason: too-large, too-many, forgotten."""
+    """The request was not applied; `reason` is too-large, too-many or forgotten."""
 
     reason: Text
 
@@ -112,7 +112,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Expired:
-    """A decision whose lease is over, since when on the reader's clock (ms): it counts no more."""
+    """A decision whose lease has ended, and when, on the reader's clock."""
 
     decision: Decision
     expired_at_ms: float
@@ -124,47 +124,49 @@
 
 
 def encode_versioned(content: object) -> bytes:
-    """Return one byte of format version and the content in MessagePack."""
+    """Return one byte with the format version, followed by the content in MessagePack."""
     return bytes((FORMAT_VERSION,)) + _encoder.encode(content)
 
 
 def decode_versioned(decoder: msgspec.msgpack.Decoder[_T], data: bytes, subject: str) -> _T:
-    """Read what `encode_versioned` wrote; `subject` names it in errors.
+    """Decode the output of `encode_versioned`; `subject` names the content in errors.
 
-    Raises InvalidDecisionError; StoreTooNewError where only a newer program knows the format.
+    Raises InvalidDecisionError, or StoreTooNewError for a newer program's format.
     """
     if not data:
-        raise InvalidDecisionError(f"no bytes where {subject} should be")
+        raise InvalidDecisionError(f"{subject} is empty")
     if data[0] > FORMAT_VERSION:
-        raise StoreTooNewError(f"{subject} of version {data[0]}; this program knows up to {FORMAT_VERSION}")
+        raise StoreTooNewError(
+            f"{subject} has format version {data[0]}; this program supports up to {FORMAT_VERSION}"
+        )
     if data[0] < 1:
-        raise InvalidDecisionError(f"{subject} of version {data[0]}")
+        raise InvalidDecisionError(f"{subject} has the invalid format version {data[0]}")
     try:
         return decoder.decode(data[1:])
     except (msgspec.DecodeError, RecursionError) as error:
-        raise InvalidDecisionError(f"{subject} that cannot be read: {str(error)[:200]}") from None
+        raise InvalidDecisionError(f"{subject} cannot be decoded: {str(error)[:200]}") from None
 
 
 def encode(message: Command | Decision) -> bytes:
-    """Return a command's or decision's bytes."""
+    """Return the versioned encoding of a command or a decision."""
     return encode_versioned(message)
 
 
 def decode_command(data: bytes) -> Command:
-    """Read a command.  Raises as `decode_versioned` does."""
+    """Decode a command.  Raises the errors of `decode_versioned`."""
     return decode_versioned(_command_decoder, data, "a command")
 
 
 def decode_decision(data: bytes) -> Decision:
-    """Read a decision.  Raises as `decode_versioned` does."""
+    """Decode a decision.  Raises the errors of `decode_versioned`."""
     return decode_versioned(_decision_decoder, data, "a decision")
 
 
 def gossip_key(topic: str) -> str:
-    """Return the key under which replicas publish a topic's decision (as `encode` gives it) by gossip."""
+    """Return the gossip key under which replicas publish a topic's encoded decision."""
     return f"decree/{topic}"
 
 
 def with_renewal(decisions: Iterable[Decision], renewal: int) -> tuple[Decision, ...]:
-    """Return the decisions with a renewal."""
+    """Return copies of the decisions with this renewal."""
     return tuple(msgspec.structs.replace(decision, renewal=renewal) for decision in decisions)
--- a/cressrock/consensus/environment.py
+++ b/cressrock/consensus/environment.py
@@ -1,4 +1,4 @@
-"""What the consensus services take from outside: clocks, dialling, threads, randomness, the log."""
+"""The dependencies of the consensus services: clocks, connections, threads, randomness, the log."""
 
 from __future__ import annotations
 
@@ -14,25 +14,25 @@
 
 
 class EventLog(Protocol):
-    """Takes log events with their fields."""
+    """A structured log."""
 
     def info(self, event: str, **fields: object) -> object:
-        """Log one event."""
+        """Log an event with its fields."""
 
 
 async def run_in_thread(work: Callable[[], None]) -> None:
-    """Do blocking work in a thread and wait for it, also when cancelled: a write is done or has failed."""
+    """Run blocking work in a thread and wait for it even if cancelled, so that a write is never abandoned."""
     await anyio.to_thread.run_sync(work)
 
 
 async def run_inline(work: Callable[[], None]) -> None:
-    """Do blocking work at once: for simulated time, in which a thread's real time must not pass."""
+    """Run blocking work inline; for simulated time, where no real time may pass in a thread."""
     work()
 
 
 @dataclass(frozen=True, slots=True)
 class Environment:
-    """Clocks in milliseconds; `random_bytes` draws a new store's id."""
+    """Injected dependencies; clocks return milliseconds, and `random_bytes` creates store ids."""
 
     clock: Callable[[], float]
     wall_ms: Callable[[], float]
@@ -43,6 +43,6 @@
     random_bytes: Callable[[int], bytes] = os.urandom
 
     def log_event(self, event: str, **fields: object) -> None:
-        """Log one event, where there is a log."""
+        """Log an event if a log is configured."""
         if self.log is not None:
             self.log.info(event, **fields)
--- a/cressrock/consensus/frames.py
+++ b/cressrock/consensus/frames.py
@@ -1,7 +1,7 @@
-"""What runs over the consensus' TCP connections: a length of 4 bytes, then a MessagePack struct.
+"""The frames on consensus TCP connections: a length of 4 bytes, followed by a MessagePack struct.
 
-A dialler greets with the versions that it speaks, its cluster, its identity and the group that it knows; the
-other side answers with one common version, or closes with a reason that both log.
+The dialler starts the handshake with a Hello: its protocol versions, cluster, identity and group.  The other
+side answers with a Welcome that selects one common version, or closes with a reason that both sides log.
 """
 
 from __future__ import annotations
@@ -26,9 +26,10 @@
 
 
 class Hello(Struct, frozen=True, array_like=True, tag="hello"):
-    """The dialler's greeting; `sender` is a replica's identity (name#id), or a client's name.
+    """The dialler's handshake message; `sender` is a replica's identity (name#id) or a client's name.
 
-    `group` identifies the group that the sender belongs to ("" before), `initial_replicas` who formed it.
+    `group` identifies the sender's group ("" if it has none yet), and `initial_replicas` lists the
+    identities that formed it.
     """
 
     versions: Annotated[tuple[int, ...], Meta(max_length=16)]
@@ -40,7 +41,7 @@
 
 
 class Welcome(Struct, frozen=True, array_like=True, tag="welcome"):
-    """The answer: the version from here on, who answers, which group, and what it has applied."""
+    """The reply to a Hello: the selected version, the replica's identity and group, its applied index."""
 
     version: int
     sender: Name
@@ -50,55 +51,55 @@
 
 
 class CloseNotice(Struct, frozen=True, array_like=True, tag="parting"):
-    """The sender closes the connection: a code (as of an error type) and the reason in words."""
+    """Sent before the sender closes the connection: a code (as of an error type) and a readable reason."""
 
     code: Name
     reason: Words
 
 
 class Ping(Struct, frozen=True, array_like=True, tag="ping"):
-    """Asks for a Pong."""
+    """Requests a Pong with the same number."""
 
     number: Count
 
 
 class Pong(Struct, frozen=True, array_like=True, tag="pong"):
-    """The answer to a Ping, with what the sender has applied."""
+    """The reply to a Ping, with the sender's applied index."""
 
     number: Count
     applied: Count = 0
 
 
 class RaftFrame(Struct, frozen=True, array_like=True, tag="raft"):
-    """One message between replicas, as raft/messages.py encodes it."""
+    """A message between replicas, encoded by raft/messages.py."""
 
     data: bytes
 
 
 class ReadDecision(Struct, frozen=True, array_like=True, tag="read"):
-    """Ask for the current decision of a topic, by a read index."""
+    """Read the current decision of a topic (linearizable, by a read index)."""
 
     topic: Topic
 
 
 class GetStatus(Struct, frozen=True, array_like=True, tag="status"):
-    """Ask for the replica's own status; any replica answers for itself."""
+    """Get the status of the replica that receives the request."""
 
 
 class AddReplica(Struct, frozen=True, array_like=True, tag="join"):
-    """Add the replica of this identity; a former one of the same name is removed first."""
+    """Add the replica with this identity; an earlier one of the same name is removed first."""
 
     identity: Name
 
 
 class RemoveReplica(Struct, frozen=True, array_like=True, tag="remove"):
-    """Remove the replica of this name or identity."""
+    """Remove the replica with this name or identity."""
 
     name: Name
 
 
 class TransferLeadership(Struct, frozen=True, array_like=True, tag="transfer"):
-    """Hand the lead to the replica of this name."""
+    """Transfer leadership to the replica with this name."""
 
     target: Name
 
@@ -107,7 +108,7 @@
 
 
 class Request(Struct, frozen=True, array_like=True, tag="ask"):
-    """An operation under the connection's own number; `forward`: a follower may forward it to the leader."""
+    """An operation; `number` is unique on the connection, `forward` lets a follower pass it to the leader."""
 
     number: Count
     operation: Operation
@@ -115,25 +116,25 @@
 
 
 class CurrentDecision(Struct, frozen=True, array_like=True, tag="stands"):
-    """The decision that was read or made; None: there is none."""
+    """The decision that was read or made; None if the topic has none."""
 
     decision: Decision | None
 
 
 class NotLeader(Struct, frozen=True, array_like=True, tag="elsewhere"):
-    """Not answered here: `leader_hint` names who may lead.  The operation's outcome is unknown."""
+    """This replica is not the leader; `leader_hint` may name it.  The operation's outcome is unknown."""
 
     leader_hint: Name = ""
 
 
 class RetryLater(Struct, frozen=True, array_like=True, tag="later"):
-    """Not done now: ask again."""
+    """The operation is not done yet; the client should retry."""
 
     reason: Words
 
 
 class ReplicaStatus(Struct, frozen=True, array_like=True, tag="told"):
-    """A status, as JSON."""
+    """A replica's status as JSON."""
 
     text: Annotated[str, Meta(max_length=MAX_STATUS_CHARACTERS)]
 
@@ -142,7 +143,7 @@
 
 
 class Response(Struct, frozen=True, array_like=True, tag="answer"):
-    """The reply to the Request of this number, and what the sender has applied by now."""
+    """The reply to the Request with this number, and the sender's applied index."""
 
     number: Count
     reply: Reply
@@ -156,16 +157,16 @@
 
 
 def encode(frame: Frame) -> bytes:
-    """Return a frame with its length."""
+    """Return a frame's bytes, length first."""
     body = _encoder.encode(frame)
     return len(body).to_bytes(LENGTH_BYTES, "big") + body
 
 
 def decode_body(body: bytes) -> Frame:
-    """Return the frame of a body without its length.  Raises msgspec.DecodeError, RecursionError."""
+    """Decode a frame from its bytes without the length.  Raises msgspec.DecodeError, RecursionError."""
     return _decoder.decode(body)
 
 
 def encode_status(status: Mapping[str, object]) -> ReplicaStatus:
-    """Return a status as a reply."""
+    """Return a status as a reply, truncated to MAX_STATUS_CHARACTERS of JSON."""
     return ReplicaStatus(json.dumps(status)[:MAX_STATUS_CHARACTERS])
--- a/cressrock/consensus/group_formation.py
+++ b/cressrock/consensus/group_formation.py
@@ -1,4 +1,4 @@
-"""How a replica without a group gets one: by forming it with all others, or by joining one that stands."""
+"""Group formation: a replica forms a group with all others, or joins an existing one."""
 
 from __future__ import annotations
 
@@ -16,25 +16,28 @@
     peers: Mapping[str, Opened],
     other_replicas: Collection[str],
 ) -> tuple[str, ...]:
-    """Return who formed the group that this replica is to be part of; () while that cannot be known.
+    """Return the identities that form this replica's group, or () while they are unknown.
 
-    `peers` are the other replicas that have greeted.  A group that stands is joined by whoever formed it or
-    is
-    set to join; else it is formed when all have met.  Raises StoreMissingError where a group stands without
-    this replica: its store was lost, and it must take no part.
+    `peers` are the other replicas with an open connection.  A replica uses the existing group that a peer
+    reports if it helped to form it or is configured to join.  Otherwise the group is formed once all
+    replicas are connected.  Raises StoreMissingError if a group exists without this replica: its store was
+    lost, and it must not participate.  Raises InvalidReplicaSetError if the connected replicas are not the
+    configured ones.
     """
     initial_replicas: tuple[str, ...] = ()
     in_group = [peer for peer in peers.values() if peer.group]
     for peer in in_group:
         if identity not in peer.initial_replicas and settings.start != "join":
             raise StoreMissingError(
-                f"the council {peer.group} stands (seat {peer.peer} says), and the store of "
-                f"{settings.name} at {settings.store} is not of it"
+                f"council {peer.group} already exists (reported by seat {peer.peer}), and the store of "
+                f"{settings.name} at {settings.store} is not part of it"
             )
         initial_replicas = tuple(peer.initial_replicas)
     if in_group or settings.start == "join" or len(peers) != len(other_replicas):
         return initial_replicas
     initial_replicas = tuple(sorted((identity, *(peer.peer for peer in peers.values()))))
     if sorted(map(replica_name, initial_replicas)) != sorted(settings.replicas):
-        raise InvalidReplicaSetError(f"at the seats' addresses sit {', '.join(initial_replicas)}")
+        raise InvalidReplicaSetError(
+            f"the configured addresses belong to other seats: {', '.join(initial_replicas)}"
+        )
     return initial_replicas
--- a/cressrock/consensus/leader_requests.py
+++ b/cressrock/consensus/leader_requests.py
@@ -1,7 +1,7 @@
-"""The requests that a leader works on: proposals until they are applied, reads until they are confirmed.
+"""A leader's pending requests: proposals until they are applied, reads until they are confirmed.
 
-Whatever becomes of the lead, each request gets one reply; one whose outcome is unknown gets NotLeader, and is
-repeated under its id.
+Each request gets exactly one reply, even if leadership is lost.  A request with an unknown outcome gets
+NotLeader, and the client retries it under the same id.
 """
 
 from __future__ import annotations
@@ -45,26 +45,26 @@
 from cressrock.consensus.settings import ReplicaSettings
 from cressrock.errors.consensus import ConsensusBusyError, MembershipChangeRefusedError, NotLeaderError
 
-MAX_REASON = 512  # characters of a RetryLater
+MAX_REASON_CHARACTERS = 512  # of a RetryLater
 
 
 @dataclass(slots=True)
 class PendingRequest:
-    """A request at work."""
+    """A request that has no reply yet."""
 
     operation: Operation
     done: anyio.Event = field(default_factory=anyio.Event)
     reply: Reply | None = None
 
     def answer(self, reply: Reply) -> None:
-        """Give the reply; only the first one counts."""
+        """Set the reply and wake the waiter; later replies are ignored."""
         if self.reply is None:
             self.reply = reply
             self.done.set()
 
 
 def reply_for(command: Command, outcome: Outcome) -> Reply:
-    """Return the reply to a command that was applied."""
+    """Return the reply for an applied command's outcome."""
     if isinstance(command, Decide) and isinstance(outcome, Done):
         return CurrentDecision(
             Decision(command.topic, outcome.version, command.value, command.lease_ms, command.author)
@@ -73,39 +73,39 @@
 
 
 class LeaderRequests:
-    """Requests in the order in which they came, and the leader's renewals of leases."""
+    """The leader's requests in order of arrival, and its lease renewals."""
 
     def __init__(self, settings: ReplicaSettings) -> None:
-        """Begin without a request."""
+        """Start with no requests; the first renewal is due at once."""
         self.settings = settings
         self.renewals = LeaseRenewals()
         self.next_renewal_ms = 0.0
         self._queue: deque[PendingRequest] = deque()
         self._proposed: dict[str, list[PendingRequest]] = {}  # by request id
-        self._reads: dict[int, PendingRequest | None] = {}  # by token; None for a renewal's own
+        self._reads: dict[int, PendingRequest | None] = {}  # by token; None for a lease renewal
 
     @property
     def has_queued(self) -> bool:
-        """Whether a request waits to be looked at."""
+        """Whether a request waits to be processed."""
         return bool(self._queue)
 
     def submit(self, operation: Operation) -> PendingRequest:
-        """Queue an operation."""
+        """Queue an operation; the caller waits for the returned request's `done`."""
         request = PendingRequest(operation)
         self._queue.append(request)
         return request
 
-    # --- with the core at hand
+    # --- processing
 
     def process(
         self, raft: RaftNode, decisions: DecisionState, now_ms: float, wall_ms: Callable[[], float]
     ) -> None:
-        """Take up what is queued; renew the leases when it is time."""
+        """Process the queued requests, and renew the leases when that is due."""
         queue, self._queue = self._queue, deque()
         if raft.role is not Role.LEADER:
             for request in queue:
                 request.answer(NotLeader(replica_name(raft.leader)))
-            self._give_up_proposals(raft)
+            self._fail_proposals(raft)
             return
         for request in queue:
             try:
@@ -113,13 +113,13 @@
             except NotLeaderError as error:
                 request.answer(NotLeader(replica_name(error.leader_hint)))
             except (ConsensusBusyError, MembershipChangeRefusedError) as error:
-                request.answer(RetryLater(error.text[:MAX_REASON]))
+                request.answer(RetryLater(error.text[:MAX_REASON_CHARACTERS]))
         if now_ms >= self.next_renewal_ms:
             self.next_renewal_ms = now_ms + self.settings.renewal_interval_ms
             self._renew(raft, decisions, now_ms, wall_ms)
 
-    def _give_up_proposals(self, raft: RaftNode) -> None:
-        """Answer those whose leader is gone: what they asked may still be decided."""
+    def _fail_proposals(self, raft: RaftNode) -> None:
+        """Answer NotLeader to all proposals after losing leadership; they may still be committed."""
         self.next_renewal_ms = 0.0
         proposed, self._proposed = self._proposed, {}
         for requests in proposed.values():
@@ -140,7 +140,7 @@
                     raft.transfer_leadership(now_ms, identities[0] if identities else target)
                 request.answer(Done(raft.log.last_index))
             case _ if not decisions.version_offset:
-                request.answer(RetryLater("the council has no ground yet"))
+                request.answer(RetryLater("the council has not set its version base yet"))
             case ReadDecision():
                 self._read(raft, now_ms, request)
             case Decide() | Drop() as command:
@@ -178,18 +178,18 @@
             return Done(raft.log.last_index)
         former = [voter for voter in raft.voters if replica_name(voter) == replica_name(identity)]
         if former:
-            # First out, then in: with both among the voters the dead one would count for the quorum.
+            # Removed first: if both were voters, the dead one would count towards the quorum.
             raft.change_voters(now_ms, remove=former[0])
-            return RetryLater(f"{former[0]} is being put out")
+            return RetryLater(f"{former[0]} is being removed")
         raft.change_voters(now_ms, add=identity)
-        return RetryLater("being taken in")
+        return RetryLater("the seat is being added")
 
     def _remove_replica(self, raft: RaftNode, now_ms: float, name: str) -> Reply:
         identities = [voter for voter in raft.voters if name in (voter, replica_name(voter))]
         if not identities:
             return Done(raft.log.last_index)
         raft.change_voters(now_ms, remove=identities[0])
-        return RetryLater("being put out")
+        return RetryLater("the seat is being removed")
 
     def _renew(
         self, raft: RaftNode, decisions: DecisionState, now_ms: float, wall_ms: Callable[[], float]
@@ -198,21 +198,21 @@
             if decisions.version_offset:
                 self._read(raft, now_ms, None)
             else:
-                # Versions begin at the wall clock, so that no group gives one that a former group gave.
+                # Versions start at the wall clock, so that none repeats a version of an earlier group.
                 raft.propose(now_ms, encode(SetVersionBase(int(wall_ms()), self.settings.limits)))
         except (NotLeaderError, ConsensusBusyError):
-            pass  # tried again after the next interval
+            pass  # retried after the renewal interval
 
     # --- results
 
     def on_applied(self, command: Command, outcome: Outcome) -> None:
-        """Answer whoever asked for a command that was applied."""
+        """Answer the requests for an applied command."""
         if not isinstance(command, SetVersionBase):
             for request in self._proposed.pop(command.request_id, ()):
                 request.answer(reply_for(command, outcome))
 
     def on_reads_lost(self, tokens: Iterable[ReadToken], leader: str) -> None:
-        """Answer the reads that were lost with the lead."""
+        """Answer NotLeader to the reads that were lost with leadership."""
         for token in tokens:
             request = self._reads.pop(int(token), None)
             if request is not None:
@@ -221,7 +221,7 @@
     def on_read_confirmed(
         self, raft: RaftNode, decisions: DecisionState, token: ReadToken, now_ms: float
     ) -> tuple[Decision, ...] | None:
-        """Answer a confirmed read; return the decisions to publish as renewed, None for a client's read."""
+        """Answer a confirmed read; return the decisions to publish as renewed, or None for a client read."""
         request = self._reads.pop(int(token), None)
         max_age_ms = self.settings.timing.election_ms
         renewal = self.renewals.confirm(int(token), raft.term, now_ms, max_age_ms)
@@ -237,7 +237,7 @@
         return None
 
     def answer_all(self, reply: Reply) -> None:
-        """Answer everything that is at work; the replica stops."""
+        """Answer all pending requests with `reply`; called when the replica stops."""
         proposed, self._proposed = self._proposed, {}
         reads, self._reads = self._reads, {}
         queue, self._queue = self._queue, deque()
--- a/cressrock/consensus/recover.py
+++ b/cressrock/consensus/recover.py
@@ -1,7 +1,7 @@
-"""Recovery when a majority of replicas is lost for good: a group of one, made from one store.
+"""Recovery from the permanent loss of a majority: turns one replica's store into a group of one.
 
 `python -m cressrock.consensus.recover STORE --cluster ID --seat NAME --i-have-lost-the-majority`.  Without
-the last word nothing is changed and the cost is printed.  See docs/council.md.
+the last option nothing is changed, and the risks are printed.  See docs/council.md.
 """
 
 from __future__ import annotations
@@ -20,21 +20,21 @@
 from cressrock.errors import CressrockError
 from cressrock.errors.consensus import ForeignStoreError
 
-SPARE_VERSIONS = 1_000_000  # left free at least, where the wall clock was set back
+MIN_SKIPPED_VERSIONS = 1_000_000  # skipped even if the wall clock was set back
 
-COST = """\
-What this may cost:
+RISKS = """\
+Risks:
 - decisions that the lost seats had acknowledged and this store does not have are gone;
-- decisions in this store that were never acknowledged come to stand;
+- decisions in this store that were never acknowledged take effect;
 - if any other seat of the old council still runs, or this is done at two seats, there are two councils.
-Before: stop every seat of the old council; do this at one seat only, the one with the largest last entry
-(term, index) of all stores that are left.  After: start this seat; put the other seats' stores aside and
-start them with start = 'join'.  All numbers go on above every number given before."""
+Before: stop every seat of the old council.  Do this at one seat only: the one whose store has the largest
+last entry (term, index) of all remaining stores.  After: start this seat, move the other seats' stores aside
+and start those seats with start = 'join'.  New decisions get larger numbers than all earlier ones."""
 
 
 @dataclass(frozen=True, slots=True)
-class StoreContent:
-    """What a store holds: identity, voters, last entry, what it knows as committed, its generation."""
+class StoreSummary:
+    """The main contents of a store; `commit` is the last index that it knows to be committed."""
 
     identity: str
     voters: tuple[str, ...]
@@ -45,23 +45,23 @@
     topics: int
 
 
-def recover(path: str, cluster: str, replica: str, wall_ms: float, *, force: bool) -> StoreContent:
-    """Return what a store holds, and with `force` make a group of one out of it.
+def recover(path: str, cluster: str, replica: str, wall_ms: float, *, force: bool) -> StoreSummary:
+    """Return a summary of a store, and with `force` turn it into a group of one.
 
-    Raises the store's errors (StoreLockedError while its replica runs), ForeignStoreError for a replica
-    without a group.
+    Raises the store's errors (StoreLockedError while its replica runs), and ForeignStoreError if the replica
+    never belonged to a group.
     """
     store = ReplicaStore(path, cluster=cluster, replica=replica, must_exist=True)
     try:
         header, stored = store.header, store.load()
         if not header.initial_replicas:
-            raise ForeignStoreError(f"{path} has no council: its seat was never part of one")
+            raise ForeignStoreError(f"{path} cannot be recovered: its seat was never part of a council")
         decisions = _replay(stored)
         if force:
-            version_base = max(int(wall_ms), decisions.version + SPARE_VERSIONS)
+            version_base = max(int(wall_ms), decisions.version + MIN_SKIPPED_VERSIONS)
             store.save_header(header, _single_voter_state(stored, header.identity, version_base))
         log = RaftLog(stored.snapshot, stored.entries)
-        return StoreContent(
+        return StoreSummary(
             identity=header.identity,
             voters=log.voters,
             last_term=log.last_term,
@@ -75,7 +75,7 @@
 
 
 def _replay(stored: StoredState) -> DecisionState:
-    """Return the decisions after all stored entries, committed or not."""
+    """Return the state after applying all stored entries, committed or not."""
     decisions = DecisionState()
     if stored.snapshot is not None:
         decisions = DecisionState.restore(stored.snapshot.data, stored.snapshot.index)
@@ -87,14 +87,14 @@
 def _single_voter_state(stored: StoredState, identity: str, version_base: int) -> StoredState:
     single = force_single_voter(stored, identity)
     last = single.entries[-1]
-    # Right behind the change of voters: nothing is decided before it, every version after it is new.
+    # Directly after the change of voters, so that every later decision gets a new version.
     command = SetVersionBase(version_base, None, stored.hard_state.commit)
     entry = LogEntry(last.term, last.index + 1, "command", encode(command))
     return replace(single, entries=(*single.entries, entry))
 
 
 def main(arguments: list[str] | None = None) -> int:
-    """Run from the command line; 0 when done, 1 with an error, 2 when nothing was changed."""
+    """Run the command; return 0 if the store was recovered, 1 on an error, 2 if nothing was changed."""
     parser = argparse.ArgumentParser(prog="python -m cressrock.consensus.recover", description=__doc__)
     parser.add_argument("store")
     parser.add_argument("--cluster", required=True)
@@ -102,23 +102,23 @@
     parser.add_argument("--i-have-lost-the-majority", action="store_true", dest="force")
     options = parser.parse_args(arguments)
     try:
-        content = recover(
+        summary = recover(
             options.store, options.cluster, options.seat, time.time() * 1000, force=options.force
         )
     except CressrockError as error:
         print(error, file=sys.stderr)
         return 1
-    print(f"{content.identity}: generation {content.generation}, seats {', '.join(content.voters)}")
+    print(f"{summary.identity}: generation {summary.generation}, seats {', '.join(summary.voters)}")
     print(
-        f"last entry: term {content.last_term}, index {content.last_index};"
-        f" committed for sure: {content.commit}"
+        f"last entry: term {summary.last_term}, index {summary.last_index};"
+        f" known to be committed: {summary.commit}"
     )
-    print(f"topics that stand: {content.topics}")
-    print(COST)
+    print(f"topics with a decision: {summary.topics}")
+    print(RISKS)
     if not options.force:
-        print("Nothing was changed: say --i-have-lost-the-majority to do it.")
+        print("Nothing was changed.  Pass --i-have-lost-the-majority to recover the store.")
         return 2
-    print(f"Done: {content.identity} is now the only seat, in generation {content.generation + 1}.")
+    print(f"Recovered: {summary.identity} is now the only seat, in generation {summary.generation + 1}.")
     return 0
 
 
--- a/cressrock/consensus/replica.py
+++ b/cressrock/consensus/replica.py
@@ -1,19 +1,20 @@
-"""One replica over TCP: raft's batches persisted, sent and applied in that order, requests answered.
-
-The raft core is touched by one task alone (`_drive`): what comes in waits in a bounded queue until the batch
-before it is persisted, sent and applied.  A batch is written in a thread and awaited; nothing of it is said
-before it lasts.  When the store fails, the replica is over: its core is thrown away, every connection is
-closed with the reason, and nothing is answered from memory.
-
-How a replica comes to take part (`start`):
-
-- "found": with no store, all replicas named in the settings greet one another, each with the id drawn for its
-  new store; when all have met, each forms the group of those identities.  A replica that meets a group which
-  stands without it has lost its store (StoreMissingError): it takes no part.
-- "expect": as above, but a store must be there; without one the replica takes no part (StoreMissingError).
-- "join": with no store, the replica joins as a new one: the leader removes the former one of its name,
-catches
-  it up, and adds it.  With a store, all three are the same: it goes on from there.
+"""One replica over TCP: persists, sends and applies raft's batches in that order, and answers requests.
+
+Only one task (`_run_loop`) uses the raft core.  Incoming messages wait in a bounded queue until the previous
+batch is persisted, sent and applied.  A batch is written in a thread and awaited; none of its messages is
+sent before the write is durable.  If the store fails, the replica stops: it discards the core, closes every
+connection with the reason, and answers nothing from memory.
+
+Start modes (`start`) of a replica:
+
+- "found": without a store, all replicas in the settings connect to one another, each with the id of its new
+  store.  Once all are connected, each forms the group of those identities.  A replica that finds an existing
+  group without itself has lost its store (StoreMissingError) and does not participate.
+- "expect": as above, but a store must exist; otherwise the replica does not participate (StoreMissingError).
+- "join": without a store, the replica joins as a new one: the leader removes the earlier replica of the same
+  name, lets the new one catch up, and adds it.
+
+With a store, all three modes continue from its content.
 """
 
 from __future__ import annotations
@@ -63,7 +64,8 @@
 from cressrock.errors.consensus import InvalidMessageError, PeerRejectedError, ReplicaRemovedError
 from cressrock.http.channel import Stream
 
-SNAPSHOT_AT = 0.5  # of the log's bounds: a snapshot is taken here, and replaces the log at all of them
+# A snapshot is taken at this fraction of the log's limits; it replaces the log at the full limits.
+SNAPSHOT_FRACTION = 0.5
 
 
 class ConsensusReplica:
@@ -79,8 +81,12 @@
         on_applied: Callable[[int, Command, Outcome], None] = lambda index, command, outcome: None,
         max_pages: int = 0,
     ) -> None:
-        """`publish` takes decisions for all to read, from a leader with each renewal and from any replica
-        when newly decided; `on_status_change` the status when role, leader or failure changed.
+        """Create a replica that `run` starts; nothing is opened yet.
+
+        `publish` receives decisions to distribute: all of them from a leader with each renewal, and each new
+        one from any replica that applies it.  `on_status_change` receives the status when role, term, leader,
+        failure or group changed.  `on_applied` receives the index, command and outcome of each applied
+        command.  `max_pages` bounds the store in SQLite pages (0: no bound).
 
         Raises InvalidReplicaSetError.
         """
@@ -100,17 +106,19 @@
         self._server = ReplicaServer(environment, settings, self, self.counts)
         self._inbox: deque[tuple[str, RaftMessage]] = deque()
         self._wakeup = anyio.Event()
-        self._snapshot: tuple[int, bytes] | None = None  # taken, and not yet in the log's place
-        self._reported: tuple[object, ...] = ()
+        self._snapshot: tuple[int, bytes] | None = (
+            None  # index and state; taken, but has not replaced the log yet
+        )
+        self._last_reported: tuple[object, ...] = ()
         self._stored = StoredState()
         self._was_voter = False
-        self._replayed_index = 0  # the last index that the store held at the start
+        self._replayed_index = 0  # the last index in the store at startup
 
     # --- identity
 
     @property
     def identity(self) -> str:
-        """The replica's name in the log: name#id; "" before the store is open."""
+        """The replica's identity in the log (name#id); "" before the store is open."""
         return self.header.identity if self.header else ""
 
     @property
@@ -119,43 +127,43 @@
         return tuple(self.header.initial_replicas) if self.header else ()
 
     def local_endpoint(self) -> LocalEndpoint:
-        """Return who this replica is on its connections."""
+        """Return the identity that this replica presents on its connections."""
         initial_replicas, cluster = self.initial_replicas, self.settings.cluster
         group = consensus_group_id(cluster, initial_replicas) if initial_replicas else ""
         return LocalEndpoint(cluster, self.identity, True, group, initial_replicas, self.decisions.applied)
 
     def status(self) -> dict[str, object]:
-        """Return the replica's status as plain values, for an admin port."""
+        """Return the replica's status as JSON-compatible values, for the admin port."""
         return replica_status(self)
 
-    def _report(self) -> None:
+    def _report_status_change(self) -> None:
         raft = self.raft
         now = (raft.role, raft.term, raft.leader) if raft else (None, 0, "")
         known = (*now, self.failed, self.initial_replicas)
-        if known != self._reported:
-            self._reported = known
+        if known != self._last_reported:
+            self._last_reported = known
             status = self.status()
             fields = {key: status[key] for key in ("role", "term", "leader")}
             self.environment.log_event("consensus.role_changed", **fields)
             self.on_status_change(status)
 
-    # --- life
+    # --- lifecycle
 
     async def run(self) -> None:
-        """Take part until cancelled; a replica that fails stays, and tells everybody who asks why."""
+        """Run the replica until cancelled; after a failure it keeps rejecting connections with the reason."""
         settings = self.settings
         try:
             async with anyio.create_task_group() as tasks:
                 self._server.tasks = tasks
                 try:
                     await self.environment.run_blocking(self._open)
-                    self._begin()
+                    self._start_raft()
                     for name in sorted(set(settings.replicas) - {settings.name}):
                         self.connections[name] = self._connect(name)
                         tasks.start_soon(self.connections[name].run)
-                    self._report()
+                    self._report_status_change()
                     tasks.start_soon(self._join)
-                    await self._drive()
+                    await self._run_loop()
                 except CressrockError as error:
                     self._fail(error)
                     tasks.cancel_scope.cancel()
@@ -178,10 +186,10 @@
         )
         self.header = self.store.header
         if self.header.removed:
-            raise ReplicaRemovedError(f"seat {self.identity} was put out of the council")
+            raise ReplicaRemovedError(f"seat {self.identity} was removed from the council")
         self._stored = self.store.load()
 
-    def _begin(self) -> None:
+    def _start_raft(self) -> None:
         if not self.initial_replicas:
             return
         stored = self._stored
@@ -202,7 +210,7 @@
         self._server.close_all(error.code, error.text)
         if self.store is not None:
             self.store.close()
-        self._report()
+        self._report_status_change()
 
     def _wake(self) -> None:
         self._wakeup.set()
@@ -221,7 +229,7 @@
         )
 
     async def _form_group(self) -> None:
-        """Look whether this replica can have a group by now."""
+        """Form or join the group if its initial replicas are known by now."""
         if self.raft is not None or self.header is None or self.store is None:
             return
         peers = {name: one.peer for name, one in self.connections.items() if one.peer is not None}
@@ -232,17 +240,17 @@
         header = msgspec.structs.replace(self.header, initial_replicas=initial_replicas)
         await self.environment.run_blocking(partial(self.store.save_header, header, stored))
         self.header, self._stored = header, stored
-        self._begin()
+        self._start_raft()
         self.environment.log_event(
             "consensus.group_formed",
             group=self.local_endpoint().group,
             initial_replicas=list(initial_replicas),
         )
-        # Whoever greeted before learns of the group by greeting again.
-        self._server.close_all(GROUP_FORMED, "founded: greet again", replicas_only=True)
+        # Peers connected before this point learn the group when they reconnect.
+        self._server.close_all(GROUP_FORMED, "the council was formed: connect again", replicas_only=True)
 
     async def _join(self) -> None:
-        """Ask to be added for as long as this replica is no voter."""
+        """Ask repeatedly to be added until this replica is a voter."""
         if self.settings.start != "join":
             return
         while True:
@@ -257,32 +265,32 @@
                 if isinstance(reply, Done):
                     break
 
-    # --- what others ask
+    # --- requests from peers and clients
 
     async def serve(self, stream: Stream) -> None:
-        """Serve one accepted stream to its end."""
+        """Serve one accepted stream until it ends."""
         await self._server.serve(stream)
 
     def refusal(self) -> CloseNotice | None:
-        """Return with what to close connections if this replica serves nobody now."""
+        """Return the notice with which to close new connections; None if the replica accepts them."""
         if self.failed is not None:
             return CloseNotice(self.failed.code, self.failed.text)
         if self.header is None:
-            return CloseNotice("council-starting", "the store is being opened")
+            return CloseNotice("council-starting", "the seat is starting: its store is being opened")
         return None
 
     def applied(self) -> int:
-        """Return the newest index that was applied."""
+        """Return the last applied index."""
         return self.decisions.applied
 
     def receive_raft(self, peer: str, data: bytes) -> None:
-        """Queue a replica's message for the core."""
+        """Queue a message from another replica for the raft core; invalid ones are counted and dropped."""
         try:
             sender, receiver, message = decode(data, self.settings.cluster)
         except InvalidMessageError as error:
             self.counts[f"refused {error.reason}"] += 1
             return
-        # A connection speaks for the replica that greeted on it, and only to who we are in this life.
+        # A connection carries only messages from the identity in its handshake to our current identity.
         if sender != peer or receiver != self.identity or self.raft is None:
             self.counts["not for us"] += 1
         elif len(self._inbox) >= self.settings.max_inbox:
@@ -292,11 +300,11 @@
             self._wake()
 
     async def reply(self, operation: Operation, *, forward: bool) -> Reply:
-        """Do an operation, or say who may; `forward`: ask the leader where this replica does not lead."""
+        """Execute an operation and return its reply; with `forward` a follower passes it to the leader."""
         if isinstance(operation, GetStatus):
             return encode_status(self.status())
         if self.raft is None:
-            return RetryLater("this seat has no council yet")
+            return RetryLater("this seat is not part of a council yet")
         deadline_ms = self.environment.clock() + self.settings.request_timeout_ms
         if self.raft.role is not Role.LEADER:
             leader = replica_name(self.raft.leader)
@@ -311,9 +319,9 @@
             await request.done.wait()
         return request.reply or NotLeader()
 
-    # --- the one task that touches the core
+    # --- main loop: the only task that uses the raft core
 
-    async def _drive(self) -> None:
+    async def _run_loop(self) -> None:
         while True:
             self._wakeup = anyio.Event()
             await anyio.lowlevel.checkpoint()
@@ -324,9 +332,9 @@
                 if raft.has_ready():
                     await self._process_batch(raft, raft.ready())
                     self._compact(raft)
-                    self._report()
+                    self._report_status_change()
                     continue
-                self._report()
+                self._report_status_change()
                 renewal_ms = self.requests.next_renewal_ms if raft.role is Role.LEADER else FOREVER
                 deadline_ms = min(raft.next_deadline_ms(), renewal_ms)
             if self._inbox or self.requests.has_queued:
@@ -335,7 +343,7 @@
                 await self._wakeup.wait()
 
     def _step(self, raft: RaftNode) -> None:
-        """Give the core its messages, the time and the requests."""
+        """Pass the queued messages, the time and the requests to the raft core."""
         now_ms = self.environment.clock()
         while self._inbox:
             sender, message = self._inbox.popleft()
@@ -356,7 +364,7 @@
         if ready.restore_snapshot and ready.snapshot is not None:
             self.decisions = DecisionState.restore(ready.snapshot.data, ready.snapshot.index)
             self._snapshot = None
-            await self._check_still_voter(ready.snapshot.voters)
+            await self._stop_if_removed(ready.snapshot.voters)
         for entry in ready.committed:
             await self._apply(entry)
         self.requests.on_reads_lost(ready.lost_reads, raft.leader)
@@ -377,7 +385,7 @@
 
     async def _apply(self, entry: LogEntry) -> None:
         if entry.kind == "seats":
-            await self._check_still_voter(decode_voters(entry.data))
+            await self._stop_if_removed(decode_voters(entry.data))
         applied = self.decisions.apply(entry.index, entry.data if entry.kind == "command" else b"")
         if applied is None:
             return
@@ -387,7 +395,7 @@
             return
         self.requests.on_applied(command, outcome)
         decision = self.decisions.get(command.topic)
-        # Not what the store held at the start: nobody knows how long that has lain there.
+        # Entries replayed from the store are not published: they may be arbitrarily old.
         is_live = entry.index > self._replayed_index
         is_current = (
             isinstance(outcome, Done) and decision is not None and decision.version == outcome.version
@@ -395,22 +403,22 @@
         if is_live and is_current and decision is not None:
             self.publish((decision,))
 
-    async def _check_still_voter(self, voters: tuple[str, ...]) -> None:
+    async def _stop_if_removed(self, voters: tuple[str, ...]) -> None:
         if self.identity in voters:
             self._was_voter = True
         if not self._was_voter or self.identity in voters or self.header is None or self.store is None:
-            return  # a new replica reads of the times before it
+            return  # a new replica also applies entries from before it was added
         header = msgspec.structs.replace(self.header, removed=True)
         await self.environment.run_blocking(partial(self.store.save_header, header))
-        raise ReplicaRemovedError(f"seat {self.identity} was put out of the council")
+        raise ReplicaRemovedError(f"seat {self.identity} was removed from the council")
 
     def _compact(self, raft: RaftNode) -> None:
-        """Keep the log bounded, and enough of it that a replica a little behind needs no snapshot."""
+        """Keep the log bounded, but long enough that a replica slightly behind needs no snapshot."""
         settings = self.settings
         fill = max(
             len(raft.log.entries) / settings.max_log_entries, raft.log.data_bytes / settings.max_log_bytes
         )
-        if fill >= SNAPSHOT_AT and self._snapshot is None:
+        if fill >= SNAPSHOT_FRACTION and self._snapshot is None:
             self._snapshot = (self.decisions.applied, self.decisions.snapshot())
         elif fill >= 1 and self._snapshot is not None:
             raft.compact(*self._snapshot)
--- a/cressrock/consensus/replica_server.py
+++ b/cressrock/consensus/replica_server.py
@@ -1,4 +1,4 @@
-"""The connections that others open to a replica: messages for its core, requests for it to answer."""
+"""Incoming connections of a replica: messages from other replicas, and requests to answer."""
 
 from __future__ import annotations
 
@@ -15,42 +15,42 @@
 from cressrock.consensus.transport import Connection
 from cressrock.http.channel import Stream
 
-GROUP_FORMED = "council-founded"  # the code with which a replica asks others to greet it again
+GROUP_FORMED = "council-founded"  # code of the notice that makes peers reconnect to learn the group
 
 
 class Handler(Protocol):
-    """What a server asks of its replica."""
+    """The replica, as its server uses it."""
 
     def local_endpoint(self) -> LocalEndpoint:
-        """Return who this replica is now."""
+        """Return the identity to present on a new connection."""
 
     def refusal(self) -> CloseNotice | None:
-        """Return with what to close connections if nobody is served now."""
+        """Return the notice with which to close new connections; None to accept them."""
 
     def receive_raft(self, peer: str, data: bytes) -> None:
-        """Take a replica's message."""
+        """Process a message from the replica `peer`."""
 
     async def reply(self, operation: Operation, *, forward: bool) -> Reply:
-        """Do an operation."""
+        """Execute an operation; with `forward` a follower may pass it to the leader."""
 
     def applied(self) -> int:
-        """Return the newest index that was applied."""
+        """Return the last applied index."""
 
 
 class ReplicaServer:
-    """Serves accepted streams for a replica."""
+    """Serves the accepted streams of a replica."""
 
     def __init__(
         self, environment: Environment, settings: ReplicaSettings, handler: Handler, counts: Counter[str]
     ) -> None:
-        """`counts` counts closed connections by code."""
+        """Start with no connection; `counts` receives the number of closed connections by code."""
         self.environment, self.settings, self.handler, self.counts = environment, settings, handler, counts
-        self.tasks: TaskGroup | None = None  # in which requests are answered; None while nobody is
+        self.tasks: TaskGroup | None = None  # runs the request handlers; None while requests are not answered
         self._connections: set[Connection] = set()
         self._active_requests = 0
 
     async def serve(self, stream: Stream) -> None:
-        """Serve one accepted stream to its end."""
+        """Serve one accepted stream until it ends."""
         clock, settings = self.environment.clock, self.settings
         protocol = ConnectionProtocol(
             False, self.handler.local_endpoint(), clock(), limits=settings.connection_limits
@@ -62,13 +62,15 @@
             if (refusal := self.handler.refusal()) is not None:
                 connection.close(refusal.code, refusal.reason)
             elif len(self._connections) > settings.max_connections:
-                connection.close("council-crowded", f"{settings.max_connections} connections are open")
+                connection.close(
+                    "council-crowded", f"the limit of {settings.max_connections} open connections is reached"
+                )
             await connection.run()
         finally:
             self._connections.discard(connection)
 
     def close_all(self, code: str, reason: str, *, replicas_only: bool = False) -> None:
-        """Close the connections with a reason."""
+        """Close all connections, or only those of replicas, with a reason."""
         for connection in list(self._connections):
             if connection.protocol.peer_is_replica or not replicas_only:
                 connection.close(code, reason)
@@ -79,7 +81,7 @@
                 self.handler.receive_raft(connection.protocol.peer, data)
             case Request(number):
                 if self.tasks is None or self._active_requests >= self.settings.max_pending_requests:
-                    connection.send(Response(number, RetryLater("too much is asked at once")))
+                    connection.send(Response(number, RetryLater("too many pending requests")))
                 else:
                     self._active_requests += 1
                     self.tasks.start_soon(self._respond, connection, event)
--- a/cressrock/consensus/replica_status.py
+++ b/cressrock/consensus/replica_status.py
@@ -1,4 +1,4 @@
-"""A replica's status for the admin port and for operators; its keys are a published interface."""
+"""A replica's status for the admin port; its keys are a published interface."""
 
 from __future__ import annotations
 
@@ -17,9 +17,9 @@
 
 
 def replica_status(replica: ConsensusReplica) -> dict[str, object]:
-    """Return plain values: who this is, its part in the group, its log, its connections."""
+    """Return JSON-compatible values: identity, role in the group, log, connections and counters."""
     raft, now_ms, decisions = replica.raft, replica.environment.clock(), replica.decisions
-    heard = {name: connection.heard_at_ms() for name, connection in replica.connections.items()}
+    last_received = {name: connection.last_received_ms() for name, connection in replica.connections.items()}
     return {
         "name": replica.settings.name,
         "identity": replica.identity,
@@ -37,7 +37,8 @@
         "log": len(raft.log.entries) if raft else 0,
         "beat": replica.requests.renewals.last_renewal,
         "heard_ms_ago": {
-            name: None if heard_ms is None else round(now_ms - heard_ms) for name, heard_ms in heard.items()
+            name: None if received_ms is None else round(now_ms - received_ms)
+            for name, received_ms in last_received.items()
         },
         "parted": {
             name: connection.last_closed.reason
--- a/cressrock/consensus/store.py
+++ b/cressrock/consensus/store.py
@@ -1,13 +1,12 @@
-"""A replica's store: its log, vote and snapshot on disk before anything is said; one transaction for one
-Ready.
+"""A replica's store: persists log, vote and snapshot before any message is sent, one transaction per Ready.
 
-What is wrong with a store is told by type: corrupt, too old, too new, foreign, missing, full, locked.
+Each kind of unusable store has its own error type: corrupt, too old, too new, foreign, missing, full, locked.
 
-Whose store this is: a header with cluster, replica's name and the store's own id, drawn when the file is made
-(the group's generation, raised by a recovery from a lost majority, is beside term and vote).  The replica's
-name in the replicated log is `name#id`.  A file that is lost can therefore never be replaced by an empty one
-under the same identity: a new file is a new replica, which the others must first add by decision.  An old
-copy put back is not seen from within: a store is never restored from a backup.
+The header identifies the store: cluster, replica name, and a random id created with the file.  (The group's
+generation, raised by a recovery from a lost majority, is stored with term and vote.)  The replica's identity
+in the replicated log is `name#id`.  A lost file therefore cannot be replaced by an empty one under the same
+identity: a new file is a new replica, which the group must first add.  A restored old copy cannot be detected
+from its content, so a store must never be restored from a backup.
 """
 
 from __future__ import annotations
@@ -36,7 +35,7 @@
 
 
 class ReplicaStore:
-    """One replica's store, held by one process at a time.  Not for two threads at once."""
+    """One replica's store; used by one process at a time, and not thread-safe."""
 
     def __init__(
         self,
@@ -48,10 +47,10 @@
         random_bytes: Callable[[int], bytes] = os.urandom,
         max_pages: int = 0,
     ) -> None:
-        """Open the store, or make it where there is none.
+        """Open the store, or create it if there is none.
 
-        `must_exist`: the settings say that this replica has been a member, so a store must be there.
-        `max_pages` bounds the file (SQLite's max_page_count), 0 for no bound.  Raises the types of
+        `must_exist`: the settings say that this replica was a member before, so its store must exist.
+        `max_pages` limits the file (SQLite's max_page_count); 0 means no limit.  Raises the store errors of
         errors/consensus.py.
         """
         self.path = Path(path)
@@ -85,7 +84,7 @@
     # --- reading
 
     def load(self) -> StoredState:
-        """Return what was kept.  Raises StoreCorruptError where any of it is not as it was written."""
+        """Return the stored state.  Raises StoreCorruptError if any of it is missing or inconsistent."""
         with self._file.translate_errors():
             return self._load()
 
@@ -96,18 +95,18 @@
         base_index = snapshot.index if snapshot else 0
         if tail.first != base_index + 1:
             raise StoreCorruptError(
-                f"the log of {self.path} begins at {tail.first}, its snapshot ends at {base_index}"
+                f"the log of {self.path} starts at {tail.first}, but its snapshot ends at {base_index}"
             )
         entries = self._load_entries(base_index, snapshot.term if snapshot else 0)
         last_index = base_index + len(entries)
         last_term = entries[-1].term if entries else snapshot.term if snapshot else 0
         if (tail.last, tail.count) != (last_index, len(entries)):
             raise StoreCorruptError(
-                f"the log of {self.path} ends at {last_index}; it was kept up to {tail.last}"
+                f"the log of {self.path} ends at {last_index}, but its tail record says {tail.last}"
             )
         if not base_index <= hard_state.commit <= last_index or hard_state.term < last_term:
             raise StoreCorruptError(
-                f"vote and log of {self.path} do not fit: {hard_state} with a log up to {last_index}"
+                f"vote and log of {self.path} are inconsistent: {hard_state} with a log up to {last_index}"
             )
         return StoredState(hard_state, snapshot, tuple(entries))
 
@@ -122,17 +121,19 @@
         return Snapshot(row.index, row.term, row.voters, row.data)
 
     def _load_entries(self, index: int, term: int) -> list[LogEntry]:
-        """Return the entries after (`index`, `term`), which follow one another without a gap."""
+        """Return the entries after (`index`, `term`), checked to have no gap and no decreasing term."""
         entries: list[LogEntry] = []
         for row_index, data in self._file.database().execute("SELECT place, value FROM log ORDER BY place"):
             index += 1
             if row_index != index:
                 raise StoreCorruptError(
-                    f"entry {index} of {self.path} is missing; the next one is {row_index}"
+                    f"entry {index} of {self.path} is missing: the next entry is {row_index}"
                 )
             stored = decode_record(StoredEntry, entry_label(index), data)
             if stored.term < term:
-                raise StoreCorruptError(f"entry {index} of {self.path} has term {stored.term} after {term}")
+                raise StoreCorruptError(
+                    f"entry {index} of {self.path} has term {stored.term}, lower than {term} before it"
+                )
             term = stored.term
             entries.append(LogEntry(stored.term, index, stored.kind, stored.data))
         return entries
@@ -141,7 +142,7 @@
 
     @contextmanager
     def _transaction(self) -> Iterator[None]:
-        """One transaction; after an error the store is closed."""
+        """Run the body in one transaction; after an error the store is closed."""
         try:
             with self._file.translate_errors():
                 database = self._file.database()
@@ -160,14 +161,16 @@
         entries: Sequence[LogEntry] = (),
         truncate_from: int | None = None,
     ) -> None:
-        """Keep one Ready in one transaction; when this returns, it lasts.
+        """Write one Ready in one transaction, which is durable when this returns.
 
-        A snapshot replaces all entries up to its index (all of them where the log does not go on from it).
-        After an error nothing of the call is kept and the store is closed: what was not written must not be
-        answered from memory, so the replica has to end.  Raises StoreFullError and the other types.
+        A snapshot replaces all entries up to its index, or all entries if the log does not continue it.
+        After an error nothing of the call is written and the store is closed: the replica must stop, since it
+        must not answer with state that is not durable.  Raises StoreFullError and the other store errors.
         """
         if self.full:
-            raise StoreFullError(f"{self.path} was full before")
+            raise StoreFullError(
+                f"{self.path}: the disk was full at an earlier write; make room and restart the seat"
+            )
         with self._transaction():
             tail = decode_record(TailRow, "tail", self._file.row("tail"))
             first, last = tail.first, tail.last
@@ -179,7 +182,7 @@
                 first = snapshot.index + 1
             for entry in entries:
                 if not first <= entry.index <= last + 1:
-                    raise StoreError(f"entry {entry.index} for a log from {first} to {last}")
+                    raise StoreError(f"cannot write entry {entry.index} to a log from {first} to {last}")
                 if entry.index <= last:
                     self._delete_from(entry.index)
                 self._file.insert_entry(entry)
@@ -193,13 +196,13 @@
         self._file.database().execute("DELETE FROM log WHERE place>=?", (index,))
 
     def _replace_by_snapshot(self, snapshot: Snapshot, first: int, last: int) -> int:
-        """Write a snapshot in place of the entries that it covers; return the log's last index."""
+        """Replace the entries that a snapshot covers; return the log's last index."""
         self._file.put_row("snapshot", encode_snapshot(snapshot))
         is_in_log = first <= snapshot.index <= last and self._term_at(snapshot.index) == snapshot.term
         if is_in_log or snapshot.index == first - 1:
             self._file.database().execute("DELETE FROM log WHERE place<=?", (snapshot.index,))
             return max(last, snapshot.index)
-        # The snapshot came from a leader and our log does not lead up to it: none of it is its past.
+        # The snapshot came from a leader, and our log is not a prefix of its history: discard all entries.
         self._file.database().execute("DELETE FROM log")
         return snapshot.index
 
@@ -210,9 +213,10 @@
         return decode_record(StoredEntry, entry_label(index), self._file.entry_row(index)).term
 
     def save_header(self, header: StoreHeader, stored: StoredState | None = None) -> None:
-        """Replace the header (forming, recovery, removal) in one transaction; with `stored`, all else too.
+        """Replace the header, and with `stored` all other content too, in one transaction.
 
-        Raises as `write` does.
+        Used when a group is formed or recovered and when the replica is removed.  Raises the errors of
+        `write`.
         """
         with self._transaction():
             self._file.put_row("header", encode_record(header))
@@ -238,8 +242,8 @@
         try:
             return self.path.stat().st_size
         except OSError:
-            return 0  # a status must not fail over a file that is gone
+            return 0  # a status request must not fail if the file was deleted
 
     def close(self) -> None:
-        """Close the store; what was not kept is rolled back at the next start."""
+        """Close the store; an uncommitted transaction is rolled back at the next start."""
         self._file.close()
--- a/cressrock/consensus/store_file.py
+++ b/cressrock/consensus/store_file.py
@@ -1,17 +1,17 @@
-"""The SQLite file of a replica's store: opening, format, rows, and SQLite's errors as the store's.
-
-SQLite with `synchronous=FULL` and `journal_mode=PERSIST`.  Considered:
-
-- WAL needs one flush where the others need four.  But its recovery ends in silence at the first frame whose
-  checksum is wrong: one bad block in the tail takes back kept votes and entries without a word, and so does
-  a copy of the file without its `-wal`.  A replica that has forgotten a vote may vote twice, which is the one
-  thing a store is for.
-- DELETE ends a transaction by unlinking its journal, and under FULL the directory is not flushed after that:
-  after a power cut the journal can be back, and a kept transaction is rolled back (EXTRA flushes it).
-- TRUNCATE ends it by a flushed truncation: as sound, but a length that changes costs the file system's own
-  journal a commit (medians on ext4 in benchmarks/results/council-processes.md).
-- PERSIST ends it by overwriting the journal's header with zeros, flushed: no name or length changes.  All
-  that is kept is in one file, and a damaged page is found by the rows' own checksums.
+"""The SQLite file of a replica's store: opening, format check, rows, and translation of SQLite errors.
+
+SQLite runs with `synchronous=FULL` and `journal_mode=PERSIST`.  Comparison of the journal modes:
+
+- WAL needs one flush where the others need four.  But its recovery stops silently at the first frame with a
+  wrong checksum: a bad block in the tail loses durable votes and entries without an error, and so does
+  copying the file without its `-wal`.  A replica that lost its vote may vote twice, which the store must
+  prevent.
+- DELETE ends a transaction by unlinking its journal, and under FULL the directory is not flushed afterwards:
+  after a power failure the journal can reappear, and a durable transaction is rolled back (EXTRA flushes it).
+- TRUNCATE ends it by a flushed truncation: equally safe, but the change of length costs a commit in the file
+  system's own journal (medians on ext4 in benchmarks/results/council-processes.md).
+- PERSIST ends it by overwriting the journal's header with zeros and flushing: no name or length changes.  All
+  durable data is in one file, and the checksums of the rows detect a damaged page.
 """
 
 from __future__ import annotations
@@ -44,16 +44,16 @@
 )
 
 FORMAT = 1
-OLDEST_FORMAT = 1  # the oldest format that this program reads
-JOURNAL_BYTES = 1 << 20  # that the journal keeps between transactions, after a snapshot's large one
-APPLICATION_ID = 0x63726B63  # of SQLite: tells a replica's store from any other database
+OLDEST_FORMAT = 1  # oldest format that this program can read
+MAX_JOURNAL_BYTES = 1 << 20  # size of the idle journal; a snapshot's transaction makes it larger
+APPLICATION_ID = 0x63726B63  # in the SQLite header; distinguishes a store from other databases
 PROBE_BYTES = 65536
-FULL_ERRNOS = (errno.ENOSPC, errno.EDQUOT, errno.EFBIG)
-SQLITE_PRIMARY_CODE = 0xFF  # the mask of the primary result code in an extended one
+DISK_FULL_ERRNOS = (errno.ENOSPC, errno.EDQUOT, errno.EFBIG)
+SQLITE_PRIMARY_CODE = 0xFF  # mask of the primary result code in an extended one
 
 
 def flush_directory(path: Path) -> None:
-    """Make a new or renamed file's name last.  Raises OSError."""
+    """Flush a directory, so that the name of a new or renamed file is durable.  Raises OSError."""
     handle = os.open(path, os.O_RDONLY)
     try:
         os.fsync(handle)
@@ -62,10 +62,10 @@
 
 
 class StoreFile:
-    """An open store file, held by one process at a time."""
+    """The SQLite file of one store, open in one process at a time."""
 
     def __init__(self, path: Path) -> None:
-        """Nothing is opened yet."""
+        """Remember the path; `open` opens the file."""
         self.path = path
         self._database: sqlite3.Connection | None = None
 
@@ -80,14 +80,14 @@
         random_bytes: Callable[[int], bytes],
         max_pages: int,
     ) -> None:
-        """Open the file, or make it where there is none; see ReplicaStore."""
+        """Open the file, or create it if there is none; see ReplicaStore for parameters and errors."""
         exists = self.path.exists() and self.path.stat().st_size > 0
         if must_exist and not exists:
             raise StoreMissingError(
-                f"no store of seat {replica!r} at {self.path}, and the settings expect one"
+                f"the store of seat {replica!r} is missing at {self.path}; the settings expect it"
             )
         with self.translate_errors():
-            # isolation_level None: transactions are begun and ended by name, and nowhere else.
+            # isolation_level None: transactions begin and end only by explicit statements.
             database = sqlite3.connect(self.path, timeout=0, isolation_level=None, check_same_thread=False)
             self._database = database
             if exists and not self._check_format(database):
@@ -97,35 +97,35 @@
             self._configure(database, max_pages)
             if not exists:
                 self._create(database, StoreHeader(FORMAT, cluster, replica, random_bytes(8).hex()))
-            database.execute("BEGIN EXCLUSIVE")  # taken once, and kept by the locking mode
+            database.execute("BEGIN EXCLUSIVE")  # acquired once; the locking mode keeps the lock
             database.execute("COMMIT")
             self._check_integrity(database)
 
     @staticmethod
     def _configure(database: sqlite3.Connection, max_pages: int) -> None:
-        # Exclusive: two processes on one store would be two replicas with one vote.
+        # Exclusive: with two processes on one store, two replicas would share one vote.
         database.execute("PRAGMA locking_mode=EXCLUSIVE")
         database.execute("PRAGMA journal_mode=PERSIST")
-        database.execute(f"PRAGMA journal_size_limit={JOURNAL_BYTES}")
+        database.execute(f"PRAGMA journal_size_limit={MAX_JOURNAL_BYTES}")
         database.execute("PRAGMA synchronous=FULL")
         if max_pages:
             database.execute(f"PRAGMA max_page_count={int(max_pages)}")
 
     def _check_format(self, database: sqlite3.Connection) -> bool:
-        """Whether the file has content; raises where that is not ours."""
-        # Before any table is understood: these fields are in the file's first 100 bytes in every format.
+        """Return whether the file has content; raise if its format is not a supported store."""
+        # These fields are in the first 100 bytes of the file in every format, so no table is read first.
         (pages,) = database.execute("PRAGMA page_count").fetchone()
         if not pages:
-            return False  # a process that died while it made the file: rolled back to nothing
+            return False  # a process died while it created the file, and that was rolled back
         (application_id,) = database.execute("PRAGMA application_id").fetchone()
         (version,) = database.execute("PRAGMA user_version").fetchone()
         if application_id != APPLICATION_ID:
-            raise ForeignStoreError(f"{self.path} is a database of another program")
+            raise ForeignStoreError(f"{self.path} is not a seat's store but a database of another program")
         if version > FORMAT:
-            raise StoreTooNewError(f"{self.path} has format {version}; this program knows up to {FORMAT}")
+            raise StoreTooNewError(f"{self.path} has format {version}; this program supports up to {FORMAT}")
         if version < OLDEST_FORMAT:
             raise StoreTooOldError(
-                f"{self.path} has format {version}; this program knows from {OLDEST_FORMAT}"
+                f"{self.path} has format {version}; this program supports {OLDEST_FORMAT} and later"
             )
         return True
 
@@ -139,13 +139,13 @@
         self.put_row("hard", encode_record(HardStateRow(0, "", 0, 0)))
         self.put_row("tail", encode_record(TailRow(1, 0, 0)))
         database.execute("COMMIT")
-        # The file's name must last as long as its content: without this a power cut can take the whole file.
+        # Without flushing the directory, a power failure can remove the new file.
         flush_directory(self.path.parent)
 
     def _check_integrity(self, database: sqlite3.Connection) -> None:
-        answer = [row[0] for row in database.execute("PRAGMA integrity_check(3)")]
-        if answer != ["ok"]:
-            raise StoreCorruptError(f"{self.path} is damaged: {'; '.join(map(str, answer))[:300]}")
+        problems = [row[0] for row in database.execute("PRAGMA integrity_check(3)")]
+        if problems != ["ok"]:
+            raise StoreCorruptError(f"{self.path} is damaged: {'; '.join(map(str, problems))[:300]}")
 
     def close(self) -> None:
         """Close the file; a transaction that was not committed is rolled back at the next start."""
@@ -162,46 +162,46 @@
         return self._database
 
     def has_row(self, name: str) -> bool:
-        """Whether there is a row of this name."""
+        """Return whether a row of this name exists.  Raises StoreError if the file is closed."""
         query = "SELECT 1 FROM kept WHERE name=?"
         return self.database().execute(query, (name,)).fetchone() is not None
 
     def row(self, name: str) -> object:
-        """Return a sealed row.  Raises StoreCorruptError where it is missing."""
+        """Return a row with its checksum, unverified.  Raises StoreCorruptError if it is missing."""
         row = self.database().execute("SELECT value FROM kept WHERE name=?", (name,)).fetchone()
         if row is None:
             raise StoreCorruptError(f"the row {name!r} of {self.path} is missing")
         return row[0]
 
     def put_row(self, name: str, value: bytes) -> None:
-        """Write a row."""
+        """Write a row with its checksum, replacing one of the same name."""
         self.database().execute("INSERT OR REPLACE INTO kept VALUES(?, ?)", (name, seal(name, value)))
 
     def entry_row(self, index: int) -> object:
-        """Return an entry's sealed row.  Raises StoreCorruptError where it is missing."""
+        """Return an entry's row with its checksum, unverified.  Raises StoreCorruptError if missing."""
         row = self.database().execute("SELECT value FROM log WHERE place=?", (index,)).fetchone()
         if row is None:
             raise StoreCorruptError(f"entry {index} of {self.path} is missing")
         return row[0]
 
     def insert_entry(self, entry: LogEntry) -> None:
-        """Write an entry's row."""
+        """Insert an entry's row with its checksum; its index must be free."""
         self.database().execute("INSERT INTO log VALUES(?, ?)", (entry.index, encode_entry(entry)))
 
     # --- errors
 
     @contextmanager
     def translate_errors(self) -> Iterator[None]:
-        """Turn SQLite's and the system's errors into the store's types."""
+        """Raise SQLite errors and OSErrors of the body as the store's error types."""
         try:
             yield
         except sqlite3.Error as error:
-            raise self._translated(error) from error
+            raise self._translate(error) from error
         except OSError as error:
-            kind = StoreFullError if error.errno in FULL_ERRNOS else StoreError
+            kind = StoreFullError if error.errno in DISK_FULL_ERRNOS else StoreError
             raise kind(f"{self.path}: {error}") from error
 
-    def _translated(self, error: sqlite3.Error) -> StoreError:
+    def _translate(self, error: sqlite3.Error) -> StoreError:
         text = f"{self.path}: {error}"
         code = getattr(error, "sqlite_errorcode", 0) & SQLITE_PRIMARY_CODE
         if code == sqlite3.SQLITE_FULL:
@@ -215,7 +215,7 @@
         return StoreError(text)
 
     def _is_disk_full(self) -> bool:
-        # SQLite calls a quota or a limit on the file's size an I/O error: the disk itself is asked.
+        # SQLite reports a quota or a file size limit as an I/O error, so a write is tried here.
         probe = self.path.with_name(self.path.name + ".probe")
         try:
             size = self.path.stat().st_size
@@ -227,6 +227,6 @@
                 os.fsync(file.fileno())
             return False
         except OSError as error:
-            return error.errno in FULL_ERRNOS
+            return error.errno in DISK_FULL_ERRNOS
         finally:
             probe.unlink(missing_ok=True)
--- a/cressrock/consensus/transport.py
+++ b/cressrock/consensus/transport.py
@@ -1,4 +1,4 @@
-"""Connections over streams, and those to replicas that are dialled again whenever they end."""
+"""Connections over streams, and connections to replicas that reconnect after every disconnect."""
 
 from __future__ import annotations
 
@@ -21,21 +21,21 @@
 from cressrock.http.channel import BROKEN, Stream
 
 READ_BYTES = 65536
-CLOSE_SECONDS = 1.0  # that the closing of a stream may take
-WAKE_MARGIN_SECONDS = 1e-6  # so that a deadline is past when its sleeper wakes
+CLOSE_TIMEOUT_SECONDS = 1.0  # for closing a stream
+WAKE_MARGIN_SECONDS = 1e-6  # so that a deadline has passed when its sleeping task wakes
 
 
 @dataclass(frozen=True, slots=True)
 class ReconnectBackoff:
-    """Waits between attempts, in ms: doubled from `min_ms` to `max_ms`, each drawn from its upper half."""
+    """Delays between attempts: doubled from `min_ms` to `max_ms`, each drawn from 50 to 100 % of that."""
 
     min_ms: float = 50.0
     max_ms: float = 1000.0
-    connect_ms: float = 1000.0  # an attempt that takes longer is given up
+    connect_timeout_ms: float = 1000.0  # an attempt that takes longer is aborted
 
 
 class Connection:
-    """Carries one ConnectionProtocol over one stream until either ends."""
+    """Runs one ConnectionProtocol over one stream until either ends."""
 
     def __init__(
         self,
@@ -44,18 +44,18 @@
         clock: Callable[[], float],
         on_event: Callable[[Event], None],
     ) -> None:
-        """`on_event` takes each event, the Closed as the last one."""
+        """Create a connection for `run`; `on_event` receives each event, with Closed as the last one."""
         self.protocol, self.stream, self.clock, self.on_event = protocol, stream, clock, on_event
         self._wakeup = anyio.Event()
 
     def send(self, message: RaftFrame | Request | Response) -> bool:
-        """Queue a message and write it soon; False where it was lost."""
+        """Queue a message for writing; return False if it was dropped."""
         sent = self.protocol.send(message)
         self._wakeup.set()
         return sent
 
     def close(self, code: str, reason: str) -> None:
-        """End it from this side with a reason."""
+        """Close the connection from this side with a reason."""
         self._emit(self.protocol.close(code, reason))
         self._wakeup.set()
 
@@ -64,21 +64,21 @@
             self.on_event(event)
 
     async def run(self) -> None:
-        """Serve to the end and close the stream."""
+        """Read and write until the connection ends, then close the stream."""
         try:
             async with anyio.create_task_group() as tasks:
                 tasks.start_soon(self._read, tasks.cancel_scope)
                 await self._write()
                 tasks.cancel_scope.cancel()
         except (*BROKEN, TimeoutError):
-            pass  # the connection ended, which the Closed event says
+            pass  # the connection ended; the Closed event reports it
         except BaseExceptionGroup as group:
-            rest = group.split(lambda error: isinstance(error, (*BROKEN, TimeoutError)))[1]
-            if rest is not None:
-                raise rest from None
+            unexpected = group.split(lambda error: isinstance(error, (*BROKEN, TimeoutError)))[1]
+            if unexpected is not None:
+                raise unexpected from None
         finally:
             self._emit(self.protocol.receive_end())
-            with anyio.CancelScope(shield=True), anyio.move_on_after(CLOSE_SECONDS):
+            with anyio.CancelScope(shield=True), anyio.move_on_after(CLOSE_TIMEOUT_SECONDS):
                 await self.stream.aclose()
 
     async def _write(self) -> None:
@@ -87,8 +87,8 @@
             self._emit(protocol.tick(self.clock()))
             self._wakeup = anyio.Event()
             if data := protocol.take_bytes():
-                # A peer that reads nothing must not keep its connection for ever.
-                with anyio.fail_after(protocol.limits.silent_ms / 1000):
+                # Without a timeout, a peer that stops reading would hold its connection indefinitely.
+                with anyio.fail_after(protocol.limits.peer_timeout_ms / 1000):
                     await self.stream.send(data)
             if protocol.state is ConnectionState.CLOSED:
                 return
@@ -113,7 +113,7 @@
 
 
 class PeerConnection:
-    """A connection to one replica that is dialled again whenever it ends."""
+    """A connection to one replica that reconnects after every disconnect."""
 
     def __init__(
         self,
@@ -126,10 +126,10 @@
         reconnect: ReconnectBackoff,
         on_open: Callable[[], None] = lambda: None,
     ) -> None:
-        """`local` says who greets."""
+        """Create a connection for `run`; `local` returns the identity for each handshake."""
         self.environment, self.name, self.address, self.local = environment, name, address, local
         self.limits, self.reconnect, self._on_open = limits, reconnect, on_open
-        self.peer: Opened | None = None  # who is at the other end, while it is open
+        self.peer: Opened | None = None  # the other end, while the connection is open
         self.last_closed: Closed | None = None
         self.dropped_messages = 0
         self._connection: Connection | None = None
@@ -138,7 +138,7 @@
         self._last_number = 0
 
     async def run(self) -> None:
-        """Keep the connection up until cancelled."""
+        """Connect, and reconnect after each disconnect, until cancelled."""
         wait_ms = self.reconnect.min_ms
         while True:
             stream = await self._dial()
@@ -150,33 +150,33 @@
     async def _dial(self) -> Stream | None:
         host, _, port = self.address.rpartition(":")
         try:
-            with anyio.move_on_after(self.reconnect.connect_ms / 1000):
+            with anyio.move_on_after(self.reconnect.connect_timeout_ms / 1000):
                 return await self.environment.connect(host, int(port))
         except BROKEN:
-            pass  # it is dialled again after a wait
+            pass  # dialled again after the backoff delay
         return None
 
     async def _serve(self, stream: Stream) -> bool:
-        """Serve a stream to its end; return whether the peer had greeted."""
+        """Serve a stream until it ends; return whether the handshake succeeded."""
         environment = self.environment
         protocol = ConnectionProtocol(True, self.local(), environment.clock(), limits=self.limits)
         self._connection = Connection(protocol, stream, environment.clock, self._on_event)
         try:
             await self._connection.run()
         finally:
-            self._end()
+            self._fail_pending_requests()
         return bool(protocol.peer)
 
-    def heard_at_ms(self) -> float | None:
-        """Return when the other end was heard last on our clock, None while nothing is open."""
-        return self._connection.protocol.heard_at_ms if self._connection and self.peer else None
+    def last_received_ms(self) -> float | None:
+        """Return the time of the last received bytes on our clock; None while not connected."""
+        return self._connection.protocol.last_received_ms if self._connection and self.peer else None
 
     @property
     def peer_applied(self) -> int:
-        """The newest index that the other end said it has applied; 0 without a connection."""
+        """The highest index that the other end has reported as applied; 0 without a connection."""
         return self._connection.protocol.peer_applied if self._connection else 0
 
-    def _end(self) -> None:
+    def _fail_pending_requests(self) -> None:
         self._connection = None
         self._mark_closed()
         pending, self._pending = self._pending, {}
@@ -185,7 +185,7 @@
 
     def _mark_closed(self) -> None:
         self.peer = None
-        if self._opened.is_set():  # an event that tasks still wait for must stay the one that is set
+        if self._opened.is_set():  # an event that tasks still wait for must not be replaced
             self._opened = anyio.Event()
 
     def _on_event(self, event: Event) -> None:
@@ -207,24 +207,24 @@
                     response.done.set()
 
     def send(self, message: RaftFrame) -> None:
-        """Send a replica's message, or lose it."""
+        """Send a raft message; it is dropped and counted if the connection is not open or its queue full."""
         if self._connection is None or not self._connection.send(message):
             self.dropped_messages += 1
 
     def close(self, code: str, reason: str) -> None:
-        """End the present connection; it is dialled anew."""
+        """Close the current connection; `run` then reconnects."""
         if self._connection is not None:
             self._connection.close(code, reason)
 
     async def wait_open(self, deadline_ms: float) -> Opened | None:
-        """Wait for the connection to be open; None where it is not in time."""
+        """Wait until the connection is open; return None if that takes past the deadline."""
         with anyio.move_on_at(deadline_ms / 1000):
             while self.peer is None:
                 await self._opened.wait()
         return self.peer
 
     async def ask(self, operation: Operation, *, forward: bool, deadline_ms: float) -> Reply | None:
-        """Send a request and wait; None where no reply came: the operation may or may not have been done."""
+        """Send a request and return the reply; None without a reply, when the outcome is unknown."""
         if self._connection is None or self.peer is None:
             return None
         self._last_number += 1
--- a/cressrock/council/__init__.py
+++ b/cressrock/council/__init__.py
@@ -1,1 +1,1 @@
-"""Only a command that operators know by this name; the code is in `cressrock.consensus`."""
+"""Keeps the former name of the recovery command; the implementation is in `cressrock.consensus`."""
--- a/cressrock/council/recover.py
+++ b/cressrock/council/recover.py
@@ -1,4 +1,4 @@
-"""`python -m cressrock.council.recover`, as runbooks have it; it runs `cressrock.consensus.recover`."""
+"""Runs `cressrock.consensus.recover`; runbooks still call `python -m cressrock.council.recover`."""
 
 import sys
 
--- a/tests/compatibility/consensus_streams.py
+++ b/tests/compatibility/consensus_streams.py
@@ -662,7 +662,7 @@
                 event.applied,
             ]
         case Closed():
-            return ["closed", event.code, event.by_us]
+            return ["closed", event.code, event.closed_locally]
         case _:
             return ["message", frames.encode(event)]
 
@@ -682,7 +682,9 @@
     """Return the digest of one connection: two ends, bytes in pieces, time, faults of a peer."""
     chance = random.Random(seed)
     digest = Digest()
-    limits = ConnectionLimits(max_frame=chance.choice([1 << 20, 60]), max_queue=chance.choice([4 << 20, 40]))
+    limits = ConnectionLimits(
+        max_frame_bytes=chance.choice([1 << 20, 60]), max_queued_bytes=chance.choice([4 << 20, 40])
+    )
     ends: list[ConnectionProtocol] = []
     for dials in (True, False):
         me = LocalEndpoint(
--- a/tests/compatibility/test_consensus.py
+++ b/tests/compatibility/test_consensus.py
@@ -90,7 +90,7 @@
             ]
         case CloseNotice():
             events = accepting.receive_data(recorded, 1.0)
-            assert events == [Closed(frame.code, frame.reason, by_us=False)]
+            assert events == [Closed(frame.code, frame.reason, closed_locally=False)]
     return frame
 
 
--- a/tests/consensus/test_decisions.py
+++ b/tests/consensus/test_decisions.py
@@ -107,7 +107,7 @@
         with pytest.raises(kind):
             machine.apply(1, data)
         assert machine.applied == 0
-    with pytest.raises(errors.InvalidDecisionError, match="entry 3 after 0"):
+    with pytest.raises(errors.InvalidDecisionError, match="cannot apply entry 3 after 0: "):
         Machine().apply(3, b"")
 
 
--- a/tests/consensus/test_replica.py
+++ b/tests/consensus/test_replica.py
@@ -479,7 +479,12 @@
         ({"ours": LocalEndpoint("c", "p1#1", True, "another")}, "council-other"),
     ):
         ours, theirs = talk(*pair(**changes))
-        assert (ours.code, ours.by_us, theirs.code, theirs.by_us) == (code, True, code, False)
+        assert (ours.code, ours.closed_locally, theirs.code, theirs.closed_locally) == (
+            code,
+            True,
+            code,
+            False,
+        )
     one, two = pair(dial={"versions": (3, 2, 1)}, take={"versions": (2, 1)})
     assert [event.version for event in talk(one, two)] == [2, 2]
     one, two = pair(dial={"versions": (2, 1)}, take={"versions": (1,)})
@@ -532,7 +537,7 @@
             for _ in range(source.randint(0, 2)):
                 data[source.randrange(len(data))] = source.randrange(256)
             two.receive_data(bytes(data), 0)
-        assert len(two._buffer) <= two.limits.max_frame
+        assert len(two._buffer) <= two.limits.max_frame_bytes
 
 
 def test_golden_frames():
--- a/tests/consensus/test_store.py
+++ b/tests/consensus/test_store.py
@@ -72,7 +72,7 @@
     foreign = Snapshot(9, 4, ("p1#aa", "p2#bb"), b"other")
     again.write(HardState(4, "", 9, 1), foreign, entries(10, 2, term=4))
     assert again.load() == StoredState(HardState(4, "", 9, 1), foreign, entries(10, 2, term=4))
-    with pytest.raises(errors.StoreError, match="entry 14 for a log from 10 to 11"):
+    with pytest.raises(errors.StoreError, match="cannot write entry 14 to a log from 10 to 11"):
         again.write(None, None, entries(14, 1, term=4))
     assert load(path).entries == entries(10, 2, term=4)  # closed by the error, and nothing of it kept
 
@@ -139,7 +139,7 @@
     ("harm", "text"),
     [
         ("DELETE FROM log WHERE place=3", "entry 3 .* is missing"),
-        ("DELETE FROM log WHERE place=5", "ends at 4; it was kept up to 5"),
+        ("DELETE FROM log WHERE place=5", "ends at 4, but its tail record says 5"),
         ("UPDATE log SET value=(SELECT value FROM log WHERE place=2) WHERE place=3", "'log 3' .* checksum"),
         ("UPDATE log SET value=x'00' WHERE place=1", "no checksum"),
         ("UPDATE kept SET value=(SELECT value FROM kept WHERE name='tail') WHERE name='hard'", "'hard'"),
