--- a/cressrock/consensus/client.py
+++ b/cressrock/consensus/client.py
@@ -303,7 +303,7 @@
             await anyio.sleep(max(0.0, min(pause_ms, deadline_ms - clock())) / 1000)
         waited_ms = clock() - started_at_ms
         raise NoQuorumError(
-            f"{attempts.subject}: no reply from a quorum within {waited_ms:.0f} ms ({attempts.failure})",
+            f"{attempts.subject}: no result within {waited_ms:.0f} ms ({attempts.failure})",
             waited_ms,
             attempts.sent > 0,
         )
--- a/cressrock/consensus/connection_protocol.py
+++ b/cressrock/consensus/connection_protocol.py
@@ -211,7 +211,7 @@
         if self.state is ConnectionState.CLOSED:
             return []
         self.state = ConnectionState.CLOSED
-        return [Closed("ended", "the connection was closed by the other end", closed_locally=False)]
+        return [Closed("ended", "the connection ended", closed_locally=False)]
 
     def _receive_frame(self, body: bytes) -> list[Event]:
         try:
--- a/cressrock/consensus/decision_gossip.py
+++ b/cressrock/consensus/decision_gossip.py
@@ -136,7 +136,7 @@
     """
 
     def __init__(self, max_topics: int = MAX_TOPICS) -> None:
-        """Start empty, with room for `max_topics` decisions."""
+        """Start empty; `max_topics` bounds the cached decisions."""
         self.max_topics = max_topics
         self.decisions: dict[str, Decision] = {}  # by topic
         self.renewals: dict[int, int] = {}  # version -> newest renewal
--- a/tests/compatibility/consensus_cases.py
+++ b/tests/compatibility/consensus_cases.py
@@ -1,4 +1,4 @@
-"""The council's wire messages and stored files as examples, shared by the recorder and the test."""
+"""Example wire messages and stored files of the consensus, shared by the recorder and the test."""
 
 from __future__ import annotations
 
@@ -53,7 +53,7 @@
 
 
 def replica_messages() -> dict[str, messages.RaftMessage]:
-    """Return messages between seats, every type, with and without their optional fields."""
+    """Return messages between replicas: every type, with and without optional fields."""
     head = {"generation": 1, "term": 7}
     return {
         "prevote": messages.PreVote(**head, next_term=8, last_index=300, last_term=6),
@@ -94,7 +94,7 @@
 
 
 def limits() -> decisions.DecisionLimits:
-    """Return limits that are none of the defaults."""
+    """Return limits that all differ from the defaults."""
     return decisions.DecisionLimits(12, 300, 4000, 5)
 
 
@@ -129,11 +129,11 @@
 def frame_examples() -> dict[str, Frame]:
     """Return the frames of a connection, every type, with and without their optional fields."""
     whole = decision_examples()["whole"]
-    founders = (SENDER, RECEIVER, "c#00000000000000c3")
+    group_members = (SENDER, RECEIVER, "c#00000000000000c3")
     found: dict[str, Frame] = {
-        "hello": Hello((1, 2), CLUSTER, SENDER, True, "0123456789abcdef", founders),
+        "hello": Hello((1, 2), CLUSTER, SENDER, True, "0123456789abcdef", group_members),
         "hello client": Hello((1,), CLUSTER, "edge-1"),
-        "welcome": Welcome(1, RECEIVER, "0123456789abcdef", founders, 99),
+        "welcome": Welcome(1, RECEIVER, "0123456789abcdef", group_members, 99),
         "welcome bare": Welcome(1, RECEIVER),
         "parting": CloseNotice("council-version", "no common version: [1] here, [2] there"),
         "ping": Ping(2**63 - 1),
@@ -162,7 +162,7 @@
 
 
 def published_decisions() -> list[dict[str, Any]]:
-    """Return what a seat puts into the spread for a few states, one after the other: keys and values."""
+    """Return the gossip entries that a replica publishes for a sequence of states."""
     found = decision_examples()
     publisher = decision_gossip.DecisionPublisher(200)
     many = [decisions.Decision(f"many/{at:03}", 1000 + at, b"v", 9000.0, "p") for at in range(100)]
@@ -175,19 +175,19 @@
     ]
     return [
         {
-            "standing": [decisions.encode(decree).hex() for decree in standing],
-            "beat": beat,
+            "standing": [decisions.encode(decision).hex() for decision in standing],
+            "beat": renewal,
             "changes": [
                 [change.key, None if change.value is None else change.value.hex()]
-                for change in publisher.publish(standing, beat)
+                for change in publisher.publish(standing, renewal)
             ],
         }
-        for standing, beat in steps
+        for standing, renewal in steps
     ]
 
 
 def snapshot() -> DecisionState:
-    """Return a state with decisions and requests of every outcome."""
+    """Return a state with decisions and with requests of every outcome."""
     state = DecisionState()
     state.apply(1, b"")
     log: list[decisions.Command] = [
@@ -205,12 +205,12 @@
 
 
 def reader() -> DecisionReader:
-    """Return a reader that has seen a few decisions."""
+    """Return a reader that has received a few decisions."""
     made = DecisionReader(max_topics=2)
-    for at, (topic, number, beat) in enumerate(
+    for at, (topic, number, renewal) in enumerate(
         [("a", 10, 0), ("b", 11, 5 << 32), ("a", 10, 6 << 32), ("c", 12, 0)]
     ):
-        made.receive(decisions.Decision(topic, number, b"v", 1000.0, "", beat), float(at))
+        made.receive(decisions.Decision(topic, number, b"v", 1000.0, "", renewal), float(at))
     return made
 
 
@@ -218,12 +218,12 @@
 
 
 def draw(count: int) -> bytes:
-    """Stand for os.urandom, so that the identity in a store is known."""
+    """Replace os.urandom, so that the identity in a store is known."""
     return bytes(range(1, count + 1))
 
 
 def write_store(path: Path) -> None:
-    """Write a seat's store with a snapshot, entries of every kind behind it and a vote."""
+    """Write a store with a snapshot, entries of every kind after it, and a vote."""
     store = ReplicaStore(path, cluster=CLUSTER, replica="a", random_bytes=draw)
     store.save_header(
         type(store.header)(1, CLUSTER, "a", store.header.instance_id, (store.header.identity, "b#2", "c#3"))
@@ -252,12 +252,12 @@
 
 
 def write_new_store(path: Path) -> None:
-    """Write the store of a seat that has no council yet."""
+    """Write the store of a replica without a group."""
     ReplicaStore(path, cluster=CLUSTER, replica="b", random_bytes=draw).close()
 
 
 def write_removed_store(path: Path) -> None:
-    """Write the store of a seat that was put out."""
+    """Write the store of a replica that was removed from its group."""
     store = ReplicaStore(path, cluster=CLUSTER, replica="c", random_bytes=draw)
     store.save_header(
         type(store.header)(1, CLUSTER, "c", store.header.instance_id, ("a#1", "b#2", "c#3"), True)
@@ -266,10 +266,10 @@
 
 
 def write_reader(path: Path) -> None:
-    """Write the file in which a process keeps what it has seen of decisions."""
+    """Write the file in which a process saves its reader's state."""
     kept = DecisionCache(path, lambda: 100.0)
-    for decree in decision_examples().values():
-        kept.receive(decree)
+    for decision in decision_examples().values():
+        kept.receive(decision)
 
 
 def write_epoch(path: Path) -> None:
@@ -287,14 +287,14 @@
 
 
 def copy_of(fixture: Path, directory: Path) -> Path:
-    """Return a copy of a fixture that may be written."""
+    """Copy a fixture into `directory`; return the path of the writable copy."""
     path = directory / fixture.name
     shutil.copyfile(fixture, path)
     return path
 
 
 def store_content(path: Path, seat: str) -> dict[str, Any]:
-    """Return everything that a store holds, as plain values without names of ours."""
+    """Return a store's content as JSON values that do not depend on class names."""
     store = ReplicaStore(path, cluster=CLUSTER, replica=seat, must_exist=True)
     header, stored = store.header, store.load()
     store.close()
@@ -317,7 +317,7 @@
 
 
 def invalid_bytes() -> dict[str, str]:
-    """Return bytes that are no message, in hexadecimal; decoding one gives the reason of its name."""
+    """Return invalid messages in hexadecimal; each name starts with the reason of its rejection."""
     good = messages.encode(CLUSTER, SENDER, RECEIVER, replica_messages()["append"])
     return {
         "malformed": good[:-3].hex(),
--- a/tests/compatibility/consensus_streams.py
+++ b/tests/compatibility/consensus_streams.py
@@ -1,4 +1,4 @@
-"""Seeded streams of inputs for the consensus core, its decisions and connections; digests of what they do."""
+"""Seeded input streams for the consensus core, its decisions and connections, and digests of the results."""
 
 from __future__ import annotations
 
@@ -60,7 +60,7 @@
 
 
 def attempt(call: Callable[[], Any]) -> Any:
-    """Return what a call returns, or the code of the error that it raised."""
+    """Return the result of a call, or the code of the error that it raised."""
     try:
         return call()
     except CressrockError as error:
@@ -73,7 +73,7 @@
 
 
 class MemoryDisk:
-    """What one replica's disk holds; batches are written in the documented order."""
+    """The disk of one replica in memory; batches are written in the documented order."""
 
     def __init__(self, stored: StoredState) -> None:
         self.hard, self.snapshot = stored.hard_state, stored.snapshot
@@ -102,7 +102,7 @@
     return [entry.term, entry.index, entry.kind, entry.data]
 
 
-def plain_hard(hard: HardState | None) -> list[Any] | None:
+def plain_hard_state(hard: HardState | None) -> list[Any] | None:
     return hard and [hard.term, hard.voted_for, hard.commit, hard.generation]
 
 
@@ -111,7 +111,7 @@
 
 
 def plain_message(receiver: str, message: messages.RaftMessage) -> list[Any]:
-    """Return a message as its bytes on the wire, without the words of a reason."""
+    """Return a message as its bytes on the wire, without the text of a reason."""
     if isinstance(message, messages.StaleGeneration):
         message = msgspec.structs.replace(message, reason="")
     return [receiver, messages.encode("c", "s", receiver, message)]
@@ -119,7 +119,7 @@
 
 def plain_batch(ready: Ready) -> list[Any]:
     return [
-        plain_hard(ready.hard_state),
+        plain_hard_state(ready.hard_state),
         plain_snapshot(ready.snapshot),
         ready.restore_snapshot,
         ready.truncate_from,
@@ -133,7 +133,7 @@
 
 
 def draw_timing(source: random.Random) -> RaftSettings:
-    """Return times and bounds; half of the streams have bounds so narrow that they are met all the time."""
+    """Return random settings; half of the streams have limits so low that they are reached constantly."""
     narrow = source.random() < 0.5
     if not narrow:
         return RaftSettings(election_ms=100.0, heartbeat_ms=source.choice([10.0, 30.0]), max_learner_lag=8)
@@ -160,7 +160,7 @@
 
 
 class ReplicaGroup:
-    """Several replicas, their disks and the messages under way, driven by one stream of chance."""
+    """Replicas, their disks and the messages in transit, driven by one seeded random source."""
 
     DISTURBANCES = 2.5
     WEIGHTS: ClassVar[dict[str, float]] = {
@@ -168,29 +168,29 @@
     }  # fmt: skip
 
     def __init__(self, seed: int) -> None:
-        self.chance = random.Random(seed)
+        self.random_source = random.Random(seed)
         self.digest = Digest()
-        self.timing = draw_timing(self.chance)
+        self.timing = draw_timing(self.random_source)
         self.now = 0.0
-        count = self.chance.choice([1, 2, 3, 3, 3, 5])
+        count = self.random_source.choice([1, 2, 3, 3, 3, 5])
         self.names = [f"n{number}" for number in range(count + 2)]
-        self.founders = tuple(self.names[:count])
+        self.initial_voters = tuple(self.names[:count])
         self.disks: dict[str, MemoryDisk] = {}
         self.replicas: dict[str, RaftNode] = {}
         self.applied: dict[str, bytes] = {}
-        self.under_way: list[tuple[str, str, messages.RaftMessage]] = []
+        self.in_transit: list[tuple[str, str, messages.RaftMessage]] = []
         self.cut: set[str] = set()
-        self.loss = self.chance.choice([0.0, 0.02, 0.15])
+        self.loss = self.random_source.choice([0.0, 0.02, 0.15])
         self.tokens = 0
-        self.chaos = self.chance.choice([0.2, 1.0])
+        self.chaos = self.random_source.choice([0.2, 1.0])
         for name in self.names:
-            stored = initial_state(self.founders) if name in self.founders else StoredState()
+            stored = initial_state(self.initial_voters) if name in self.initial_voters else StoredState()
             self.disks[name] = MemoryDisk(stored)
             self.start(name)
 
     def start(self, name: str) -> None:
         stored = self.disks[name].load()
-        source = random.Random(self.chance.getrandbits(32))
+        source = random.Random(self.random_source.getrandbits(32))
         self.replicas[name] = RaftNode(name, stored, self.timing, source, self.now)
         self.applied[name] = stored.snapshot.data if stored.snapshot else b""
 
@@ -213,28 +213,28 @@
             ]
         )
 
-    # --- what may happen
+    # --- steps
 
     def pass_time(self) -> None:
         due = min((replica.next_deadline_ms() for replica in self.replicas.values()), default=self.now + 10)
-        if self.chance.random() < 0.7 and due < self.now + 1000:
+        if self.random_source.random() < 0.7 and due < self.now + 1000:
             self.now = max(self.now, due)
         else:
-            self.now += self.chance.choice([0.0, 1.0, 5.0, 30.0, 120.0])
+            self.now += self.random_source.choice([0.0, 1.0, 5.0, 30.0, 120.0])
         for name in sorted(self.replicas):
-            if self.chance.random() < 0.95:
+            if self.random_source.random() < 0.95:
                 self.replicas[name].tick(self.now)
 
     def deliver(self) -> None:
-        for _ in range(self.chance.randint(1, 12)):
-            if not self.under_way:
+        for _ in range(self.random_source.randint(1, 12)):
+            if not self.in_transit:
                 return
-            late = self.chance.random() < 0.1 * self.chaos
-            position = self.chance.randrange(len(self.under_way)) if late else 0
-            sender, receiver, message = self.under_way[position]
-            if self.chance.random() >= 0.03 * self.chaos:
-                del self.under_way[position]
-            lost = self.chance.random() < self.loss or sender in self.cut or receiver in self.cut
+            late = self.random_source.random() < 0.1 * self.chaos
+            position = self.random_source.randrange(len(self.in_transit)) if late else 0
+            sender, receiver, message = self.in_transit[position]
+            if self.random_source.random() >= 0.03 * self.chaos:
+                del self.in_transit[position]
+            lost = self.random_source.random() < self.loss or sender in self.cut or receiver in self.cut
             if not lost and receiver in self.replicas:
                 self.receive(receiver, sender, message)
 
@@ -242,7 +242,7 @@
         answer = attempt(lambda: self.replicas[receiver].receive(self.now, sender, message))
         if answer is not None:
             self.digest.add([receiver, answer])
-            del self.replicas[receiver]  # a replica that has diverged stops
+            del self.replicas[receiver]  # a diverged replica stops
 
     def batch(self, name: str) -> None:
         replica = self.replicas[name]
@@ -251,14 +251,14 @@
                 return
             ready = replica.ready()
             self.digest.add([name, plain_batch(ready)])
-            if self.chance.random() < 0.01 * self.chaos:
-                self.start(name)  # the disk took nothing of it: made anew from what it has
+            if self.random_source.random() < 0.01 * self.chaos:
+                self.start(name)  # the batch was not written: restart from the disk
                 return
             self.disks[name].write(ready)
-            if self.chance.random() < 0.01 * self.chaos:
-                self.start(name)  # kept, and never sent
+            if self.random_source.random() < 0.01 * self.chaos:
+                self.start(name)  # the batch was written, but not sent
                 return
-            self.under_way += [(name, to, message) for to, message in ready.messages]
+            self.in_transit += [(name, to, message) for to, message in ready.messages]
             if ready.restore_snapshot and ready.snapshot is not None:
                 self.applied[name] = ready.snapshot.data
             for entry in ready.committed:
@@ -266,24 +266,24 @@
             assert attempt(replica.ready) == ["error", "value"]
             replica.advance(ready)
             last = ready.committed[-1].index if ready.committed else 0
-            if last and self.chance.random() < 0.1:
+            if last and self.random_source.random() < 0.1:
                 self.digest.add(
                     ["compact", attempt(lambda last=last: replica.compact(last, self.state(name)))]
                 )
 
     def state(self, name: str) -> bytes:
-        return self.applied[name] * self.chance.choice([1, 1, 1, 5])
+        return self.applied[name] * self.random_source.choice([1, 1, 1, 5])
 
     def ask(self, name: str) -> None:
         replica = self.replicas[name]
-        kind = self.chance.choices(
+        kind = self.random_source.choices(
             ["propose", "read", "add", "remove", "both", "transfer", "campaign", "compact", "clone"],
             [30, 12, 6, 4, 1, 3, 1, 1, 2],
         )[0]
-        other = self.chance.choice(self.names)
+        other = self.random_source.choice(self.names)
         match kind:
             case "propose":
-                data = self.chance.randbytes(self.chance.choice([0, 1, 8, 30, 45]))
+                data = self.random_source.randbytes(self.random_source.choice([0, 1, 8, 30, 45]))
                 answer = attempt(lambda: replica.propose(self.now, data))
             case "read":
                 self.tokens += 1
@@ -297,9 +297,9 @@
             case "transfer":
                 answer = attempt(lambda: replica.transfer_leadership(self.now, other))
             case "campaign":
-                answer = replica.campaign(self.now, transfer=self.chance.random() < 0.3)
+                answer = replica.campaign(self.now, transfer=self.random_source.random() < 0.3)
             case "compact":
-                answer = attempt(lambda: replica.compact(self.chance.randint(0, 30), b"data"))
+                answer = attempt(lambda: replica.compact(self.random_source.randint(0, 30), b"data"))
             case _:
                 self.replicas[name] = replica.clone()
                 answer = None
@@ -307,13 +307,13 @@
 
     def leaders_first(self) -> str:
         leaders = [name for name, replica in sorted(self.replicas.items()) if replica.role is Role.LEADER]
-        if leaders and self.chance.random() < 0.8:
-            return self.chance.choice(leaders)
-        return self.chance.choice(sorted(self.replicas))
+        if leaders and self.random_source.random() < 0.8:
+            return self.random_source.choice(leaders)
+        return self.random_source.choice(sorted(self.replicas))
 
     def disturb(self) -> None:
-        kind = self.chance.choices(list(self.WEIGHTS), list(self.WEIGHTS.values()))[0]
-        name = self.chance.choice(self.names)
+        kind = self.random_source.choices(list(self.WEIGHTS), list(self.WEIGHTS.values()))[0]
+        name = self.random_source.choice(self.names)
         match kind:
             case "cut":
                 self.cut.add(name)
@@ -337,28 +337,31 @@
                 self.start(name)
 
     def forge(self, name: str) -> None:
-        self.receive(name, self.chance.choice(self.names), self.forged(self.replicas[name]))
+        self.receive(name, self.random_source.choice(self.names), self.forged(self.replicas[name]))
 
     def stand_against_a_leader(self, name: str) -> None:
-        """Only in streams that forge more."""
+        """Do nothing; ForgingReplicaGroup overrides this."""
 
     def forged(self, replica: RaftNode) -> messages.RaftMessage:
-        """Return a message that no correct replica need have sent."""
-        chance = self.chance
-        term = max(0, replica.term + chance.randint(-1, 1))
+        """Return a message that a correct replica would not necessarily send."""
+        random_source = self.random_source
+        term = max(0, replica.term + random_source.randint(-1, 1))
         head = {"generation": replica.generation, "term": term}
-        index = max(0, replica.commit + chance.randint(-3, 3))
-        make = chance.choice(
+        index = max(0, replica.commit + random_source.randint(-3, 3))
+        make = random_source.choice(
             [
                 lambda: messages.AppendEntries(
                     **head,
                     previous_index=index,
                     previous_term=term,
                     commit=index,
-                    round=chance.randint(0, 9),
+                    round=random_source.randint(0, 9),
                     entries=(
                         LogEntry(
-                            term, index + chance.randint(0, 2), chance.choice(["command", "seats"]), b"f"
+                            term,
+                            index + random_source.randint(0, 2),
+                            random_source.choice(["command", "seats"]),
+                            b"f",
                         ),
                     ),
                 ),
@@ -370,14 +373,14 @@
                     **head,
                     accepted=False,
                     previous_index=index,
-                    conflict_term=chance.randint(0, 3),
+                    conflict_term=random_source.randint(0, 3),
                     conflict_index=index,
-                    round=chance.randint(0, 300),
+                    round=random_source.randint(0, 300),
                 ),
                 lambda: messages.InstallSnapshot(
                     **head,
                     index=index + 5,
-                    index_term=term + chance.randint(0, 1),
+                    index_term=term + random_source.randint(0, 1),
                     voters=("n0", "n0"),
                     offset=0,
                     size=3,
@@ -389,15 +392,15 @@
                     index_term=max(0, term - 1),
                     voters=("n0", "n1"),
                     offset=0,
-                    size=chance.choice([2, 10**9]),
+                    size=random_source.choice([2, 10**9]),
                     data=b"abc",
                 ),
                 lambda: messages.InstallSnapshotReply(
-                    **head, index=index, offset=chance.randint(0, 9), round=1
+                    **head, index=index, offset=random_source.randint(0, 9), round=1
                 ),
                 lambda: messages.TimeoutNow(**head),
                 lambda: messages.RequestVote(
-                    **head, last_index=index, last_term=term, transfer=chance.random() < 0.5
+                    **head, last_index=index, last_term=term, transfer=random_source.random() < 0.5
                 ),
                 lambda: messages.StaleGeneration(
                     generation=replica.generation + 1, term=term, reason="forged"
@@ -409,7 +412,7 @@
     def run(self, steps: int) -> str:
         for _ in range(steps):
             weights = [30, 50, 14, self.DISTURBANCES * self.chaos]
-            step = self.chance.choices(["time", "deliver", "ask", "disturb"], weights)[0]
+            step = self.random_source.choices(["time", "deliver", "ask", "disturb"], weights)[0]
             if step == "time" or not self.replicas:
                 self.pass_time()
             elif step == "deliver":
@@ -419,15 +422,15 @@
             if step == "disturb" or not self.replicas:
                 self.disturb()
             for name in sorted(self.replicas):
-                if self.chance.random() < 0.9:
+                if self.random_source.random() < 0.9:
                     self.batch(name)
                 self.record(name)
-            del self.under_way[:-400]
+            del self.in_transit[:-400]
         for name, disk in sorted(self.disks.items()):
             self.digest.add(
                 [
                     name,
-                    plain_hard(disk.hard),
+                    plain_hard_state(disk.hard),
                     plain_snapshot(disk.snapshot),
                     [plain_entry(entry) for entry in disk.entries],
                 ]
@@ -436,7 +439,7 @@
 
 
 class ForgingReplicaGroup(ReplicaGroup):
-    """A group in which more is forged: early commits, and votes around the end of a leader's stickiness."""
+    """A group with more forged messages: early commits, and votes around the end of leader stickiness."""
 
     DISTURBANCES = 4
     WEIGHTS: ClassVar[dict[str, float]] = {
@@ -445,24 +448,24 @@
     }  # fmt: skip
 
     def forge(self, name: str) -> None:
-        """Send what no correct replica need have sent, often in the name of the leader."""
+        """Deliver a forged message, often with the leader as its sender."""
         replica = self.replicas[name]
-        sender = self.chance.choice([replica.leader or name, self.chance.choice(self.names)])
+        sender = self.random_source.choice([replica.leader or name, self.random_source.choice(self.names)])
         entries = self.disks[name].entries
-        if entries and self.chance.random() < 0.5:
-            # A heartbeat that matches this log early on and says that more is committed than it shows.
+        if entries and self.random_source.random() < 0.5:
+            # A heartbeat that matches an early entry of this log and claims a later commit index.
             unsure = [entry for entry in entries[:-1] if entry.index >= replica.commit]
-            entry = self.chance.choice(unsure or entries)
+            entry = self.random_source.choice(unsure or entries)
             message: messages.RaftMessage = messages.AppendEntries(
                 generation=replica.generation, term=replica.term, previous_index=entry.index,
-                previous_term=entry.term, commit=entry.index + self.chance.randint(0, 5), round=1,
+                previous_term=entry.term, commit=entry.index + self.random_source.randint(0, 5), round=1,
             )  # fmt: skip
         else:
             message = self.forged(replica)
         self.receive(name, sender, message)
 
     def stand_against_a_leader(self, name: str) -> None:
-        """Ask for a vote just before, at and after the end of the time in which a leader is followed."""
+        """Request a vote just before, at or after the end of the leader stickiness time."""
         replica = self.replicas[name]
         if not replica.leader or replica.leader == name:
             return
@@ -472,24 +475,24 @@
         if name in self.replicas:
             heartbeat = messages.AppendEntries(**head, previous_index=0, previous_term=0)
             self.receive(name, replica.leader, heartbeat)
-        self.now += self.timing.effective_stickiness_ms + self.chance.choice([-1, 0, 0, 1])
+        self.now += self.timing.effective_stickiness_ms + self.random_source.choice([-1, 0, 0, 1])
         if name not in self.replicas:
             return
         last = {"last_index": 10**6, "last_term": replica.term + 1}
-        if self.chance.random() < 0.5:
+        if self.random_source.random() < 0.5:
             ask: messages.RaftMessage = messages.PreVote(**head, next_term=replica.term + 1, **last)
         else:
             ask = messages.RequestVote(generation=replica.generation, term=replica.term + 1, **last)
-        self.receive(name, self.chance.choice(self.names), ask)
+        self.receive(name, self.random_source.choice(self.names), ask)
 
 
 def consensus_digest(seed: int) -> str:
-    """Return the digest of one group of replicas under losses, elections, changes and snapshots."""
+    """Return the digest of a group under message loss, elections, membership changes and snapshots."""
     return ReplicaGroup(seed).run(420)
 
 
 def forged_digest(seed: int) -> str:
-    """Return the digest of one group of replicas among which messages are forged."""
+    """Return the digest of a group with forged messages."""
     return ForgingReplicaGroup(seed).run(420)
 
 
@@ -506,46 +509,51 @@
     return ["refused", outcome.reason]
 
 
-def plain_decision(decree: decisions.Decision | None) -> bytes | None:
-    return decree and decisions.encode(decree)
+def plain_decision(decision: decisions.Decision | None) -> bytes | None:
+    return decision and decisions.encode(decision)
 
 
-def draw_command(chance: random.Random, state: DecisionState) -> decisions.Command | None:
-    topic = f"topic/{chance.randint(0, 8)}"
-    request = f"r{max(0, state.applied + chance.choice([0, 0, 0, 0, -1, -2, -9]))}"
-    asked_at = max(0, state.applied - chance.choice([0, 0, 1, 3, 12]))
+def draw_command(random_source: random.Random, state: DecisionState) -> decisions.Command | None:
+    topic = f"topic/{random_source.randint(0, 8)}"
+    request = f"r{max(0, state.applied + random_source.choice([0, 0, 0, 0, -1, -2, -9]))}"
+    asked_at = max(0, state.applied - random_source.choice([0, 0, 1, 3, 12]))
     standing = state.get(topic)
     number = standing.version if standing else 0
-    if_number = chance.choice([None, None, None, number, 0, number + 1])
-    match chance.choices(["decide", "drop", "ground", "none"], [70, 15, 5, 8])[0]:
+    if_number = random_source.choice([None, None, None, number, 0, number + 1])
+    match random_source.choices(["decide", "drop", "ground", "none"], [70, 15, 5, 8])[0]:
         case "decide":
-            value = chance.randbytes(chance.choice([0, 3, 12, 30, 45]))
+            value = random_source.randbytes(random_source.choice([0, 3, 12, 30, 45]))
             return decisions.Decide(
-                topic, value, chance.choice([0.5, 300.0]), "p", request, asked_at, if_number
+                topic, value, random_source.choice([0.5, 300.0]), "p", request, asked_at, if_number
             )
         case "drop":
             return decisions.Drop(topic, request, asked_at, if_number)
         case "ground":
             limits = decisions.DecisionLimits(
-                chance.randint(1, 9), chance.randint(10, 60), chance.randint(50, 300), chance.randint(1, 20)
+                random_source.randint(1, 9),
+                random_source.randint(10, 60),
+                random_source.randint(50, 300),
+                random_source.randint(1, 20),
+            )
+            committed_index = random_source.choice([None, max(0, state.applied - 4)])
+            ground = state.version + random_source.randint(-50, 2000)
+            return decisions.SetVersionBase(
+                max(0, ground), random_source.choice([None, limits]), committed_index
             )
-            sure = chance.choice([None, max(0, state.applied - 4)])
-            ground = state.version + chance.randint(-50, 2000)
-            return decisions.SetVersionBase(max(0, ground), chance.choice([None, limits]), sure)
     return None
 
 
 def decisions_digest(seed: int) -> str:
     """Return the digest of one log applied to the state machine, with snapshots taken and restored."""
-    chance = random.Random(seed)
+    random_source = random.Random(seed)
     digest = Digest()
-    state = DecisionState(chance.choice([None, decisions.DecisionLimits(4, 40, 120, 6)]))
+    state = DecisionState(random_source.choice([None, decisions.DecisionLimits(4, 40, 120, 6)]))
     for _ in range(250):
-        command = draw_command(chance, state)
-        index = state.applied + (2 if chance.random() < 0.01 else 1)
+        command = draw_command(random_source, state)
+        index = state.applied + (2 if random_source.random() < 0.01 else 1)
         data = decisions.encode(command) if command is not None else b""
-        if data and chance.random() < 0.02:
-            data = chance.choice(
+        if data and random_source.random() < 0.02:
+            data = random_source.choice(
                 [bytes((9,)) + data[1:], bytes((0,)) + data[1:], data[:-1], data + b"x", b"\x01"]
             )
         answer = attempt(partial(state.apply, index, data))
@@ -558,16 +566,16 @@
         else:
             digest.add(answer)
         digest.add([state.applied, state.version, state.version_offset])
-        if chance.random() < 0.1:
+        if random_source.random() < 0.1:
             kept = state.snapshot()
-            digest.add([kept, [plain_decision(decree) for decree in state.all_decisions()]])
+            digest.add([kept, [plain_decision(decision) for decision in state.all_decisions()]])
             state = DecisionState.restore(kept, state.applied)
     digest.add(attempt(lambda: DecisionState.restore(b"\x07bad")))
     digest.add([DecisionState.restore(b"", 7).applied, state.snapshot()])
     return digest.hex()
 
 
-# --- decisions on their way to a reader
+# --- distribution of decisions to readers
 
 
 def plain_reading(answer: Any) -> Any:
@@ -578,55 +586,59 @@
     return answer
 
 
-def news_digest(seed: int) -> str:
-    """Return the digest of what seats publish and what a process makes of it, with losses and repeats."""
-    chance = random.Random(seed)
+def gossip_digest(seed: int) -> str:
+    """Return the digest of published gossip entries and of a reader, with losses and repeats."""
+    random_source = random.Random(seed)
     digest = Digest()
-    limit = chance.choice([1000, 60])
+    limit = random_source.choice([1000, 60])
     publishers = [decision_gossip.DecisionPublisher(limit) for _ in range(3)]
-    subscriber = decision_gossip.DecisionSubscriber(chance.choice([1000, 5]))
-    reader = DecisionReader(max_topics=chance.choice([1000, 6]))
-    renewals = LeaseRenewals(chance.choice([2048, 2]))
+    subscriber = decision_gossip.DecisionSubscriber(random_source.choice([1000, 5]))
+    reader = DecisionReader(max_topics=random_source.choice([1000, 6]))
+    renewals = LeaseRenewals(random_source.choice([2048, 2]))
     standing: dict[str, decisions.Decision] = {}
     entries: list[tuple[str, bytes]] = []
     number, now, term, tokens = 100, 0.0, 1, [0]
-    topics = [f"t{at}" for at in range(chance.choice([4, 130]))]
+    topics = [f"t{at}" for at in range(random_source.choice([4, 130]))]
     for _ in range(220):
-        now += chance.choice([0.0, 5.0, 40.0])
-        term += chance.random() < 0.03
-        for topic in chance.sample(topics, chance.choice([0, 1, 3])):
+        now += random_source.choice([0.0, 5.0, 40.0])
+        term += random_source.random() < 0.03
+        for topic in random_source.sample(topics, random_source.choice([0, 1, 3])):
             number += 1
-            value = chance.randbytes(chance.choice([1, 10, 80]))
-            standing[topic] = decisions.Decision(topic, number, value, chance.choice([50.0, 400.0]), "p")
-        if standing and chance.random() < 0.1:
-            del standing[chance.choice(sorted(standing))]
+            value = random_source.randbytes(random_source.choice([1, 10, 80]))
+            standing[topic] = decisions.Decision(
+                topic, number, value, random_source.choice([50.0, 400.0]), "p"
+            )
+        if standing and random_source.random() < 0.1:
+            del standing[random_source.choice(sorted(standing))]
         tokens.append(renewals.ask(term, now))
-        beat = renewals.confirm(chance.choice(tokens[-3:]), term, now + chance.choice([0.0, 30.0]), 25.0)
-        digest.add(beat)
-        seen_by_publisher = [decree for decree in standing.values() if chance.random() < 0.95]
-        if beat and chance.random() < 0.3:
-            seen_by_publisher = list(decisions.with_renewal(seen_by_publisher, beat))
-        for change in chance.choice(publishers).publish(seen_by_publisher, beat or 0):
+        renewal = renewals.confirm(
+            random_source.choice(tokens[-3:]), term, now + random_source.choice([0.0, 30.0]), 25.0
+        )
+        digest.add(renewal)
+        seen_by_publisher = [decision for decision in standing.values() if random_source.random() < 0.95]
+        if renewal and random_source.random() < 0.3:
+            seen_by_publisher = list(decisions.with_renewal(seen_by_publisher, renewal))
+        for change in random_source.choice(publishers).publish(seen_by_publisher, renewal or 0):
             digest.add([change.key, change.value])
             if change.value is not None:
                 entries.append((change.key, change.value))
-        if chance.random() < 0.1:
-            bad = chance.choice([b"", b"\x81bad", b"\x82", b"\x09old", b"\x01bad"])
-            entries.append((chance.choice(["beat/0", "decree/t0", "other/x"]), bad))
+        if random_source.random() < 0.1:
+            bad = random_source.choice([b"", b"\x81bad", b"\x82", b"\x09old", b"\x01bad"])
+            entries.append((random_source.choice(["beat/0", "decree/t0", "other/x"]), bad))
         del entries[:-60]
-        for _ in range(chance.choice([0, 3, 10])):
+        for _ in range(random_source.choice([0, 3, 10])):
             if entries:
-                key, value = chance.choice(entries)
+                key, value = random_source.choice(entries)
                 answer = attempt(lambda key=key, value=value: subscriber.receive_entry(key, value))
                 receive(digest, reader, answer, now)
-        if standing and chance.random() < 0.2:
-            answered = chance.choice(sorted(standing.values(), key=lambda decree: decree.topic))
+        if standing and random_source.random() < 0.2:
+            answered = random_source.choice(sorted(standing.values(), key=lambda decision: decision.topic))
             receive(digest, reader, (subscriber.receive_decision(answered), []), now)
-        topic = chance.choice(topics)
+        topic = random_source.choice(topics)
         digest.add(
             [plain_reading(reader.get(topic, now)), reader.next_expiry_ms(now), reader.last_version(topic)]
         )
-        if chance.random() < 0.03:
+        if random_source.random() < 0.03:
             seen = reader.to_bytes()
             digest.add([seen, list(reader.topics())])
             reader = DecisionReader(seen, max_topics=reader.max_topics)
@@ -639,8 +651,8 @@
     """Pass decisions on to the reader; record what was returned at each step."""
     if isinstance(answer, tuple):
         found, wanted = answer
-        digest.add([[plain_decision(decree) for decree in found], list(wanted)])
-        digest.add([reader.receive(decree, now) for decree in found])
+        digest.add([[plain_decision(decision) for decision in found], list(wanted)])
+        digest.add([reader.receive(decision, now) for decision in found])
     else:
         digest.add(answer)
 
@@ -649,7 +661,7 @@
 
 
 def plain_event(event: Event) -> list[Any]:
-    """Return an event without the words of a reason."""
+    """Return an event without the text of a reason."""
     match event:
         case Opened():
             return [
@@ -668,7 +680,7 @@
 
 
 def plain_bytes(data: bytes) -> list[Any]:
-    """Return the frames in `data`, partings without their words."""
+    """Return the frames in `data`; close notices without the text of their reason."""
     found: list[Any] = []
     while data:
         size = int.from_bytes(data[:4], "big")
@@ -679,25 +691,26 @@
 
 
 def connection_digest(seed: int) -> str:
-    """Return the digest of one connection: two ends, bytes in pieces, time, faults of a peer."""
-    chance = random.Random(seed)
+    """Return the digest of one connection with split reads, timeouts and protocol violations."""
+    random_source = random.Random(seed)
     digest = Digest()
     limits = ConnectionLimits(
-        max_frame_bytes=chance.choice([1 << 20, 60]), max_queued_bytes=chance.choice([4 << 20, 40])
+        max_frame_bytes=random_source.choice([1 << 20, 60]),
+        max_queued_bytes=random_source.choice([4 << 20, 40]),
     )
     ends: list[ConnectionProtocol] = []
     for dials in (True, False):
         me = LocalEndpoint(
-            chance.choice(["c", "c", "c", "c", "other"]),
+            random_source.choice(["c", "c", "c", "c", "other"]),
             "a#1" if dials else "b#2",
-            not dials or chance.random() < 0.7,
-            chance.choice(["", "0f", "0f", "0e"]),
+            not dials or random_source.random() < 0.7,
+            random_source.choice(["", "0f", "0f", "0e"]),
             ("a#1", "b#2"),
             5,
         )
-        versions = chance.choice([(1,), (1,), (1, 2), (2,)])
+        versions = random_source.choice([(1,), (1,), (1, 2), (2,)])
         ends.append(ConnectionProtocol(dials, me, 0.0, limits=limits, versions=versions))
-    way = [bytearray(), bytearray()]  # bytes on their way from each end
+    way = [bytearray(), bytearray()]  # bytes in transit from each end
     now = 0.0
     offered: list[Any] = [
         RaftFrame(b"data"),
@@ -713,31 +726,33 @@
         CloseNotice("c", "r"),
     ]
     for _ in range(60):
-        side = chance.randrange(2)
+        side = random_source.randrange(2)
         end = ends[side]
-        match chance.choices(["bytes", "send", "time", "forge", "close", "end"], [60, 20, 15, 2, 0.5, 0.5])[
-            0
-        ]:
+        match random_source.choices(
+            ["bytes", "send", "time", "forge", "close", "end"], [60, 20, 15, 2, 0.5, 0.5]
+        )[0]:
             case "bytes":
                 data = end.take_bytes()
                 digest.add(plain_bytes(data))
                 way[side] += data
-                count = chance.choice([1, 7, 1000, 1000])
+                count = random_source.choice([1, 7, 1000, 1000])
                 piece, way[side] = bytes(way[side][:count]), way[side][count:]
                 events = ends[1 - side].receive_data(piece, now) if piece else []
             case "send":
                 events = []
                 digest.add(
                     end.send(
-                        chance.choice([message for message in offered if allowed(side, message, chance)])
+                        random_source.choice(
+                            [message for message in offered if allowed(side, message, random_source)]
+                        )
                     )
                 )
             case "time":
-                now += chance.choice([1.0, 100.0, 300.0, 300.0, 1300.0])
+                now += random_source.choice([1.0, 100.0, 300.0, 300.0, 1300.0])
                 events = end.tick(now)
             case "forge":
-                message = chance.choice([*forged, *offered])
-                garbage = chance.choice(
+                message = random_source.choice([*forged, *offered])
+                garbage = random_source.choice(
                     [frames.encode(message), frames.encode(message), b"\0\0\0\x02\xc1\xc1", b"\x7f" * 4]
                 )
                 events = end.receive_data(garbage, now)
@@ -759,16 +774,16 @@
     return digest.hex()
 
 
-def allowed(side: int, message: Any, chance: random.Random) -> bool:
-    """Whether this end would send such a message, or a rare breach of that."""
+def allowed(side: int, message: Any, random_source: random.Random) -> bool:
+    """Return whether this end may send such a message; rarely also a violation."""
     kind = Response if side == 0 else Request
-    return not isinstance(message, kind) or chance.random() < 0.02
+    return not isinstance(message, kind) or random_source.random() < 0.02
 
 
 STREAMS: dict[str, tuple[Callable[[int], str], range]] = {
     "consensus": (consensus_digest, range(60)),
     "decisions": (decisions_digest, range(40)),
-    "news": (news_digest, range(40)),
+    "news": (gossip_digest, range(40)),
     "connection": (connection_digest, range(150)),
 }
 
--- a/tests/compatibility/record_consensus.py
+++ b/tests/compatibility/record_consensus.py
@@ -1,7 +1,7 @@
 """Record the wire bytes, stored files and decisions of the consensus.
 
-Run as `python -m tests.compatibility.record_consensus`, once, on the version whose bytes, files and decisions
-are to stay; a recorded fixture is never written again.
+Run `python -m tests.compatibility.record_consensus` once, on the version whose bytes, files and decisions are
+the reference; a recorded fixture is never overwritten.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 
 
 def record_wire() -> None:
-    """Write the bytes of every message."""
+    """Write the encoding of every example message."""
     save(
         "consensus-wire",
         {
@@ -28,7 +28,9 @@
             "seats": messages.encode_voters(("a#1", "b#2")).hex(),
             "frames": {name: frames.encode(frame).hex() for name, frame in cases.frame_examples().items()},
             "commands": {name: decisions.encode(command).hex() for name, command in cases.commands().items()},
-            "decisions": {name: decisions.encode(decree).hex() for name, decree in cases.decisions().items()},
+            "decisions": {
+                name: decisions.encode(decision).hex() for name, decision in cases.decisions().items()
+            },
             "told": cases.published_decisions(),
             "state": cases.snapshot().snapshot().hex(),
             "seen": cases.reader().to_bytes().hex(),
@@ -38,7 +40,7 @@
 
 
 def record_files() -> None:
-    """Write the stored files, and what each store holds."""
+    """Write the example files, and the content of each store."""
     with tempfile.TemporaryDirectory() as directory:
         for name, write in cases.FILES.items():
             path = Path(directory) / name
@@ -54,7 +56,7 @@
 
 
 def record_digests() -> None:
-    """Write one digest for each stream and seed."""
+    """Write one digest per stream and seed."""
     save(
         "consensus-digests",
         {name: {str(seed): digest(seed) for seed in seeds} for name, (digest, seeds) in STREAMS.items()},
--- a/tests/compatibility/test_consensus.py
+++ b/tests/compatibility/test_consensus.py
@@ -1,4 +1,4 @@
-"""The consensus protocol's bytes, its stored files and its decisions are those that were recorded."""
+"""Wire bytes, stored files and decisions of the consensus are equal to the recorded ones."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 
 @pytest.fixture
 def stored(tmp_path):
-    """Return a function that gives a copy of a recorded file which may be written."""
+    """Return a function that copies a recorded file to a writable path."""
     return lambda name: cases.copy_of(FIXTURES / f"{name}.bin", tmp_path)
 
 
@@ -50,7 +50,7 @@
 
 
 @pytest.mark.parametrize("name", WIRE["refused"])
-def test_recorded_bytes_that_are_no_message_are_refused_for_their_recorded_reason(name):
+def test_invalid_message_bytes_are_rejected_with_the_recorded_reason(name):
     with pytest.raises(InvalidMessageError) as caught:
         messages.decode(bytes.fromhex(WIRE["refused"][name]), cases.CLUSTER)
     assert caught.value.reason == name.split()[0]
@@ -71,11 +71,11 @@
 
 
 def decoded(recorded):
-    """Return the frame that a connection's end makes of the bytes; a greeting is shown by its event."""
-    founders = (cases.SENDER, cases.RECEIVER)
-    me = LocalEndpoint(cases.CLUSTER, "x#1", True, "", founders)
-    dialled = ConnectionProtocol(True, me, 0.0)
-    accepting = ConnectionProtocol(False, me, 0.0)
+    """Decode a frame; for handshake and close frames, also check the events of a connection."""
+    group_members = (cases.SENDER, cases.RECEIVER)
+    local = LocalEndpoint(cases.CLUSTER, "x#1", True, "", group_members)
+    dialled = ConnectionProtocol(True, local, 0.0)
+    accepting = ConnectionProtocol(False, local, 0.0)
     frame = frames.decode_body(recorded[4:])
     match frame:
         case Hello():
@@ -108,7 +108,7 @@
     assert decisions.decode_decision(recorded) == decision
 
 
-def test_what_is_published_by_gossip_has_its_recorded_keys_and_bytes():
+def test_published_gossip_has_the_recorded_keys_and_bytes():
     assert cases.published_decisions() == WIRE["told"]
     assert decisions.gossip_key("zone/a") == "decree/zone/a"
 
@@ -117,21 +117,21 @@
     subscriber = decision_gossip.DecisionSubscriber()
     for step in WIRE["told"]:
         standing = [decisions.decode_decision(bytes.fromhex(data)) for data in step["standing"]]
-        by_topic = {decree.topic: decree for decree in standing}
+        by_topic = {decision.topic: decision for decision in standing}
         for key, value in step["changes"]:
             if value is None:
                 continue
             found, wanted = subscriber.receive_entry(key, bytes.fromhex(value))
             for topic in wanted:
                 found = subscriber.receive_decision(by_topic[topic])
-            for decree in found:
-                stands = by_topic[decree.topic]
-                assert (decree.version, decree.value, decree.lease_ms) == (
+            for decision in found:
+                stands = by_topic[decision.topic]
+                assert (decision.version, decision.value, decision.lease_ms) == (
                     stands.version,
                     stands.value,
                     stands.lease_ms,
                 )
-                assert decree.renewal in (step["beat"], stands.renewal)
+                assert decision.renewal in (step["beat"], stands.renewal)
 
 
 def test_a_state_snapshot_has_its_recorded_bytes_and_is_restored_from_them():
@@ -141,7 +141,7 @@
     assert DecisionState.restore(recorded).all_decisions() == cases.snapshot().all_decisions()
 
 
-def test_a_readers_memory_has_its_recorded_bytes_and_is_read_from_them():
+def test_a_saved_reader_state_has_its_recorded_bytes_and_is_restored_from_them():
     recorded = bytes.fromhex(WIRE["seen"])
     assert cases.reader().to_bytes() == recorded
     assert DecisionReader(recorded, max_topics=2).to_bytes() == recorded
@@ -166,12 +166,12 @@
         ("consensus-store-removed", cases.write_removed_store, "c"),
     ],
 )
-def test_a_store_written_today_holds_what_the_recorded_one_does(tmp_path, name, write, seat):
+def test_a_newly_written_store_has_the_recorded_content(tmp_path, name, write, seat):
     write(tmp_path / "store")
     assert cases.store_content(tmp_path / "store", seat) == STORES[name]
 
 
-def test_a_recorded_store_is_written_on(stored):
+def test_a_recorded_store_can_be_written_to(stored):
     path = stored("consensus-store")
     store = ReplicaStore(path, cluster=cases.CLUSTER, replica="a", must_exist=True)
     store.write(
@@ -185,7 +185,7 @@
     assert (after["header"], after["snapshot"]) == (before["header"], before["snapshot"])
 
 
-def test_a_recorded_store_is_that_of_one_cluster_and_seat(stored):
+def test_a_recorded_store_is_rejected_for_another_cluster_or_seat(stored):
     with pytest.raises(ForeignStoreError):
         ReplicaStore(stored("consensus-store"), cluster="cluster-2", replica="a")
     with pytest.raises(ForeignStoreError):
@@ -217,9 +217,9 @@
     path = stored("consensus-reader")
     kept = DecisionCache(path, lambda: 200.0)
     assert kept.corrupt_reason == ""
-    for decree in cases.decision_examples().values():
-        assert kept.reader.last_version(decree.topic) == decree.version
-        assert kept.get(decree.topic) is None
+    for decision in cases.decision_examples().values():
+        assert kept.reader.last_version(decision.topic) == decision.version
+        assert kept.get(decision.topic) is None
     assert kept.reader.to_bytes() == path.read_bytes()
     kept.receive(decisions.Decision("new", 10, b"v", 1000.0))
     assert DecisionCache(path, lambda: 300.0).reader.last_version("new") == 10
--- a/tests/consensus/test_decision_gossip.py
+++ b/tests/consensus/test_decision_gossip.py
@@ -1,4 +1,4 @@
-"""Decisions in gossip: told once, renewed by renewals, whatever order they come in."""
+"""Decisions in gossip: published once for each version and renewed in any order of arrival."""
 
 import itertools
 
@@ -16,7 +16,7 @@
     return decisions.Decision(topic, version, value, 1000.0, "p0", renewal)
 
 
-def test_a_decision_is_told_once_and_a_renewal_renews_all_that_stand():
+def test_a_decision_is_published_once_and_a_renewal_renews_all_current_ones():
     publisher, subscriber = DecisionPublisher(640), DecisionSubscriber()
     first = publisher.publish([decision("a", 5), decision("b", 6)], 70)
     assert [change.key for change in first] == ["decree/a", "decree/b", "beat/0"]
@@ -33,7 +33,7 @@
     assert [one.topic for one in subscriber.receive_entry("beat/0", removed[1].value)[0]] == ["b"]
 
 
-def test_the_order_in_which_replicas_are_heard_changes_nothing():
+def test_the_order_of_entries_does_not_matter():
     old, new = DecisionPublisher(640), DecisionPublisher(640)
     changes = old.publish([decision("a", 5), decision("b", 6)], 70) + new.publish(
         [decision("a", 9), decision("b", 6)], 90
@@ -50,7 +50,7 @@
     assert ends == {(("a", 9, 90), ("b", 6, 90))}
 
 
-def test_a_large_decision_is_asked_for_once_and_renewed_like_others():
+def test_a_large_decision_is_fetched_once_and_renewed_like_others():
     publisher, subscriber = DecisionPublisher(640), DecisionSubscriber()
     large = decision("rules", 8, b"x" * 5000, 60)
     reference, renewal = publisher.publish([large], 61)
@@ -65,7 +65,7 @@
     )
 
 
-def test_many_decisions_take_several_entries_and_what_no_longer_stands_none():
+def test_many_decisions_take_several_renewal_entries_and_dropped_ones_none():
     publisher = DecisionPublisher(640)
     renewals = [
         change
@@ -81,7 +81,7 @@
     ]
 
 
-def test_foreign_entries_are_passed_over_and_memory_is_bounded():
+def test_unknown_entries_are_ignored_and_memory_is_bounded():
     subscriber = DecisionSubscriber(max_topics=4)
     for data in (b"", b"\x81", b"\x81\x00garbage", b"\x82" + b"x"):
         assert subscriber.receive_entry("beat/0", data) == ([], [])
--- a/tests/consensus/test_decisions.py
+++ b/tests/consensus/test_decisions.py
@@ -1,4 +1,4 @@
-"""Decisions: the same log gives the same state; requests once; versions grow; readers, leases, renewals."""
+"""Decisions: deterministic state, requests applied once, increasing versions, readers, leases, renewals."""
 
 import random
 
@@ -19,14 +19,14 @@
 
 
 class Machine(DecisionState):
-    """Applies commands at the next index."""
+    """A state machine that applies each command at the next index."""
 
     def do(self, command):
         found = self.apply(self.applied + 1, decisions.encode(command) if command else b"")
         return found[1] if found else None
 
 
-def test_numbers_grow_over_all_topics_and_conflicts_name_what_stands():
+def test_versions_increase_over_all_topics_and_conflicts_name_the_current_one():
     machine = Machine()
     assert machine.do(decide("a", request="1")) == decisions.Done(1)
     assert machine.do(None) is None
@@ -40,7 +40,7 @@
     assert [one.version for one in machine.all_decisions()] == [8, 3]
 
 
-def test_the_ground_raises_numbers_and_never_lowers_them():
+def test_set_version_base_never_lowers_versions():
     machine = Machine()
     assert machine.do(decisions.SetVersionBase(1_700_000_000_000)) == decisions.Done(1_700_000_000_000)
     assert machine.do(decide(request="1")) == decisions.Done(1_700_000_000_001)
@@ -48,13 +48,13 @@
     assert machine.do(decide(request="2")) == decisions.Done(1_700_000_000_003)
 
 
-def test_after_a_recovery_what_was_not_surely_committed_gets_new_numbers():
+def test_after_a_recovery_uncertain_decisions_get_new_versions():
     machine = Machine()
     machine.do(decisions.SetVersionBase(1000))
     machine.do(decide("a", request="1"))
     machine.do(decide("b", request="2"))
     machine.do(decide("c", request="3"))
-    machine.do(decide("b", b"w", request="4", if_number=1002))  # still follows what it followed
+    machine.do(decide("b", b"w", request="4", if_number=1002))  # still based on the version that it replaced
     assert [one.version for one in machine.all_decisions()] == [1001, 1004, 1003]
     before = machine.version
     assert machine.do(decisions.SetVersionBase(0, None, committed_index=2)).version == before + 3
@@ -62,21 +62,21 @@
     assert machine.do(decide("d", request="5")) == decisions.Done(1008)
 
 
-def test_a_request_is_applied_once_however_often_it_comes():
+def test_a_request_is_applied_once_even_if_repeated():
     machine = Machine(decisions.DecisionLimits(max_requests=3))
     first = decide("a", b"1", "one")
     assert machine.do(first) == decisions.Done(1)
     machine.do(decide("a", b"2", "two"))
     assert machine.do(first) == decisions.Done(1) and machine.get("a").value == b"2"
     machine.do(decide("a", b"3", "three", asked_at=3))
-    machine.do(decide("a", b"4", "four", asked_at=4))  # now "one" is forgotten, which was applied at 1
+    machine.do(decide("a", b"4", "four", asked_at=4))  # evicts request "one", which was applied at index 1
     assert machine.forgotten_until_index == 1 and machine.outcome("one") is None
     assert machine.do(first) == decisions.Rejected("forgotten") and machine.get("a").value == b"4"
-    # A refusal is remembered as well; who asks anew, with what a replica has applied by now, is served.
+    # A rejection is remembered too; a new request with the current applied index is accepted.
     assert machine.do(decide("a", b"5", "five", asked_at=machine.applied)).version == machine.applied
 
 
-def test_bounds_are_kept_and_are_part_of_the_state():
+def test_limits_are_enforced_and_part_of_the_state():
     machine = Machine()
     machine.do(
         decisions.SetVersionBase(
@@ -163,7 +163,7 @@
     return decisions.Decision(topic, version, b"", lease_ms, "me", renewed)
 
 
-def test_a_decision_counts_from_the_newest_renewal_first_heard_and_no_copy_renews_it():
+def test_a_lease_starts_at_the_first_copy_of_the_newest_renewal():
     reader = DecisionReader()
     assert reader.get("t", 0) is None and reader.next_expiry_ms(0) == float("inf")
     assert reader.receive(decision(5, 10), 0)
@@ -183,7 +183,7 @@
     )
 
 
-def test_what_a_former_life_has_seen_is_never_undercut_nor_taken_for_fresh():
+def test_a_restarted_reader_accepts_nothing_older_and_treats_known_decisions_as_expired():
     former = DecisionReader()
     former.receive(decision(5, 10), 0)
     reader = DecisionReader(former.to_bytes())
@@ -193,9 +193,7 @@
         and not reader.receive(decision(5, 9), 0)
         and reader.get("t", 0) is None
     )
-    assert not reader.receive(
-        decision(5, 10), 50
-    )  # the same copy again: known, but nobody says that it still stands
+    assert not reader.receive(decision(5, 10), 50)  # the same copy again: known, but possibly stale
     assert reader.get("t", 50) == decisions.Expired(decision(5, 10), 50)
     assert reader.receive(decision(5, 11), 60) and reader.get("t", 60) == decision(5, 11)
     with pytest.raises(errors.InvalidDecisionError):
@@ -206,7 +204,7 @@
 
 @settings(max_examples=100, deadline=None)
 @given(st.lists(st.tuples(topics, st.integers(1, 30), st.integers(0, 5)), max_size=60), st.integers(0, 60))
-def test_no_reader_ever_goes_back_even_over_lives_and_with_few_places(copies, restart):
+def test_a_reader_never_returns_an_older_version_even_over_restarts_and_evictions(copies, restart):
     reader = DecisionReader(max_topics=2)
     newest = {}
     for now_ms, (topic, version, renewal) in enumerate(copies):
@@ -226,24 +224,24 @@
     return renewals.confirm(token, term if term_now is None else term_now, now, 300)
 
 
-def test_renewals_grow_over_leaders_and_only_confirmed_reads_of_the_same_term_earn_one():
+def test_renewals_increase_over_leaders_and_need_a_read_confirmed_in_the_same_term():
     old, new = LeaseRenewals(), LeaseRenewals()
     token = old.ask(3, 0)
     first = confirm(old, 3, token)
     assert first == (3 << 32) + 1 and confirm(old, 3, token) is None
-    assert confirm(old, 3, term_now=4) is None  # confirmed under another term: whose quorum was it?
-    # Stopped between the quorum's word and its own, a leader wakes in another's time.
+    assert confirm(old, 3, term_now=4) is None  # confirmed in another term, so by another leader's quorum
+    # A leader suspended after the quorum's reply may resume when another one leads.
     assert confirm(old, 3, now=300) is None and confirm(old, 3, now=299) > first
     assert confirm(new, 4) > confirm(old, 3) > first
-    lost = [old.ask(3, 0) for _ in range(5000)]  # a leader that is cut off asks for ever, in bounded memory
+    lost = [old.ask(3, 0) for _ in range(5000)]  # a partitioned leader keeps requesting, in bounded memory
     assert len(old._pending) <= 2048 and confirm(old, 3, lost[0]) is None
 
 
-def test_a_former_leader_that_is_cut_off_renews_nothing():
-    """Leader 1 keeps its decision and its last renewal, leader 2 goes on without it."""
+def test_a_partitioned_former_leader_renews_nothing():
+    """Leader 1 keeps publishing its last renewal, while leader 2 makes a new decision."""
     one, two, reader = LeaseRenewals(), LeaseRenewals(), DecisionReader()
     reader.receive(decision(5, confirm(one, 1)), 0)
-    one.ask(1, 0)  # never confirmed: no renewal comes of it, so leader 1 can only say the same again
+    one.ask(1, 0)  # never confirmed, so leader 1 can only repeat its last renewal
     for now in range(0, 2000, 100):
         reader.receive(decision(5, one.last_renewal), now)
     assert isinstance(reader.get("t", 2000), decisions.Expired)
@@ -289,7 +287,7 @@
     assert decisions.decode_decision(b"\x01" + longer) == one
 
 
-def test_bytes_from_anywhere_are_a_decision_or_a_stated_error():
+def test_corrupted_bytes_decode_or_raise_a_documented_error():
     seed = 3
     print("seed", seed)
     random_source = random.Random(seed)
--- a/tests/consensus/test_replica_processes.py
+++ b/tests/consensus/test_replica_processes.py
@@ -1,7 +1,7 @@
-"""Three replicas as processes, relays between each pair, faults, and a history that is checked afterwards.
+"""Three replica processes with relays between each pair, faults, and a history that is checked afterwards.
 
-Verdicts rest on the history alone: each step waits until something has happened (decisions acknowledged after
-the fault), however long it takes, up to a bound at which the test says that nothing moves any more.
+Only the history decides the result, not the timing: each step waits until decisions are acknowledged after
+the fault, up to a limit at which the test fails for lack of progress.
 """
 
 import asyncio
@@ -24,25 +24,25 @@
 
 NAMES = ("p1", "p2", "p3")
 MEMORY = Path("/dev/shm")
-BOUND = 90  # seconds for any one step: far beyond what a slow machine takes
+STEP_TIMEOUT_S = 90  # far more than any step takes on a slow machine
 
 
 @pytest.fixture
 def tmp_path():
-    """A folder in memory where there is one: what is tested here is no disk's speed."""
+    """Return a directory in memory if possible, since disk speed is not under test."""
     with tempfile.TemporaryDirectory(dir=MEMORY if MEMORY.is_dir() else None) as folder:
         yield Path(folder)
 
 
 class Relay:
-    """One listener before one target; each direction can be held back, which healing ends with a reset."""
+    """A proxy for one target that can block either direction; changing the block resets its connections."""
 
     def __init__(self):
         self.target = None
-        self.there = asyncio.Event()  # towards the target
-        self.back = asyncio.Event()
-        self.there.set()
-        self.back.set()
+        self.to_target = asyncio.Event()  # set while this direction is open
+        self.from_target = asyncio.Event()
+        self.to_target.set()
+        self.from_target.set()
         self.open = set()
 
     async def start(self):
@@ -53,14 +53,17 @@
     async def serve(self, reader, writer):
         task = asyncio.current_task()
         self.open.add(task)
-        far = None
+        target_writer = None
         try:
-            await self.there.wait()
+            await self.to_target.wait()
             host, port = self.target.split(":")
-            far_reader, far = await asyncio.open_connection(host, int(port))
-            ways = [self.pump(reader, far, self.there), self.pump(far_reader, writer, self.back)]
+            target_reader, target_writer = await asyncio.open_connection(host, int(port))
+            copies = [
+                self.copy(reader, target_writer, self.to_target),
+                self.copy(target_reader, writer, self.from_target),
+            ]
             done, rest = await asyncio.wait(
-                [asyncio.ensure_future(way) for way in ways], return_when=asyncio.FIRST_COMPLETED
+                [asyncio.ensure_future(copy) for copy in copies], return_when=asyncio.FIRST_COMPLETED
             )
             for one in rest:
                 one.cancel()
@@ -68,32 +71,32 @@
             pass
         finally:
             self.open.discard(task)
-            for one in (writer, far):
+            for one in (writer, target_writer):
                 if one is not None:
                     one.transport.abort()
 
     @staticmethod
-    async def pump(reader, writer, free):
+    async def copy(reader, writer, unblocked):
         try:
             while data := await reader.read(65536):
-                await free.wait()
+                await unblocked.wait()
                 writer.write(data)
                 await writer.drain()
         except OSError:
             pass
 
-    def cut(self, there, back):
-        for event, held in ((self.there, there), (self.back, back)):
+    def cut(self, to_target, from_target):
+        for event, held in ((self.to_target, to_target), (self.from_target, from_target)):
             if held:
                 event.clear()
             else:
                 event.set()
         for task in list(self.open):
-            task.cancel()  # what was on its way is lost
+            task.cancel()  # data in transit is lost
 
 
-class Drill:
-    """Replicas as processes; `relays[a, b]` carries what `a` dials to `b`."""
+class ProcessCluster:
+    """Replicas as processes; `relays[a, b]` carries the connections that `a` dials to `b`."""
 
     def __init__(self, path, seed):
         self.path, self.seed = path, seed
@@ -121,7 +124,7 @@
             stdin=asyncio.subprocess.PIPE,
             stdout=asyncio.subprocess.PIPE,
         )
-        first = json.loads(await asyncio.wait_for(process.stdout.readline(), BOUND))
+        first = json.loads(await asyncio.wait_for(process.stdout.readline(), STEP_TIMEOUT_S))
         for (_, b), relay in self.relays.items():
             if b == name:
                 relay.target = first["listening"]
@@ -152,15 +155,20 @@
 
     def client(self, tasks, name):
         seats = {b: self.relays[name, b].address for b in NAMES}
-        world = Environment(
+        client_environment = Environment(
             net.clock(), net.wall_ms, net.connect, random.Random(f"{self.seed}{name}{id(self)}")
         )
         return ConsensusClient(
-            world, tasks, "lab", name, seats, ClientSettings(timeout_ms=4000, attempt_timeout_ms=400)
+            client_environment,
+            tasks,
+            "lab",
+            name,
+            seats,
+            ClientSettings(timeout_ms=4000, attempt_timeout_ms=400),
         )
 
     def cut(self, name, *, out, into):
-        """Hold back what `name` says to other replicas, what they say to it, or both."""
+        """Block the traffic from `name` to other replicas (`out`), from them to it (`into`), or both."""
         for (a, b), relay in self.relays.items():
             if a in NAMES and name in (a, b):
                 relay.cut(out if a == name else into, into if a == name else out)
@@ -175,7 +183,7 @@
 
 
 class History:
-    """Calls in the order of this process: a list that clients append to by compare-and-set, and reads."""
+    """Appends and reads of a list that clients change by compare-and-set, in the order of this process."""
 
     def __init__(self):
         self.order = 0
@@ -196,16 +204,16 @@
         while True:
             try:
                 began = self.tick()
-                stands = await client.read("list")
-                items = json.loads(stands.value) if stands else []
-                if stands:
-                    self.reads.append((began, self.tick(), items, stands.version))
+                current = await client.read("list")
+                items = json.loads(current.value) if current else []
+                if current:
+                    self.reads.append((began, self.tick(), items, current.version))
                 count += 1
                 item = f"{label}{count}"
                 record = [item, self.tick(), None, None]
                 self.appends.append(record)
                 value = json.dumps([*items, item]).encode()
-                made = await client.decide("list", value, 60000, stands.version if stands else 0)
+                made = await client.decide("list", value, 60000, current.version if current else 0)
                 record[2:] = [self.tick(), made.version]
             except (
                 errors.DecisionConflictError,
@@ -213,48 +221,50 @@
                 errors.RequestForgottenError,
             ) as wrong:
                 if isinstance(wrong, errors.DecisionConflictError):
-                    self.appends.remove(record)  # known not to stand
+                    self.appends.remove(record)  # known not to be applied
                 self.errors[wrong.code] = self.errors.get(wrong.code, 0) + 1
 
     async def progress(self, count=4):
         wanted = len(self.acknowledged) + count
-        with anyio.fail_after(BOUND):
+        with anyio.fail_after(STEP_TIMEOUT_S):
             while len(self.acknowledged) < wanted:
                 await asyncio.sleep(0.01)
 
     def check(self, final):
-        """Raise AssertionError where any of it is not one list that only grew."""
+        """Raise AssertionError unless all calls are consistent with one append-only list."""
         assert len(set(final)) == len(final), "an append was applied twice"
-        place = {item: position for position, item in enumerate(final)}
+        positions = {item: position for position, item in enumerate(final)}
         for item, _, _, _ in self.acknowledged:
-            assert item in place, f"{item} was acknowledged and is lost"
-        assert set(final) <= {one[0] for one in self.appends}, "an item that nobody appended"
-        done = sorted(self.acknowledged, key=lambda one: place[one[0]])
+            assert item in positions, f"{item} was acknowledged, but is lost"
+        assert set(final) <= {one[0] for one in self.appends}, "an item that no client appended"
+        done = sorted(self.acknowledged, key=lambda one: positions[one[0]])
         numbers = [one[3] for one in done]
-        assert numbers == sorted(set(numbers)), "numbers do not grow with the order of decisions"
+        assert numbers == sorted(set(numbers)), "versions do not increase in the order of decisions"
         for one, two in zip(done, done[1:], strict=False):
-            assert one[1] < two[2], "a decision stands before one that ended before it began"
+            assert one[1] < two[2], "a decision is ordered before one that ended before it began"
         for began, ended, items, number in self.reads:
-            assert items == final[: len(items)], "a read that is no past of the end"
+            assert items == final[: len(items)], "a read is not a prefix of the final list"
             for item, since, until, made in self.acknowledged:
                 if until < began:
-                    assert place[item] < len(items) and made <= number, f"a read that is older than {item}"
+                    assert positions[item] < len(items) and made <= number, (
+                        f"a read misses the earlier append {item}"
+                    )
                 if since > ended:
-                    assert place[item] >= len(items), f"a read of {item} before it was asked"
+                    assert positions[item] >= len(items), f"a read contains {item} before it was appended"
 
     def check_applied(self, lines):
-        """Every request came to one outcome wherever and however often it was applied."""
+        """Check that each request has one outcome at all replicas; return the number of requests."""
         outcomes = {}
         for one in lines:
             if "request" in one:
-                key, told = one["request"], (one["outcome"], one["number"])
-                assert outcomes.setdefault(key, told) == told
+                key, result = one["request"], (one["outcome"], one["number"])
+                assert outcomes.setdefault(key, result) == result
         numbers = [number for outcome, number in outcomes.values() if outcome == "done"]
         assert len(numbers) == len(set(numbers))
         return len(outcomes)
 
 
-def test_the_checker_finds_what_it_is_for():
+def test_the_history_checker_detects_violations():
     def history():
         found = History()
         found.appends = [["a", 1, 3, 10], ["b", 4, 6, 12], ["c", 7, None, None]]
@@ -277,32 +287,32 @@
         wrong.check(["a", "b"])
 
 
-async def drill(path, seed, faults):
-    it = Drill(path, seed)
+async def run_faults(path, seed, faults):
+    cluster = ProcessCluster(path, seed)
     history = History()
-    await it.begin(("one", "two", "watch"))
+    await cluster.begin(("one", "two", "watch"))
     try:
         async with anyio.create_task_group() as tasks:
             async with anyio.create_task_group() as work:
-                one, two, watch = (it.client(tasks, name) for name in ("one", "two", "watch"))
+                one, two, watch = (cluster.client(tasks, name) for name in ("one", "two", "watch"))
                 work.start_soon(history.append, one, "a")
                 work.start_soon(history.append, two, "b")
                 await history.progress()
                 for fault in faults:
-                    with anyio.fail_after(BOUND):
-                        name = await it.leader(watch)
-                    await fault(it, history, name)
+                    with anyio.fail_after(STEP_TIMEOUT_S):
+                        name = await cluster.leader(watch)
+                    await fault(cluster, history, name)
                     await history.progress()
                 work.cancel_scope.cancel()
-            final = json.loads((await watch.read("list", timeout_ms=BOUND * 1000)).value)
+            final = json.loads((await watch.read("list", timeout_ms=STEP_TIMEOUT_S * 1000)).value)
             tasks.cancel_scope.cancel()
     finally:
-        await it.end()
+        await cluster.end()
     history.check(final)
-    lines = [line for name in NAMES for line in it.lines[name]]
+    lines = [line for name in NAMES for line in cluster.lines[name]]
     requests = history.check_applied(lines)
-    told = f"{len(history.acknowledged)} acknowledged, {len(history.reads)} reads, {requests} requests"
-    sys.stderr.write(f"seed {seed}: {told}, errors {history.errors}\n")
+    result = f"{len(history.acknowledged)} acknowledged, {len(history.reads)} reads, {requests} requests"
+    sys.stderr.write(f"seed {seed}: {result}, errors {history.errors}\n")
     leads = {}
     for line in lines:
         if (status := line.get("status")) and status["role"] == "leader":
@@ -311,51 +321,51 @@
     return history, leads
 
 
-async def killed(it, history, name):
-    await it.kill(name)
+async def kill_leader(cluster, history, name):
+    await cluster.kill(name)
     await history.progress()
-    await it.start(name)
+    await cluster.start(name)
 
 
-async def stopped(it, history, name):
-    it.signal(name, signal.SIGSTOP)
+async def suspend_leader(cluster, history, name):
+    cluster.signal(name, signal.SIGSTOP)
     try:
-        await history.progress()  # decided by a leader of a newer term
+        await history.progress()  # acknowledged by a leader of a newer term
     finally:
-        it.signal(name, signal.SIGCONT)
+        cluster.signal(name, signal.SIGCONT)
 
 
-async def mute(it, history, name):
-    it.cut(name, out=True, into=False)
+async def block_outgoing(cluster, history, name):
+    cluster.cut(name, out=True, into=False)
     await history.progress()
-    it.cut(name, out=False, into=False)
+    cluster.cut(name, out=False, into=False)
 
 
-async def deaf(it, history, name):
-    it.cut(name, out=False, into=True)
+async def block_incoming(cluster, history, name):
+    cluster.cut(name, out=False, into=True)
     await history.progress()
-    it.cut(name, out=False, into=False)
+    cluster.cut(name, out=False, into=False)
 
 
-async def all_at_once(it, history, name):
+async def restart_all(cluster, history, name):
     for one in NAMES:
-        it.signal(one, signal.SIGKILL)
+        cluster.signal(one, signal.SIGKILL)
     for one in NAMES:
-        await it.kill(one)
+        await cluster.kill(one)
     for one in NAMES:
-        await it.start(one, "--start", "expect")
+        await cluster.start(one, "--start", "expect")
 
 
-def play(path, seed, faults):
+def run_drill(path, seed, faults):
     print("seed", seed)
-    return anyio.run(drill, path, seed, faults)
+    return anyio.run(run_faults, path, seed, faults)
 
 
-def test_a_leader_killed_again_and_again_and_all_at_once(tmp_path):
-    history, leads = play(tmp_path, 1, [killed, all_at_once, killed])
+def test_killed_leaders_and_restart_of_all_replicas(tmp_path):
+    history, leads = run_drill(tmp_path, 1, [kill_leader, restart_all, kill_leader])
     assert len(leads) >= 3 and len(history.acknowledged) >= 20
 
 
-def test_a_leader_stopped_past_its_term_mute_or_deaf(tmp_path):
-    history, leads = play(tmp_path, 2, [stopped, mute, deaf])
+def test_suspended_leader_and_one_way_partitions(tmp_path):
+    history, leads = run_drill(tmp_path, 2, [suspend_leader, block_outgoing, block_incoming])
     assert len(leads) >= 3 and len(history.acknowledged) >= 20
--- a/tests/consensus/test_store.py
+++ b/tests/consensus/test_store.py
@@ -1,4 +1,4 @@
-"""A replica's store: what is written lasts, and each way in which a file can be wrong has its own error."""
+"""A replica's store: writes are durable, and each kind of unusable file raises its own error."""
 
 import random
 import resource
@@ -53,7 +53,7 @@
     db.close()
 
 
-def test_what_was_written_is_there_after_a_restart(tmp_path):
+def test_written_state_is_loaded_after_a_restart(tmp_path):
     path = tmp_path / "seat"
     store = make(path)
     assert store.load() == StoredState() and store.header == StoreHeader(1, "c", "p1", draw(8).hex())
@@ -65,7 +65,7 @@
     again = make(path, must_exist=True)
     wanted = entries(1, 2) + entries(3, 1, term=2)
     assert again.load() == StoredState(HardState(2, "", 3, 1), None, wanted)
-    # The replica's own snapshot keeps what follows it; a leader's that the log does not lead to replaces all.
+    # Its own snapshot keeps the entries after it; a leader's snapshot outside this log replaces all.
     own = Snapshot(2, 1, ("p1#aa",), b"state")
     again.write(None, own)
     assert again.load() == StoredState(HardState(2, "", 3, 1), own, wanted[2:])
@@ -74,7 +74,7 @@
     assert again.load() == StoredState(HardState(4, "", 9, 1), foreign, entries(10, 2, term=4))
     with pytest.raises(errors.StoreError, match="cannot write entry 14 to a log from 10 to 11"):
         again.write(None, None, entries(14, 1, term=4))
-    assert load(path).entries == entries(10, 2, term=4)  # closed by the error, and nothing of it kept
+    assert load(path).entries == entries(10, 2, term=4)  # the error closed the store and nothing was written
 
 
 def test_a_random_history_equals_a_list(tmp_path):
@@ -104,11 +104,11 @@
         assert store.load() == StoredState(hard, base, tuple(log)), seed
 
 
-def test_each_wrong_store_is_told_by_its_own_type(tmp_path):
+def test_each_kind_of_unusable_store_raises_its_own_error(tmp_path):
     with pytest.raises(errors.StoreMissingError):
         make(tmp_path / "none", must_exist=True)
     assert not (tmp_path / "none").exists()
-    (tmp_path / "empty").touch()  # the disk's file is there, its content is not: lost as well
+    (tmp_path / "empty").touch()  # an empty file counts as a missing store
     with pytest.raises(errors.StoreMissingError):
         make(tmp_path / "empty", must_exist=True)
     path = filled(tmp_path / "seat")
@@ -147,20 +147,20 @@
         ("DELETE FROM kept WHERE name='header'", "'header' .* missing"),
     ],
 )
-def test_rows_that_are_gone_or_changed_are_seen(tmp_path, harm, text):
+def test_missing_or_changed_rows_are_detected(tmp_path, harm, text):
     path = filled(tmp_path / "seat")
     change(path, harm)
     with pytest.raises(errors.StoreCorruptError, match=text):
         load(path)
 
 
-def test_no_flipped_byte_or_cut_goes_unseen(tmp_path):
+def test_flipped_bits_and_truncation_are_detected(tmp_path):
     seed = 5
     print("seed", seed)
     source = random.Random(seed)
     whole = filled(tmp_path / "seat", 40, bytes(range(200))).read_bytes()
     wanted = load(tmp_path / "seat")
-    told = 0
+    detected = 0
     for number in range(120):
         path = tmp_path / f"harmed{number}"
         harmed = bytearray(whole)
@@ -170,13 +170,13 @@
             harmed[source.randrange(len(harmed))] ^= 1 << source.randrange(8)
         path.write_bytes(harmed)
         try:
-            assert load(path) == wanted  # unused space, or a field that SQLite does not need
+            assert load(path) == wanted  # damage in unused space, or in a field that SQLite does not need
         except errors.StoreError:
-            told += 1
-    assert told > 50
+            detected += 1
+    assert detected > 50
 
 
-def test_a_full_disk_keeps_what_was_kept_and_takes_nothing_more(tmp_path):
+def test_a_full_disk_keeps_earlier_writes_and_rejects_later_ones(tmp_path):
     path = tmp_path / "seat"
     store = make(path, max_pages=12)
     kept = 0
@@ -190,7 +190,7 @@
     assert stored.hard_state.term == 1 and len(stored.entries) == kept - 1
 
 
-def test_a_limit_of_the_system_on_the_file_is_a_full_disk(tmp_path):
+def test_a_file_size_limit_is_reported_as_a_full_disk(tmp_path):
     program = """
         import resource, signal, sys
         from cressrock.consensus.raft.persistent_state import HardState
@@ -214,7 +214,7 @@
     assert signal.SIGXFSZ and resource.RLIMIT_FSIZE
 
 
-def test_a_process_that_dies_while_it_writes_leaves_all_or_nothing_of_each_write(tmp_path):
+def test_writes_are_atomic_when_the_process_is_killed(tmp_path):
     program = """
         import sys
         from cressrock.consensus.raft.persistent_state import HardState
@@ -231,17 +231,17 @@
     for kill in range(6):
         run = [sys.executable, "-c", textwrap.dedent(program), str(tmp_path / "seat")]
         child = subprocess.Popen(run, stdout=subprocess.PIPE, text=True)
-        said = [int(child.stdout.readline()) for _ in range(3 + kill)]
+        acknowledged = [int(child.stdout.readline()) for _ in range(3 + kill)]
         child.kill()
-        said += [int(line) for line in child.stdout.read().split()]
+        acknowledged += [int(line) for line in child.stdout.read().split()]
         child.wait()
         stored = load(tmp_path / "seat")
-        # What was said is there; what is there beyond it is one whole write at most.
-        assert len(stored.entries) in (said[-1], said[-1] + 2)
+        # Every acknowledged write is there, and at most one complete write after it.
+        assert len(stored.entries) in (acknowledged[-1], acknowledged[-1] + 2)
         assert stored.hard_state.term == len(stored.entries)
 
 
-def test_a_founding_or_recovery_replaces_all_in_one_step(tmp_path):
+def test_save_header_replaces_the_whole_store(tmp_path):
     store = make(tmp_path / "seat")
     header = StoreHeader(1, "c", "p1", store.header.instance_id, ("p1#aa",))
     stored = StoredState(HardState(1, "", 1, 1), None, (LogEntry(1, 1, "seats", b"s"),))
