--- a/cressrock/gossip/__init__.py
+++ b/cressrock/gossip/__init__.py
@@ -1,1 +1,1 @@
-"""Replicated key-value state that every process holds alike, its anti-entropy, and the transport."""
+"""Replicated key-value state that converges on all processes, its anti-entropy, and the transport."""
--- a/cressrock/gossip/anti_entropy.py
+++ b/cressrock/gossip/anti_entropy.py
@@ -1,7 +1,7 @@
-"""Who gets the gossip's bytes and how many a second: a member's traffic must not grow with the cluster.
+"""Schedules gossip messages so that a member's traffic does not grow with the size of the cluster.
 
-In each round the newest changes go to a few members and a digest to one; answers to digests keep to a budget.
-Which bytes they are the store chooses.
+In each round, recent changes go to a few members and a digest to one.  Replies to digests are rate limited.
+The store decides what the messages contain.
 """
 
 from __future__ import annotations
@@ -21,61 +21,64 @@
 
 
 class GossipState(Protocol):
-    """What is needed of the replicated state; `GossipStore` has it."""
+    """The interface of the replicated state that anti-entropy needs; implemented by `GossipStore`."""
 
     def recent_changes(self, max_bytes: int) -> bytes:
-        """Return the newest changes, empty where nothing waits."""
+        """Return an encoded message of recent changes, empty if there are none."""
 
     def digest(self, max_bytes: int) -> bytes:
-        """Return up to which version some origins are known."""
+        """Return an encoded digest of the known versions of some origins."""
 
     def deltas(self, digest: bytes, max_bytes: int, count: int) -> list[bytes]:
-        """Return what a digest's sender lacks, in up to so many messages."""
+        """Return what a digest's sender lacks, in up to `count` messages of at most `max_bytes` each."""
 
     def merge(self, data: bytes) -> None:
-        """Merge a message.  Raises a CressrockError where it is malformed."""
+        """Merge an encoded message.  Raises a CressrockError if it is malformed."""
 
     def full_state(self, after: Cursor | None, max_bytes: int) -> EncodedMessage:
-        """Return a message of everything and where to go on, None at the end."""
+        """Return a message of the full state and the cursor of the next one, None at the end."""
 
     def retain_origins(self, origins: Collection[Origin]) -> None:
-        """Keep the state of these processes alone."""
+        """Keep the state of these processes and drop that of all others."""
 
 
 @dataclass(frozen=True, slots=True)
 class AntiEntropySettings:
-    """Bounds of the gossip's traffic for one process."""
+    """Limits on the gossip traffic of one process."""
 
     period_ms: float = 1000.0
-    fanout: int = 3  # members that a change is sent to in a period
-    reply_bytes_per_s: int = 20_000  # answers to digests, on the average of a second
-    reply_burst_bytes: int = 20_000  # and at once
-    max_deltas_per_digest: int = 4  # datagrams for one digest: who lags catches up in fewer rounds
+    fanout: int = 3  # members that receive recent changes in each period
+    reply_bytes_per_s: int = 20_000  # sustained rate of replies to digests
+    reply_burst_bytes: int = 20_000  # burst size of that rate limit
+    max_deltas_per_digest: int = 4  # reply datagrams; several let a lagging member catch up in fewer rounds
 
 
 class ReplyBudget:
-    """A token bucket for the bytes of answers."""
+    """Token bucket that limits the bytes of replies to digests."""
 
     def __init__(self, settings: AntiEntropySettings, now_ms: float) -> None:
-        """Begin full."""
+        """Start with a full bucket."""
         self._settings = settings
         self._available_bytes = float(settings.reply_burst_bytes)
-        self._filled_at_ms = now_ms
+        self._refilled_at_ms = now_ms
 
     def available_bytes(self, now_ms: float) -> float:
-        """Return what may be sent at this time."""
-        earned = (now_ms - self._filled_at_ms) * self._settings.reply_bytes_per_s / 1000
-        burst = float(self._settings.reply_burst_bytes)
-        self._available_bytes, self._filled_at_ms = min(self._available_bytes + earned, burst), now_ms
+        """Refill the bucket up to `now_ms` and return the bytes that may be sent."""
+        refilled_bytes = (now_ms - self._refilled_at_ms) * self._settings.reply_bytes_per_s / 1000
+        burst_bytes = float(self._settings.reply_burst_bytes)
+        self._available_bytes, self._refilled_at_ms = (
+            min(self._available_bytes + refilled_bytes, burst_bytes),
+            now_ms,
+        )
         return self._available_bytes
 
-    def spend(self, size: int) -> None:
-        """Count bytes that are sent."""
-        self._available_bytes -= size
+    def spend(self, sent_bytes: int) -> None:
+        """Deduct the bytes of sent replies."""
+        self._available_bytes -= sent_bytes
 
 
 class AntiEntropy:
-    """One process's share of the gossip's traffic."""
+    """Sends and answers the gossip messages of one process."""
 
     def __init__(
         self,
@@ -85,28 +88,29 @@
         rng: random.Random,
         now_ms: float,
     ) -> None:
-        """`membership` says who is there; the time of the first round is drawn."""
+        """`membership` supplies the peers; the first round is at a random time within one period."""
         self.membership = membership
         self.store = store
         self.settings = settings
         self.error_counts: Counter[str] = Counter()
-        self._retained_version = -1  # of `membership.process_ids`, as the store last got them
+        self._retained_version = -1  # version of `membership.process_ids` last passed to the store
         self._next_round_ms = now_ms + settings.period_ms * rng.random()
         self._budget = ReplyBudget(settings, now_ms)
         limits = membership.settings
         self._max_bytes = updates_capacity(limits.max_datagram_bytes, limits.cluster, membership.local.name)
 
     def next_tick_ms(self) -> float:
-        """Return when `tick` has something to do."""
+        """Return the time of the next round in ms, NEVER_MS once the membership is fenced."""
         return self._next_round_ms if self.membership.next_tick_ms() < NEVER_MS else NEVER_MS
 
     def tick(self, now_ms: float) -> list[OutgoingMessage]:
-        """Return what goes out in this round."""
+        """Return the messages of a round if one is due, otherwise none."""
         if now_ms < self._next_round_ms or self.membership.next_tick_ms() == NEVER_MS:
             return []
         self._next_round_ms = now_ms + self.settings.period_ms
         if self._retained_version != self.membership.process_ids_version:
-            # Only then: it looks at everybody, and each round that alone is 3 % of a core at 4,800 members.
+            # Only on a change, because retain_origins visits every member: calling it in each round takes 3 %
+            # of a core at 4,800 members.
             self._retained_version = self.membership.process_ids_version
             self.store.retain_origins(self.membership.process_ids())
         messages: list[OutgoingMessage] = []
@@ -119,7 +123,10 @@
         return messages
 
     def receive(self, now_ms: float, packet: Packet) -> list[OutgoingMessage]:
-        """Take in a digest or a delta of a known member; returns the answer, as far as the budget goes."""
+        """Process a digest or delta from a known member; returns the reply, within the reply budget.
+
+        Rejected packets and unanswered digests are counted in `error_counts`; no CressrockError is raised.
+        """
         address = self.membership.address_of(packet.sender)
         if address is None:
             self.error_counts["spread-unknown-sender"] += 1
@@ -130,25 +137,25 @@
                 return []
             if not isinstance(packet.body, GossipDigest):
                 return []
-            deltas = self._answer(now_ms, packet.body)
+            deltas = self._encode_deltas(now_ms, packet.body)
         except CressrockError as error:
-            # Whatever another process sends must not end this one; the reason is counted.
+            # Malformed data from another process must not stop this one; the error is counted.
             self.error_counts[error.code] += 1
             return []
         self._budget.spend(sum(map(len, deltas)))
         return [OutgoingMessage(packet.sender, address, GossipDelta(data)) for data in deltas]
 
-    def _answer(self, now_ms: float, digest: GossipDigest) -> list[bytes]:
-        affordable = int(self._budget.available_bytes(now_ms) // self._max_bytes)
-        count = min(self.settings.max_deltas_per_digest, affordable)
+    def _encode_deltas(self, now_ms: float, digest: GossipDigest) -> list[bytes]:
+        affordable_deltas = int(self._budget.available_bytes(now_ms) // self._max_bytes)
+        count = min(self.settings.max_deltas_per_digest, affordable_deltas)
         if count < 1:
             self.error_counts["spread-over-budget"] += 1
             return []
         return self.store.deltas(digest.data, self._max_bytes, count)
 
     def merge_full_state(self, data: bytes) -> None:
-        """Merge the gossip's part of an exchange."""
+        """Merge the gossip state from a full exchange; a malformed message is counted in `error_counts`."""
         try:
             self.store.merge(data)
         except CressrockError as error:
-            self.error_counts[error.code] += 1  # the membership's part of the exchange still counts
+            self.error_counts[error.code] += 1  # not raised: the exchange's membership updates remain valid
--- a/cressrock/gossip/broadcasts.py
+++ b/cressrock/gossip/broadcasts.py
@@ -1,4 +1,4 @@
-"""The newest changes on their way: each is passed on a bounded number of times (Demers et al. 1987)."""
+"""Broadcast queue for recent changes: each is sent a bounded number of times (Demers et al. 1987)."""
 
 from __future__ import annotations
 
@@ -18,101 +18,108 @@
     raw_entries,
 )
 
-MESSAGE_BYTES = 8  # of a message, beside its sections
-ENTRY_BYTES = 3  # of an entry, beside its own bytes
-LIST_HEADS_BYTES = 6  # of a section's two lists
-MAX_MISSES = 4  # entries that do not fit: then the message is nearly full, and no more are tried
+MESSAGE_OVERHEAD_BYTES = 8  # encoding overhead of a message in addition to its sections
+ENTRY_OVERHEAD_BYTES = 3  # encoding overhead of an entry in addition to its own bytes
+LIST_HEADERS_BYTES = 6  # list headers of a section's two lists
+MAX_SKIPPED_ENTRIES = 4  # entries that do not fit before selection stops: the message is nearly full by then
 
 
-_Pending = tuple[Origin, EntryKey]
+_PendingKey = tuple[Origin, EntryKey]
 
 
-class _Queued(NamedTuple):
+class _QueuedChange(NamedTuple):
     transmissions: int
-    pending: _Pending
+    pending: _PendingKey
 
 
 class ChangeBroadcasts:
-    """Changes by how often they were passed on, the least sent first."""
+    """Changes waiting to be broadcast, those sent least often first."""
 
     def __init__(self, table: EntryTable) -> None:
-        """Begin with none."""
+        """Start empty; entries are read from `table` when they are sent."""
         self._table = table
-        self._transmissions: dict[_Pending, int] = {}
-        self._levels: list[dict[_Pending, None]] = [{}]
+        self._transmissions: dict[_PendingKey, int] = {}
+        self._by_send_count: list[dict[_PendingKey, None]] = [
+            {}
+        ]  # index: times sent; the dicts are ordered sets
 
     def __len__(self) -> int:
-        """Return how many changes wait."""
+        """Return the number of queued changes."""
         return len(self._transmissions)
 
     @property
     def has_unsent(self) -> bool:
-        """Whether a change waits that was never sent."""
-        return bool(self._levels[0])
+        """Whether a queued change has not been sent yet."""
+        return bool(self._by_send_count[0])
 
     def clear(self) -> None:
-        """Drop all."""
-        self._transmissions, self._levels = {}, [{}]
+        """Drop all queued changes."""
+        self._transmissions, self._by_send_count = {}, [{}]
 
     def add(self, origin: Origin, key: EntryKey) -> None:
-        """Begin to pass on a change; where too many wait, the most sent gives way."""
+        """Queue a change as unsent; if `max_pending_changes` are queued, drop the one sent most often."""
         pending = (origin, key)
-        level = self._transmissions.pop(pending, None)
-        if level is not None:
-            del self._levels[level][pending]
+        send_count = self._transmissions.pop(pending, None)
+        if send_count is not None:
+            del self._by_send_count[send_count][pending]
         elif len(self._transmissions) >= self._table.settings.max_pending_changes:
-            level = max(i for i, waiting in enumerate(self._levels) if waiting)
-            oldest = next(iter(self._levels[level]))
-            del self._levels[level][oldest], self._transmissions[oldest]
-        self._levels[0][pending] = None
+            send_count = max(i for i, queued in enumerate(self._by_send_count) if queued)
+            dropped = next(iter(self._by_send_count[send_count]))
+            del self._by_send_count[send_count][dropped], self._transmissions[dropped]
+        self._by_send_count[0][pending] = None
         self._transmissions[pending] = 0
 
     def max_transmissions(self) -> int:
-        """Return how often this process passes one change on."""
+        """Return how many times this process sends one change."""
         members = len(self._table.newest)
         return max(1, math.ceil(self._table.settings.retransmit_factor * math.log2(members + 1)))
 
     def encode(self, max_bytes: int) -> bytes:
-        """Return the least sent changes in a message of at most max_bytes; b"" if none."""
-        by_origin = self._select(max_bytes - MESSAGE_BYTES)
+        """Return the changes sent least often in a message of at most `max_bytes`; b"" if none fits."""
+        by_origin = self._select(max_bytes - MESSAGE_OVERHEAD_BYTES)
         if not by_origin:
             return b""
         sections: list[EncodedSection] = []
         for origin, entries in by_origin.items():
             entries.sort()
             state = self._table.states[origin]
-            # Without this, a key written again and again leaves gaps that no broadcast could ever close.
+            # Without these counts, a key that is written repeatedly leaves version gaps that broadcasts
+            # could never close.
             replaced = state.replaced_before([version for version, _ in entries])
             sections.append(EncodedSection(*origin, 0, 0, state.floor, False, raw_entries(entries), replaced))
         return encode_changes(MessageKind.RECENT, sections)
 
     def _select(self, max_bytes: int) -> dict[Origin, list[EncodedEntry]]:
-        """Choose what fits, count its transmission, and drop what is gone or was sent often enough."""
+        """Return entries that fit, counting their transmission; drop deleted and sufficiently sent ones."""
         max_transmissions = self.max_transmissions()
-        remaining = max_bytes
+        remaining_bytes = max_bytes
         by_origin: dict[Origin, list[EncodedEntry]] = {}
-        sent: list[_Queued] = []
-        stale: list[_Queued] = []
-        misses = 0
-        for level, waiting in enumerate(self._levels):
-            for pending in waiting:
+        sent: list[_QueuedChange] = []
+        stale: list[_QueuedChange] = []
+        skipped = 0
+        for send_count, queued in enumerate(self._by_send_count):
+            for pending in queued:
                 origin, key = pending
                 state = self._table.states.get(origin)
                 entry = state.entries.get(key) if state else None
-                if entry is None or level >= max_transmissions:
-                    stale.append(_Queued(level, pending))
+                if entry is None or send_count >= max_transmissions:
+                    stale.append(_QueuedChange(send_count, pending))
                     continue
                 data = encode_entry(key, entry.version, entry.payload)
-                size = len(data) + ENTRY_BYTES + (0 if origin in by_origin else self._section_bytes(origin))
-                if size > remaining:
-                    misses += 1
-                    if misses >= MAX_MISSES:
+                size = (
+                    len(data)
+                    + ENTRY_OVERHEAD_BYTES
+                    + (0 if origin in by_origin else self._section_bytes(origin))
+                )
+                if size > remaining_bytes:
+                    skipped += 1
+                    if skipped >= MAX_SKIPPED_ENTRIES:
                         break
                     continue
-                remaining -= size
+                remaining_bytes -= size
                 by_origin.setdefault(origin, []).append((entry.version, data))
-                sent.append(_Queued(level, pending))
-            if misses >= MAX_MISSES:
+                sent.append(_QueuedChange(send_count, pending))
+            if skipped >= MAX_SKIPPED_ENTRIES:
                 break
         self._drop(stale)
         self._count_transmissions(sent, max_transmissions)
@@ -120,19 +127,19 @@
 
     def _section_bytes(self, origin: Origin) -> int:
         floor = self._table.states[origin].floor
-        return len(encode((*origin, 0, 0, floor, False))) + LIST_HEADS_BYTES
+        return len(encode((*origin, 0, 0, floor, False))) + LIST_HEADERS_BYTES
 
-    def _drop(self, stale: list[_Queued]) -> None:
-        for level, pending in stale:
-            del self._levels[level][pending], self._transmissions[pending]
+    def _drop(self, stale: list[_QueuedChange]) -> None:
+        for send_count, pending in stale:
+            del self._by_send_count[send_count][pending], self._transmissions[pending]
 
-    def _count_transmissions(self, sent: list[_Queued], max_transmissions: int) -> None:
-        for level, pending in sent:
-            del self._levels[level][pending]
-            if level + 1 >= max_transmissions:
+    def _count_transmissions(self, sent: list[_QueuedChange], max_transmissions: int) -> None:
+        for send_count, pending in sent:
+            del self._by_send_count[send_count][pending]
+            if send_count + 1 >= max_transmissions:
                 del self._transmissions[pending]
                 continue
-            while len(self._levels) <= level + 1:
-                self._levels.append({})
-            self._levels[level + 1][pending] = None
-            self._transmissions[pending] = level + 1
+            while len(self._by_send_count) <= send_count + 1:
+                self._by_send_count.append({})
+            self._by_send_count[send_count + 1][pending] = None
+            self._transmissions[pending] = send_count + 1
--- a/cressrock/gossip/change_log.py
+++ b/cressrock/gossip/change_log.py
@@ -1,26 +1,26 @@
-"""What merging changed since the local reader last looked."""
+"""Keys that merges changed since the local reader last drained the log."""
 
 from __future__ import annotations
 
 from cressrock.gossip.messages import Origin
 
 Change = tuple[Origin, str]
-"""An origin and its key that changed."""
+"""The origin of a changed entry, and the entry's key."""
 
 EVERYTHING_CHANGED: Change = (("", 0), "")
-"""More changed than is remembered one by one; look at everything again."""
+"""Overflow marker: the log exceeded its limit, so the reader must read all keys again."""
 
 
 class ChangeLog:
-    """Changed keys in the order in which they changed first, up to a bound."""
+    """A bounded set of changed keys, in the order in which each first changed."""
 
     def __init__(self, max_changes: int) -> None:
-        """Begin empty."""
+        """Start empty; beyond `max_changes` keys the log holds EVERYTHING_CHANGED alone."""
         self._max_changes = max_changes
         self._changes: dict[Change, None] = {}
 
     def record(self, origin: Origin, key: str) -> None:
-        """Note that a key of an origin changed."""
+        """Add a changed key; no effect if it is already in the log or the log has overflowed."""
         if EVERYTHING_CHANGED in self._changes:
             return
         self._changes[(origin, key)] = None
@@ -28,6 +28,6 @@
             self._changes = {EVERYTHING_CHANGED: None}
 
     def drain(self) -> list[Change]:
-        """Return the changes, once."""
+        """Return the changes and clear the log."""
         changes, self._changes = list(self._changes), {}
         return changes
--- a/cressrock/gossip/exchange.py
+++ b/cressrock/gossip/exchange.py
@@ -1,6 +1,6 @@
-"""A full exchange with one member over a stream: all updates, and the gossip's state where it is wanted.
+"""Full exchange with one member over a stream: all membership updates and, if requested, the gossip state.
 
-One side sends its parts and reads the other's; neither decides anything.
+This module only encodes, decodes and forwards the parts; the membership decides when to run an exchange.
 """
 
 from __future__ import annotations
@@ -22,7 +22,7 @@
 )
 
 STATE_PART_BYTES = MAX_FRAME_BYTES // 2
-READ_BYTES = 65536
+MAX_READ_BYTES = 65536
 
 
 class StateExchange:
@@ -35,38 +35,39 @@
         clock: Callable[[], float],
         max_parts: int,
     ) -> None:
-        """`max_parts` of one side bounds what a peer can make this process take in."""
+        """`max_parts` limits the parts accepted from a peer in one exchange; `clock` returns ms."""
         self._membership = membership
         self._anti_entropy = anti_entropy
         self._clock = clock
         self._max_parts = max_parts
 
     async def send(self, stream: Stream, *, with_gossip_state: bool) -> None:
-        """Send everything this process knows."""
+        """Send all membership updates and, if requested, the gossip state."""
         cluster, local = self._membership.settings.cluster, self._membership.local
         for part in self._parts(with_gossip_state=with_gossip_state):
             packet = encode(cluster, local.name, local.process_incarnation, part)
             await stream.send(encode_frame(packet))
 
     def _parts(self, *, with_gossip_state: bool) -> list[ExchangePart]:
-        """Return all parts as they are now: what changes while they are sent waits for the next exchange."""
+        """Return a snapshot of all parts; changes made while they are sent wait for the next exchange."""
         parts = [
             ExchangePart(updates, with_gossip_state=with_gossip_state)
             for updates in self._membership.state_batches()
         ]
         cursor: Cursor | None = None
-        more = with_gossip_state
-        while more:
+        has_more = with_gossip_state
+        while has_more:
             data, cursor = self._anti_entropy.store.full_state(cursor, STATE_PART_BYTES)
             parts.append(ExchangePart(gossip_state=data, with_gossip_state=True))
-            more = cursor is not None
+            has_more = cursor is not None
         parts.append(ExchangePart(last=True))
         return parts
 
     async def receive(self, stream: Stream) -> bool:
-        """Read a side's parts to the last; returns whether that side wants the gossip's state.
+        """Read and merge the peer's parts up to the last; returns whether the peer requests the gossip state.
 
-        Raises a DatagramError for bytes that cannot be read, StateExchangeError where no part is the last.
+        Raises a DatagramError for data that cannot be decoded, or StateExchangeError if `max_parts` parts
+        arrive without a last one.
         """
         frames = _FrameReader(stream)
         with_gossip_state = False
@@ -74,33 +75,37 @@
             packet = decode(await frames.next(), self._membership.settings.cluster, MAX_FRAME_BYTES)
             part = packet.body
             if not isinstance(part, ExchangePart):
-                raise MalformedPacketError(f"a {type(part).__name__} among an exchange's parts")
+                raise MalformedPacketError(f"unexpected {type(part).__name__} among the parts of an exchange")
             self._membership.merge_remote_state(self._clock(), packet.sender, part.updates)
             if part.gossip_state:
                 self._anti_entropy.merge_full_state(part.gossip_state)
             with_gossip_state = with_gossip_state or part.with_gossip_state
             if part.last:
                 return with_gossip_state
-        raise StateExchangeError(f"{self._max_parts} parts, and none of them the last")
+        raise StateExchangeError(
+            f"received {self._max_parts} parts of an exchange, and none is marked as last"
+        )
 
 
 class _FrameReader:
-    """Cuts a stream into frames."""
+    """Splits a byte stream into length-prefixed frames."""
 
     def __init__(self, stream: Stream) -> None:
         self._stream = stream
         self._buffer = bytearray()
 
     async def next(self) -> bytes:
-        """Return the next frame's packet."""
+        """Return the packet of the next frame.  Raises PacketTooLargeError if the frame is too long."""
         while True:
             if len(self._buffer) >= FRAME_LENGTH_BYTES:
                 size = int.from_bytes(self._buffer[:FRAME_LENGTH_BYTES], "big")
                 if size > MAX_FRAME_BYTES:
-                    raise PacketTooLargeError(f"a frame of {size} bytes; at most {MAX_FRAME_BYTES} are taken")
+                    raise PacketTooLargeError(
+                        f"frame of {size} bytes exceeds the limit of {MAX_FRAME_BYTES} bytes"
+                    )
                 end = FRAME_LENGTH_BYTES + size
                 if len(self._buffer) >= end:
                     packet = bytes(self._buffer[FRAME_LENGTH_BYTES:end])
                     del self._buffer[:end]
                     return packet
-            self._buffer += await self._stream.receive(READ_BYTES)
+            self._buffer += await self._stream.receive(MAX_READ_BYTES)
--- a/cressrock/gossip/local_writer.py
+++ b/cressrock/gossip/local_writer.py
@@ -1,4 +1,4 @@
-"""This process's own writes: each takes its next version, within the settings' bounds."""
+"""This process's own writes: each is assigned the next version, within the limits of the settings."""
 
 from __future__ import annotations
 
@@ -12,15 +12,22 @@
     """Writes own entries and queues them for broadcast."""
 
     def __init__(self, table: EntryTable, broadcasts: ChangeBroadcasts) -> None:
-        """Write into `table`."""
+        """Write to `table` and announce each write through `broadcasts`."""
         self._table = table
         self._broadcasts = broadcasts
 
     def write(self, key: EntryKey, payload: Payload) -> None:
-        """Give an own entry the next version.  Raises EntryTooLargeError or OriginFullError."""
+        """Store an own entry under the next version and queue it for broadcast.
+
+        Discards the oldest tombstones when there are more than twice `retained_tombstones`.
+        Raises EntryTooLargeError or OriginFullError; then nothing was changed.
+        """
         table, own = self._table, self._table.own
         if not key.key or table.is_too_large(key, payload):
-            raise EntryTooLargeError(f"entry {key.key[:40]!r} {key.item[:40]!r}: empty, or past the settings")
+            raise EntryTooLargeError(
+                f"entry {key.key[:40]!r} {key.item[:40]!r}: the key is empty, or the key, item or value"
+                " exceeds the configured size"
+            )
         self._ensure_capacity(key, payload)
         own.known += 1
         table.set_entry(table.local, own, key, own.known, payload)
@@ -31,34 +38,37 @@
             table.raise_floor(table.local, own, versions[-retained - 1])
 
     def _ensure_capacity(self, key: EntryKey, payload: Payload) -> None:
-        """Forget removals where an entry does not fit, at the price of a sweep for whoever is late."""
+        """Discard all own tombstones if the entry does not fit otherwise; lagging replicas then need a sweep.
+
+        Raises OriginFullError if the entry does not fit even then.
+        """
         table, own = self._table, self._table.own
         previous = own.entries.get(key)
-        added = table.cost(key, payload) - (previous.cost if previous else 0)
+        added_bytes = table.cost(key, payload) - (previous.cost if previous else 0)
         max_bytes = table.settings.max_origin_bytes
-        if payload is None or own.size_bytes + added <= max_bytes:
+        if payload is None or own.size_bytes + added_bytes <= max_bytes:
             return
-        forgettable = sum(e.cost for k, e in own.entries.items() if e.payload is None and k != key)
-        if own.size_bytes + added - forgettable > max_bytes:
+        tombstone_bytes = sum(e.cost for k, e in own.entries.items() if e.payload is None and k != key)
+        if own.size_bytes + added_bytes - tombstone_bytes > max_bytes:
             raise OriginFullError(
-                f"{own.size_bytes} bytes of own entries, {added} more for {key.key[:40]!r};"
-                f" at most {max_bytes}"
+                f"own entries use {own.size_bytes} bytes, and {added_bytes} more are needed"
+                f" for {key.key[:40]!r}; the limit is {max_bytes} bytes"
             )
         table.raise_floor(table.local, own, own.known)
 
     def erase(self, key: EntryKey) -> None:
-        """Remove an own entry, if there is one."""
+        """Replace an own entry by a tombstone; no effect if there is none."""
         entry = self._table.own.entries.get(key)
         if entry is not None and entry.payload is not None:
             self.write(key, None)
 
-    def settle(self) -> None:
-        """Remove own entries that merges made obsolete: items that others removed, removals that are done."""
+    def remove_obsolete_entries(self) -> None:
+        """Remove own entries that merges made obsolete: items that others removed, and completed removals."""
         table = self._table
-        table.settling = True
-        while table.follow_ups:
-            key, version = table.follow_ups.pop()
+        table.removing_obsolete = True
+        while table.obsolete_entries:
+            key, version = table.obsolete_entries.pop()
             entry = table.own.entries.get(key)
             if entry is not None and entry.version == version:
                 self.erase(key)
-        table.settling = False
+        table.removing_obsolete = False
--- a/cressrock/gossip/merge.py
+++ b/cressrock/gossip/merge.py
@@ -1,6 +1,7 @@
-"""Merges what others send: the union of the versions known, and of each key the greatest version.
+"""Merges received changes: the union of the known versions, and for each key the entry with the highest one.
 
-So merging is associative, commutative and idempotent (deltas as states: Almeida, Shoker, Baquero 2018).
+Merging is therefore associative, commutative and idempotent (delta-state CRDTs: Almeida, Shoker, Baquero
+2018).
 """
 
 from __future__ import annotations
@@ -28,18 +29,18 @@
 
 @dataclass(slots=True)
 class RejectionCounts:
-    """Counts of what came from others and was not taken."""
+    """Number of received sections and entries that were rejected, by reason."""
 
-    unknown: int = 0  # of a process that is not among the retained
-    older: int = 0  # of a process that a newer one of its name replaced
-    own: int = 0  # in this process's own name, but not written by it: two processes with one identity
+    unknown: int = 0  # the origin is not among the retained ones
+    older: int = 0  # a newer process of the same name has replaced the origin
+    own: int = 0  # this process's name, but not written by it: two processes use the same identity
     origins: int = 0  # max_origins reached
-    size: int = 0  # a key or value larger than the settings
-    full: int = 0  # the origin's or the total bytes reached
+    size: int = 0  # a key, item or value exceeds the configured size
+    full: int = 0  # the byte limit of the origin or of the store is reached
 
 
 class StateMerger:
-    """Merges messages of changes into a table, and drops origins."""
+    """Merges messages of changes into the entry table, and drops origins that are not retained."""
 
     def __init__(
         self,
@@ -48,7 +49,7 @@
         broadcasts: ChangeBroadcasts,
         reconciliation: Reconciliation,
     ) -> None:
-        """Take every origin until `retain` names those that count."""
+        """Accept every origin until `retain` is first called."""
         self.rejected = RejectionCounts()
         self.completed_sweeps = 0
         self.takes_unknown = True
@@ -56,32 +57,37 @@
         self._writer = writer
         self._broadcasts = broadcasts
         self._reconciliation = reconciliation
-        self._took_entry = False
+        self._applied_entry = False
 
     def merge(self, data: bytes) -> None:
-        """Merge a message.
+        """Merge a message of changes; what exceeds a limit is counted in `rejected`.
 
-        Raises MalformedGossipError or UnsupportedGossipFormatError; then nothing of it was taken.
+        Raises MalformedGossipError or UnsupportedGossipFormatError; then nothing was merged.
         """
         message = decode_changes(data, self._table.settings.max_message_bytes)
-        self._took_entry = False
+        self._applied_entry = False
         for section in message.sections:
             origin = (section.name, section.process_incarnation)
             state = self._state_for(origin, section)
             if state is not None:
                 self.merge_section(origin, state, section, message.kind)
-        if self._took_entry and message.kind == MessageKind.DELTA:
-            self._reconciliation.expect_more()
-        self._writer.settle()
+        if self._applied_entry and message.kind == MessageKind.DELTA:
+            self._reconciliation.enlarge_digests()
+        self._writer.remove_obsolete_entries()
 
     def _state_for(self, origin: Origin, section: OriginSection) -> OriginState | None:
-        """Return the state to merge into, or None where this origin is not taken."""
+        """Return the state to merge a section into, or None if the origin is rejected.
+
+        A section of a newer process drops the state of the older process of the same name.
+        """
         table = self._table
         name, process_incarnation = origin
         own_name, own_incarnation = table.local
         if name == own_name:
-            unwritten = process_incarnation == own_incarnation and section.last_version > table.own.known
-            if process_incarnation > own_incarnation or unwritten:
+            is_foreign_version = (
+                process_incarnation == own_incarnation and section.last_version > table.own.known
+            )
+            if process_incarnation > own_incarnation or is_foreign_version:
                 self.rejected.own += 1
             return None
         state = table.states.get(origin)
@@ -104,8 +110,9 @@
     # --- one origin's section
 
     def merge_section(self, origin: Origin, state: OriginState, section: OriginSection, kind: int) -> None:
-        """Merge what one origin wrote."""
-        # A joiner that is sent everything has no news for anybody; who was up to date but for this has.
+        """Merge the section of one origin."""
+        # A joining process that receives an origin from version 0 need not broadcast it: others have it.
+        # A process that already knew the origin rebroadcasts, as the delta's entries may be new to others.
         rebroadcast = kind == MessageKind.RECENT or (kind == MessageKind.DELTA and state.known > 0)
         if section.upto:
             self._merge_range(origin, state, section, rebroadcast=rebroadcast)
@@ -127,7 +134,7 @@
     def _merge_range(
         self, origin: Origin, state: OriginState, section: OriginSection, *, rebroadcast: bool
     ) -> None:
-        sweep = self._sweep_of(state, section)
+        sweep = self._sweep_for(state, section)
         upto = section.upto
         for entry in section.entries:
             if entry.version > state.known and not self._apply_entry(
@@ -136,16 +143,17 @@
                 upto = entry.version - 1
                 break
             if sweep is not None:
-                sweep.named.add(entry.entry_key())
-        # Below its floor the sender cannot say what went: there a section proves nothing by itself.
+                sweep.seen_keys.add(entry.entry_key())
+        # The sender has no tombstones at or below its floor, so there the section does not prove that every
+        # version is known.
         state.add_known(max(section.after, section.floor), upto, self._table.settings.max_ranges_ahead)
         if sweep is not None:
             sweep.upto = max(sweep.upto, upto)
             if section.end and upto == section.upto == sweep.upto and upto >= sweep.floor:
                 self._finish_sweep(origin, state, sweep)
 
-    def _sweep_of(self, state: OriginState, section: OriginSection) -> Sweep | None:
-        """Return the sweep that a section belongs to; begins one where a state lags behind the floor."""
+    def _sweep_for(self, state: OriginState, section: OriginSection) -> Sweep | None:
+        """Return the section's sweep, or None; starts one if the state is behind the section's floor."""
         sweep = state.sweep
         if (
             section.floor > state.known
@@ -158,9 +166,13 @@
         return sweep
 
     def _finish_sweep(self, origin: Origin, state: OriginState, sweep: Sweep) -> None:
-        """Drop what the sweep did not name: only now, so that no reader sees a key vanish for being late."""
+        """Delete the entries that the sweep did not contain.
+
+        They are deleted only at the end, so that no key disappears for readers just because its entry has not
+        arrived yet.
+        """
         for key, entry in list(state.entries.items()):
-            if entry.version <= sweep.floor and key not in sweep.named:
+            if entry.version <= sweep.floor and key not in sweep.seen_keys:
                 self._table.forget_entry(origin, state, key)
         state.sweep = None
         state.add_known(0, sweep.upto, self._table.settings.max_ranges_ahead)
@@ -175,7 +187,7 @@
     def _apply_entry(
         self, origin: Origin, state: OriginState, message: EntryMessage, *, rebroadcast: bool
     ) -> bool:
-        """Keep an entry if it is newer than what is held; False if a bound forbids it."""
+        """Store an entry if it is newer than the stored one; returns False if a limit rejects it."""
         table, settings = self._table, self._table.settings
         key = message.entry_key()
         current = state.entries.get(key)
@@ -184,24 +196,27 @@
         if table.is_too_large(key, message.payload):
             self.rejected.size += 1
             return False
-        added = table.cost(key, message.payload) - (current.cost if current else 0)
+        added_bytes = table.cost(key, message.payload) - (current.cost if current else 0)
         max_others_bytes = settings.max_total_bytes - settings.max_origin_bytes
-        if added > 0 and (
-            state.size_bytes + added > 2 * settings.max_origin_bytes
-            or table.total_bytes - table.own.size_bytes + added > max_others_bytes
+        if added_bytes > 0 and (
+            state.size_bytes + added_bytes > 2 * settings.max_origin_bytes
+            or table.total_bytes - table.own.size_bytes + added_bytes > max_others_bytes
         ):
             self.rejected.full += 1
             return False
         table.set_entry(origin, state, key, message.version, message.payload)
         if rebroadcast:
             self._broadcasts.add(origin, key)
-        self._took_entry = True
+        self._applied_entry = True
         return True
 
     # --- dropping origins
 
     def retain(self, origins: Collection[Origin]) -> None:
-        """Drop all origins but these, and take no others from now on."""
+        """Drop all origins except these, and reject other names from now on.
+
+        For each name, the newest process incarnation of those listed and those already seen is kept.
+        """
         table = self._table
         newest: dict[str, int] = {}
         for name, process_incarnation in origins:
@@ -210,15 +225,15 @@
         table.newest, self.takes_unknown = newest, False
         for origin in [origin for origin in table.order if newest.get(origin[0]) != origin[1]]:
             self.drop(origin)
-        self._writer.settle()
+        self._writer.remove_obsolete_entries()
 
     def drop(self, origin: Origin) -> None:
-        """Forget an origin, and what was only kept because of it."""
+        """Delete an origin and its entries; this process takes over its removals that are still needed."""
         table = self._table
         state = table.states.get(origin)
         if state is None:
             return
-        # Own removals of its items go as the items do: see EntryTable.
+        # Deleting its items makes own removals of them obsolete: see EntryTable._on_item_changed.
         removals: list[tuple[EntryKey, int]] = []
         for key, entry in list(state.entries.items()):
             if key.kind == EntryKind.REMOVAL and isinstance(entry.payload, int):
@@ -229,7 +244,7 @@
             self._adopt_removal(key, upto)
 
     def _adopt_removal(self, key: EntryKey, upto: int) -> None:
-        """Pass on a removal of a dropped origin: it may not yet have reached the item's origin."""
+        """Write a dropped origin's removal as an own entry: it may not have reached the item's origin yet."""
         table = self._table
         target = (key.name, key.process_incarnation)
         item = table.item_entry(ItemRef(target, key.key, key.item))
@@ -241,4 +256,4 @@
         try:
             self._writer.write(key, upto)
         except OriginFullError:
-            self.rejected.full += 1  # stays hidden here by the note alone
+            self.rejected.full += 1  # the item stays hidden on this replica through ItemRemovals.hidden only
--- a/cressrock/gossip/messages.py
+++ b/cressrock/gossip/messages.py
@@ -1,8 +1,8 @@
-"""The wire format of the replicated state: digests, and messages of changes.  MessagePack arrays.
+"""The wire format of the replicated state: digests and change messages, encoded as MessagePack arrays.
 
-Every message begins with the format and its kind.  Unknown further fields are ignored; entries of unknown
-kinds are kept and passed on as they are, so that an older process in between loses nothing.  Bytes are read
-and checked whole before anything of them is merged.
+Every message begins with the format version and its kind.  Additional trailing fields are ignored.  Entries
+of unknown kinds are stored and forwarded unchanged, so that a process of an older release between two newer
+ones loses nothing.  A message is decoded and validated completely before any of it is merged.
 """
 
 from __future__ import annotations
@@ -16,41 +16,42 @@
 from cressrock.errors.gossip import MalformedGossipError, UnsupportedGossipFormatError
 
 FORMAT = 1
-MAX_NUMBER = (1 << 62) - 1
+MAX_INTEGER = (1 << 62) - 1
 
 Origin = tuple[str, int]
-"""The only writer of its entries: a process's name and its process incarnation."""
+"""A process's name and process incarnation; each origin is the only writer of its entries."""
 
 Payload = bytes | int | None
-"""Of a value or an item bytes, of a counter or a removal a number; None: the entry is removed."""
+"""Bytes for a value or an item, an integer for a counter or a removal; None for a tombstone."""
 
 
 class MessageKind(IntEnum):
-    """What a message is for."""
+    """The purpose of a message."""
 
-    DIGEST = 0  # asks for what the sender lacks
-    DELTA = 1  # the answer to a digest
-    RECENT = 2  # changes that are broadcast
-    FULL = 3  # a part of everything, for an exchange
+    DIGEST = 0  # lists the versions known to the sender; requests what it lacks
+    DELTA = 1  # reply to a digest
+    RECENT = 2  # broadcast of recent changes
+    FULL = 3  # part of the full state, sent in a full exchange
 
 
 class EntryKind(IntEnum):
-    """What an entry is."""
+    """The type of an entry."""
 
     VALUE = 0
     COUNTER = 1
-    ITEM = 2  # of an observed-remove map; its dot is (origin, version)
-    REMOVAL = 3  # of an item up to a version, in the state of the process that removed it
+    ITEM = 2  # item of an observed-remove map; its dot is (origin, version)
+    REMOVAL = 3  # removes an item up to a version; stored by the process that removed it
 
 
-# Looked up once: on the path of every entry an enumeration's attributes cost as much as the work.
+# Bound once: an enum attribute lookup for every entry would cost as much as the rest of the work.
 _VALUE, _COUNTER, _ITEM, _REMOVAL = EntryKind
 
 
 class EntryKey(NamedTuple):
-    """What an entry is found by within its origin.
+    """Identifies an entry within its origin.
 
-    `name` and `process_incarnation` are of a removed item's origin, and empty for other kinds.
+    `name` and `process_incarnation` are the origin of the item that a removal refers to; they are empty for
+    other kinds.
     """
 
     kind: int
@@ -60,53 +61,55 @@
     process_incarnation: int = 0
 
 
-_Number = Annotated[int, msgspec.Meta(ge=0, le=MAX_NUMBER)]
+_NonNegativeInt = Annotated[int, msgspec.Meta(ge=0, le=MAX_INTEGER)]
 _Name = Annotated[str, msgspec.Meta(min_length=1, max_length=64)]
 _Text = Annotated[str, msgspec.Meta(max_length=65536)]
 
 
-class _Head(msgspec.Struct, array_like=True, frozen=True):
+class _Header(msgspec.Struct, array_like=True, frozen=True):
     format: int
     kind: int
 
 
 class EntryMessage(msgspec.Struct, array_like=True, frozen=True):
-    """One entry."""
+    """A decoded entry."""
 
-    version: Annotated[int, msgspec.Meta(ge=1, le=MAX_NUMBER)]
-    payload: bytes | Annotated[int, msgspec.Meta(ge=0, le=MAX_NUMBER)] | None
+    version: Annotated[int, msgspec.Meta(ge=1, le=MAX_INTEGER)]
+    payload: bytes | Annotated[int, msgspec.Meta(ge=0, le=MAX_INTEGER)] | None
     kind: Annotated[int, msgspec.Meta(ge=0, le=255)]
     key: _Text
     item: _Text = ""
     name: Annotated[str, msgspec.Meta(max_length=64)] = ""
-    process_incarnation: _Number = 0
+    process_incarnation: _NonNegativeInt = 0
 
     def entry_key(self) -> EntryKey:
-        """Return what the entry is found by."""
+        """Return the key under which the origin's state stores the entry."""
         return EntryKey(self.kind, self.key, self.item, self.name, self.process_incarnation)
 
 
 class OriginSection(msgspec.Struct, array_like=True, frozen=True):
-    """What one origin wrote after `after` and up to `upto`; with upto 0 only the entries themselves."""
+    """The writes of one origin in (after, upto]; if `upto` is 0, only the listed entries."""
 
     name: _Name
-    process_incarnation: _Number
-    after: _Number
-    upto: _Number
-    floor: _Number
-    end: bool  # upto is all that the sender knows
+    process_incarnation: _NonNegativeInt
+    after: _NonNegativeInt
+    upto: _NonNegativeInt
+    floor: _NonNegativeInt
+    end: bool  # whether the sender knows no version after `upto`
     entries: list[EntryMessage]
-    replaced: list[_Number] = []  # with upto 0: how many versions right before each entry are replaced
+    replaced: list[
+        _NonNegativeInt
+    ] = []  # if `upto` is 0: per entry, how many versions directly before it were replaced
 
     @property
     def last_version(self) -> int:
-        """The last version that the section speaks of."""
+        """The highest version that the section covers."""
         last_entry = self.entries[-1].version if self.entries else 0
         return max(self.upto, last_entry)
 
 
 class ChangesMessage(msgspec.Struct, array_like=True, frozen=True):
-    """Entries of some origins."""
+    """A decoded message of any kind but DIGEST: sections of entries, one per origin."""
 
     format: int
     kind: int
@@ -114,22 +117,22 @@
 
 
 class KnownVersion(msgspec.Struct, array_like=True, frozen=True):
-    """Up to which version a digest's sender knows everything of an origin."""
+    """The version of an origin up to which a digest's sender knows everything."""
 
     name: _Name
-    process_incarnation: _Number
-    known: _Number
-    floor: _Number = 0  # of a sweep under way, and how far it has come
-    swept: _Number = 0
+    process_incarnation: _NonNegativeInt
+    known: _NonNegativeInt
+    floor: _NonNegativeInt = 0  # the floor of the sweep in progress, 0 if none
+    swept: _NonNegativeInt = 0  # the last version received by that sweep
 
 
 class _RangeBound(msgspec.Struct, array_like=True, frozen=True):
     name: Annotated[str, msgspec.Meta(max_length=64)]
-    process_incarnation: _Number
+    process_incarnation: _NonNegativeInt
 
 
 class DigestMessage(msgspec.Struct, array_like=True, frozen=True):
-    """What the sender knows of the origins from `start` up to `end`, in their sorted order."""
+    """The versions the sender knows of the sorted origins from `start` to before `end` (None: the last)."""
 
     format: int
     kind: int
@@ -139,11 +142,11 @@
 
 
 EncodedEntry = tuple[int, bytes]
-"""An entry's version and bytes."""
+"""An entry's version and its encoded bytes."""
 
 
 class EncodedSection(NamedTuple):
-    """A section of an origin, ready for `encode_changes`; the fields of `OriginSection`."""
+    """Input of `encode_changes`: the fields of `OriginSection`, with the entries already encoded."""
 
     name: str
     process_incarnation: int
@@ -156,105 +159,116 @@
 
 
 encode = msgspec.msgpack.Encoder().encode
-_decode_head = msgspec.msgpack.Decoder(_Head).decode
+_decode_header = msgspec.msgpack.Decoder(_Header).decode
 _decode_changes = msgspec.msgpack.Decoder(ChangesMessage).decode
 _decode_digest = msgspec.msgpack.Decoder(DigestMessage).decode
 
 
 def encode_entry(key: EntryKey, version: int, payload: Payload) -> bytes:
-    """Return an entry's bytes; what is empty at its end is left out."""
-    kind, text, item, name, process_incarnation = key
+    """Return an entry's encoded bytes, without the trailing fields that its kind does not use."""
+    kind, key_text, item, name, process_incarnation = key
     if kind in (_VALUE, _COUNTER):
-        return encode((version, payload, kind, text))
+        return encode((version, payload, kind, key_text))
     if kind == _ITEM:
-        return encode((version, payload, kind, text, item))
-    return encode((version, payload, kind, text, item, name, process_incarnation))
+        return encode((version, payload, kind, key_text, item))
+    return encode((version, payload, kind, key_text, item, name, process_incarnation))
 
 
 def raw_entries(entries: Sequence[EncodedEntry]) -> list[msgspec.Raw]:
-    """Return encoded entries for a section."""
+    """Return the entries' bytes wrapped so that the encoder copies them unchanged."""
     return [msgspec.Raw(data) for _, data in entries]
 
 
 def encode_changes(kind: MessageKind, sections: Sequence[EncodedSection]) -> bytes:
-    """Return a message of changes; `replaced` is left out where it is None."""
+    """Return an encoded message of changes; `replaced` is omitted from sections where it is None."""
     fields = [tuple(section) if section.replaced is not None else tuple(section)[:-1] for section in sections]
     return encode((FORMAT, kind, fields))
 
 
 def encode_digest(start: Origin, end: Origin | None, known: Sequence[Sequence[str | int]]) -> bytes:
-    """Return a digest; `known` has the fields of `KnownVersion`, without those that are left out."""
+    """Return an encoded digest; `known` has the fields of `KnownVersion`, where defaults may be omitted."""
     return encode((FORMAT, MessageKind.DIGEST, start, end, known))
 
 
 def decode_changes(data: bytes, max_bytes: int) -> ChangesMessage:
-    """Read a message of changes.  Raises MalformedGossipError or UnsupportedGossipFormatError."""
-    kind = _check_head(data, max_bytes)
+    """Decode and validate a message of changes.
+
+    Raises MalformedGossipError, also for more than `max_bytes`, or UnsupportedGossipFormatError.
+    """
+    kind = _check_header(data, max_bytes)
     if kind not in (MessageKind.DELTA, MessageKind.RECENT, MessageKind.FULL):
-        raise MalformedGossipError(f"message kind {kind} holds no changes")
+        raise MalformedGossipError(f"message kind {kind} does not carry changes")
     try:
         message = _decode_changes(data)
     except (msgspec.DecodeError, RecursionError) as error:
-        raise MalformedGossipError(f"changes that cannot be read: {str(error)[:200]}") from None
+        raise MalformedGossipError(f"cannot decode the message of changes: {str(error)[:200]}") from None
     for section in message.sections:
         _check_section(section)
     return message
 
 
 def decode_digest(data: bytes, max_bytes: int) -> DigestMessage:
-    """Read a digest.  Raises MalformedGossipError or UnsupportedGossipFormatError."""
-    kind = _check_head(data, max_bytes)
+    """Decode a digest.
+
+    Raises MalformedGossipError, also for more than `max_bytes`, or UnsupportedGossipFormatError.
+    """
+    kind = _check_header(data, max_bytes)
     if kind != MessageKind.DIGEST:
-        raise MalformedGossipError(f"message kind {kind} is no digest")
+        raise MalformedGossipError(f"message kind {kind} is not a digest")
     try:
         return _decode_digest(data)
     except (msgspec.DecodeError, RecursionError) as error:
-        raise MalformedGossipError(f"a digest that cannot be read: {str(error)[:200]}") from None
+        raise MalformedGossipError(f"cannot decode the digest: {str(error)[:200]}") from None
 
 
-def _check_head(data: bytes, max_bytes: int) -> int:
-    """Return the kind of a message of a known format."""
+def _check_header(data: bytes, max_bytes: int) -> int:
+    """Return the kind of a message after checking its size and format version."""
     if len(data) > max_bytes:
-        raise MalformedGossipError(f"{len(data)} bytes; at most {max_bytes} are looked at")
+        raise MalformedGossipError(f"message of {len(data)} bytes exceeds the limit of {max_bytes} bytes")
     try:
-        head = _decode_head(data)
+        header = _decode_header(data)
     except (msgspec.DecodeError, RecursionError) as error:
-        raise MalformedGossipError(f"no gossip message: {str(error)[:200]}") from None
-    if head.format != FORMAT:
-        raise UnsupportedGossipFormatError(f"format {head.format}; this program reads {FORMAT}")
-    return head.kind
+        raise MalformedGossipError(f"not a gossip message: {str(error)[:200]}") from None
+    if header.format != FORMAT:
+        raise UnsupportedGossipFormatError(
+            f"unsupported gossip format {header.format}; this program reads format {FORMAT}"
+        )
+    return header.kind
 
 
 def _check_section(section: OriginSection) -> None:
-    low, high = section.after, section.upto or MAX_NUMBER
+    low, high = section.after, section.upto or MAX_INTEGER
     if high < low or (not section.upto and section.after):
-        raise MalformedGossipError(f"a section from {section.after} to {section.upto}")
+        raise MalformedGossipError(
+            f"section with an invalid version range: after {section.after}, up to {section.upto}"
+        )
     if section.replaced and (section.upto or len(section.replaced) != len(section.entries)):
         raise MalformedGossipError(
-            f"{len(section.replaced)} counts of replaced versions for {len(section.entries)} entries"
+            f"section with {len(section.replaced)} counts of replaced versions"
+            f" for {len(section.entries)} entries; the numbers must match, and `upto` must be 0"
         )
     if any(count >= entry.version for count, entry in zip(section.replaced, section.entries, strict=False)):
-        raise MalformedGossipError("an entry that replaces what was before the first version")
+        raise MalformedGossipError("an entry's count of replaced versions reaches below version 1")
     for entry in section.entries:
         if not low < entry.version <= high:
-            raise MalformedGossipError(f"version {entry.version} after {low}, up to {high}")
+            raise MalformedGossipError(
+                f"entry version {entry.version} is out of order or range: must be above {low}, at most {high}"
+            )
         low = entry.version
         _check_entry(entry)
 
 
 def _check_entry(entry: EntryMessage) -> None:
-    """Refuse an entry of a known kind with what it cannot have; newer kinds are passed on as they are."""
+    """Raise MalformedGossipError for fields that do not fit a known kind; unknown kinds are not checked."""
     kind, payload = entry.kind, entry.payload
     if kind > _REMOVAL:
         return
     holds_bytes = kind in (_VALUE, _ITEM)
     if not entry.key or (payload is not None and isinstance(payload, bytes) != holds_bytes):
-        raise MalformedGossipError(
-            f"an entry of kind {kind} without a key, or with a payload of another kind"
-        )
+        raise MalformedGossipError(f"entry of kind {kind} has no key, or a payload of the wrong type")
     if (entry.item and kind in (_VALUE, _COUNTER)) or (
         kind != _REMOVAL and (entry.name or entry.process_incarnation)
     ):
-        raise MalformedGossipError(f"an entry of kind {kind} with fields of another kind")
+        raise MalformedGossipError(f"entry of kind {kind} sets fields that belong to another kind")
     if kind == _REMOVAL and not entry.name:
-        raise MalformedGossipError("a removal that names no origin")
+        raise MalformedGossipError("removal entry without the origin of the removed item")
--- a/cressrock/gossip/origin_state.py
+++ b/cressrock/gossip/origin_state.py
@@ -1,4 +1,4 @@
-"""What is held of one origin: its entries, and which of its versions are known."""
+"""One origin's state on this replica: its entries, and which of its versions are known."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 @dataclass(slots=True)
 class Entry:
-    """What an origin wrote under a key with one of its versions; `cost` is in bytes, as reckoned."""
+    """The latest write of an origin under a key; `cost` is the estimated memory in bytes."""
 
     version: int
     payload: Payload
@@ -18,45 +18,52 @@
 
 
 class VersionRange(NamedTuple):
-    """The versions in (after, upto]."""
+    """The versions in the half-open interval (after, upto]."""
 
     after: int
     upto: int
 
 
 KeyedEntry = tuple[EntryKey, Entry]
-"""An entry behind what it is entries by."""
+"""An entry with its key."""
 
 
 @dataclass(slots=True)
 class Sweep:
-    """An origin told anew from version 0, as what it removed below its floor is forgotten."""
+    """Progress of a resend of an origin from version 0.
+
+    It is needed when a replica lags behind the origin's floor: the tombstones at or below the floor are gone,
+    so entries that the resend does not contain must have been removed.  `upto` is the last version received.
+    """
 
     floor: int
     upto: int = 0
-    named: set[EntryKey] = field(default_factory=set)
+    seen_keys: set[EntryKey] = field(default_factory=set)
 
 
 @dataclass(slots=True)
 class OriginState:
     """One origin's entries and known versions.
 
-    Everything up to `known` is here or was replaced by something later; `ahead` is known beyond a gap; what
-    was removed at or below `floor` is forgotten.
+    Every version up to `known` is present or was replaced by a later one.  `ahead` lists the ranges known
+    beyond a gap.  Tombstones at or below `floor` have been discarded.
     """
 
     known: int = 0
     floor: int = 0
     size_bytes: int = 0
-    last: int = 0  # the version that stands last in `entries`
-    ordered: bool = True
+    last: int = 0  # version of the last item in `entries`
+    ordered: bool = True  # whether `entries` is sorted by version
     entries: dict[EntryKey, Entry] = field(default_factory=dict)
-    ahead: list[VersionRange] = field(default_factory=list)  # sorted, apart
+    ahead: list[VersionRange] = field(default_factory=list)  # sorted and disjoint
     sweep: Sweep | None = None
-    tombstones: int = 0  # entries that are removed
+    tombstones: int = 0  # number of entries whose payload is None
 
     def add_known(self, after: int, upto: int, max_ranges: int) -> None:
-        """Take in that everything in (after, upto] is here or was replaced."""
+        """Record that every version in (after, upto] is present or was replaced.
+
+        At most `max_ranges` ranges beyond a gap are kept; the highest are dropped.
+        """
         if upto <= self.known or upto <= after:
             return
         if after <= self.known and not self.ahead:
@@ -73,7 +80,10 @@
         self.ahead = ranges[:max_ranges]
 
     def replaced_before(self, versions: list[int]) -> list[int]:
-        """Return how many versions right before each of these (sorted) were replaced by later ones."""
+        """Return, for each of the sorted versions, how many versions directly before it were replaced.
+
+        Versions at or below `floor` do not count; versions above `known` count as 0.
+        """
         self._sort()
         counts = dict.fromkeys(versions, 0)
         following = 0
@@ -90,7 +100,7 @@
         return [counts[version] for version in versions]
 
     def entries_after(self, version: int) -> list[KeyedEntry]:
-        """Return the entries after a version and up to `known`, in the order of their versions."""
+        """Return the entries with a version above `version` and up to `known`, sorted by version."""
         self._sort()
         entries: list[KeyedEntry] = []
         for key in reversed(self.entries):
--- a/cressrock/gossip/reconciliation.py
+++ b/cressrock/gossip/reconciliation.py
@@ -1,7 +1,7 @@
-"""Anti-entropy by versions: digests, deltas after them, and everything for a full exchange.
+"""Version-based anti-entropy: digests, the deltas that answer them, and the full state for exchanges.
 
-Scuttlebutt reconciliation (van Renesse, Dumitriu, Gough, Thomas 2008): a digest names up to which version its
-sender knows each origin, a delta has what lies after, in the order of versions.
+Scuttlebutt reconciliation (van Renesse, Dumitriu, Gough, Thomas 2008): a digest lists the version up to which
+its sender knows each origin; a delta contains the later entries in version order.
 """
 
 from __future__ import annotations
@@ -27,14 +27,14 @@
 )
 from cressrock.gossip.origin_state import OriginState
 
-MIN_DIGEST_BYTES = 320  # so that one origin of the longest name always fits
-DIGEST_BYTES = 100  # at most, of a digest beside its list and the name it starts with
-MESSAGE_BYTES = 8  # of a message of changes, beside its sections
-SECTION_BYTES = 48  # at most, of a section beside its origin's name and its entries
+MIN_DIGEST_BYTES = 320  # one origin with the longest name always fits
+DIGEST_OVERHEAD_BYTES = 100  # upper bound for a digest without its list and its start name
+MESSAGE_OVERHEAD_BYTES = 8  # encoding overhead of a message of changes without its sections
+SECTION_OVERHEAD_BYTES = 48  # upper bound for a section without its origin's name and its entries
 
 
 class Cursor(NamedTuple):
-    """Where a message that was full goes on: after this version of this origin."""
+    """The position after which the next message continues: a version of an origin."""
 
     name: str
     process_incarnation: int
@@ -42,45 +42,48 @@
 
     @property
     def origin(self) -> Origin:
-        """The origin."""
+        """The position's name and process incarnation."""
         return (self.name, self.process_incarnation)
 
 
-Missing = tuple[Origin, int]
-"""An origin of which somebody lacks what lies after a version."""
+MissingEntries = tuple[Origin, int]
+"""An origin, and the version after which the receiver lacks its entries."""
 
 
 class EncodedMessage(NamedTuple):
-    """A message of changes, and where the next one goes on (None: that was all)."""
+    """An encoded message of changes, and where the next one continues (None: nothing is left)."""
 
     data: bytes
     cursor: Cursor | None
 
 
 class Reconciliation:
-    """Encodes what this process has and what others lack."""
+    """Encodes digests of this process's state, and the entries that other processes lack."""
 
     def __init__(self, table: EntryTable, rng: random.Random) -> None:
-        """Begin with the first origin."""
+        """Start digests at the first origin; `rng` picks the origin at which the deltas of a reply start."""
         self._table = table
         self._rng = rng
-        self.next_origin: Origin | None = None
-        self.catch_up_digests = 0  # digests to come that are as large as allowed
+        self.next_origin: Origin | None = None  # start of the next digest; None for the first origin
+        self.catch_up_digests = 0  # upcoming digests that may use the caller's full size
 
-    def expect_more(self) -> None:
-        """Ask with larger digests for a while: a delta brought something, so more may be missing."""
+    def enlarge_digests(self) -> None:
+        """Allow full-size digests for the next `catch_up_digests` digests.
+
+        Called after a delta brought new entries, because more may be missing.
+        """
         self.catch_up_digests = self._table.settings.catch_up_digests
 
     def restart(self) -> None:
-        """Begin again with the first origin, at the pace of one that misses nothing."""
+        """Continue at the first origin with digests of idle size."""
         self.next_origin, self.catch_up_digests = None, 0
 
     # --- digests
 
     def digest(self, max_bytes: int) -> bytes:
-        """Return what is known of the next origins, in their order, and the range that this covers.
+        """Return an encoded digest of the known versions of the next origins, and the range they cover.
 
-        The range goes round: the bytes of one digest do not grow with the number of origins.
+        Successive digests cycle through all origins, so the size of one does not grow with their number.
         """
         if self.catch_up_digests <= 0:
             max_bytes = min(max_bytes, max(MIN_DIGEST_BYTES, self._table.settings.idle_digest_bytes))
@@ -88,12 +91,12 @@
         order = self._table.order
         start = self.next_origin if self.next_origin is not None else ("", 0)
         index = bisect_left(order, start)
-        remaining = max_bytes - len(start[0].encode()) - DIGEST_BYTES
+        remaining_bytes = max_bytes - len(start[0].encode()) - DIGEST_OVERHEAD_BYTES
         known: list[tuple[str | int, ...]] = []
         while index < len(order):
             version = self._known_version(order[index])
-            remaining -= len(encode(version))
-            if remaining < 0 and known:
+            remaining_bytes -= len(encode(version))
+            if remaining_bytes < 0 and known:
                 break
             known.append(version)
             index += 1
@@ -101,7 +104,7 @@
         return encode_digest(start, self.next_origin, known)
 
     def _known_version(self, origin: Origin) -> tuple[str | int, ...]:
-        """Return the fields of a `KnownVersion`; those of a sweep only while there is one."""
+        """Return the fields of a `KnownVersion`, with those of a sweep only while one is in progress."""
         state = self._table.states[origin]
         if state.sweep is None:
             return (*origin, state.known)
@@ -110,13 +113,13 @@
     # --- deltas
 
     def deltas(self, digest: bytes, max_bytes: int, max_messages: int) -> list[bytes]:
-        """Return what a digest's sender lacks within its range, in up to so many messages.
+        """Return what a digest's sender lacks within the digest's range, in up to `max_messages` messages.
 
         Raises MalformedGossipError or UnsupportedGossipFormatError.
         """
-        missing = self._missing(digest)
+        missing = self._find_missing(digest)
         if missing:
-            # Each who answers begins elsewhere, or all would send the same first entries.
+            # Each replying process starts at a random origin, so that not all send the same entries first.
             first = self._rng.randrange(len(missing))
             missing = missing[first:] + missing[:first]
         messages: list[bytes] = []
@@ -128,15 +131,18 @@
                 break
             index = next(i for i, (origin, _) in enumerate(missing) if origin == cursor.origin)
             if not data and cursor.version == missing[index][1]:
-                # Larger than any datagram: the full exchange has to send it.
+                # The entry does not fit into a datagram; only a full exchange can send it.
                 missing = missing[index + 1 :]
                 continue
             missing = missing[index:]
             missing[0] = (cursor.origin, cursor.version)
         return messages
 
-    def _missing(self, digest: bytes) -> list[Missing]:
-        """Return what a digest's sender lacks of the origins in its range."""
+    def _find_missing(self, digest: bytes) -> list[MissingEntries]:
+        """Return the origins in the digest's range of which its sender lacks entries.
+
+        Raises MalformedGossipError or UnsupportedGossipFormatError.
+        """
         request = decode_digest(digest, self._table.settings.max_message_bytes)
         known = {(version.name, version.process_incarnation): version for version in request.known}
         order = self._table.order
@@ -144,49 +150,51 @@
         high = len(order)
         if request.end is not None:
             high = bisect_left(order, (request.end.name, request.end.process_incarnation))
-        missing: list[Missing] = []
+        missing: list[MissingEntries] = []
         for origin in order[low:high]:
             state, version = self._table.states[origin], known.get(origin)
             if version is not None and state.known <= version.known:
-                continue  # nearly always
-            after = _lacks_after(state, version)
+                continue  # the usual case, decided without calling _resend_after
+            after = _resend_after(state, version)
             if after is not None:
                 missing.append((origin, after))
         return missing
 
-    # --- everything
+    # --- full state
 
     def full_state(self, after: Cursor | None, max_bytes: int) -> EncodedMessage:
-        """Return a message of everything after the cursor, and the next cursor."""
+        """Return a message of the full state after the cursor, and the next cursor (None at the end)."""
         order = self._table.order
         start = 0 if after is None else bisect_left(order, after.origin)
-        waiting: list[Missing] = []
+        unsent: list[MissingEntries] = []
         for origin in order[start:]:
             version = after.version if after is not None and origin == after.origin else 0
             if self._table.states[origin].known > version:
-                waiting.append((origin, version))
-        return self.encode_after(MessageKind.FULL, waiting, max_bytes)
-
-    def encode_after(self, kind: MessageKind, missing: Iterable[Missing], max_bytes: int) -> EncodedMessage:
-        """Return as much of what is missing as fits one message."""
-        remaining = max_bytes - MESSAGE_BYTES
+                unsent.append((origin, version))
+        return self.encode_after(MessageKind.FULL, unsent, max_bytes)
+
+    def encode_after(
+        self, kind: MessageKind, missing: Iterable[MissingEntries], max_bytes: int
+    ) -> EncodedMessage:
+        """Return a message with as many of the missing entries as fit, and where to continue."""
+        remaining_bytes = max_bytes - MESSAGE_OVERHEAD_BYTES
         sections: list[EncodedSection] = []
         cursor: Cursor | None = None
         for origin, after in missing:
             state = self._table.states[origin]
-            head = len(origin[0].encode()) + SECTION_BYTES
-            if remaining <= head:
+            overhead_bytes = len(origin[0].encode()) + SECTION_OVERHEAD_BYTES
+            if remaining_bytes <= overhead_bytes:
                 cursor = Cursor(*origin, after)
                 break
-            remaining -= head
+            remaining_bytes -= overhead_bytes
             entries: list[EncodedEntry] = []
             upto, complete = state.known, True
             for key, entry in state.entries_after(after):
                 data = encode_entry(key, entry.version, entry.payload)
-                if len(data) > remaining:
+                if len(data) > remaining_bytes:
                     upto, complete = (entries[-1][0] if entries else after), False
                     break
-                remaining -= len(data)
+                remaining_bytes -= len(data)
                 entries.append((entry.version, data))
             if complete or entries:
                 raws = raw_entries(entries)
@@ -197,14 +205,18 @@
         return EncodedMessage(encode_changes(kind, sections) if sections else b"", cursor)
 
 
-def _lacks_after(state: OriginState, known: KnownVersion | None) -> int | None:
-    """Return after which version an origin has to be sent, None if it cannot be or nothing is lacked."""
+def _resend_after(state: OriginState, known: KnownVersion | None) -> int | None:
+    """Return the version after which to send an origin's entries to a replica with these known versions.
+
+    None if it lacks nothing, or if this state is too old to answer its sweep.
+    """
     if known is None:
         return 0 if state.known else None
     if state.known <= known.known or state.floor < known.floor:
         return None
     after = known.known
     if after < state.floor:
-        # What went below the floor cannot be told: the origin is swept, from 0 or as far as it has come.
+        # The tombstones up to the floor are gone, so the receiver sweeps the origin: from version 0, or from
+        # where its sweep with the same floor has got to.
         after = known.swept if known.floor == state.floor else 0
     return after if after <= state.known else None
--- a/cressrock/gossip/store.py
+++ b/cressrock/gossip/store.py
@@ -1,8 +1,9 @@
-"""State that all processes hold alike, whatever the order, loss or repetition of what they send one another.
+"""Replicated state that converges on all processes even if messages are reordered, lost or repeated.
 
-Each origin (name, process incarnation) is the only writer of its own entries, and each of its writes takes
-its next version: so the higher version of a key is the newer one, without any clock.  docs/spread.md has the
-reasons; the parts are `entry_table`, `local_writer`, `broadcasts`, `reconciliation`, `merge` and `removals`.
+Each origin (name, process incarnation) is the only writer of its own entries, and each write is assigned the
+origin's next version.  The higher version of a key is therefore the newer one, and no clock is needed.  The
+design is explained in docs/spread.md; the parts are `entry_table`, `local_writer`, `broadcasts`,
+`reconciliation`, `merge` and `removals`.
 """
 
 from __future__ import annotations
@@ -24,15 +25,20 @@
 
 
 class GossipStore:
-    """One process's replica of what all processes wrote.
+    """One process's replica of the entries written by all processes.
 
-    Own writes raise EntryTooLargeError or OriginFullError.  All else is O(log n) or O(what is handed over).
+    Own writes raise EntryTooLargeError or OriginFullError.  All other calls take O(log n) time, or time
+    proportional to the data they take or return.
     """
 
     def __init__(
         self, name: str, process_incarnation: int, settings: GossipStoreSettings, rng: random.Random
     ) -> None:
-        """`process_incarnation` is greater than every earlier one of this name, or merging is not sound."""
+        """Create an empty replica.
+
+        `process_incarnation` must be greater than every earlier one of this name; otherwise other replicas
+        merge entries of different processes under the same versions.
+        """
         self.local: Origin = (name, process_incarnation)
         self.settings = settings
         self.table = EntryTable(self.local, settings)
@@ -44,20 +50,20 @@
     # --- own writes
 
     def put(self, key: str, value: bytes) -> None:
-        """Set an own entry; the same value again is no change."""
+        """Set an own entry; setting the current value again writes nothing."""
         entry_key = EntryKey(EntryKind.VALUE, key)
         current = self.table.own.entries.get(entry_key)
         if current is None or current.payload != value:
             self._writer.write(entry_key, value)
 
     def remove(self, key: str) -> None:
-        """Remove an own entry, if there is one."""
+        """Replace an own entry by a tombstone; no effect if there is none."""
         self._writer.erase(EntryKey(EntryKind.VALUE, key))
 
     def increment(self, key: str, by: int = 1) -> None:
-        """Let an own counter grow.  Raises ValueError for a negative step."""
+        """Increase an own counter.  Raises ValueError for a negative step."""
         if by < 0:
-            raise ValueError(f"a counter only grows: {by}")
+            raise ValueError(f"cannot increment a counter by {by}: the step must not be negative")
         if by:
             entry_key = EntryKey(EntryKind.COUNTER, key)
             current = self.table.own.entries.get(entry_key)
@@ -65,13 +71,13 @@
             self._writer.write(entry_key, before + by)
 
     def add_item(self, key: str, item: str, value: bytes) -> None:
-        """Put an item into a map: a new dot each time, which no removal so far has seen."""
+        """Add an item to a map.  Each call creates a new dot, which no earlier removal covers."""
         self._writer.write(EntryKey(EntryKind.ITEM, key, item), value)
 
     def discard_item(self, key: str, item: str) -> None:
-        """Remove an item as it is seen here, whoever added it; adds that are not seen here survive.
+        """Remove the adds of an item that this replica has received, from any origin; other adds are kept.
 
-        Where OriginFullError is raised, the adds of some origins may be removed already: ask again.
+        If OriginFullError is raised, the adds of some origins may already be removed; call again to continue.
         """
         item_key = EntryKey(EntryKind.ITEM, key, item)
         seen = [origin for name, origin in self.table.readable(EntryKind.ITEM, key) if name == item]
@@ -95,17 +101,17 @@
         return values
 
     def value_of(self, key: str, origin: Origin) -> bytes | None:
-        """Return the value that one origin has put under the key; unlike `values` it looks at nobody else."""
+        """Return the value that one origin has put under the key, or None; does not scan other origins."""
         state = self.table.states.get(origin)
         entry = state.entries.get(EntryKey(EntryKind.VALUE, key)) if state is not None else None
         return entry.payload if entry is not None and isinstance(entry.payload, bytes) else None
 
     def origins(self, key: str) -> list[Origin]:
-        """Return who has put a value under the key, sorted."""
+        """Return the sorted origins that have a value under the key."""
         return sorted(origin for _, origin in self.table.readable(EntryKind.VALUE, key))
 
     def counters(self, key: str) -> dict[Origin, int]:
-        """Return each origin's own counter."""
+        """Return each origin's counter under the key."""
         entry_key = EntryKey(EntryKind.COUNTER, key)
         counters: dict[Origin, int] = {}
         for _, origin in self.table.readable(EntryKind.COUNTER, key):
@@ -115,15 +121,15 @@
         return counters
 
     def counter_total(self, key: str) -> int:
-        """Return the sum over the origins that are held.
+        """Return the sum of the counters of all origins held.
 
-        An origin that is dropped takes its part along: the total falls.  Who needs growth alone keeps
-        `counters` from one look to the next and adds up the steps of each origin.
+        The total falls when an origin is dropped.  Callers that need a total that never falls keep the last
+        result of `counters` and add up the increases of each origin.
         """
         return sum(self.counters(key).values())
 
     def items(self, key: str) -> dict[str, dict[Origin, bytes]]:
-        """Return the map: of each item what each origin that has added it (and not lost it) gave."""
+        """Return the map: for each item, the value from each origin whose add has not been removed."""
         items: dict[str, dict[Origin, bytes]] = {}
         for item, origin in self.table.readable(EntryKind.ITEM, key):
             entry = self.table.states[origin].entries[EntryKey(EntryKind.ITEM, key, item)]
@@ -133,20 +139,20 @@
         return items
 
     def drain_changes(self) -> list[Change]:
-        """Return what others changed since the last call; EVERYTHING_CHANGED where it was too much."""
+        """Return the keys changed by merges since the last call; EVERYTHING_CHANGED alone on overflow."""
         return self.table.changes.drain()
 
     def known_version(self, origin: Origin) -> int:
-        """Return up to which version everything of an origin is here; 0 of one that is not held."""
+        """Return the version up to which an origin is completely known; 0 if the origin is not held."""
         state = self.table.states.get(origin)
         return state.known if state is not None else 0
 
     def size_bytes(self) -> int:
-        """Return the bytes held, as reckoned: texts, values and an overhead for each entry."""
+        """Return the estimated memory in bytes: texts, values and a fixed overhead for each entry."""
         return self.table.total_bytes
 
     def snapshot(self) -> Snapshot:
-        """Return of each origin its known version, floor and entries (version, payload), for inspection."""
+        """Return each origin's known version, floor and entries (version, payload), for inspection."""
         return {
             origin: (
                 state.known,
@@ -158,71 +164,73 @@
 
     @property
     def rejected(self) -> RejectionCounts:
-        """What came from others and was not taken."""
+        """Counts of rejected sections and entries, by reason."""
         return self.merger.rejected
 
     @property
     def completed_sweeps(self) -> int:
-        """How many sweeps came to their end."""
+        """Number of completed sweeps."""
         return self.merger.completed_sweeps
 
-    # --- what is sent
+    # --- outgoing messages
 
     def recent_changes(self, max_bytes: int) -> bytes:
-        """Return the newest changes in a message of at most max_bytes, the least sent first; b"" if none."""
+        """Return the recent changes sent least often, in at most `max_bytes`; b"" if none fits."""
         return self.broadcasts.encode(max_bytes)
 
     def max_transmissions(self) -> int:
-        """Return how often this process passes one change on."""
+        """Return how many times this process sends one change."""
         return self.broadcasts.max_transmissions()
 
     def digest(self, max_bytes: int) -> bytes:
-        """Return what is known of the next origins, in their order, and the range that this covers.
+        """Return an encoded digest of the known versions of the next origins, and the range they cover.
 
-        While nothing is missing it is at most `idle_digest_bytes`; at least 320, so that one origin of the
-        longest name always fits.
+        While nothing is missing, its size is limited to `idle_digest_bytes`, but never below 320, so that one
+        origin with the longest name always fits.
         """
         return self.reconciliation.digest(max_bytes)
 
     def delta(self, digest: bytes, max_bytes: int) -> bytes:
-        """Return what the digest's sender lacks within its range, of at most max_bytes; b"" if nothing.
+        """Return what the digest's sender lacks within its range, in at most `max_bytes`; b"" if nothing.
 
         Raises MalformedGossipError or UnsupportedGossipFormatError.
         """
         return next(iter(self.deltas(digest, max_bytes, 1)), b"")
 
     def deltas(self, digest: bytes, max_bytes: int, count: int) -> list[bytes]:
-        """Return the same in up to `count` messages: who lags catches up faster, in calm none is sent.
+        """Return what the digest's sender lacks in up to `count` messages, none if it lacks nothing.
+
+        Several messages per digest let a lagging process catch up in fewer rounds.
 
         Raises MalformedGossipError or UnsupportedGossipFormatError.
         """
         return self.reconciliation.deltas(digest, max_bytes, count)
 
     def full_state(self, after: Cursor | None, max_bytes: int) -> EncodedMessage:
-        """Return a message of everything after the cursor, and the next cursor (None: that was all)."""
+        """Return a message of the full state after the cursor, and the next cursor (None at the end)."""
         return self.reconciliation.full_state(after, max_bytes)
 
-    # --- what is received
+    # --- incoming messages
 
     def merge(self, data: bytes) -> None:
-        """Take in recent changes, a delta or a part of everything.
+        """Merge recent changes, a delta or a part of the full state.
 
-        Raises MalformedGossipError or UnsupportedGossipFormatError; then nothing of it was taken.  What a
-        bound forbids is left out and counted in `rejected`; the origin's known version stays before it, so
+        Raises MalformedGossipError or UnsupportedGossipFormatError; then nothing was merged.  An entry that
+        exceeds a limit is skipped and counted in `rejected`; the origin's known version stays below it, so
         that it is sent again.
         """
         self.merger.merge(data)
 
     def retain_origins(self, origins: Collection[Origin]) -> None:
-        """Say which processes there are: from now on no other is taken, and other origins are dropped.
+        """Drop all origins but these, and reject processes with other names from now on.
 
-        Of a name only the newest process counts; one that was heard of before `origins` names it stays.
+        Only the newest process of each name is kept, even if it was received here before `origins` lists it.
         """
         self.merger.retain(origins)
 
 
 def full_state_parts(store: GossipStore, max_bytes: int) -> Iterator[bytes]:
-    """Yield everything a store holds in messages, as the full exchange sends it."""
+    """Yield the messages of a store's full state, as a full exchange sends them."""
     cursor: Cursor | None = None
     while True:
         data, following = store.full_state(cursor, max_bytes)
--- a/tests/gossip/test_transport.py
+++ b/tests/gossip/test_transport.py
@@ -105,8 +105,8 @@
         third = await cluster.net.connect("a", 1)
         with pytest.raises((anyio.EndOfStream, anyio.BrokenResourceError)):
             await third.receive()
-        assert transport.drop_counts == {"exchange-busy": 1} and transport._serving == 2
+        assert transport.drop_counts == {"exchange-busy": 1} and transport._served_exchanges == 2
         await anyio.sleep(2)
-        assert transport._serving == 0 and held
+        assert transport._served_exchanges == 0 and held
 
     run_simulation(play)
