--- a/cressrock/gossip/broadcasts.py
+++ b/cressrock/gossip/broadcasts.py
@@ -19,7 +19,7 @@
 )
 
 MESSAGE_OVERHEAD_BYTES = 8  # encoding overhead of a message in addition to its sections
-ENTRY_OVERHEAD_BYTES = 3  # encoding overhead of an entry in addition to its own bytes
+ENTRY_FRAMING_BYTES = 3  # encoding overhead of an entry in addition to its own bytes
 LIST_HEADERS_BYTES = 6  # list headers of a section's two lists
 MAX_SKIPPED_ENTRIES = 4  # entries that do not fit before selection stops: the message is nearly full by then
 
@@ -39,9 +39,8 @@
         """Start empty; entries are read from `table` when they are sent."""
         self._table = table
         self._transmissions: dict[_PendingKey, int] = {}
-        self._by_send_count: list[dict[_PendingKey, None]] = [
-            {}
-        ]  # index: times sent; the dicts are ordered sets
+        # Queued changes by the number of times they were sent; the dicts are ordered sets.
+        self._by_send_count: list[dict[_PendingKey, None]] = [{}]
 
     def __len__(self) -> int:
         """Return the number of queued changes."""
@@ -108,7 +107,7 @@
                 data = encode_entry(key, entry.version, entry.payload)
                 size = (
                     len(data)
-                    + ENTRY_OVERHEAD_BYTES
+                    + ENTRY_FRAMING_BYTES
                     + (0 if origin in by_origin else self._section_bytes(origin))
                 )
                 if size > remaining_bytes:
--- a/cressrock/gossip/messages.py
+++ b/cressrock/gossip/messages.py
@@ -97,9 +97,8 @@
     floor: _NonNegativeInt
     end: bool  # whether the sender knows no version after `upto`
     entries: list[EntryMessage]
-    replaced: list[
-        _NonNegativeInt
-    ] = []  # if `upto` is 0: per entry, how many versions directly before it were replaced
+    # Only if `upto` is 0: for each entry, how many versions directly before it were replaced.
+    replaced: list[_NonNegativeInt] = []
 
     @property
     def last_version(self) -> int:
--- a/cressrock/gossip/transport.py
+++ b/cressrock/gossip/transport.py
@@ -109,12 +109,12 @@
         log: EventLog,
     ) -> None:
         """`identity.address` is the host:port at which peers reach this process over UDP and TCP."""
-        now = environment.clock()
+        now_ms = environment.clock()
         self.settings = settings
         self.environment = environment
         self.log = log
-        self.membership = Membership(identity, settings.membership, settings.seeds, rng, now)
-        self.anti_entropy = AntiEntropy(self.membership, store, settings.anti_entropy, rng, now)
+        self.membership = Membership(identity, settings.membership, settings.seeds, rng, now_ms)
+        self.anti_entropy = AntiEntropy(self.membership, store, settings.anti_entropy, rng, now_ms)
         self.event_listeners: list[Callable[[Event], None]] = []
         self.membership_changed = anyio.Event()  # set and replaced on every membership event
         self.on_collector_message: Callable[[str, int, bytes], None] = _ignore_collector_message
@@ -134,9 +134,9 @@
             tasks.start_soon(self._receive)
             task_status.started()
             while self._fenced_event is None:
-                now = self.environment.clock()
-                self.membership.tick(now)
-                self._send(self.anti_entropy.tick(now))
+                now_ms = self.environment.clock()
+                self.membership.tick(now_ms)
+                self._send(self.anti_entropy.tick(now_ms))
                 self._flush()
                 for request in self._pending_exchanges:
                     tasks.start_soon(self._run_exchange, request)
@@ -181,10 +181,10 @@
             except DatagramError as error:
                 self.drop_counts[error.code] += 1  # not logged: any host can send to the port
                 continue
-            now = self.environment.clock()
-            self.membership.receive(now, address, packet)
+            now_ms = self.environment.clock()
+            self.membership.receive(now_ms, address, packet)
             if isinstance(packet.body, GossipDigest | GossipDelta):
-                self._send(self.anti_entropy.receive(now, packet))
+                self._send(self.anti_entropy.receive(now_ms, packet))
             elif isinstance(packet.body, CollectorMessage):
                 self.on_collector_message(packet.sender, packet.process_incarnation, packet.body.data)
             self._flush()
--- a/tests/compatibility/exchange_cases.py
+++ b/tests/compatibility/exchange_cases.py
@@ -1,4 +1,4 @@
-"""Full exchanges over a stream that is played from bytes, shared by their recorder and their test."""
+"""Full exchanges over a stream with scripted input, shared by their recorder and their test."""
 
 from __future__ import annotations
 
@@ -15,19 +15,19 @@
 from cressrock.membership.settings import MembershipSettings
 from cressrock.membership.types import Identity
 from tests.compatibility.canonical import canonical
-from tests.compatibility.gossip_cases import look, remover
+from tests.compatibility.gossip_cases import readable_state, store_with_removal
 
 CLUSTER = "c"
 
 
 class _Log:
     def info(self, event: str, **fields: Any) -> None:
-        """Take a line and forget it."""
+        """Ignore the event."""
 
 
 class _Datagrams:
     def send(self, address: str, data: bytes) -> None:
-        """Lose a datagram."""
+        """Discard the datagram."""
 
     async def receive(self) -> tuple[bytes, str]:
         await anyio.sleep_forever()
@@ -35,7 +35,7 @@
 
 
 class _Stream:
-    """A stream whose other side's bytes are given."""
+    """A stream that receives the given chunks and stores what is sent."""
 
     def __init__(self, incoming: list[bytes]) -> None:
         self.incoming = incoming
@@ -50,7 +50,7 @@
         return self.incoming.pop(0)
 
     async def aclose(self) -> None:
-        """Nothing is held."""
+        """Do nothing; there is no resource to release."""
 
 
 def _frames(*bodies: m.Message, sender: str = "n9") -> list[bytes]:
@@ -58,18 +58,18 @@
 
 
 def incoming() -> list[list[bytes]]:
-    """Return what other sides send, each in the pieces in which it arrives."""
-    claims = [
+    """Return the bytes that peers send in several exchanges, each split into the chunks that arrive."""
+    updates = [
         MemberUpdate("n9", 4, 0, MemberState.ALIVE, "", MemberInfo("n9:1", "edge", "z")),
         MemberUpdate("n8", 4, 2, MemberState.DEAD, "n9", MemberInfo("n8:1", "planner")),
         MemberUpdate("n7", 4, 2, MemberState.LEFT),
     ]
-    spread = remover().full_state(None, 4096)[0]
-    plain = b"".join(_frames(m.ExchangePart(claims), m.ExchangePart(last=True)))
+    gossip_state = store_with_removal().full_state(None, 4096)[0]
+    plain = b"".join(_frames(m.ExchangePart(updates), m.ExchangePart(last=True)))
     whole = b"".join(
         _frames(
-            m.ExchangePart(claims, with_gossip_state=True),
-            m.ExchangePart(gossip_state=spread, with_gossip_state=True),
+            m.ExchangePart(updates, with_gossip_state=True),
+            m.ExchangePart(gossip_state=gossip_state, with_gossip_state=True),
             m.ExchangePart(last=True),
         )
     )
@@ -77,9 +77,9 @@
         [plain],
         [whole],
         [whole[i : i + 7] for i in range(0, len(whole), 7)],
-        [*_frames(m.ExchangePart(claims, gossip_state=b"bad")), *_frames(m.ExchangePart(last=True))],
-        _frames(m.ExchangePart(claims), m.IdentityRequest()),
-        _frames(m.ExchangePart(claims), m.ExchangePart()),
+        [*_frames(m.ExchangePart(updates, gossip_state=b"bad")), *_frames(m.ExchangePart(last=True))],
+        _frames(m.ExchangePart(updates), m.IdentityRequest()),
+        _frames(m.ExchangePart(updates), m.ExchangePart()),
         _frames(*[m.ExchangePart()] * 4, m.ExchangePart(last=True)),
         [(m.MAX_FRAME_BYTES + 1).to_bytes(4, "big") + b"x"],
         [m.encode_frame(b"no message")],
@@ -87,55 +87,55 @@
     ]
 
 
-def answer(incoming_bytes: list[bytes]) -> list[Any]:
-    """Return the bytes a process answers an exchange with, and what it believes and holds afterwards."""
+def reply(incoming_bytes: list[bytes]) -> list[Any]:
+    """Return the bytes a process answers an exchange with, and its membership view, counters and state."""
     stream = _Stream(list(incoming_bytes))
-    fleet = _process()
+    transport = _process()
 
-    async def play() -> None:
-        fleet.membership.receive(0.0, "n2:1", m.Packet("n2", 8, m.Updates([_KNOWN])))
-        await fleet.serve(stream)
+    async def run_transport() -> None:
+        transport.membership.receive(0.0, "n2:1", m.Packet("n2", 8, m.Updates([_KNOWN_MEMBER])))
+        await transport.serve(stream)
 
-    anyio.run(play)
+    anyio.run(run_transport)
     held = canonical(
         [
-            fleet.membership.view(0.0),
-            fleet.drop_counts,
-            fleet.anti_entropy.error_counts,
-            look(fleet.anti_entropy.store)[0],
+            transport.membership.view(0.0),
+            transport.drop_counts,
+            transport.anti_entropy.error_counts,
+            readable_state(transport.anti_entropy.store)[0],
         ]
     )  # type: ignore[arg-type]
     return [stream.sent.hex(), held]
 
 
-def asked() -> str:
-    """Return the bytes with which a process begins an exchange."""
+def initiated_exchange() -> str:
+    """Return the bytes with which a process starts an exchange."""
     stream = _Stream([])
-    fleet = _process(stream)
+    transport = _process(stream)
 
-    async def play() -> None:
-        fleet.membership.receive(0.0, "n2:1", m.Packet("n2", 8, m.JoinResponse([_KNOWN])))
+    async def run_transport() -> None:
+        transport.membership.receive(0.0, "n2:1", m.Packet("n2", 8, m.JoinResponse([_KNOWN_MEMBER])))
         with anyio.move_on_after(0.2):
-            await fleet.run()
+            await transport.run()
 
-    anyio.run(play)
+    anyio.run(run_transport)
     return stream.sent.hex()
 
 
-_KNOWN = MemberUpdate("n2", 8, 1, MemberState.ALIVE, "", MemberInfo("n2:1", "edge", "z", "r"))
+_KNOWN_MEMBER = MemberUpdate("n2", 8, 1, MemberState.ALIVE, "", MemberInfo("n2:1", "edge", "z", "r"))
 
 
 def _process(stream: _Stream | None = None) -> ClusterTransport:
     async def connect(host: str, port: int) -> Any:
         if stream is None:
-            raise OSError("nobody there")
+            raise OSError("connection refused")
         return stream
 
-    spread = GossipStore("n1", 7, GossipStoreSettings(), random.Random(1))
-    spread.put("key", b"value")
-    spread.add_item("map", "item", b"x")
+    store = GossipStore("n1", 7, GossipStoreSettings(), random.Random(1))
+    store.put("key", b"value")
+    store.add_item("map", "item", b"x")
     settings = ClusterTransportSettings(
         seeds=("seed:1",), membership=MembershipSettings(cluster=CLUSTER), max_exchange_parts=4
     )
-    world = TransportEnvironment(_Datagrams(), connect, lambda: 0.0)
-    return ClusterTransport(settings, Identity("n1", 7, "n1:1"), world, spread, random.Random(1), _Log())
+    environment = TransportEnvironment(_Datagrams(), connect, lambda: 0.0)
+    return ClusterTransport(settings, Identity("n1", 7, "n1:1"), environment, store, random.Random(1), _Log())
--- a/tests/compatibility/gossip_cases.py
+++ b/tests/compatibility/gossip_cases.py
@@ -1,4 +1,4 @@
-"""Seeded streams of the replicated key-value state, shared by its recorder and its test."""
+"""Seeded runs of the replicated key-value state, shared by its recorder and its test."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 STORE_SEEDS = range(24)
 ROUNDS_SEEDS = range(8)
 
-SMALL = GossipStoreSettings(
+SMALL_LIMITS = GossipStoreSettings(
     max_key_bytes=16,
     max_value_bytes=60,
     max_origin_bytes=2500,
@@ -37,12 +37,12 @@
     catch_up_digests=2,
     entry_overhead_bytes=100,
 )
-ROOMY = GossipStoreSettings(retained_tombstones=3, max_pending_changes=20, max_ranges_ahead=3)
+LARGE_LIMITS = GossipStoreSettings(retained_tombstones=3, max_pending_changes=20, max_ranges_ahead=3)
 KEYS = ("", "a", "b", "key", "map", "much-longer-than-16-characters")
 
 
 def example_store() -> GossipStore:
-    """Return a store with every kind of entry of its own."""
+    """Return a store with own values, counters and items, and tombstones of them."""
     store = GossipStore("n1", 7, GossipStoreSettings(), random.Random(1))
     store.put("color", b"red")
     store.put("color", b"blue")
@@ -58,19 +58,19 @@
     return store
 
 
-def remover() -> GossipStore:
-    """Return a store that removed another's item, so that it has every kind of entry."""
+def store_with_removal() -> GossipStore:
+    """Return a store that removed another origin's item, so that it has every kind of entry."""
     store = GossipStore("n2", 8, GossipStoreSettings(), random.Random(2))
     store.merge(example_store().full_state(None, 4096)[0])
     store.discard_item("nodes", "b")
     return store
 
 
-def encoded() -> list[bytes]:
-    """Return digests, deltas, fresh changes and full pieces of two stores."""
+def encoded_messages() -> list[bytes]:
+    """Return digests, deltas, broadcasts and full state parts of several stores."""
     one, two, empty = (
         example_store(),
-        remover(),
+        store_with_removal(),
         GossipStore("n3", 9, GossipStoreSettings(), random.Random(3)),
     )
     late = GossipStore("n4", 10, GossipStoreSettings(retained_tombstones=1), random.Random(4))
@@ -78,26 +78,26 @@
         late.put(f"k{number}", b"v")
         late.remove(f"k{number}")
     late.put("left", b"v")
-    found = [empty.digest(1200), one.digest(1200), two.digest(1200), two.digest(320)]
-    found += one.deltas(empty.digest(1200), 1200, 4) + two.deltas(empty.digest(1200), 100, 8)
-    found += [
+    result = [empty.digest(1200), one.digest(1200), two.digest(1200), two.digest(320)]
+    result += one.deltas(empty.digest(1200), 1200, 4) + two.deltas(empty.digest(1200), 100, 8)
+    result += [
         two.delta(one.digest(1200), 1200),
         one.recent_changes(1200),
         two.recent_changes(120),
         two.recent_changes(1200),
     ]
-    found += list(full_state_parts(two, 120)) + list(full_state_parts(late, 4096))
+    result += list(full_state_parts(two, 120)) + list(full_state_parts(late, 4096))
     reader = GossipStore("n5", 11, GossipStoreSettings(), random.Random(5))
     reader.merge(late.full_state(None, 130)[0])
-    return [*found, reader.digest(1200), late.recent_changes(1200)]
+    return [*result, reader.digest(1200), late.recent_changes(1200)]
 
 
-def malformed() -> list[bytes]:
-    """Return bytes that `merge` refuses, each for its reason."""
+def malformed_messages() -> list[bytes]:
+    """Return messages that `merge` rejects, each for a different reason."""
     encode = msgspec.msgpack.Encoder().encode
-    good = remover().full_state(None, 4096)[0]
+    good = store_with_removal().full_state(None, 4096)[0]
 
-    def piece(after: int, upto: int, entries: list[Any], *rest: Any) -> bytes:
+    def changes_message(after: int, upto: int, entries: list[Any], *rest: Any) -> bytes:
         return encode((1, 1, [("n", 1, after, upto, 0, True, entries, *rest)]))
 
     return [
@@ -109,30 +109,30 @@
         encode((1, 0, [])),
         encode((1, 9, [])),
         encode((1, 1, "text")),
-        piece(5, 3, []),
-        piece(2, 0, []),
-        piece(0, 3, [(4, b"v", 0, "k")]),
-        piece(0, 3, [(2, b"v", 0, "k"), (1, b"v", 0, "l")]),
-        piece(0, 0, [(2, b"v", 0, "k")], [1, 1]),
-        piece(0, 0, [(2, b"v", 0, "k")], [2]),
-        piece(0, 3, [(1, b"v", 0, "")]),
-        piece(0, 3, [(1, 7, 0, "k")]),
-        piece(0, 3, [(1, b"v", 1, "k")]),
-        piece(0, 3, [(1, b"v", 0, "k", "item")]),
-        piece(0, 3, [(1, b"v", 2, "k", "item", "name", 3)]),
-        piece(0, 3, [(1, 3, 3, "k", "item", "", 3)]),
-        piece(0, 3, [(1, b"v", 0, "k" * 70000)]),
+        changes_message(5, 3, []),
+        changes_message(2, 0, []),
+        changes_message(0, 3, [(4, b"v", 0, "k")]),
+        changes_message(0, 3, [(2, b"v", 0, "k"), (1, b"v", 0, "l")]),
+        changes_message(0, 0, [(2, b"v", 0, "k")], [1, 1]),
+        changes_message(0, 0, [(2, b"v", 0, "k")], [2]),
+        changes_message(0, 3, [(1, b"v", 0, "")]),
+        changes_message(0, 3, [(1, 7, 0, "k")]),
+        changes_message(0, 3, [(1, b"v", 1, "k")]),
+        changes_message(0, 3, [(1, b"v", 0, "k", "item")]),
+        changes_message(0, 3, [(1, b"v", 2, "k", "item", "name", 3)]),
+        changes_message(0, 3, [(1, 3, 3, "k", "item", "", 3)]),
+        changes_message(0, 3, [(1, b"v", 0, "k" * 70000)]),
     ]
 
 
-def merge_refusal(data: bytes) -> str:
-    """Return the code of the error with which bytes are refused, empty if they are merged."""
+def merge_rejection_code(data: bytes) -> str:
+    """Return the error code with which `merge` rejects the data, empty if it is merged."""
     return _code(GossipStore("n9", 1, GossipStoreSettings(), random.Random(1)).merge, data)
 
 
-def digest_refusal(data: bytes) -> str:
-    """Return the code of the error with which a digest is refused, empty if it is answered."""
-    return _code(remover().delta, data, 1200)
+def digest_rejection_code(data: bytes) -> str:
+    """Return the error code with which a digest is rejected, empty if it is answered."""
+    return _code(store_with_removal().delta, data, 1200)
 
 
 def _code(call: Any, *arguments: Any) -> str:
@@ -145,25 +145,25 @@
     return ""
 
 
-def merged(data: bytes) -> list[Any]:
-    """Return what an empty store holds after these bytes, or the code of the error."""
+def merged_state(data: bytes) -> list[Any]:
+    """Return the state of an empty store after merging the data, or the error code alone."""
     store = GossipStore("n9", 1, GossipStoreSettings(), random.Random(1))
     code = _code(store.merge, data)
     if code:
         return [code]
-    found = canonical([look(store)[0], store.drain_changes()])
-    assert isinstance(found, list)
-    return found
+    result = canonical([readable_state(store)[0], store.drain_changes()])
+    assert isinstance(result, list)
+    return result
 
 
-# --- several stores that write, forget, restart and exchange
+# --- several stores that write, discard tombstones, restart and exchange messages
 
 
-def look(store: GossipStore) -> tuple[Any, ...]:
-    """Return all that can be read from a store."""
+def readable_state(store: GossipStore) -> tuple[Any, ...]:
+    """Return everything that can be read from a store."""
     entries: list[Any] = []
-    for origin, (known, floor, slots) in sorted(store.snapshot().items()):
-        entries.append((origin, known, floor, sorted(slots.items())))
+    for origin, (known, floor, keyed_entries) in sorted(store.snapshot().items()):
+        entries.append((origin, known, floor, sorted(keyed_entries.items())))
     return (
         entries,
         store.size_bytes(),
@@ -177,20 +177,20 @@
     )
 
 
-def _write(draw: random.Random, store: GossipStore) -> str:
-    key, item = draw.choice(KEYS), draw.choice(["x", "y", "z"])
-    value = bytes([draw.randrange(4)]) * draw.choice([0, 3, 3, 20, 20, 61])
-    match draw.randrange(9):
+def _write(rng: random.Random, store: GossipStore) -> str:
+    key, item = rng.choice(KEYS), rng.choice(["x", "y", "z"])
+    value = bytes([rng.randrange(4)]) * rng.choice([0, 3, 3, 20, 20, 61])
+    match rng.randrange(9):
         case 0 | 1 | 2:
-            return _code(store.put, draw.choice([key, f"k{draw.randrange(30)}"]), value)
+            return _code(store.put, rng.choice([key, f"k{rng.randrange(30)}"]), value)
         case 3:
-            return _code(store.remove, draw.choice([key, f"k{draw.randrange(30)}"]))
+            return _code(store.remove, rng.choice([key, f"k{rng.randrange(30)}"]))
         case 4:
-            return _code(store.increment, key, draw.randrange(-1, 5))
+            return _code(store.increment, key, rng.randrange(-1, 5))
         case 5 | 6:
-            return _code(store.add_item, draw.choice(["map", "map", key]), item, value)
+            return _code(store.add_item, rng.choice(["map", "map", key]), item, value)
         case 7:
-            return _code(store.discard_item, draw.choice(["map", "map", key]), item)
+            return _code(store.discard_item, rng.choice(["map", "map", key]), item)
     code = ""
     for number in range(8):
         code = _code(store.put, f"t{number}", b"1") or _code(store.remove, f"t{number}")
@@ -198,95 +198,99 @@
 
 
 def store_digest(seed: int) -> str:
-    """Return the digest of what stores tell one another and hold, while they write, lag, restart and lose."""
-    draw = random.Random(seed)
-    settings = SMALL if seed % 2 else ROOMY
-    names = [f"n{i}" for i in range(draw.choice([2, 3, 5, 7]))]
-    lives = dict.fromkeys(names, 1)
+    """Return a digest of the messages and states of stores that write, lag, restart and lose messages."""
+    rng = random.Random(seed)
+    settings = SMALL_LIMITS if seed % 2 else LARGE_LIMITS
+    names = [f"n{i}" for i in range(rng.choice([2, 3, 5, 7]))]
+    incarnations = dict.fromkeys(names, 1)
     stores = {name: GossipStore(name, 1, settings, random.Random(f"{name} {seed}")) for name in names}
     waiting: list[tuple[str, bytes]] = []
     digest = Digest()
-    loss = draw.choice([0.0, 0.3])
+    loss = rng.choice([0.0, 0.3])
     for step in range(260):
-        name = draw.choice(names)
+        name = rng.choice(names)
         store = stores[name]
-        other = draw.choice(names)
-        told: Any = None
-        match draw.randrange(20):
+        other = rng.choice(names)
+        outgoing: Any = None
+        match rng.randrange(20):
             case 0 | 1 | 2 | 3:
-                told = [_write(draw, store) for _ in range(draw.randrange(1, 6))]
+                outgoing = [_write(rng, store) for _ in range(rng.randrange(1, 6))]
             case 4 | 5 | 6:
-                told = store.recent_changes(draw.choice([80, 200, 1100]))
-                if told:
-                    waiting.append((other, told))
+                outgoing = store.recent_changes(rng.choice([80, 200, 1100]))
+                if outgoing:
+                    waiting.append((other, outgoing))
             case 7 | 8 | 9 | 10 | 11:
-                question = store.digest(draw.choice([200, 340, 1100]))
-                answers = stores[other].deltas(question, draw.choice([110, 200, 1100]), draw.randrange(1, 5))
-                waiting += [(name, answer) for answer in answers]
-                told = (question, answers)
+                requested_digest = store.digest(rng.choice([200, 340, 1100]))
+                replies = stores[other].deltas(
+                    requested_digest, rng.choice([110, 200, 1100]), rng.randrange(1, 5)
+                )
+                waiting += [(name, reply) for reply in replies]
+                outgoing = (requested_digest, replies)
             case 12 | 13 | 14 | 15 | 16:
-                for _ in range(draw.randrange(1, 8)):
+                for _ in range(rng.randrange(1, 8)):
                     if waiting:
-                        target, data = waiting.pop(draw.randrange(len(waiting)))
-                        if draw.random() >= loss:
+                        target, data = waiting.pop(rng.randrange(len(waiting)))
+                        if rng.random() >= loss:
                             digest.add(_code(stores[target].merge, data))
-                        if draw.random() < 0.1:
-                            waiting.append((draw.choice(names), data))
+                        if rng.random() < 0.1:
+                            waiting.append((rng.choice(names), data))
             case 17:
-                told = list(full_state_parts(store, draw.choice([150, 400, 3000])))
-                if draw.random() < 0.5:
-                    for data in told:
+                outgoing = list(full_state_parts(store, rng.choice([150, 400, 3000])))
+                if rng.random() < 0.5:
+                    for data in outgoing:
                         digest.add(_code(stores[other].merge, data))
             case 18:
-                if draw.random() < 0.3:
-                    lives[name] += draw.choice([0, 1, 1])
-                    stores[name] = GossipStore(name, lives[name], settings, random.Random(f"{name} {step}"))
+                if rng.random() < 0.3:
+                    incarnations[name] += rng.choice([0, 1, 1])
+                    stores[name] = GossipStore(
+                        name, incarnations[name], settings, random.Random(f"{name} {step}")
+                    )
             case 19:
                 kept: list[Origin] = [
-                    (o, lives[o] - (draw.random() < 0.2)) for o in names if draw.random() < 0.8
+                    (o, incarnations[o] - (rng.random() < 0.2)) for o in names if rng.random() < 0.8
                 ]
                 store.retain_origins(kept)
-                told = kept
-        digest.add((step, name, told, store.drain_changes() if draw.random() < 0.3 else None))
+                outgoing = kept
+        digest.add((step, name, outgoing, store.drain_changes() if rng.random() < 0.3 else None))
         if step % 13 == 0:
-            digest.add([look(stores[n]) for n in names])
+            digest.add([readable_state(stores[n]) for n in names])
     for _ in range(3):
         for name in names:
             for other in names:
-                for answer in stores[other].deltas(stores[name].digest(2000), 2000, 8):
-                    _code(stores[name].merge, answer)
-    digest.add([look(stores[name]) for name in names])
+                for reply in stores[other].deltas(stores[name].digest(2000), 2000, 8):
+                    _code(stores[name].merge, reply)
+    digest.add([readable_state(stores[name]) for name in names])
     return digest.hex()
 
 
-# --- who gets the store's bytes, and how many a second
+# --- gossip rounds: recipients and rate limits
 
 
 def rounds_digest(seed: int) -> str:
-    """Return the digest of what the gossip's rounds send, beside members that come and go."""
-    draw = random.Random(seed)
-    source = random.Random(seed + 1)
-    members = Membership(Identity("me", 1, "me:1"), MembershipSettings(cluster="c"), (), source, 0.0)
-    store = GossipStore("me", 1, SMALL if seed % 2 else ROOMY, source)
+    """Return a digest of the messages that gossip rounds send while members join and leave."""
+    rng = random.Random(seed)
+    protocol_rng = random.Random(seed + 1)
+    members = Membership(Identity("me", 1, "me:1"), MembershipSettings(cluster="c"), (), protocol_rng, 0.0)
+    store = GossipStore("me", 1, SMALL_LIMITS if seed % 2 else LARGE_LIMITS, protocol_rng)
     limits = AntiEntropySettings(
-        reply_bytes_per_s=draw.choice([500, 20_000]), reply_burst_bytes=draw.choice([500, 3000, 20_000])
+        reply_bytes_per_s=rng.choice([500, 20_000]), reply_burst_bytes=rng.choice([500, 3000, 20_000])
     )
-    rounds = AntiEntropy(members, store, limits, source, 0.0)
-    others = {name: GossipStore(name, 1, ROOMY, random.Random(name)) for name in ("a", "b", "c", "d")}
+    rounds = AntiEntropy(members, store, limits, protocol_rng, 0.0)
+    others = {name: GossipStore(name, 1, LARGE_LIMITS, random.Random(name)) for name in ("a", "b", "c", "d")}
     digest = Digest()
-    now = 0.0
+    now_ms = 0.0
     for step in range(250):
-        now += draw.choice([20.0, 100.0, 300.0])
-        members.tick(now)
-        sends = rounds.tick(now)
-        name = draw.choice(list(others))
-        _write(draw, store)
-        _write(draw, others[name])
+        now_ms += rng.choice([20.0, 100.0, 300.0])
+        members.tick(now_ms)
+        messages = rounds.tick(now_ms)
+        name = rng.choice(list(others))
+        _write(rng, store)
+        _write(rng, others[name])
         if step % 10 == 0:
-            state = draw.choice([MemberState.ALIVE, MemberState.ALIVE, MemberState.LEFT])
-            claim = MemberUpdate(name, 1, step, state, "", MemberInfo(f"{name}:1", "edge"))
-            members.receive(now, f"{name}:1", m.Packet("a", 1, m.Updates([claim])))
-        body = draw.choice(
+            state = rng.choice([MemberState.ALIVE, MemberState.ALIVE, MemberState.LEFT])
+            update = MemberUpdate(name, 1, step, state, "", MemberInfo(f"{name}:1", "edge"))
+            members.receive(now_ms, f"{name}:1", m.Packet("a", 1, m.Updates([update])))
+        body = rng.choice(
             [
                 m.GossipDelta(others[name].recent_changes(900)),
                 m.GossipDigest(others[name].digest(900)),
@@ -296,35 +300,40 @@
                 m.IdentityRequest(),
             ]
         )
-        sends += rounds.receive(now, m.Packet(name, 1, body))
-        if draw.random() < 0.1:
+        messages += rounds.receive(now_ms, m.Packet(name, 1, body))
+        if rng.random() < 0.1:
             rounds.merge_full_state(next(full_state_parts(others[name], 2000), b""))
-        digest.add([_sent(send) for send in sends])
+        digest.add([_encoded_message(outgoing_message) for outgoing_message in messages])
         digest.add((rounds.next_tick_ms(), sorted(rounds.error_counts.items())))
         members.drain_messages()
-    digest.add(look(store))
-    members.receive(now, "me:2", m.Packet("me", 2, m.IdentityRequest()))
-    digest.add((rounds.next_tick_ms(), len(rounds.tick(now + 5000))))
+    digest.add(readable_state(store))
+    members.receive(now_ms, "me:2", m.Packet("me", 2, m.IdentityRequest()))
+    digest.add((rounds.next_tick_ms(), len(rounds.tick(now_ms + 5000))))
     return digest.hex()
 
 
-def _sent(send: OutgoingMessage) -> tuple[str | None, str, bytes]:
-    return send.name, send.address, m.encode("c", "me", 1, send.message)
+def _encoded_message(outgoing_message: OutgoingMessage) -> tuple[str | None, str, bytes]:
+    return outgoing_message.name, outgoing_message.address, m.encode("c", "me", 1, outgoing_message.message)
 
 
-def viewing_steps() -> list[Any]:
-    """Return when views of few and of many members are made anew, over a scripted series of changes."""
+def view_cache_steps() -> list[Any]:
+    """Return when cached views of few and of many members become stale, over a scripted series of changes."""
     members = Membership(
         Identity("me", 1, "me:1"), MembershipSettings(cluster="c"), (), random.Random(1), 0.0
     )
     few = members.view(0.0)
-    found: list[Any] = []
+    result: list[Any] = []
     for view in (few, few * 512, few * 513):
-        viewing = ViewCache()
-        found.append(viewing.is_stale(0.0))
-        for now, took in ((10.0, 0.0), (20.0, 3.0), (500.0, 90.0)):
-            viewing.store(view, now, now + took)
-            found.append([viewing.is_stale(now + wait) for wait in (0.0, 1.0, 149.0, 150.0, 999.0, 1000.0)])
-        viewing.invalidate()
-        found += [viewing.is_stale(501.0), len(viewing.view)]
-    return found
+        cached_view = ViewCache()
+        result.append(cached_view.is_stale(0.0))
+        for now_ms, duration_ms in ((10.0, 0.0), (20.0, 3.0), (500.0, 90.0)):
+            cached_view.store(view, now_ms, now_ms + duration_ms)
+            result.append(
+                [
+                    cached_view.is_stale(now_ms + wait_ms)
+                    for wait_ms in (0.0, 1.0, 149.0, 150.0, 999.0, 1000.0)
+                ]
+            )
+        cached_view.invalidate()
+        result += [cached_view.is_stale(501.0), len(cached_view.view)]
+    return result
--- a/tests/compatibility/record_exchange.py
+++ b/tests/compatibility/record_exchange.py
@@ -1,4 +1,4 @@
-"""Records full exchanges: `python -m tests.compatibility.record_exchange`, once."""
+"""Records full exchanges; was run once: `python -m tests.compatibility.record_exchange`."""
 
 from __future__ import annotations
 
@@ -7,12 +7,12 @@
 
 
 def main() -> None:
-    """Write the fixture; it is never written again."""
+    """Write the fixture.  Raises FileExistsError, because a recorded fixture is never overwritten."""
     exchanges = [
-        {"incoming": [data.hex() for data in pieces], "answer": cases.answer(pieces)}
-        for pieces in cases.incoming()
+        {"incoming": [data.hex() for data in chunks], "answer": cases.reply(chunks)}
+        for chunks in cases.incoming()
     ]
-    save("exchange", {"exchanges": exchanges, "asked": cases.asked()})
+    save("exchange", {"exchanges": exchanges, "asked": cases.initiated_exchange()})
 
 
 if __name__ == "__main__":
--- a/tests/compatibility/record_gossip.py
+++ b/tests/compatibility/record_gossip.py
@@ -1,4 +1,4 @@
-"""Records the gossip's bytes and decisions: `python -m tests.compatibility.record_gossip`, once."""
+"""Records the gossip messages and decisions; was run once: `python -m tests.compatibility.record_gossip`."""
 
 from __future__ import annotations
 
@@ -9,17 +9,17 @@
 
 
 def main() -> None:
-    """Write the fixture; it is never written again."""
-    encoded = cases.encoded()
+    """Write the fixture.  Raises FileExistsError, because a recorded fixture is never overwritten."""
+    encoded_messages = cases.encoded_messages()
     save(
         "gossip",
         {
-            "encoded": [data.hex() for data in encoded],
-            "merge_refusals": [cases.merge_refusal(data) for data in cases.malformed()],
-            "digest_refusals": [cases.digest_refusal(data) for data in cases.malformed()],
-            "merged": [cases.merged(data) for data in encoded],
+            "encoded": [data.hex() for data in encoded_messages],
+            "merge_refusals": [cases.merge_rejection_code(data) for data in cases.malformed_messages()],
+            "digest_refusals": [cases.digest_rejection_code(data) for data in cases.malformed_messages()],
+            "merged": [cases.merged_state(data) for data in encoded_messages],
             "settings": canonical([GossipStoreSettings(), AntiEntropySettings()]),
-            "viewing": cases.viewing_steps(),
+            "viewing": cases.view_cache_steps(),
             "stores": {str(seed): cases.store_digest(seed) for seed in cases.STORE_SEEDS},
             "rounds": {str(seed): cases.rounds_digest(seed) for seed in cases.ROUNDS_SEEDS},
         },
--- a/tests/compatibility/test_exchange.py
+++ b/tests/compatibility/test_exchange.py
@@ -1,4 +1,4 @@
-"""Full exchanges have the recorded frames, and recorded frames are taken as then."""
+"""Full exchanges send the recorded frames, and handle received frames as recorded."""
 
 from __future__ import annotations
 
@@ -11,15 +11,15 @@
 
 
 def test_the_other_side_sends_the_recorded_frames():
-    sent = [[data.hex() for data in pieces] for pieces in cases.incoming()]
+    sent = [[data.hex() for data in chunks] for chunks in cases.incoming()]
     assert sent == [exchange["incoming"] for exchange in RECORDED["exchanges"]]
 
 
 @pytest.mark.parametrize("exchange", RECORDED["exchanges"])
 def test_an_exchange_is_answered_as_recorded(exchange):
     incoming = [bytes.fromhex(data) for data in exchange["incoming"]]
-    assert cases.answer(incoming) == exchange["answer"]
+    assert cases.reply(incoming) == exchange["answer"]
 
 
 def test_an_exchange_begins_with_the_recorded_frames():
-    assert cases.asked() == RECORDED["asked"]
+    assert cases.initiated_exchange() == RECORDED["asked"]
--- a/tests/compatibility/test_gossip.py
+++ b/tests/compatibility/test_gossip.py
@@ -1,4 +1,4 @@
-"""The replicated state speaks the recorded bytes, reads them and decides as recorded."""
+"""The replicated state encodes and decodes the recorded bytes, and decides as recorded."""
 
 from __future__ import annotations
 
@@ -12,25 +12,29 @@
 RECORDED = load("gossip")
 
 
-def test_digests_deltas_and_pieces_have_their_recorded_bytes():
-    assert [data.hex() for data in cases.encoded()] == RECORDED["encoded"]
+def test_digests_deltas_and_full_state_parts_have_their_recorded_bytes():
+    assert [data.hex() for data in cases.encoded_messages()] == RECORDED["encoded"]
 
 
 def test_recorded_bytes_are_merged_into_the_recorded_state():
-    assert [cases.merged(bytes.fromhex(data)) for data in RECORDED["encoded"]] == RECORDED["merged"]
+    assert [cases.merged_state(bytes.fromhex(data)) for data in RECORDED["encoded"]] == RECORDED["merged"]
 
 
-def test_malformed_bytes_are_refused_for_their_recorded_reason():
-    assert [cases.merge_refusal(data) for data in cases.malformed()] == RECORDED["merge_refusals"]
-    assert [cases.digest_refusal(data) for data in cases.malformed()] == RECORDED["digest_refusals"]
+def test_malformed_messages_are_rejected_with_the_recorded_error():
+    assert [cases.merge_rejection_code(data) for data in cases.malformed_messages()] == RECORDED[
+        "merge_refusals"
+    ]
+    assert [cases.digest_rejection_code(data) for data in cases.malformed_messages()] == RECORDED[
+        "digest_refusals"
+    ]
 
 
 def test_default_settings_are_as_recorded():
     assert canonical([GossipStoreSettings(), AntiEntropySettings()]) == RECORDED["settings"]
 
 
-def test_views_of_the_members_are_made_anew_when_recorded():
-    assert cases.viewing_steps() == RECORDED["viewing"]
+def test_cached_membership_views_become_stale_as_recorded():
+    assert cases.view_cache_steps() == RECORDED["viewing"]
 
 
 @pytest.mark.parametrize("seed", cases.STORE_SEEDS)
--- a/tests/gossip/support.py
+++ b/tests/gossip/support.py
@@ -1,4 +1,4 @@
-"""What the tests of the replicated state share: stores, their synchronization, and random writes."""
+"""Helpers for the tests of the replicated state: stores, their synchronization, and random writes."""
 
 import itertools
 import random
@@ -8,7 +8,7 @@
 from cressrock.gossip.settings import GossipStoreSettings
 from cressrock.gossip.store import GossipStore
 
-BYTES = 700
+MAX_MESSAGE_BYTES = 700
 
 
 def make_store(name="a", process_incarnation=1, seed=0, **settings):
@@ -16,48 +16,48 @@
     return GossipStore(name, process_incarnation, GossipStoreSettings(**settings), random.Random(seed))
 
 
-def readable_state(s):
-    """What a reader can see, by brute force over what is held: the check of the indexes as well."""
-    held = s.snapshot()
-    values, counts, maps = {}, {}, {}
+def read_and_check_state(store):
+    """Return all readable values, counters and maps of a store; checks its indexes against a full scan."""
+    held = store.snapshot()
+    values, counter_values, maps = {}, {}, {}
     for origin, (_, _, entries) in held.items():
         for (kind, key, item, _, _), (_, payload) in entries.items():
             if payload is not None and kind == 0:
                 values.setdefault(key, {})[origin] = payload
             elif payload is not None and kind == 1:
-                counts.setdefault(key, {})[origin] = payload
+                counter_values.setdefault(key, {})[origin] = payload
             elif payload is not None and kind == 2:
                 maps.setdefault(key, {}).setdefault(item, {})[origin] = payload
     for key, value in values.items():
-        assert s.values(key) == value and s.origins(key) == sorted(value)
+        assert store.values(key) == value and store.origins(key) == sorted(value)
         for origin in held:
-            assert s.value_of(key, origin) == value.get(origin)
-    for key, value in counts.items():
-        assert s.counters(key) == value and s.counter_total(key) == sum(value.values())
+            assert store.value_of(key, origin) == value.get(origin)
+    for key, value in counter_values.items():
+        assert store.counters(key) == value and store.counter_total(key) == sum(value.values())
     shown = {}
     for key, value in maps.items():
-        items = s.items(key)
+        items = store.items(key)
         for item, by in items.items():
             assert by.items() <= value[item].items()
         if items:
             shown[key] = items
-    return values, counts, shown
+    return values, counter_values, shown
 
 
-def sync(first, second, size=BYTES, rounds=200):
-    """Exchange digests and deltas until neither has anything for the other."""
+def sync(first, second, size=MAX_MESSAGE_BYTES, rounds=200):
+    """Exchange digests and deltas until neither store lacks anything that the other has."""
     for _ in range(rounds):
-        quiet = 0
-        for giver, taker in ((first, second), (second, first)):
-            for _ in range(len(taker.snapshot()) // 8 + 2):
-                delta = giver.delta(taker.digest(size), size)
+        deltas_sent = 0
+        for sender, receiver in ((first, second), (second, first)):
+            for _ in range(len(receiver.snapshot()) // 8 + 2):
+                delta = sender.delta(receiver.digest(size), size)
                 assert len(delta) <= size
-                quiet += bool(delta)
+                deltas_sent += bool(delta)
                 if delta:
-                    taker.merge(delta)
-        if not quiet:
+                    receiver.merge(delta)
+        if not deltas_sent:
             return
-    raise AssertionError("never quiet")
+    raise AssertionError("the stores did not converge")
 
 
 def sync_all(members):
@@ -77,17 +77,17 @@
 )
 
 
-def write(s, todo):
-    what, key, item, number = todo
+def write(store, operation):
+    operation_name, key, item, number = operation
     value = bytes([number]) * (number * 8)
-    match what:
+    match operation_name:
         case "put":
-            s.put(key + item, value)
+            store.put(key + item, value)
         case "remove":
-            s.remove(key + item)
+            store.remove(key + item)
         case "count":
-            s.increment(key, number)
+            store.increment(key, number)
         case "add":
-            s.add_item(key, item, value)
+            store.add_item(key, item, value)
         case "discard":
-            s.discard_item(key, item)
+            store.discard_item(key, item)
--- a/tests/gossip/test_anti_entropy.py
+++ b/tests/gossip/test_anti_entropy.py
@@ -1,4 +1,4 @@
-"""Anti-entropy: replies to digests keep to a budget."""
+"""Anti-entropy: replies to digests are rate limited."""
 
 import random
 
@@ -8,7 +8,7 @@
 from cressrock.membership.packets import MemberState
 from cressrock.membership.settings import MembershipSettings
 from cressrock.membership.types import Identity, OutgoingMessage
-from tests.gossip.transport_support import LetterSet
+from tests.gossip.transport_support import LetterStore
 
 
 def test_replies_to_digests_keep_to_the_budget():
@@ -21,7 +21,7 @@
             "b", 1, packets.Updates([packets.MemberUpdate("b", 1, 0, MemberState.ALIVE, "", info)])
         ),
     )
-    store = LetterSet(map(chr, range(0x100, 0x500)))
+    store = LetterStore(map(chr, range(0x100, 0x500)))
     anti_entropy = AntiEntropy(
         membership,
         store,
--- a/tests/gossip/test_counters_and_items.py
+++ b/tests/gossip/test_counters_and_items.py
@@ -1,9 +1,9 @@
-"""Counters, and maps whose items are removed causally."""
+"""Counters, and causal removal of map items."""
 
 import pytest
 
 from cressrock.gossip.messages import MessageKind
-from tests.gossip.support import BYTES, make_store, sync, sync_all
+from tests.gossip.support import MAX_MESSAGE_BYTES, make_store, sync, sync_all
 
 
 def test_counters_sum_over_origins_and_fall_when_an_origin_is_dropped():
@@ -26,7 +26,7 @@
     sync_all([a, b, c])
     b.discard_item("room", "x")
     c.add_item("room", "x", b"2")
-    a.add_item("room", "x", b"3")  # a later dot of the same origin, which b has not seen
+    a.add_item("room", "x", b"3")  # a newer dot of the same origin, which b has not received
     sync_all([a, b, c])
     for s in (a, b, c):
         assert s.items("room") == {"x": {("a", 1): b"3", ("c", 1): b"2"}}
@@ -36,21 +36,21 @@
         assert s.items("room") == {} and not s.table.removals.recorded and not s.table.index
 
 
-def test_a_finished_removal_keeps_a_late_dot_hidden():
+def test_an_item_stays_hidden_after_its_completed_removal_is_deleted():
     a, b, c = make_store("a"), make_store("b"), make_store("c")
     a.add_item("room", "x", b"1")
     sync_all([a, b, c])
     b.discard_item("room", "x")
     sync(b, c)
     assert c.items("room") == {}
-    sync(a, b)  # a's dot goes, and b's record with it
+    sync(a, b)  # a removes its item, which makes b's removal obsolete
     sync(b, a)
     stale = c.snapshot()[("a", 1)]
-    held = [s for s in b.table.order if s[0] == "b"]
-    assert held
-    lone = make_store("z")
-    lone.merge(b.delta(lone.digest(BYTES), BYTES))
-    only_b = b.reconciliation.encode_after(MessageKind.DELTA, [(("b", 1), 0)], BYTES)[0]
+    own_origins = [s for s in b.table.order if s[0] == "b"]
+    assert own_origins
+    empty = make_store("z")
+    empty.merge(b.delta(empty.digest(MAX_MESSAGE_BYTES), MAX_MESSAGE_BYTES))
+    only_b = b.reconciliation.encode_after(MessageKind.DELTA, [(("b", 1), 0)], MAX_MESSAGE_BYTES)[0]
     c.merge(only_b)
     assert c.snapshot()[("a", 1)] == stale and not c.table.removals.recorded
     assert c.items("room") == {} and c.table.removals.hidden
@@ -58,15 +58,14 @@
     assert c.items("room") == {} and not c.table.removals.hidden
 
 
-def test_a_removal_outlives_its_remover():
+def test_a_removal_survives_the_restart_of_its_remover():
     a, b, c = make_store("a"), make_store("b"), make_store("c")
     a.add_item("room", "x", b"1")
     sync_all([a, b, c])
     b.discard_item("room", "x")
     sync(b, c)
-    c.retain_origins(
-        [("a", 1), ("c", 1), ("b", 2)]
-    )  # b is back in a new process_incarnation before a heard of it
+    # b has restarted with a new process incarnation before a received the removal.
+    c.retain_origins([("a", 1), ("c", 1), ("b", 2)])
     assert ("b", 1) not in c.snapshot() and c.items("room") == {}
     sync(a, c)
     sync(a, c)
--- a/tests/gossip/test_origin_state.py
+++ b/tests/gossip/test_origin_state.py
@@ -1,4 +1,4 @@
-"""Which versions of an origin are known."""
+"""Tracking of an origin's known versions."""
 
 from cressrock.gossip.origin_state import OriginState, VersionRange
 
@@ -18,7 +18,7 @@
     assert state.ahead == [VersionRange(2, 5), VersionRange(6, 7)]
 
 
-def test_what_is_known_already_changes_nothing():
+def test_adding_versions_already_known_changes_nothing():
     state = OriginState(known=9)
     for after, upto in ((0, 9), (4, 6), (9, 9)):
         state.add_known(after, upto, 4)
--- a/tests/gossip/test_origins.py
+++ b/tests/gossip/test_origins.py
@@ -1,7 +1,7 @@
-"""Process incarnations: newer ones replace older ones, and ended ones leave nothing."""
+"""Process incarnations: newer ones replace older ones, and dropped ones leave no state behind."""
 
 from cressrock.gossip.store import full_state_parts
-from tests.gossip.support import BYTES, make_store
+from tests.gossip.support import MAX_MESSAGE_BYTES, make_store
 
 
 def test_a_newer_process_replaces_the_older_and_late_gossip_does_not_revive_it():
@@ -9,17 +9,17 @@
     old.put("k", b"old")
     old.increment("n", 3)
     new.put("k", b"new")
-    late = old.recent_changes(BYTES)
+    late = old.recent_changes(MAX_MESSAGE_BYTES)
     b.merge(late)
-    b.merge(new.recent_changes(BYTES))
+    b.merge(new.recent_changes(MAX_MESSAGE_BYTES))
     assert b.values("k") == {("a", 2): b"new"} and b.counter_total("n") == 0
     b.merge(late)
     assert b.rejected.older == 1 and ("a", 1) not in b.snapshot()
-    b.retain_origins([("a", 1), ("b", 1)])  # the list of members lags behind: the newer one stays
+    b.retain_origins([("a", 1), ("b", 1)])  # an outdated member list does not drop the newer process
     assert b.values("k") == {("a", 2): b"new"}
     b.retain_origins([("b", 1)])
     assert b.values("k") == {} and b.size_bytes() == 0
-    for data in (late, b"".join(full_state_parts(new, BYTES))):
+    for data in (late, b"".join(full_state_parts(new, MAX_MESSAGE_BYTES))):
         b.merge(data)
     assert b.rejected.unknown == 2 and list(b.snapshot()) == [("b", 1)]
     assert (("a", 2), "k") in b.drain_changes()
@@ -31,7 +31,7 @@
         a = make_store(f"a{process_incarnation % 7}", process_incarnation)
         a.add_item("room", "x", b"1")
         a.increment("n")
-        b.merge(a.full_state(None, BYTES)[0])
+        b.merge(a.full_state(None, MAX_MESSAGE_BYTES)[0])
         b.discard_item("room", "x")
         b.drain_changes()
     b.retain_origins([("b", 1)])
@@ -51,5 +51,5 @@
     newer.put("k", b"3")
     before = a.snapshot()
     for other in (twin, newer):
-        a.merge(other.full_state(None, BYTES)[0])
+        a.merge(other.full_state(None, MAX_MESSAGE_BYTES)[0])
     assert a.snapshot() == before and a.rejected.own == 2
--- a/tests/gossip/test_sweeps.py
+++ b/tests/gossip/test_sweeps.py
@@ -1,4 +1,4 @@
-"""Removals that are forgotten: late replicas sweep the origin."""
+"""Sweeps: a lagging replica resynchronizes an origin whose tombstones were discarded."""
 
 import random
 
@@ -6,7 +6,7 @@
 from tests.gossip.support import make_store, sync
 
 
-def test_a_late_replica_sweeps_past_forgotten_removals_without_losing_sight_of_keys():
+def test_a_lagging_replica_sweeps_past_discarded_tombstones_without_hiding_live_keys():
     source = random.Random(7)
     a, late, near = make_store("a", retained_tombstones=4), make_store("late"), make_store("near")
     for number in range(60):
@@ -24,19 +24,19 @@
     assert sum(p is None for _, p in a.snapshot()[("a", 1)][2].values()) <= 8
     steps = 0
     while late.snapshot()[("a", 1)] != a.snapshot()[("a", 1)]:
-        giver = source.choice([a, near])
-        delta = giver.delta(late.digest(300), 300)
+        sender = source.choice([a, near])
+        delta = sender.delta(late.digest(300), 300)
         if source.random() < 0.3:
             continue
         late.merge(delta)
-        for number in range(40, 60):  # what never went is seen all the time
+        for number in range(40, 60):  # keys that were never removed stay readable throughout
             assert late.values(f"k{number}")
         steps += 1
         assert steps < 100
     assert late.completed_sweeps == 1 and steps > 3
 
 
-def test_a_later_section_of_a_sweep_alone_proves_nothing():
+def test_a_later_section_of_a_sweep_alone_does_not_raise_the_known_version():
     a, late = make_store("a", retained_tombstones=2), make_store("late")
     for number in range(30):
         a.put(f"k{number}", b"v" * 30)
@@ -45,9 +45,8 @@
         a.remove(f"k{number}")
     *_, last = full_state_parts(a, 500)
     late.merge(last)
-    assert (
-        late.known_version(("a", 1)) == 30 < a.snapshot()[("a", 1)][1]
-    )  # or the removals in between were never told
+    # A higher known version would mean that the removals in between are never sent.
+    assert late.known_version(("a", 1)) == 30 < a.snapshot()[("a", 1)][1]
     sync(a, late, 500)
     assert late.snapshot()[("a", 1)] == a.snapshot()[("a", 1)] and not late.values("k0")
 
--- a/tests/gossip/test_transport.py
+++ b/tests/gossip/test_transport.py
@@ -8,72 +8,76 @@
 from cressrock.gossip.transport import ClusterTransport, ClusterTransportSettings, TransportEnvironment
 from cressrock.membership import packets
 from cressrock.membership.types import Identity
-from tests.gossip.transport_support import LetterSet, SilentLog, live, run_simulation, until
+from tests.gossip.transport_support import LetterStore, SilentLog, alive_names, run_simulation, wait_until
 
 
-def test_processes_join_gossip_and_take_back_a_dead_one_over_a_lossy_network():
-    async def play(cluster):
+def test_processes_join_gossip_and_readmit_a_restarted_one_over_a_lossy_network():
+    async def scenario(cluster):
         cluster.net.loss, cluster.net.doubled = 0.05, 0.1
         transports = [cluster.start(f"f{n}", ["dead:1", "f0:1"], letters="abcdefgh"[n]) for n in range(6)]
         names = {f"f{n}" for n in range(6)}
-        await until(
-            lambda: all(live(f) == names and f.anti_entropy.store.held == set("abcdef") for f in transports)
+        await wait_until(
+            lambda: all(
+                alive_names(f) == names and f.anti_entropy.store.held == set("abcdef") for f in transports
+            )
         )
         assert all(f.anti_entropy.store.retained <= {(n, 1) for n in names} for f in transports)
         cluster.kill(transports[3])
         rest = transports[:3] + transports[4:]
-        await until(lambda: all(live(f) == names - {"f3"} for f in rest))
-        back = cluster.start("f3", ["f0:1"], life=2, letters="z")
-        await until(lambda: all(live(f) == names and "z" in f.anti_entropy.store.held for f in [*rest, back]))
+        await wait_until(lambda: all(alive_names(f) == names - {"f3"} for f in rest))
+        back = cluster.start("f3", ["f0:1"], process_incarnation=2, letters="z")
+        await wait_until(
+            lambda: all(alive_names(f) == names and "z" in f.anti_entropy.store.held for f in [*rest, back])
+        )
         assert back.anti_entropy.store.held >= set("abcdef")
 
-    run_simulation(play)
+    run_simulation(scenario)
 
 
 def test_the_older_of_two_processes_with_one_name_ends_with_fenced_error():
-    async def play(cluster):
+    async def scenario(cluster):
         one, other = cluster.start("a"), cluster.start("b", ["a:1"])
-        await until(lambda: live(one) == live(other) == {"a", "b"})
-        cluster.start("b", ["a:1"], life=2, address="b2:1")
-        await until(lambda: "b:1" in cluster.ends)
-        assert cluster.ends["b:1"].code == "fleet-fenced" and "process incarnation 2" in str(
-            cluster.ends["b:1"]
+        await wait_until(lambda: alive_names(one) == alive_names(other) == {"a", "b"})
+        cluster.start("b", ["a:1"], process_incarnation=2, address="b2:1")
+        await wait_until(lambda: "b:1" in cluster.fenced_errors)
+        assert cluster.fenced_errors["b:1"].code == "fleet-fenced" and "process incarnation 2" in str(
+            cluster.fenced_errors["b:1"]
         )
         await anyio.sleep(20)
-        assert "b2:1" not in cluster.ends
+        assert "b2:1" not in cluster.fenced_errors
         assert {v.name: v.process_incarnation for v in one.membership.view(0)} == {"a": 1, "b": 2}
 
-    run_simulation(play)
+    run_simulation(scenario)
 
 
 def test_a_configured_route_overrides_the_announced_address():
-    async def play(cluster):
+    async def scenario(cluster):
         one = cluster.start("a")
-        # b tells an address that nobody can reach; a route says where it stands.
+        # b announces an unreachable address; the route has the address at which it listens.
         environment = TransportEnvironment(
             cluster.net.datagrams("nat:1"), cluster.net.connect, lambda: anyio.current_time() * 1000
         )
         settings = ClusterTransportSettings(seeds=("a:1",))
         identity = Identity("b", 1, "inside:1")
-        two = ClusterTransport(settings, identity, environment, LetterSet(), random.Random(1), SilentLog())
+        two = ClusterTransport(settings, identity, environment, LetterStore(), random.Random(1), SilentLog())
         cluster.net.listen("nat:1", two.serve)
         cluster.tasks.start_soon(two.run)
         await anyio.sleep(5)
-        assert live(two) == {"b"}
+        assert alive_names(two) == {"b"}
         one.settings = ClusterTransportSettings(routes={"b": "nat:1"})
-        await until(lambda: live(one) == live(two) == {"a", "b"})
+        await wait_until(lambda: alive_names(one) == alive_names(two) == {"a", "b"})
 
-    run_simulation(play)
+    run_simulation(scenario)
 
 
 def test_foreign_malformed_and_endless_bytes_are_counted_and_dropped():
-    async def play(cluster):
+    async def scenario(cluster):
         transport = cluster.start("a")
         await anyio.sleep(1)
-        stranger = cluster.net.datagrams("x:1")
+        foreign_socket = cluster.net.datagrams("x:1")
         foreign = packets.encode("other", "x", 1, packets.IdentityRequest())
         for number in range(3000):
-            stranger.send("a:1", (foreign, b"\xff" * 9, b"\0" * 1300)[number % 3])
+            foreign_socket.send("a:1", (foreign, b"\xff" * 9, b"\0" * 1300)[number % 3])
             if number % 500 == 0:
                 await anyio.sleep(0.01)
         stream = await cluster.net.connect("a", 1)
@@ -92,13 +96,13 @@
         assert (
             transport.drop_counts["fleet-too-large"] == 1001 and transport.drop_counts["fleet-exchange"] == 1
         )
-        assert live(transport) == {"a"} and not transport.membership.state.table.records
+        assert alive_names(transport) == {"a"} and not transport.membership.state.table.records
 
-    run_simulation(play)
+    run_simulation(scenario)
 
 
 def test_concurrent_exchanges_served_are_bounded():
-    async def play(cluster):
+    async def scenario(cluster):
         transport = cluster.start("a", max_served_exchanges=2, exchange_timeout_ms=1000)
         held = [await cluster.net.connect("a", 1) for _ in range(2)]
         await anyio.sleep(0.1)
@@ -109,4 +113,4 @@
         await anyio.sleep(2)
         assert transport._served_exchanges == 0 and held
 
-    run_simulation(play)
+    run_simulation(scenario)
--- a/tests/gossip/transport_support.py
+++ b/tests/gossip/transport_support.py
@@ -26,8 +26,8 @@
         pass
 
 
-class LetterSet:
-    """A spread that is a set of single letters."""
+class LetterStore:
+    """A GossipState that replicates a set of single letters."""
 
     def __init__(self, held=""):
         self.held, self.sent, self.retained = set(held), set(), set()
@@ -42,39 +42,44 @@
 
     def deltas(self, digest, max_bytes, count):
         if not digest.startswith(b"+"):
-            raise MalformedPacketError("no digest")
-        lacks = "".join(sorted(self.held - set(digest.decode())))[:max_bytes].encode()
-        return [lacks] if lacks else []
+            raise MalformedPacketError("not a digest")
+        missing = "".join(sorted(self.held - set(digest.decode())))[:max_bytes].encode()
+        return [missing] if missing else []
 
     def merge(self, data):
         self.held |= set(data.decode())
 
     def full_state(self, after, max_bytes):
-        at = after or 0
+        offset = after or 0
         held = sorted(self.held)
-        return "".join(held[at : at + 2]).encode(), (at + 2 if at + 2 < len(held) else None)
+        return "".join(held[offset : offset + 2]).encode(), (offset + 2 if offset + 2 < len(held) else None)
 
     def retain_origins(self, origins):
         self.retained = set(origins)
 
 
 class SimulatedCluster:
-    """Fleets in one simulated network."""
+    """Cluster transports in one simulated network."""
 
     def __init__(self, tasks):
         self.tasks = tasks
         self.net = SimNet(tasks, SEED)
-        self.scopes, self.ends = {}, {}
+        self.scopes, self.fenced_errors = {}, {}
 
-    def start(self, name, seeds=(), *, life=1, letters="", address=None, **changes):
+    def start(self, name, seeds=(), *, process_incarnation=1, letters="", address=None, **changes):
         address = address or f"{name}:1"
         environment = TransportEnvironment(
             self.net.datagrams(address), self.net.connect, lambda: anyio.current_time() * 1000
         )
         settings = ClusterTransportSettings(seeds=tuple(seeds), **changes)
-        source = random.Random(f"{SEED} {name} {life}")
+        source = random.Random(f"{SEED} {name} {process_incarnation}")
         transport = ClusterTransport(
-            settings, Identity(name, life, address), environment, LetterSet(letters), source, SilentLog()
+            settings,
+            Identity(name, process_incarnation, address),
+            environment,
+            LetterStore(letters),
+            source,
+            SilentLog(),
         )
         self.net.listen(address, transport.serve)
         self.tasks.start_soon(self._run, transport, address)
@@ -85,7 +90,7 @@
             try:
                 await transport.run()
             except FencedError as error:
-                self.ends[address] = error
+                self.fenced_errors[address] = error
 
     def kill(self, transport):
         address = transport.membership.local.address
@@ -94,31 +99,31 @@
         self.scopes[address].cancel()
 
 
-def live(transport):
+def alive_names(transport):
     return {v.name for v in transport.membership.view(0) if v.state is MemberState.ALIVE}
 
 
-def run_simulation(play):
+def run_simulation(scenario):
     async def program():
         async with anyio.create_task_group() as tasks:
-            await play(SimulatedCluster(tasks))
+            await scenario(SimulatedCluster(tasks))
             tasks.cancel_scope.cancel()
 
     simulate(program, SEED)
 
 
-async def until(holds, seconds=60):
+async def wait_until(condition, seconds=60):
     with anyio.fail_after(seconds):
-        while not holds():
+        while not condition():
             await anyio.sleep(0.1)
 
 
 class MemberProcess:
-    """A member in a process of its own; what it printed is read by a thread."""
+    """A member in a separate process; a thread reads the JSON lines that it prints."""
 
-    def __init__(self, name, seeds=(), life=0, period_ms=300):
-        command = [sys.executable, "-m", "cressrock.lab.member", "--name", name, "--life", str(life),
-                   "--period-ms", str(period_ms)]  # fmt: skip
+    def __init__(self, name, seeds=(), process_incarnation=0, period_ms=300):
+        command = [sys.executable, "-m", "cressrock.lab.member", "--name", name,
+                   "--life", str(process_incarnation), "--period-ms", str(period_ms)]  # fmt: skip
         for seed in seeds:
             command += ["--seed", seed]
         self.process = subprocess.Popen(command, stdout=subprocess.PIPE, text=True)
@@ -129,11 +134,11 @@
 
     def _read(self):
         for line in self.process.stdout:
-            said = json.loads(line)
-            self.lines.append(said)
-            self.view = said.get("view", self.view)
-            if "event" in said:
-                self.events.append((said["event"], said["member"]))
+            record = json.loads(line)
+            self.lines.append(record)
+            self.view = record.get("view", self.view)
+            if "event" in record:
+                self.events.append((record["event"], record["member"]))
 
     def end(self):
         for number in (signal.SIGCONT, signal.SIGKILL):
@@ -144,8 +149,8 @@
         self.process.stdout.close()
 
 
-def wait_for(holds, processes):
-    deadline = time.monotonic() + 60  # only so that a failure ends
-    while not holds():
+def wait_for_processes(condition, processes):
+    deadline = time.monotonic() + 60  # bounds the test's run time if it fails
+    while not condition():
         assert time.monotonic() < deadline, [(p.address, p.view) for p in processes]
         time.sleep(0.02)
