--- a/cressrock/gossip/entry_table.py
+++ b/cressrock/gossip/entry_table.py
@@ -60,7 +60,7 @@
         return state
 
     def remove_origin(self, origin: Origin) -> None:
-        """Remove an origin; its entries must have been removed by `forget_entry` before."""
+        """Remove an origin; its entries must have been removed by `delete_entry` before."""
         del self.states[origin]
         del self.order[bisect_left(self.order, origin)]
 
@@ -76,7 +76,7 @@
 
     # --- entries
 
-    def cost(self, key: EntryKey, payload: Payload) -> int:
+    def estimate_bytes(self, key: EntryKey, payload: Payload) -> int:
         """Return the estimated memory of an entry in bytes."""
         size = len(payload) if isinstance(payload, bytes) else 0
         return self.settings.entry_overhead_bytes + len(key.key) + len(key.item) + len(key.name) + size
@@ -93,8 +93,8 @@
     ) -> None:
         """Store an entry in place of the previous one with the same key, and update sizes and indexes."""
         previous = state.entries.pop(key, None)
-        entry = Entry(version, payload, self.cost(key, payload))
-        added_bytes = entry.cost - (previous.cost if previous else 0)
+        entry = Entry(version, payload, self.estimate_bytes(key, payload))
+        added_bytes = entry.estimated_bytes - (previous.estimated_bytes if previous else 0)
         state.size_bytes += added_bytes
         self.total_bytes += added_bytes
         state.tombstones += (payload is None) - (previous is not None and previous.payload is None)
@@ -105,11 +105,11 @@
         state.entries[key] = entry
         self._on_entry_changed(origin, key, previous, entry)
 
-    def forget_entry(self, origin: Origin, state: OriginState, key: EntryKey) -> None:
+    def delete_entry(self, origin: Origin, state: OriginState, key: EntryKey) -> None:
         """Delete an entry without leaving a tombstone."""
         entry = state.entries.pop(key)
-        state.size_bytes -= entry.cost
-        self.total_bytes -= entry.cost
+        state.size_bytes -= entry.estimated_bytes
+        self.total_bytes -= entry.estimated_bytes
         state.tombstones -= entry.payload is None
         if entry.payload is not None:
             self._on_entry_changed(origin, key, entry, None)
@@ -120,7 +120,7 @@
         if state.tombstones:
             for key, entry in list(state.entries.items()):
                 if entry.payload is None and entry.version <= floor:
-                    self.forget_entry(origin, state, key)
+                    self.delete_entry(origin, state, key)
 
     # --- indexes and obsolete own entries
 
--- a/cressrock/gossip/local_writer.py
+++ b/cressrock/gossip/local_writer.py
@@ -44,11 +44,13 @@
         """
         table, own = self._table, self._table.own
         previous = own.entries.get(key)
-        added_bytes = table.cost(key, payload) - (previous.cost if previous else 0)
+        added_bytes = table.estimate_bytes(key, payload) - (previous.estimated_bytes if previous else 0)
         max_bytes = table.settings.max_origin_bytes
         if payload is None or own.size_bytes + added_bytes <= max_bytes:
             return
-        tombstone_bytes = sum(e.cost for k, e in own.entries.items() if e.payload is None and k != key)
+        tombstone_bytes = sum(
+            e.estimated_bytes for k, e in own.entries.items() if e.payload is None and k != key
+        )
         if own.size_bytes + added_bytes - tombstone_bytes > max_bytes:
             raise OriginFullError(
                 f"own entries use {own.size_bytes} bytes, and {added_bytes} more are needed"
--- a/cressrock/gossip/merge.py
+++ b/cressrock/gossip/merge.py
@@ -113,32 +113,32 @@
         """Merge the section of one origin."""
         # A joining process that receives an origin from version 0 need not broadcast it: others have it.
         # A process that already knew the origin rebroadcasts, as the delta's entries may be new to others.
-        rebroadcast = kind == MessageKind.RECENT or (kind == MessageKind.DELTA and state.known > 0)
+        should_rebroadcast = kind == MessageKind.RECENT or (kind == MessageKind.DELTA and state.known > 0)
         if section.upto:
-            self._merge_range(origin, state, section, rebroadcast=rebroadcast)
+            self._merge_range(origin, state, section, should_rebroadcast=should_rebroadcast)
         else:
-            self._merge_single_entries(origin, state, section, rebroadcast=rebroadcast)
+            self._merge_single_entries(origin, state, section, should_rebroadcast=should_rebroadcast)
         self._finish_section(origin, state, section.floor)
 
     def _merge_single_entries(
-        self, origin: Origin, state: OriginState, section: OriginSection, *, rebroadcast: bool
+        self, origin: Origin, state: OriginState, section: OriginSection, *, should_rebroadcast: bool
     ) -> None:
         max_ranges = self._table.settings.max_ranges_ahead
         replaced = section.replaced or [0] * len(section.entries)
         for entry, replaced_before in zip(section.entries, replaced, strict=True):
             if entry.version > state.known and self._apply_entry(
-                origin, state, entry, rebroadcast=rebroadcast
+                origin, state, entry, should_rebroadcast=should_rebroadcast
             ):
                 state.add_known(entry.version - 1 - replaced_before, entry.version, max_ranges)
 
     def _merge_range(
-        self, origin: Origin, state: OriginState, section: OriginSection, *, rebroadcast: bool
+        self, origin: Origin, state: OriginState, section: OriginSection, *, should_rebroadcast: bool
     ) -> None:
         sweep = self._sweep_for(state, section)
         upto = section.upto
         for entry in section.entries:
             if entry.version > state.known and not self._apply_entry(
-                origin, state, entry, rebroadcast=rebroadcast
+                origin, state, entry, should_rebroadcast=should_rebroadcast
             ):
                 upto = entry.version - 1
                 break
@@ -173,7 +173,7 @@
         """
         for key, entry in list(state.entries.items()):
             if entry.version <= sweep.floor and key not in sweep.seen_keys:
-                self._table.forget_entry(origin, state, key)
+                self._table.delete_entry(origin, state, key)
         state.sweep = None
         state.add_known(0, sweep.upto, self._table.settings.max_ranges_ahead)
         self.completed_sweeps += 1
@@ -185,7 +185,7 @@
             self._table.raise_floor(origin, state, floor)
 
     def _apply_entry(
-        self, origin: Origin, state: OriginState, message: EntryMessage, *, rebroadcast: bool
+        self, origin: Origin, state: OriginState, message: EntryMessage, *, should_rebroadcast: bool
     ) -> bool:
         """Store an entry if it is newer than the stored one; returns False if a limit rejects it."""
         table, settings = self._table, self._table.settings
@@ -196,7 +196,7 @@
         if table.is_too_large(key, message.payload):
             self.rejected.size += 1
             return False
-        added_bytes = table.cost(key, message.payload) - (current.cost if current else 0)
+        added_bytes = table.estimate_bytes(key, message.payload) - (current.estimated_bytes if current else 0)
         max_others_bytes = settings.max_total_bytes - settings.max_origin_bytes
         if added_bytes > 0 and (
             state.size_bytes + added_bytes > 2 * settings.max_origin_bytes
@@ -205,7 +205,7 @@
             self.rejected.full += 1
             return False
         table.set_entry(origin, state, key, message.version, message.payload)
-        if rebroadcast:
+        if should_rebroadcast:
             self._broadcasts.add(origin, key)
         self._applied_entry = True
         return True
@@ -238,7 +238,7 @@
         for key, entry in list(state.entries.items()):
             if key.kind == EntryKind.REMOVAL and isinstance(entry.payload, int):
                 removals.append((key, entry.payload))
-            table.forget_entry(origin, state, key)
+            table.delete_entry(origin, state, key)
         table.remove_origin(origin)
         for key, upto in removals:
             self._adopt_removal(key, upto)
@@ -256,4 +256,4 @@
         try:
             self._writer.write(key, upto)
         except OriginFullError:
-            self.rejected.full += 1  # the item stays hidden on this replica through ItemRemovals.hidden only
+            self.rejected.full += 1  # only ItemRemovals.hidden keeps the item hidden on this replica
--- a/cressrock/gossip/origin_state.py
+++ b/cressrock/gossip/origin_state.py
@@ -10,11 +10,11 @@
 
 @dataclass(slots=True)
 class Entry:
-    """The latest write of an origin under a key; `cost` is the estimated memory in bytes."""
+    """The latest write of an origin under a key; `estimated_bytes` is its estimated memory."""
 
     version: int
     payload: Payload
-    cost: int
+    estimated_bytes: int
 
 
 class VersionRange(NamedTuple):
--- a/cressrock/gossip/reconciliation.py
+++ b/cressrock/gossip/reconciliation.py
@@ -188,18 +188,20 @@
                 break
             remaining_bytes -= overhead_bytes
             entries: list[EncodedEntry] = []
-            upto, complete = state.known, True
+            upto, is_complete = state.known, True
             for key, entry in state.entries_after(after):
                 data = encode_entry(key, entry.version, entry.payload)
                 if len(data) > remaining_bytes:
-                    upto, complete = (entries[-1][0] if entries else after), False
+                    upto, is_complete = (entries[-1][0] if entries else after), False
                     break
                 remaining_bytes -= len(data)
                 entries.append((entry.version, data))
-            if complete or entries:
-                raws = raw_entries(entries)
-                sections.append(EncodedSection(*origin, after, upto, state.floor, complete, raws))
-            if not complete:
+            if is_complete or entries:
+                encoded_entries = raw_entries(entries)
+                sections.append(
+                    EncodedSection(*origin, after, upto, state.floor, is_complete, encoded_entries)
+                )
+            if not is_complete:
                 cursor = Cursor(*origin, upto)
                 break
         return EncodedMessage(encode_changes(kind, sections) if sections else b"", cursor)
--- a/cressrock/gossip/settings.py
+++ b/cressrock/gossip/settings.py
@@ -15,8 +15,8 @@
 
     max_key_bytes: int = 128  # also the limit for an item name
     max_value_bytes: int = 640
-    # Limit for this process's own entries.  Another origin may use twice as much here, because this replica
-    # may not have received its removals yet.
+    # Limit for this process's own entries.  Twice as much is accepted from another origin, because the copy
+    # held here may lag behind.
     max_origin_bytes: int = 256 * 1024
     max_origins: int = 8192  # the planned 4,806 members, plus ended processes that are still retained
     max_total_bytes: int = 64 * 1024 * 1024  # max_origin_bytes of it are reserved for own entries
--- a/cressrock/gossip/store.py
+++ b/cressrock/gossip/store.py
@@ -36,8 +36,8 @@
     ) -> None:
         """Create an empty replica.
 
-        `process_incarnation` must be greater than every earlier one of this name; otherwise other replicas
-        merge entries of different processes under the same versions.
+        `process_incarnation` must be greater than every earlier one of this name.  Otherwise merging is not
+        correct: other replicas reject the entries as old, or mix those of two processes.
         """
         self.local: Origin = (name, process_incarnation)
         self.settings = settings
--- a/cressrock/gossip/transport.py
+++ b/cressrock/gossip/transport.py
@@ -179,7 +179,7 @@
             try:
                 packet = decode(data, settings.cluster, settings.max_datagram_bytes)
             except DatagramError as error:
-                self.drop_counts[error.code] += 1  # not logged: any host can send to the port
+                self.drop_counts[error.code] += 1  # not fatal: any host can send to the port
                 continue
             now_ms = self.environment.clock()
             self.membership.receive(now_ms, address, packet)
--- a/tests/gossip/test_merge.py
+++ b/tests/gossip/test_merge.py
@@ -104,7 +104,7 @@
         assert not member.table.removals.hidden and not member.table.removals.recorded
         assert member.size_bytes() == sum(s.size_bytes for s in member.table.states.values())
         assert member.size_bytes() == sum(
-            e.cost for s in member.table.states.values() for e in s.entries.values()
+            e.estimated_bytes for s in member.table.states.values() for e in s.entries.values()
         )
 
 
