--- a/cressrock/gossip/transport.py
+++ b/cressrock/gossip/transport.py
@@ -220,7 +220,7 @@
     async def serve(self, stream: Stream) -> None:
         """Answer an exchange that a peer started, and close the stream.
 
-        Failures are counted in `drop_counts`.
+        Errors are counted in `drop_counts`; a timeout is not.
         """
         try:
             if self._served_exchanges >= self.settings.max_served_exchanges or self._fenced_event is not None:
