--- a/tests/compatibility/pair_cases.py
+++ b/tests/compatibility/pair_cases.py
@@ -154,7 +154,7 @@
         for _ in range(steps):
             self.now += self.rng.choice((0.0, 1.0, 5.0, 30.0, 120.0))
             self._change_planner()
-            self._order()
+            self._send_orders()
             self._act(self._events())
             self._send_to_planner()
             self.digest.add([self.edge.next_tick_ms(), self.edge.decides(""), self.edge.decides("trial")])
@@ -175,7 +175,7 @@
             if joined:
                 self.planner = (name, epoch)
 
-    def _order(self) -> None:
+    def _send_orders(self) -> None:
         if self.planner is None:
             return
         rng, (name, epoch) = self.rng, self.planner
@@ -286,10 +286,10 @@
     rng = random.Random(f"planner/{seed}")
     digest = Digest(LABELS)
     module = RandomDecisions(random.Random(f"planner/{seed}/module"), digest)
-    bounds = PlannerLimits(
+    planner_limits = PlannerLimits(
         max_scheduled=rng.choice((10, 200)), max_edges=3, lease_ms=rng.choice((0.0, 400.0))
     )
-    planner = Planner(module, CLASSES, 77 + seed, bounds, PLANS)
+    planner = Planner(module, CLASSES, 77 + seed, planner_limits, PLANS)
     if seed % 4 == 0:
         planner.set_rule_versions(CLASSES * 2, PLANS * 2, {"": (0, 0), "trial": (len(CLASSES), len(PLANS))})
     sessions: dict[str, int] = {}
--- a/tests/compatibility/pair_link_cases.py
+++ b/tests/compatibility/pair_link_cases.py
@@ -116,8 +116,8 @@
     def start_planner(self, address: str, *, epoch: int | None = None) -> None:
         self.epoch += 1
         module = RandomDecisions(random.Random(f"{address}/{self.epoch}"), Digest())
-        bounds = PlannerLimits(lease_ms=400.0 if self.planner_leases else 0.0)
-        planner = Planner(module, CLASSES, epoch or self.epoch, bounds, PLANS)
+        planner_limits = PlannerLimits(lease_ms=400.0 if self.planner_leases else 0.0)
+        planner = Planner(module, CLASSES, epoch or self.epoch, planner_limits, PLANS)
         planner.receive_node_list(
             interface.NodeList(interface.ListKind.COMPLETE, tuple(self.ledger.nodes.values()))
         )
