--- a/cressrock/dispatch/node_list_watch.py
+++ b/cressrock/dispatch/node_list_poller.py
@@ -36,7 +36,7 @@
     cache: str | None = None
 
 
-class NodeListWatch:
+class NodeListPoller:
     """Polls the list while subscribed; a failed poll ends the subscription and is reported as FAILED."""
 
     def __init__(
--- a/cressrock/lab/capacity_page.py
+++ b/cressrock/lab/capacity_page.py
@@ -20,7 +20,7 @@
 from cressrock.lab.capacity import Measurement
 from cressrock.lab.localcost_rows import BOUND, CARRIED, NOT
 from cressrock.membership.settings import MembershipSettings
-from cressrock.platform.serverlist import MOST_TOLD
+from cressrock.platform.server_list import MOST_TOLD
 from cressrock.rollout.evidence import MAX_ORIGINS
 
 MISSING = "*not measured*"
--- a/cressrock/lab/localcost_lists.py
+++ b/cressrock/lab/localcost_lists.py
@@ -15,7 +15,7 @@
 from cressrock.dispatch.node_list import TYPE_URL, NodeListState
 from cressrock.interface import NodeList, Plan, RequestClass, Settings
 from cressrock.lab.localcost import EDGE, Figure, cpu_ms, fresh_cpu_ms, held_bytes, lines
-from cressrock.platform.serverlist import ServerList
+from cressrock.platform.server_list import ServerList
 from cressrock.scheduler.scheduler import Scheduler
 
 ZONES = tuple(f"z{index}" for index in range(6))
--- a/cressrock/lab/localcost_requests.py
+++ b/cressrock/lab/localcost_requests.py
@@ -20,7 +20,7 @@
 from cressrock.interface import ListKind, Node, NodeList, Outcome
 from cressrock.lab.localcost import Figure, held_bytes, lines
 from cressrock.lab.localcost_lists import SETTINGS
-from cressrock.resp.nodes import PoolBounds, RespTransport
+from cressrock.resp.connection_pool import PoolBounds, RespTransport
 from cressrock.scheduler.scheduler import Scheduler
 
 LAG_MS = 4.0
--- a/cressrock/platform/turns.py
+++ b/cressrock/platform/loop_batches.py
@@ -7,7 +7,7 @@
 from cressrock.dispatch.driver import FOREVER, Driver
 
 
-class Turns:
+class LoopBatches:
     """Runs a batch of the driver once per loop iteration if it asked for one, and when its timer is due."""
 
     def __init__(self, driver: Driver, loop: asyncio.AbstractEventLoop) -> None:
@@ -16,7 +16,7 @@
         self.loop = loop
         self.count = 0  # batches run
         self._scheduled = False
-        self._ended = False
+        self._stopped = False
         self._timer: asyncio.TimerHandle | None = None
         self._timer_due_ms = FOREVER
         driver.request_wakeup = self.schedule
@@ -27,15 +27,15 @@
             self._scheduled = True
             self.loop.call_soon(self._run_batch)
 
-    def end(self) -> None:
+    def stop(self) -> None:
         """Run no further batch: every request is answered, and no new attempt may start."""
-        self._ended = True
+        self._stopped = True
         if self._timer is not None:
             self._timer.cancel()
 
     def _run_batch(self) -> None:
         self._scheduled = False
-        if self._ended:
+        if self._stopped:
             return
         self.count += 1
         try:
--- a/cressrock/platform/program.py
+++ b/cressrock/platform/program.py
@@ -22,20 +22,20 @@
 from cressrock.dispatch.ledger import Attempt, FenceTrip, Ledger, Verdict
 from cressrock.dispatch.reasons import Reason
 from cressrock.interface import NodeList, Outcome
-from cressrock.platform import watchclock
+from cressrock.platform import watch_schedule
 from cressrock.platform.config import Config, ConfigError, find_foreign_setting, parse
-from cressrock.platform.serverlist import ListError, ServerList
+from cressrock.platform.loop_batches import LoopBatches
+from cressrock.platform.server_list import ListError, ServerList
 from cressrock.platform.stopping import StopSchedule
-from cressrock.platform.turns import Turns
 from cressrock.platform.watch import Watch
 from cressrock.resp.codec import MAX_VALUE
+from cressrock.resp.connection_pool import PoolBounds, RespTransport
+from cressrock.resp.eviction import accepted_at_once
 from cressrock.resp.front import Front, FrontBounds
 from cressrock.resp.lingering import LingerBounds
 from cressrock.resp.listener import Listener
-from cressrock.resp.nodes import PoolBounds, RespTransport
 from cressrock.resp.request import Reader
-from cressrock.resp.room import accepted_at_once
-from cressrock.scheduler.beliefs import endpoint_beliefs
+from cressrock.scheduler.endpoint_estimates import endpoint_beliefs
 from cressrock.scheduler.scheduler import Scheduler
 
 # Descriptors that are not available for established connections to clients and servers: SPARE in all, of
@@ -189,7 +189,7 @@
         self.watch = Watch(
             self.servers,
             config.discovery,
-            watchclock.WatchSchedule(
+            watch_schedule.WatchSchedule(
                 clock(),
                 random.Random(rng.getrandbits(62)).random,
                 ask_every_ms=settings.ask_every_ms,
@@ -202,7 +202,7 @@
             subscribed=not settings.must_ask,
         )
         self.driver.subscribe = self.watch.subscribe
-        self.turns: Turns | None = None
+        self.loop_batches: LoopBatches | None = None
         self.listener: Listener | None = None
         self.address: tuple[str, int] | None = None  # the listener's, None until clients are served
 
@@ -215,7 +215,7 @@
     async def run(self) -> None:
         """Serve until SIGTERM, then until every request is answered."""
         loop, settings = asyncio.get_running_loop(), self.config.settings
-        self.turns = Turns(self.driver, loop)
+        self.loop_batches = LoopBatches(self.driver, loop)
         try:
             self._apply_report(self.servers.receive(self.config.known, clock(), wall_ms(), cached=True))
             if self.servers.rejected_entries:
@@ -237,7 +237,7 @@
             if not settings.must_ask:
                 # Where lists are pushed, a new process counts as informed of drains from its first moment on,
                 # but its configured list may be older: it waits for discovery's before it serves clients.
-                with anyio.move_on_after(watchclock.first_list_timeout_ms() / 1000):
+                with anyio.move_on_after(watch_schedule.first_list_timeout_ms() / 1000):
                     await self.watch.answered.wait()
             with net.binding("listen", ":".join(map(str, self.config.listen))):
                 self.listener = listener = Listener(
@@ -275,8 +275,8 @@
         # otherwise they would be lost.
         self.log(f"stopped, aborting {self.front.owes()} open requests")
         self.driver.abort_pending()
-        if self.turns is not None:
-            self.turns.end()
+        if self.loop_batches is not None:
+            self.loop_batches.stop()
         self.front.finish()
         # An answer that the kernel has not delivered yet is lost if its connection is closed with unread
         # bytes, and so if the process exits.
@@ -332,7 +332,7 @@
     def _report(self) -> None:
         """Log the counters, and the scheduler's estimates for the servers in use."""
         observer, transport, front = self.observer, self.transport, self.front
-        turns = self.turns.count if self.turns is not None else 0
+        batches = self.loop_batches.count if self.loop_batches is not None else 0
         self.log(
             f"clients={len(front.clients)} lingering={len(front.lingering)} asking={front.asking} "
             f"owed={front.owes()} evicted={front.evicted} yielded={front.yielded} "
@@ -341,7 +341,7 @@
             f"malformed={front.malformed} refused={front.refused_commands} "
             f"calls={self.watch.calls} failed={self.watch.failed} doubted={self.watch.parallel_calls} "
             f"nodes={len(transport.open)} opened={transport.opened} reused={transport.reused} "
-            f"spoilt={transport.spoilt} surplus={transport.surplus} turns={turns} "
+            f"spoilt={transport.spoilt} surplus={transport.surplus} turns={batches} "
             f"events={observer.events} act={observer.act_ms:.0f} "
             f"longest={observer.longest_act_ms:.1f} late={observer.max_queued_ms:.1f} "
             f"cpu={time.process_time():.2f} "
--- a/cressrock/platform/watch.py
+++ b/cressrock/platform/watch.py
@@ -11,8 +11,8 @@
 from cressrock import net
 from cressrock.http.channel import BROKEN, Channel, ConnectionLostError, MessageTooLargeError
 from cressrock.interface import ListKind, NodeList
-from cressrock.platform.serverlist import ListError, ServerList
-from cressrock.platform.watchclock import Call, WatchSchedule
+from cressrock.platform.server_list import ListError, ServerList
+from cressrock.platform.watch_schedule import Call, WatchSchedule
 
 MAX_ANSWER_BYTES = 4 << 20  # of one answer's body
 
--- a/cressrock/programs/composition.py
+++ b/cressrock/programs/composition.py
@@ -18,7 +18,7 @@
 from cressrock.dispatch.ledger import Ledger
 from cressrock.dispatch.node_client import Connect, NodeClient
 from cressrock.dispatch.node_list import NodeListState
-from cressrock.dispatch.node_list_watch import NodeListSource, NodeListWatch
+from cressrock.dispatch.node_list_poller import NodeListPoller, NodeListSource
 from cressrock.dispatch.task_driver import TaskDriver
 from cressrock.edge.decisions import EdgeDecisions
 from cressrock.interface import NodeList
@@ -89,15 +89,15 @@
     return NodeClient(environment.connect, settings.nodes, user_agent=f"cressrock/{settings.name}")
 
 
-def create_node_list_watch(
+def create_node_list_poller(
     settings: Settings,
     environment: Environment,
     node_client: NodeClient,
     on_report: Callable[[NodeList], None],
-) -> NodeListWatch:
+) -> NodeListPoller:
     """Return what follows the node list by a program's settings."""
     node_list = settings.node_list
-    return NodeListWatch(
+    return NodeListPoller(
         NodeListState(node_list.cluster, max_nodes=node_list.max_nodes),
         node_client,
         NodeListSource(
--- a/cressrock/programs/gateway.py
+++ b/cressrock/programs/gateway.py
@@ -16,7 +16,7 @@
 from cressrock.dispatch.idempotency import IdempotencyKeys
 from cressrock.dispatch.ledger import Ledger
 from cressrock.dispatch.node_client import NodeClient
-from cressrock.dispatch.node_list_watch import NodeListWatch
+from cressrock.dispatch.node_list_poller import NodeListPoller
 from cressrock.dispatch.spool import PayloadStore
 from cressrock.dispatch.task_driver import TaskDriver
 from cressrock.edge.decisions import EdgeDecisions
@@ -36,7 +36,7 @@
     RolloutHooks,
     child_rng,
     create_node_client,
-    create_node_list_watch,
+    create_node_list_poller,
     create_presence,
     create_replicated_volumes,
     create_rollout,
@@ -99,7 +99,7 @@
         self.server: Server | None = None
         self.front: Front | None = None
         self.driver: TaskDriver | None = None
-        self.node_list_watch: NodeListWatch | None = None
+        self.node_list_poller: NodeListPoller | None = None
         self.runtime: ClusterRuntime | None = None
         self.presence: PresenceService | None = None
         self.rollout: RolloutService[Version] | None = None
@@ -116,13 +116,13 @@
             node_client = await stack.enter_async_context(self.node_client)
             tasks: TaskGroup = await stack.enter_async_context(anyio.create_task_group())
             edge, driver = self._create_driver(node_client, rng)
-            watch = self.node_list_watch = create_node_list_watch(
+            poller = self.node_list_poller = create_node_list_poller(
                 settings, environment, node_client, self._on_node_list
             )
-            self.driver, driver.subscribe = driver, watch.subscribe
+            self.driver, driver.subscribe = driver, poller.subscribe
             front, self.server = self._create_front(driver, rng)
-            watch.load_cache()
-            watch.subscribe()
+            poller.load_cache()
+            poller.subscribe()
             # Drawn last, and only where there is one: without it every seed gives what it gave before.
             self.runtime = create_runtime(settings, environment, "edge", rng)
             if self.runtime is not None:
@@ -130,7 +130,7 @@
             tasks.start_soon(driver.run)
             if edge is not None:
                 tasks.start_soon(create_planner_link(settings, environment, edge, driver, rng).run)
-            tasks.start_soon(watch.run)
+            tasks.start_soon(poller.run)
             tasks.start_soon(self.server.watch)
             self.started = True
             task_status.started()
@@ -263,8 +263,8 @@
     def _zone_of(self, node: Node) -> str:
         """Return the name of a listed node's zone."""
         name = self._zone_names.get(node.zone)
-        if name is None and self.node_list_watch is not None:
-            self._zone_names = {number: name for name, number in self.node_list_watch.state.zones.items()}
+        if name is None and self.node_list_poller is not None:
+            self._zone_names = {number: name for name, number in self.node_list_poller.state.zones.items()}
             name = self._zone_names.get(node.zone)
         return name or ""
 
@@ -349,12 +349,12 @@
 
     def render_metrics(self) -> bytes:
         """Bring the gauges up to date and return the exposition."""
-        metrics, watch = self.metrics, self.node_list_watch
+        metrics, poller = self.metrics, self.node_list_poller
         if self.driver is not None:
             set_ledger_gauges(metrics, self.driver.ledger)
             set_scheduler_gauges(metrics, self.driver.decisions)
-        if watch is not None and watch.last_response_ms is not None:
-            metrics.list_age.set(anyio.current_time() - watch.last_response_ms / 1000)
+        if poller is not None and poller.last_response_ms is not None:
+            metrics.list_age.set(anyio.current_time() - poller.last_response_ms / 1000)
         metrics.connections.labels("clients").set(self.server.connections if self.server else 0)
         metrics.connections.labels("nodes").set(self.node_client.connections())
         metrics.stored.set(self.payload_store.memory_used_bytes)
--- a/cressrock/programs/planner.py
+++ b/cressrock/programs/planner.py
@@ -26,7 +26,7 @@
     Environment,
     RolloutHooks,
     create_node_client,
-    create_node_list_watch,
+    create_node_list_poller,
     create_rollout,
     create_runtime,
     replica_placements,
@@ -86,12 +86,12 @@
                 self.replica_manager = self._create_replica_manager(runtime, node_client)
             if self.replica_manager is not None:
                 self.admin.routes[b"/v1/copies"] = self.replica_manager.handle
-            watch = create_node_list_watch(settings, environment, node_client, self._on_node_list)
-            server.subscribe_to_node_list = watch.subscribe
+            poller = create_node_list_poller(settings, environment, node_client, self._on_node_list)
+            server.subscribe_to_node_list = poller.subscribe
             server.knows_versions = settings.rollout is not None
-            watch.load_cache()
-            watch.subscribe()
-            tasks.start_soon(watch.run)
+            poller.load_cache()
+            poller.subscribe()
+            tasks.start_soon(poller.run)
             tasks.start_soon(server.run)
             if runtime is not None:
                 await tasks.start(runtime.run)
--- a/cressrock/resp/nodes.py
+++ b/cressrock/resp/connection_pool.py
@@ -22,9 +22,9 @@
 from cressrock.dispatch.transport import AttemptResult, Call
 from cressrock.interface import Outcome
 from cressrock.resp import codec
-from cressrock.resp.answers import parse_load, parse_outcome
-from cressrock.resp.pace import ReplyProgress
-from cressrock.resp.quiet import ReuseDelay
+from cressrock.resp.outcomes import parse_load, parse_outcome
+from cressrock.resp.reply_progress import ReplyProgress
+from cressrock.resp.reuse_delay import ReuseDelay
 
 
 @dataclass(frozen=True, slots=True)
--- a/cressrock/resp/front.py
+++ b/cressrock/resp/front.py
@@ -21,9 +21,9 @@
 from cressrock.dispatch.ledger import Verdict
 from cressrock.dispatch.transport import Denial
 from cressrock.resp import codec
+from cressrock.resp.eviction import choose_eviction, choose_unread
 from cressrock.resp.lingering import LingerBounds, Lingering
 from cressrock.resp.request import READ, WRITE, InvalidCommandError, Reader
-from cressrock.resp.room import choose_eviction, choose_unread
 
 
 @dataclass(frozen=True, slots=True)
--- a/cressrock/scheduler/concurrency_limit.py
+++ b/cressrock/scheduler/concurrency_limit.py
@@ -12,7 +12,7 @@
 
 from cressrock.interface import Settings
 from cressrock.scheduler.request import Request
-from cressrock.scheduler.uncrowded_latency import MAX_SMOOTHING_WEIGHT, UnloadedLatency
+from cressrock.scheduler.unloaded_latency import MAX_SMOOTHING_WEIGHT, UnloadedLatency
 
 FLEET_WINDOW_REQUESTS = 10.0  # the paper's D: initial window of all hosts together at an endpoint
 MAX_WINDOW_REQUESTS = 64.0  # of one host: nodes with many cores or a long round trip need more than ten
--- a/tests/compatibility/dispatch_cases.py
+++ b/tests/compatibility/dispatch_cases.py
@@ -18,7 +18,7 @@
 from cressrock.dispatch.ledger import Attempt, FenceTrip, Ledger, Verdict
 from cressrock.dispatch.node_client import NodeClient, PoolBounds
 from cressrock.dispatch.node_list import NodeListError, NodeListState
-from cressrock.dispatch.node_list_watch import NodeListSource, NodeListWatch
+from cressrock.dispatch.node_list_poller import NodeListPoller, NodeListSource
 from cressrock.dispatch.node_response import outcome_of, reported_load
 from cressrock.dispatch.operation import Operation, Reply
 from cressrock.dispatch.quota import EdgeQuota, lease_duration_ms
@@ -611,10 +611,10 @@
         return lambda *args, **fields: None
 
 
-def new_watch(client: Any, cache: Path | None, reports: list[NodeList]) -> NodeListWatch:
+def new_watch(client: Any, cache: Path | None, reports: list[NodeList]) -> NodeListPoller:
     """Return a watch of the list `storage` that appends its reports to `reports`."""
     source = NodeListSource("list:1", "me", 60000.0, 2000.0, None if cache is None else str(cache))
-    return NodeListWatch(
+    return NodeListPoller(
         NodeListState("storage", max_nodes=100),
         client,
         source,
--- a/tests/compatibility/resp_cases.py
+++ b/tests/compatibility/resp_cases.py
@@ -7,7 +7,7 @@
 
 from cressrock.interface import DeduplicationScope, Idempotency, Plan, RequestClass, Settings
 from cressrock.resp import codec
-from cressrock.resp.answers import parse_load, parse_outcome
+from cressrock.resp.outcomes import parse_load, parse_outcome
 from cressrock.resp.request import InvalidCommandError, Reader
 from tests.compatibility.canonical import canonical
 
--- a/tests/test_capacity_local.py
+++ b/tests/test_capacity_local.py
@@ -25,7 +25,7 @@
 from cressrock.lab import localcost_state as state
 from cressrock.lab.capacity import SIZES as AT_SIZE
 from cressrock.lab.capacity import Measurement
-from cressrock.platform.serverlist import ServerList
+from cressrock.platform.server_list import ServerList
 from cressrock.resp import codec
 from cressrock.resp.front import Front, FrontBounds
 from cressrock.resp.request import Reader
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -23,9 +23,9 @@
 from cressrock.platform.program import Program
 from cressrock.resp import codec
 from cressrock.resp.codec import ErrorLine, Status
+from cressrock.resp.connection_pool import PoolBounds, RespTransport, _Connection, _InFlightAttempt
 from cressrock.resp.front import Front, FrontBounds
 from cressrock.resp.lingering import LingerBounds
-from cressrock.resp.nodes import PoolBounds, RespTransport, _Connection, _InFlightAttempt
 from cressrock.resp.request import Reader
 
 PIECE = b"7f3a9c21e0b4d655"
--- a/tests/test_platform_config.py
+++ b/tests/test_platform_config.py
@@ -17,7 +17,7 @@
 from cressrock.platform import program
 from cressrock.platform.config import ConfigError, find_foreign_setting, parse
 from cressrock.platform.program import Program
-from cressrock.platform.serverlist import ServerList
+from cressrock.platform.server_list import ServerList
 from cressrock.resp import codec
 from cressrock.resp.request import InvalidCommandError, Reader
 from tests.test_platform import Client, on_sockets, stage
--- a/tests/test_platform_endings.py
+++ b/tests/test_platform_connections.py
@@ -18,9 +18,9 @@
 from cressrock.resp import codec
 from cressrock.resp import front as front_module
 from cressrock.resp.codec import ErrorLine, Status
+from cressrock.resp.eviction import choose_eviction
 from cressrock.resp.front import Front, FrontBounds
 from cressrock.resp.request import Reader
-from cressrock.resp.room import choose_eviction
 from tests.test_platform import READER, Client, RecordingTransport, ident, on_sockets, read, stage, write
 
 
@@ -366,7 +366,9 @@
         sock.sendall(read(1))
         await s.until(lambda: any(not c.is_flushed() for c in s.program.front.clients))
         os.kill(os.getpid(), signal.SIGTERM)
-        await s.until(lambda: s.program.turns._ended)  # all requests are answered; only output is pending
+        await s.until(
+            lambda: s.program.loop_batches._stopped
+        )  # all requests are answered; only output is pending
         await asyncio.wait([s.task], timeout=0.2)  # without the wait the task would be done by now
         assert not s.task.done()
         client = await as_client(s, sock)
@@ -417,7 +419,7 @@
         client.send(read(1))
         await s.until(lambda: s.program.front.owes() == 1)
         s.program.driver.abort_pending()
-        s.program.turns.end()
+        s.program.loop_batches.stop()
         s.discovery.put("s0", s.servers[0].address, 0)  # the scheduler would start the request now
         await s.until(lambda: s.program.driver.ledger.nodes["s0"].state is NodeState.READY)
         await asyncio.sleep(0)
--- a/tests/test_platform_room.py
+++ b/tests/test_platform_descriptors.py
@@ -16,8 +16,8 @@
 from cressrock.platform import program
 from cressrock.resp import codec
 from cressrock.resp.codec import Status
+from cressrock.resp.eviction import LOOP_ITERATIONS, accepted_at_once
 from cressrock.resp.listener import Listener
-from cressrock.resp.room import LOOP_ITERATIONS, accepted_at_once
 from tests.test_platform import Client, ident, on_sockets, read, socket_free, stage
 
 LIMIT = 64
--- a/tests/test_platform_leaving.py
+++ b/tests/test_platform_disconnects.py
@@ -15,8 +15,8 @@
 from cressrock.lab.platform import answer, echo
 from cressrock.resp import codec
 from tests.test_platform import Client, ident, on_sockets, read, stage, write
-from tests.test_platform_endings import connect_raw, connect_with_small_buffers
-from tests.test_platform_nodes import ManualServer, patch_connection_made, read_to_end
+from tests.test_platform_connections import connect_raw, connect_with_small_buffers
+from tests.test_platform_pool import ManualServer, patch_connection_made, read_to_end
 
 LARGE = b"y" * 1_500_000
 
--- a/tests/test_platform_parts.py
+++ b/tests/test_platform_server_list.py
@@ -7,7 +7,7 @@
 from cressrock.interface import ListKind, NodeState
 from cressrock.lab.platform import Discovery, config
 from cressrock.platform.config import ConfigError, parse
-from cressrock.platform.serverlist import ListError, ServerList
+from cressrock.platform.server_list import ListError, ServerList
 from cressrock.platform.watch import MAX_ANSWER_BYTES
 
 
--- a/tests/test_platform_watch.py
+++ b/tests/test_platform_watch.py
@@ -10,19 +10,19 @@
 
 from cressrock.interface import ListKind, NodeState
 from cressrock.lab.platform import Discovery, config
-from cressrock.platform import watchclock
+from cressrock.platform import watch_schedule
 from cressrock.platform.config import parse
 from cressrock.platform.program import Program
-from cressrock.platform.serverlist import ListError, ServerList
+from cressrock.platform.server_list import ListError, ServerList
 from tests.test_platform import ident, on_sockets, read, socket_free, stage
-from tests.test_platform_parts import answer, entry
+from tests.test_platform_server_list import answer, entry
 
 
 def shorten_deadlines(monkeypatch):
     """Shorten the schedule's times, which keep their order."""
-    monkeypatch.setattr(watchclock, "CHANGE_DEADLINE_MS", 900.0)
-    monkeypatch.setattr(watchclock, "MOVE_DEADLINE_MS", 600.0)
-    monkeypatch.setattr(watchclock, "MAX_QUEUE_MS", 300.0)
+    monkeypatch.setattr(watch_schedule, "CHANGE_DEADLINE_MS", 900.0)
+    monkeypatch.setattr(watch_schedule, "MOVE_DEADLINE_MS", 600.0)
+    monkeypatch.setattr(watch_schedule, "MAX_QUEUE_MS", 300.0)
 
 
 @on_sockets
--- a/tests/test_platform_watchclock.py
+++ b/tests/test_platform_watch_schedule.py
@@ -8,7 +8,12 @@
 from hypothesis import example, given, settings
 from hypothesis import strategies as st
 
-from cressrock.platform.watchclock import CHANGE_DEADLINE_MS, MAX_QUEUE_MS, MOVE_DEADLINE_MS, WatchSchedule
+from cressrock.platform.watch_schedule import (
+    CHANGE_DEADLINE_MS,
+    MAX_QUEUE_MS,
+    MOVE_DEADLINE_MS,
+    WatchSchedule,
+)
 
 LONG_INTERVAL_MS, SHORT_INTERVAL_MS = 10_000.0, 1000.0  # two settings of ask_every_ms
 
--- a/tests/test_resp.py
+++ b/tests/test_resp.py
@@ -8,10 +8,10 @@
 
 from cressrock.interface import DeduplicationScope, Idempotency, Outcome, Plan, RequestClass, Settings
 from cressrock.resp import codec
-from cressrock.resp.answers import parse_load, parse_outcome
 from cressrock.resp.codec import Commands, ErrorLine, ProtocolError, Replies, Status
+from cressrock.resp.eviction import choose_eviction, choose_unread
+from cressrock.resp.outcomes import parse_load, parse_outcome
 from cressrock.resp.request import InvalidCommandError, Reader
-from cressrock.resp.room import choose_eviction, choose_unread
 
 WORD = st.binary(max_size=40)
 
