--- a/cressrock/dispatch/http_transport.py
+++ b/cressrock/dispatch/http_transport.py
@@ -15,7 +15,7 @@
     NoConnectionError,
     NodeClient,
     NodePayload,
-    SentTooLateError,
+    SendNotPermittedError,
 )
 from cressrock.dispatch.node_response import ReportedLoad, outcome_of, reported_load
 from cressrock.dispatch.operation import Operation, PayloadTruncatedError, Reply
@@ -95,7 +95,7 @@
         try:
             with scope:
                 await self._exchange(attempt)
-        except SentTooLateError as error:
+        except SendNotPermittedError as error:
             attempt.end_state = _EndState(Outcome.ABANDONED, str(error))
         except NoConnectionError as error:
             attempt.end_state = _EndState(Outcome.NO_CONNECTION, str(error))
--- a/cressrock/dispatch/node_client.py
+++ b/cressrock/dispatch/node_client.py
@@ -48,7 +48,7 @@
     """No connection: no byte of the request was sent, so it cannot have run."""
 
 
-class SentTooLateError(Exception):
+class SendNotPermittedError(Exception):
     """The connection was opened too late: the request may no longer be sent, and no byte of it was."""
 
 
@@ -155,7 +155,7 @@
     ) -> tuple[Reply, NodePayload | None]:
         """Send an operation and return the response, with its payload if that is streamed (else None).
 
-        Raises NoConnectionError and SentTooLateError (never ran), ConnectionLostError (may have run),
+        Raises NoConnectionError and SendNotPermittedError (never ran), ConnectionLostError (may have run),
         PayloadTruncatedError (the client's own payload ended early), MessageTooLargeError or
         h11.RemoteProtocolError (the response is not valid HTTP).  Cancellation closes the connection.
         """
@@ -196,7 +196,7 @@
                 headers.append((b"content-length", str(body.length).encode()))
         request_events.append(h11.Request(method=op.method, target=op.target, headers=headers))
         if not progress.may_leave():
-            raise SentTooLateError("the connection was opened too late to send the request")
+            raise SendNotPermittedError("the connection was opened too late to send the request")
         progress.is_sent = True
         if body is None or body.length == 0:
             await channel.send(*request_events, h11.EndOfMessage())
--- a/cressrock/lab/fragile.py
+++ b/cressrock/lab/fragile.py
@@ -15,13 +15,13 @@
     from cressrock.interface import Settings
     from cressrock.scheduler.scheduler import Scheduler
 
-    def widen(self: Scheduler, settings: Settings) -> None:
+    def extend_tables(self: Scheduler, settings: Settings) -> None:
         if any(cls.latency_objective_ms == DEADLY_MS for cls in settings.classes):
             os._exit(9)
         sound(self, settings)
 
-    sound = Scheduler.widen
-    Scheduler.widen = widen  # type: ignore[method-assign]
+    sound = Scheduler.extend_tables
+    Scheduler.extend_tables = extend_tables  # type: ignore[method-assign]
     runpy.run_module("cressrock", run_name="__main__")
 
 
--- a/cressrock/lab/localcost_sockets.py
+++ b/cressrock/lab/localcost_sockets.py
@@ -95,7 +95,7 @@
     def __init__(self, hall: Hall) -> None:
         """`hall` counts."""
         self.hall = hall
-        self.parser = codec.Commands()
+        self.parser = codec.CommandParser()
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Keep the way back."""
@@ -289,7 +289,7 @@
 
     def __init__(self) -> None:
         """Start with nothing asked."""
-        self.replies = codec.Replies()
+        self.replies = codec.ReplyParser()
         self.done: asyncio.Future[Any] | None = None
         self.lost_at = 0.0
 
@@ -344,7 +344,7 @@
         self.count += 1
         data = command(self.count, self.random.randrange(self.shards), self.random.randrange(200))
         reply = await client.ask(data)
-        if isinstance(reply, codec.ErrorLine):
+        if isinstance(reply, codec.ErrorReply):
             self.other += 1
         else:
             self.served += 1
--- a/cressrock/lab/member.py
+++ b/cressrock/lab/member.py
@@ -72,7 +72,7 @@
         await fleet.serve(stream)
 
     async with anyio.create_task_group() as tasks:
-        bound, datagrams, close = await net.listen_both(given.listen, serve, tasks)
+        bound, datagrams, close = await net.listen_tcp_and_udp(given.listen, serve, tasks)
         clock = net.clock()
         life = given.life or int(net.wall_ms())
         identity = Identity(given.name, life, bound, given.role, given.zone)
--- a/cressrock/lab/platform.py
+++ b/cressrock/lab/platform.py
@@ -56,7 +56,7 @@
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.connections += 1
         self.open.add(writer)
-        parser = codec.Commands()
+        parser = codec.CommandParser()
         try:
             while data := await reader.read(65536):
                 commands, wrong = parser.feed(data)
--- a/cressrock/net.py
+++ b/cressrock/net.py
@@ -27,7 +27,7 @@
         self._transport: asyncio.Transport | None = None
         self._feed: Callable[[bytes], None] | None = None
         self._end: Callable[[], None] | None = None
-        self._early: deque[bytes] = deque()
+        self._received: deque[bytes] = deque()
         self._has_ended = False
         self._is_lost = False
         self._data_available: asyncio.Event | None = None
@@ -49,8 +49,8 @@
         if self._feed is not None:
             self._feed(data)
             return
-        self._early.append(data)
-        if self._transport is not None and sum(map(len, self._early)) > 65536:
+        self._received.append(data)
+        if self._transport is not None and sum(map(len, self._received)) > 65536:
             self._transport.pause_reading()
         if self._data_available is not None:
             self._data_available.set()
@@ -91,8 +91,8 @@
     def attach(self, feed: Callable[[bytes], None], end: Callable[[], None]) -> None:
         """Pass buffered and future bytes to `feed`; call `end` once when the peer has ended."""
         self._feed, self._end = feed, end
-        while self._early:
-            feed(self._early.popleft())
+        while self._received:
+            feed(self._received.popleft())
         if self._has_ended:
             end()
         elif self._transport is not None:
@@ -109,16 +109,16 @@
 
     async def receive(self, max_bytes: int = 65536) -> bytes:
         """Return at least one and at most `max_bytes` bytes.  Raises EndOfStream at the end."""
-        while not self._early:
+        while not self._received:
             if self._has_ended:
                 raise anyio.EndOfStream
             self._data_available = asyncio.Event()
             await self._data_available.wait()
-        data = self._early.popleft()
+        data = self._received.popleft()
         if len(data) > max_bytes:
-            self._early.appendleft(data[max_bytes:])
+            self._received.appendleft(data[max_bytes:])
             data = data[:max_bytes]
-        if not self._early:
+        if not self._received:
             self.hold(False)
         return data
 
@@ -192,7 +192,7 @@
 
 
 @contextmanager
-def binding(setting: str, address: str) -> Iterator[None]:
+def report_bind_errors(setting: str, address: str) -> Iterator[None]:
     """Wrap code that binds the address of a setting; turns every failure into a BindError."""
     try:
         yield
@@ -224,7 +224,7 @@
     def connected(stream: TcpStream) -> None:
         tasks.start_soon(serve, stream)
 
-    with binding(setting, address):
+    with report_bind_errors(setting, address):
         server = await loop.create_server(
             lambda: TcpStream(connected), *_parse_address(address), backlog=4096
         )
@@ -282,7 +282,7 @@
             self._transport.close()
 
 
-async def listen_both(
+async def listen_tcp_and_udp(
     address: str,
     serve: Callable[[Stream], Coroutine[Any, Any, None]],
     tasks: TaskGroup,
@@ -299,7 +299,7 @@
         bound, close_tcp = await listen(address, serve, tasks, setting=setting)
         try:
             local_address = (host, int(bound.rpartition(":")[2]))
-            with binding(setting, f"{address} (UDP)"):
+            with report_bind_errors(setting, f"{address} (UDP)"):
                 _, datagrams = await loop.create_datagram_endpoint(UdpSocket, local_addr=local_address)
             break
         except OSError:
--- a/cressrock/platform/program.py
+++ b/cressrock/platform/program.py
@@ -28,20 +28,21 @@
 from cressrock.platform.server_list import ListError, ServerList
 from cressrock.platform.stopping import StopSchedule
 from cressrock.platform.watch import Watch
-from cressrock.resp.codec import MAX_VALUE
+from cressrock.resp.codec import MAX_VALUE_BYTES
 from cressrock.resp.connection_pool import PoolBounds, RespTransport
-from cressrock.resp.eviction import accepted_at_once
+from cressrock.resp.eviction import max_accepts_per_iteration
 from cressrock.resp.front import Front, FrontBounds
 from cressrock.resp.lingering import LingerBounds
 from cressrock.resp.listener import Listener
-from cressrock.resp.request import Reader
-from cressrock.scheduler.endpoint_estimates import endpoint_beliefs
+from cressrock.resp.request import CommandReader
+from cressrock.scheduler.endpoint_estimates import endpoint_estimates
 from cressrock.scheduler.scheduler import Scheduler
 
-# Descriptors that are not available for established connections to clients and servers: SPARE in all, of
-# which OWN are the process's (the listener, two for discovery, three each for the event loop and the standard
-# streams, one for a file, two more); the rest is for client connections that are being accepted or closed.
-SPARE, OWN = 32, 12
+# Descriptors that are not available for established connections to clients and servers: RESERVED_DESCRIPTORS
+# in all, of which PROCESS_DESCRIPTORS are the process's (the listener, two for discovery, three each for the
+# event loop and the standard streams, one for a file, two more); the rest is for client connections that are
+# being accepted or closed.
+RESERVED_DESCRIPTORS, PROCESS_DESCRIPTORS = 32, 12
 # Storage servers get a quarter of the others, but at least this many: D stays at a few tens in all.  Clients
 # get the rest: a third of all descriptors holds requests, and idle connections and silent peers come on top.
 NODE_SOCKETS_FRACTION, MIN_NODE_SOCKETS = 0.25, 64
@@ -55,7 +56,9 @@
 # Of the shortest latency objective: a stalled answer is abandoned while another attempt can still meet it.
 STALL_OBJECTIVE_FRACTION = 0.1
 LINGER_MS = 2000.0  # after it, the platform allows a connection without an open request to be closed
-LINGER_BYTES = 16 * MAX_VALUE  # per peer: far more than a client has in flight when its connection is ended
+LINGER_BYTES = (
+    16 * MAX_VALUE_BYTES
+)  # per peer: far more than a client has in flight when its connection is ended
 LINGERING_FRACTION = 1 / 8  # of the client connections
 SOCKET_SLACK_MS = 50.0  # every time limit is longer by this on real sockets
 STOP_POLL_S = 0.01  # interval of the checks while stopping
@@ -145,7 +148,7 @@
         self.observer = Observer(self.log)
         settings = config.settings
         rng = random.Random(config.seed)
-        sockets = config.sockets - SPARE
+        sockets = config.sockets - RESERVED_DESCRIPTORS
         max_clients = max(
             1, sockets - max(int(sockets * NODE_SOCKETS_FRACTION), min(MIN_NODE_SOCKETS, sockets // 2))
         )
@@ -161,9 +164,9 @@
             clock,
             self.servers.dials.get,
         )
-        self.brain = Scheduler(settings, rng.getrandbits(62), clock())
+        self.scheduler = Scheduler(settings, rng.getrandbits(62), clock())
         self.driver = Driver(
-            self.brain,
+            self.scheduler,
             Ledger(
                 drain_grace_ms=settings.drain_grace_ms,
                 answer_slack_ms=settings.answer_slack_ms,
@@ -175,7 +178,7 @@
             clock=clock,
         )
         self.front = Front(
-            Reader(settings, list(config.classes), list(config.plans), config.shards),
+            CommandReader(settings, list(config.classes), list(config.plans), config.shards),
             self.driver,
             FrontBounds(
                 max_connections=max_clients,
@@ -239,9 +242,11 @@
                 # but its configured list may be older: it waits for discovery's before it serves clients.
                 with anyio.move_on_after(watch_schedule.first_list_timeout_ms() / 1000):
                     await self.watch.answered.wait()
-            with net.binding("listen", ":".join(map(str, self.config.listen))):
+            with net.report_bind_errors("listen", ":".join(map(str, self.config.listen))):
                 self.listener = listener = Listener(
-                    self.config.listen, self.front.protocol, accepted_at_once(SPARE - OWN)
+                    self.config.listen,
+                    self.front.protocol,
+                    max_accepts_per_iteration(RESERVED_DESCRIPTORS - PROCESS_DESCRIPTORS),
                 )
             host, port = self.address = listener.address()
             # Objects created so far live until exit; frozen, they are not scanned in every collection.
@@ -351,11 +356,12 @@
         observer.longest_act_ms = observer.max_queued_ms = 0.0
         used = [
             f"{b.name}:{b.state.value} D={b.window:.1f} out={b.in_flight}+{b.presumed_lost} wait={b.waiting} "
-            f"lag={b.latency_ms:.0f} base={b.uncrowded_ms:.0f} ratio={b.wait_ratio:.2f} rest={b.rest_ms:.0f}"
-            for b in endpoint_beliefs(self.brain, clock())
+            f"lag={b.latency_ms:.0f} base={b.unloaded_ms:.0f} ratio={b.wait_ratio:.2f} "
+            f"rest={b.ejected_for_ms:.0f}"
+            for b in endpoint_estimates(self.scheduler, clock())
         ]
         # A dispatcher of a large fleet uses a few of hundreds of servers, so the others are only counted.
-        unused = len(self.brain.endpoints.by_name) - len(used)
+        unused = len(self.scheduler.endpoints.by_name) - len(used)
         self.log("; ".join([*used, f"{unused} not used yet"]), "belief")
 
 
--- a/cressrock/platform/stopping.py
+++ b/cressrock/platform/stopping.py
@@ -10,11 +10,15 @@
 
 from __future__ import annotations
 
-NEW_MS = 500.0  # new connections arrive for 400 ms after SIGTERM; a fifth more for those under way
-COUNTED_MS = 3000.0  # the platform waits for the longest deadline up to this, then for ADDED_MS
-ADDED_MS = 700.0
-AHEAD_MS = 150.0  # every request is answered this long before SIGKILL
-EXIT_MS = 50.0  # the process exits this long before SIGKILL
+ACCEPT_AFTER_SIGTERM_MS = (
+    500.0  # new connections arrive for 400 ms after SIGTERM; a fifth more for those under way
+)
+MAX_DEADLINE_WAIT_MS = (
+    3000.0  # the platform waits for the longest deadline up to this, then for KILL_ALLOWANCE_MS
+)
+KILL_ALLOWANCE_MS = 700.0
+ANSWER_LEAD_MS = 150.0  # every request is answered this long before SIGKILL
+EXIT_LEAD_MS = 50.0  # the process exits this long before SIGKILL
 CLOSE_IDLE_LEAD_MS = 200.0  # idle connections close this long before answer_by_ms; answers take less
 
 
@@ -23,8 +27,8 @@
 
     def __init__(self, now: float, longest_ms: float) -> None:
         """`now` is the time of SIGTERM, `longest_ms` the longest deadline of the settings' classes."""
-        kill_at_ms = now + min(longest_ms, COUNTED_MS) + ADDED_MS
-        self.answer_by_ms = kill_at_ms - AHEAD_MS
-        self.exit_at_ms = kill_at_ms - EXIT_MS
+        kill_at_ms = now + min(longest_ms, MAX_DEADLINE_WAIT_MS) + KILL_ALLOWANCE_MS
+        self.answer_by_ms = kill_at_ms - ANSWER_LEAD_MS
+        self.exit_at_ms = kill_at_ms - EXIT_LEAD_MS
         self.close_idle_at_ms = self.answer_by_ms - CLOSE_IDLE_LEAD_MS
-        self.unlisten_at_ms = min(now + NEW_MS, self.close_idle_at_ms)
+        self.unlisten_at_ms = min(now + ACCEPT_AFTER_SIGTERM_MS, self.close_idle_at_ms)
--- a/cressrock/programs/composition.py
+++ b/cressrock/programs/composition.py
@@ -210,7 +210,7 @@
 def set_rule_versions(decisions: DecisionModule | None, tables: Tables) -> None:
     """Have a decision module know all versions of the rules that the tables have."""
     if isinstance(decisions, Scheduler):
-        decisions.widen(tables.rows(decisions.settings))
+        decisions.extend_tables(tables.rows(decisions.settings))
 
 
 def replica_placements(settings: Settings) -> dict[str, ReplicaPlacement]:
--- a/cressrock/replication/paced_client.py
+++ b/cressrock/replication/paced_client.py
@@ -10,7 +10,7 @@
 import anyio
 import h11
 
-from cressrock.dispatch.node_client import AttemptProgress, NoConnectionError, SentTooLateError
+from cressrock.dispatch.node_client import AttemptProgress, NoConnectionError, SendNotPermittedError
 from cressrock.dispatch.node_response import LOAD_HEADER
 from cressrock.dispatch.operation import Body, Operation, PayloadTruncatedError, Reply
 from cressrock.http.channel import ConnectionLostError, Headers, MessageTooLargeError, header
@@ -25,8 +25,8 @@
 BUSY_STATUS = 503
 # What may come of an exchange without an answer.
 EXCHANGE_ERRORS = (
-    NoConnectionError, SentTooLateError, ConnectionLostError, MessageTooLargeError, h11.RemoteProtocolError,
-    PayloadTruncatedError, OSError,
+    NoConnectionError, SendNotPermittedError, ConnectionLostError, MessageTooLargeError,
+    h11.RemoteProtocolError, PayloadTruncatedError, OSError,
 )  # fmt: skip
 
 
--- a/cressrock/resp/codec.py
+++ b/cressrock/resp/codec.py
@@ -9,7 +9,7 @@
 
 from dataclasses import dataclass
 
-MAX_VALUE = 65536  # bytes of a value; the platform's limit
+MAX_VALUE_BYTES = 65536  # bytes of a value; the platform's limit
 MAX_WORD_BYTES = 512  # of any other word of a command
 MAX_WORDS = 8  # in a command
 MAX_LINE_BYTES = 512  # of a line: error and status texts, announced lengths
@@ -24,20 +24,20 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ErrorLine:
+class ErrorReply:
     """An error reply, without its leading `-`."""
 
     text: str
 
 
 @dataclass(frozen=True, slots=True)
-class Status:
+class StatusReply:
     """A status reply, without its leading `+`."""
 
     text: str
 
 
-Reply = bytes | None | int | ErrorLine | Status | list["Reply"]
+Reply = bytes | None | int | ErrorReply | StatusReply | list["Reply"]
 
 
 class _IncompleteMessageError(Exception):
@@ -50,7 +50,7 @@
 class _Parser:
     """The shared buffer.  An incomplete message is parsed again from its start once enough bytes arrive."""
 
-    def __init__(self, max_value_bytes: int = MAX_VALUE) -> None:
+    def __init__(self, max_value_bytes: int = MAX_VALUE_BYTES) -> None:
         """Start at the beginning of a stream.  `max_value_bytes` limits the length of one string."""
         self.max_value_bytes = max_value_bytes
         self._buffer = bytearray()
@@ -99,7 +99,7 @@
         return value
 
 
-class Commands(_Parser):
+class CommandParser(_Parser):
     """Parses what a client sends: commands as arrays of bulk strings."""
 
     has_more = False  # the last call reached `max_commands`; call `feed(b"")` to go on
@@ -155,7 +155,7 @@
         return words
 
 
-class Replies(_Parser):
+class ReplyParser(_Parser):
     """Parses what a server sends: one reply for each command."""
 
     def feed(self, data: bytes) -> None:
@@ -193,9 +193,9 @@
             return None if count < 0 else [self._reply(depth + 1) for _ in range(count)]
         text = line[1:].decode("ascii", "replace")
         if type_byte == 43:  # "+"
-            return Status(text)
+            return StatusReply(text)
         if type_byte == 45:  # "-"
-            return ErrorLine(text)
+            return ErrorReply(text)
         digits = line[1:].removeprefix(b"-")
         if not digits.isdigit() or len(digits) > 18:
             raise ProtocolError("an integer that is none")
--- a/cressrock/resp/connection_pool.py
+++ b/cressrock/resp/connection_pool.py
@@ -65,7 +65,7 @@
         self.node = node
         self.address = address  # the server's address when it was opened
         self.transport: asyncio.Transport = cast(asyncio.Transport, None)
-        self.parser = codec.Replies(pool.bounds.max_answer)
+        self.parser = codec.ReplyParser(pool.bounds.max_answer)
         self.flight: _InFlightAttempt | None = None
         self.next: _InFlightAttempt | None = None  # waits until this connection may be reused
         self.has_answered = False  # it has received an answer
@@ -132,7 +132,7 @@
         if self.parser.is_partial:
             self.pool.surplus += 1
             self.pool._drop(self)
-        elif outcome is Outcome.ERROR and not isinstance(reply[0], codec.ErrorLine):
+        elif outcome is Outcome.ERROR and not isinstance(reply[0], codec.ErrorReply):
             # Complete, but not a valid answer: later replies on this connection could not be matched either.
             self.pool.spoilt += 1
             self.pool._drop(self)
@@ -544,7 +544,7 @@
 
     # --- timeouts: one timer for all attempts
 
-    def _track_progress(self, flight: _InFlightAttempt, parser: codec.Replies) -> None:
+    def _track_progress(self, flight: _InFlightAttempt, parser: codec.ReplyParser) -> None:
         now = self.clock()
         if flight.progress is None:
             flight.progress = ReplyProgress(now, flight.deadline, self.bounds.stall_ms)
--- a/cressrock/resp/eviction.py
+++ b/cressrock/resp/eviction.py
@@ -21,7 +21,7 @@
 LOOP_ITERATIONS = 4
 
 
-def accepted_at_once(spare: int) -> int:
+def max_accepts_per_iteration(spare: int) -> int:
     """Return how many connections to accept per iteration of the event loop, at least one.
 
     `spare` descriptors are reserved for connections that no limit counts yet, or that are being closed.
--- a/cressrock/resp/front.py
+++ b/cressrock/resp/front.py
@@ -23,7 +23,7 @@
 from cressrock.resp import codec
 from cressrock.resp.eviction import choose_eviction, choose_unread
 from cressrock.resp.lingering import LingerBounds, Lingering
-from cressrock.resp.request import READ, WRITE, InvalidCommandError, Reader
+from cressrock.resp.request import READ, WRITE, CommandReader, InvalidCommandError
 
 
 @dataclass(frozen=True, slots=True)
@@ -69,7 +69,7 @@
     def __init__(self, front: Front) -> None:
         self.front = front
         self.transport: asyncio.Transport = cast(asyncio.Transport, None)
-        self.parser = codec.Commands()
+        self.parser = codec.CommandParser()
         self.queue: deque[_Pending] = deque()
         self.active_at = front.clock()  # last start or end of a command, last answer, or connecting
         self.has_sent_command = False  # a complete one
@@ -218,7 +218,7 @@
     """All client connections of one dispatcher."""
 
     def __init__(
-        self, reader: Reader, driver: Driver, bounds: FrontBounds, clock: Callable[[], float]
+        self, reader: CommandReader, driver: Driver, bounds: FrontBounds, clock: Callable[[], float]
     ) -> None:
         """`clock` is the driver's, in milliseconds."""
         self.reader = reader
--- a/cressrock/resp/outcomes.py
+++ b/cressrock/resp/outcomes.py
@@ -9,7 +9,7 @@
 import re
 
 from cressrock.interface import Outcome
-from cressrock.resp.codec import ErrorLine, Reply
+from cressrock.resp.codec import ErrorReply, Reply
 
 _USAGE_FIELD = re.compile(r"(?:^|[ ,])(used|cost)=([0-9]{1,9}(?:\.[0-9]{1,6})?)(?=$|[ ,])")
 
@@ -20,7 +20,7 @@
         if len(reply) == 3 and isinstance(reply[0], bytes):
             return Outcome.OK, reply[0], ""
         return Outcome.ERROR, None, "an answer without value"
-    if isinstance(reply, ErrorLine):
+    if isinstance(reply, ErrorReply):
         if reply.text.split(" ", 1)[0] == "BUSY":
             return Outcome.FULL, None, reply.text
         return Outcome.ERROR, None, reply.text
@@ -36,7 +36,7 @@
     if isinstance(reply, list):
         usage = reply[1] if len(reply) > 1 else None
         text = usage.decode("ascii", "replace") if isinstance(usage, bytes) else ""
-    elif isinstance(reply, ErrorLine):
+    elif isinstance(reply, ErrorReply):
         text = reply.text
     else:
         text = ""
--- a/cressrock/resp/request.py
+++ b/cressrock/resp/request.py
@@ -51,7 +51,7 @@
         return codec.command(*self.words[:3], names, *self.words[4:])
 
 
-class Reader:
+class CommandReader:
     """Parses commands according to the names and limits in the settings."""
 
     def __init__(self, settings: Settings, classes: list[str], plans: list[str], shards: int) -> None:
--- a/cressrock/runtime/sockets.py
+++ b/cressrock/runtime/sockets.py
@@ -45,7 +45,7 @@
         self, address: str, serve: Serve, tasks: TaskGroup, *, setting: str
     ) -> tuple[str, DatagramSocket, Close]:
         """Bind UDP and TCP at one address.  Raises BindError."""
-        return await net.listen_both(address, serve, tasks, setting=setting)
+        return await net.listen_tcp_and_udp(address, serve, tasks, setting=setting)
 
     async def connect(self, host: str, port: int) -> Stream:
         """Open a TCP connection.  Raises OSError."""
--- a/cressrock/scheduler/dispatch.py
+++ b/cressrock/scheduler/dispatch.py
@@ -40,7 +40,7 @@
         self.slow_start = slow_start
         self.lost_attempts = lost_attempts
 
-    def has_slot(self, endpoint: Endpoint, now_ms: float) -> bool:
+    def has_free_slot(self, endpoint: Endpoint, now_ms: float) -> bool:
         """Return whether the endpoint is not ejected and fewer than D attempts are outstanding.
 
         Attempts that timed out may still run on the node, but ejection covers that case.
@@ -61,7 +61,7 @@
 
     def next_request(self, queue: ShardQueue, endpoint: Endpoint, now_ms: float) -> Request | None:
         """Choose the request with the lowest tag plus compensation; late requests come after all others."""
-        allowance = self.slow_start.allowance(endpoint, now_ms)
+        allowance = self.slow_start.allowed_units(endpoint, now_ms)
         limit = endpoint.limit
         # Without attempts an overload would seem permanent, so all hosts together probe once per latency.
         is_probe = not endpoint.in_flight and now_ms >= endpoint.last_sent_ms + self.hosts * limit.latency_ms
--- a/cressrock/scheduler/endpoint_estimates.py
+++ b/cressrock/scheduler/endpoint_estimates.py
@@ -13,7 +13,7 @@
     """State and estimates of one endpoint in use.
 
     `window` and the attempt counts are in requests; `wait_ratio` is a fraction of the latency objective;
-    `rest_ms` is the remaining ejection time.
+    `ejected_for_ms` is the remaining ejection time.
     """
 
     name: str
@@ -23,12 +23,12 @@
     presumed_lost: int
     waiting: int
     latency_ms: float
-    uncrowded_ms: float
+    unloaded_ms: float
     wait_ratio: float
-    rest_ms: float
+    ejected_for_ms: float
 
 
-def endpoint_beliefs(scheduler: Scheduler, now_ms: float) -> Iterator[EndpointEstimate]:
+def endpoint_estimates(scheduler: Scheduler, now_ms: float) -> Iterator[EndpointEstimate]:
     """Yield the estimates for each endpoint that has waiting requests or was ever sent one."""
     for name, endpoint in scheduler.endpoints.by_name.items():
         queue, limit = scheduler.queues.get(endpoint.list_entry.shard), endpoint.limit
@@ -42,7 +42,7 @@
                 presumed_lost=len(endpoint.presumed_lost),
                 waiting=waiting,
                 latency_ms=limit.latency_ms,
-                uncrowded_ms=limit.unloaded.base_ms,
+                unloaded_ms=limit.unloaded.base_ms,
                 wait_ratio=limit.wait_ratio,
-                rest_ms=max(0.0, endpoint.ejection.until_ms - now_ms),
+                ejected_for_ms=max(0.0, endpoint.ejection.until_ms - now_ms),
             )
--- a/cressrock/scheduler/placement.py
+++ b/cressrock/scheduler/placement.py
@@ -44,4 +44,4 @@
 
     def _is_available(self, endpoint: Endpoint, now_ms: float) -> bool:
         is_ejected = now_ms < endpoint.ejection.until_ms
-        return not is_ejected and self.slow_start.allowance(endpoint, now_ms) == INFINITY
+        return not is_ejected and self.slow_start.allowed_units(endpoint, now_ms) == INFINITY
--- a/cressrock/scheduler/scheduler.py
+++ b/cressrock/scheduler/scheduler.py
@@ -97,7 +97,7 @@
         self._set_timer()
         return self.actions
 
-    def widen(self, settings: Settings) -> None:
+    def extend_tables(self, settings: Settings) -> None:
         """Switch to settings with more classes and plans; existing ones must keep their position."""
         self.settings = settings
         self.max_remaining_ms += [0.0] * (len(settings.classes) - len(self.max_remaining_ms))
@@ -276,7 +276,7 @@
 
     def _send_waiting(self, queue: ShardQueue, endpoint: Endpoint) -> None:
         now_ms, dispatch = self.now_ms, self.dispatch
-        while queue.waiting_count and dispatch.has_slot(endpoint, now_ms):
+        while queue.waiting_count and dispatch.has_free_slot(endpoint, now_ms):
             request = dispatch.next_request(queue, endpoint, now_ms)
             if request is None:
                 break
--- a/cressrock/scheduler/slow_start.py
+++ b/cressrock/scheduler/slow_start.py
@@ -25,7 +25,7 @@
         self.started_at_ms = started_at_ms
         self.arrived_units = 0.0  # of all requests since the start
 
-    def allowance(self, endpoint: Endpoint, now_ms: float) -> float:
+    def allowed_units(self, endpoint: Endpoint, now_ms: float) -> float:
         """Return the units that an endpoint can still take in this cold window; infinity once it is warm."""
         settings, node, recent_sends = self.settings, endpoint.list_entry, endpoint.ended_sends
         window_ms = settings.cold_window_ms
--- a/tests/compatibility/resp_cases.py
+++ b/tests/compatibility/resp_cases.py
@@ -8,11 +8,11 @@
 from cressrock.interface import DeduplicationScope, Idempotency, Plan, RequestClass, Settings
 from cressrock.resp import codec
 from cressrock.resp.outcomes import parse_load, parse_outcome
-from cressrock.resp.request import InvalidCommandError, Reader
+from cressrock.resp.request import CommandReader, InvalidCommandError
 from tests.compatibility.canonical import canonical
 
 FIXTURE = "resp"
-LABELS = {codec.ErrorLine: "error", codec.Status: "status"}
+LABELS = {codec.ErrorReply: "error", codec.StatusReply: "status"}
 HEX = "5c0f6e1a2b3d4c59"
 SETTINGS = Settings(
     (
@@ -24,8 +24,8 @@
     3,
     most_units=8,
 )
-READER = Reader(SETTINGS, ["read", "write", "append"], ["silver", "gold"], 9)
-OPEN_READER = Reader(SETTINGS, ["read", "write", "append"], ["silver", "gold"], 0)
+READER = CommandReader(SETTINGS, ["read", "write", "append"], ["silver", "gold"], 9)
+OPEN_READER = CommandReader(SETTINGS, ["read", "write", "append"], ["silver", "gold"], 0)
 READ_NAMES = f"c=read,t=gold,d=480,volume={HEX},units=2,shard=5,hosts=3"
 WRITE_NAMES = f"c=write,t=gold,d=480,k={HEX},volume={HEX},units=2,shard=5,hosts=3"
 CLIENT_WORDS = [b"PING", b"SELECT", b"IO.IN", b"IO.OUT", b"", b"a b", b"\r\n", b"\xff\x00", b"x" * 512]
@@ -109,18 +109,18 @@
     None,
     b"v",
     7,
-    codec.Status("OK"),
-    codec.Status("PONG"),
-    codec.ErrorLine("BUSY"),
-    codec.ErrorLine("BUSY 30"),
-    codec.ErrorLine("BUSY used=3,cost=1"),
-    codec.ErrorLine("BUSYBODY"),
-    codec.ErrorLine("ERR failed"),
-    codec.ErrorLine("ERR failed used=12,cost=3"),
-    codec.ErrorLine("ERR failed used=12,cost=3 inflight=7"),
-    codec.ErrorLine("ERR unknown command"),
-    codec.ErrorLine("SYNTAX"),
-    codec.ErrorLine(""),
+    codec.StatusReply("OK"),
+    codec.StatusReply("PONG"),
+    codec.ErrorReply("BUSY"),
+    codec.ErrorReply("BUSY 30"),
+    codec.ErrorReply("BUSY used=3,cost=1"),
+    codec.ErrorReply("BUSYBODY"),
+    codec.ErrorReply("ERR failed"),
+    codec.ErrorReply("ERR failed used=12,cost=3"),
+    codec.ErrorReply("ERR failed used=12,cost=3 inflight=7"),
+    codec.ErrorReply("ERR unknown command"),
+    codec.ErrorReply("SYNTAX"),
+    codec.ErrorReply(""),
 ]
 PIECE, ID = HEX.encode(), b"9b1f03aa5c7e2d41"
 
@@ -210,7 +210,7 @@
 
 def parsed_commands(pieces: list[bytes]) -> Any:
     """Parse commands; return for each piece the commands, the error text, and whether input is incomplete."""
-    parser, results = codec.Commands(), []
+    parser, results = codec.CommandParser(), []
     for piece in pieces:
         commands, error = parser.feed(piece)
         results.append([canonical(commands), None if error is None else str(error), parser.is_partial])
@@ -221,7 +221,7 @@
 
 def parsed_in_steps() -> Any:
     """Parse three commands with a limit of two per call."""
-    parser = codec.Commands()
+    parser = codec.CommandParser()
     first = parser.feed(codec.command(b"PING") * 3, 2)
     more = parser.has_more
     return canonical([first, more, parser.feed(b"", 2), parser.has_more])
@@ -229,7 +229,7 @@
 
 def parsed_replies(pieces: list[bytes]) -> Any:
     """Parse replies; return them with the error text, or with whether input is incomplete."""
-    parser, replies = codec.Replies(), []
+    parser, replies = codec.ReplyParser(), []
     try:
         for piece in pieces:
             parser.feed(piece)
@@ -240,7 +240,7 @@
     return [replies, parser.is_partial]
 
 
-def read_request(reader: Reader, words: list[bytes]) -> Any:
+def read_request(reader: CommandReader, words: list[bytes]) -> Any:
     """Parse a client's command; return the request and its encodings for a server, or the error text."""
     try:
         request = reader.read(words)
--- a/tests/compatibility/scheduler_cases.py
+++ b/tests/compatibility/scheduler_cases.py
@@ -241,7 +241,7 @@
         if rng.random() < 0.01:
             events.append(AttemptEnded("stranger", 0, Outcome.OK, True, 5.0))
         if rng.random() < 0.002:
-            self.widen()
+            self.extend_tables()
         if rng.random() < 0.0015:
             self.restart()
             return [NodeList(ListKind.CACHED, tuple(self.nodes.values()))]
@@ -307,12 +307,12 @@
         times = [self.now - self.rng.uniform(0, 1500) for _ in range(self.rng.randint(0, 12))]
         return RetryBudgetUsage(tuple(times[:2]), tuple(times[2:]))
 
-    def widen(self) -> None:
+    def extend_tables(self) -> None:
         """Switch the scheduler to settings with one more class and one more plan."""
         classes = (*self.settings.classes, draw_class(self.rng, self.calm))
         plans = (*self.settings.plans, draw_plan(self.rng, self.calm, False))
         self.settings = replace(self.settings, classes=classes, plans=plans)
-        self.scheduler.widen(self.settings)
+        self.scheduler.extend_tables(self.settings)
 
     def restart(self) -> None:
         """Restart the host: all its requests and attempts are gone."""
--- a/tests/rollout/test_rule_versions.py
+++ b/tests/rollout/test_rule_versions.py
@@ -48,7 +48,7 @@
         for now in range(0, 3000, 10):
             if wide and now == 1000:
                 more = (READ, replace(READ, latency_objective_ms=7))
-                scheduler.widen(replace(settings, classes=more, plans=settings.plans * 2))
+                scheduler.extend_tables(replace(settings, classes=more, plans=settings.plans * 2))
             events = [NODES] if now == 0 else []
             events += [arrival(f"r{now}.{n}") for n in range(draw.choice((0, 0, 1, 2)))]
             for name in [n for n in out if draw.random() < 0.2]:
@@ -72,7 +72,7 @@
     patient = replace(READ, latency_objective_ms=400.0)
     settings = Settings(classes=(patient,), must_ask=False)
     scheduler = Scheduler(settings, 1, 0.0)
-    scheduler.widen(
+    scheduler.extend_tables(
         replace(
             settings,
             classes=(patient, replace(READ, latency_objective_ms=1.0)),
@@ -94,7 +94,7 @@
     plan = Plan(limit_rate=10.0, limit_burst=10.0, reserve=4.0)
     settings = Settings(classes=(READ,), plans=(plan,), must_ask=False)
     scheduler = Scheduler(settings, 1, 0.0)
-    scheduler.widen(replace(settings, classes=(READ, READ), plans=(plan, plan)))
+    scheduler.extend_tables(replace(settings, classes=(READ, READ), plans=(plan, plan)))
     scheduler.act(0.0, [NODES])
     sent = 0
     for now in range(0, 10000, 10):
--- a/tests/test_capacity_local.py
+++ b/tests/test_capacity_local.py
@@ -28,7 +28,7 @@
 from cressrock.platform.server_list import ServerList
 from cressrock.resp import codec
 from cressrock.resp.front import Front, FrontBounds
-from cressrock.resp.request import Reader
+from cressrock.resp.request import CommandReader
 
 SIZES = (64, 128, 256, 512)
 
@@ -156,7 +156,7 @@
 def front():
     settings = lists.SETTINGS
     return Front(
-        Reader(settings, ["read"], ["gold"], 4),
+        CommandReader(settings, ["read"], ["gold"], 4),
         requests.Core(4, 1).driver,
         FrontBounds(max_connections=10**6, max_asking=10**6, max_unread=1 << 20),
         lambda: 0.0,
--- a/tests/test_drill.py
+++ b/tests/test_drill.py
@@ -211,7 +211,7 @@
             await stream.send(b"two")
             await until(lambda: ends.heard == b"onetwo")  # there it arrived; the echo does not
             await until(lambda: ends.relays.way("b", "a").counts["bytes"] == 6)
-            assert not stream._early
+            assert not stream._received
             ends.relays.heal()
             assert await stream.receive() == b"two"
 
--- a/tests/test_judge.py
+++ b/tests/test_judge.py
@@ -113,8 +113,8 @@
 class NoSlowStart(SlowStart):
     """Takes a cold node for a warm one."""
 
-    def allowance(self, endpoint, now_ms):
-        super().allowance(endpoint, now_ms)
+    def allowed_units(self, endpoint, now_ms):
+        super().allowed_units(endpoint, now_ms)
         endpoint.admitted_share = 1.0
         return float("inf")
 
@@ -122,11 +122,11 @@
 class HeadlongDispatch(Dispatch):
     """Sends all that waits."""
 
-    def has_slot(self, endpoint, now_ms):
+    def has_free_slot(self, endpoint, now_ms):
         return True
 
     def next_request(self, queue, endpoint, now_ms):
-        self.slow_start.allowance(endpoint, now_ms)
+        self.slow_start.allowed_units(endpoint, now_ms)
         return next((volume.waiting[0] for volume in queue.volumes.values() if volume.waiting), None)
 
 
--- a/tests/test_listeners.py
+++ b/tests/test_listeners.py
@@ -140,16 +140,16 @@
     ],
 )
 def test_each_cause_has_a_way_out_in_one_line(wrong, text):
-    with pytest.raises(net.BindError) as found, net.binding("x.y", "127.0.0.1:1"):
+    with pytest.raises(net.BindError) as found, net.report_bind_errors("x.y", "127.0.0.1:1"):
         raise wrong
     assert str(found.value).startswith(f"x.y: cannot listen at 127.0.0.1:1: {text}")
     assert "\n" not in str(found.value) and found.value.setting == "x.y"
     assert found.value.errno == (wrong.errno if type(wrong) in (OSError, PermissionError) else None)
-    with pytest.raises(net.BindError) as again, net.binding("other", "127.0.0.1:2"):
+    with pytest.raises(net.BindError) as again, net.report_bind_errors("other", "127.0.0.1:2"):
         raise found.value
     assert again.value is found.value
 
 
 def test_an_error_within_that_is_no_matter_of_the_address_stays_what_it_is():
-    with pytest.raises(RuntimeError), net.binding("x.y", "127.0.0.1:1"):
+    with pytest.raises(RuntimeError), net.report_bind_errors("x.y", "127.0.0.1:1"):
         raise RuntimeError
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -22,11 +22,11 @@
 from cressrock.platform.config import parse
 from cressrock.platform.program import Program
 from cressrock.resp import codec
-from cressrock.resp.codec import ErrorLine, Status
+from cressrock.resp.codec import ErrorReply, StatusReply
 from cressrock.resp.connection_pool import PoolBounds, RespTransport, _Connection, _InFlightAttempt
 from cressrock.resp.front import Front, FrontBounds
 from cressrock.resp.lingering import LingerBounds
-from cressrock.resp.request import Reader
+from cressrock.resp.request import CommandReader
 
 PIECE = b"7f3a9c21e0b4d655"
 
@@ -58,7 +58,7 @@
 
 class Client:
     def __init__(self, reader, writer):
-        self.reader, self.writer, self.parser = reader, writer, codec.Replies()
+        self.reader, self.writer, self.parser = reader, writer, codec.ReplyParser()
 
     def send(self, *data):
         self.writer.write(b"".join(data))
@@ -115,7 +115,7 @@
             await server.stop()
 
 
-def on_sockets(test):
+def async_test(test):
     """Run an async test with a 30 s limit; the limit only ends tests that hang."""
 
     @wraps(test)
@@ -129,11 +129,11 @@
     return run
 
 
-@on_sockets
+@async_test
 async def test_a_read_and_a_write_are_forwarded_with_their_words_unchanged():
     async with stage() as s:
         client = await s.client()
-        assert await client.ask(codec.command(b"PING")) == Status("PONG")
+        assert await client.ask(codec.command(b"PING")) == StatusReply("PONG")
         assert await client.ask(read(1)) == b"value of " + ident(1)
         pool = s.program.transport
         reusable_at = pool.reuse_delay.ready_at(next(iter(pool.open)).idle_since)
@@ -146,7 +146,7 @@
         assert s.servers[0].connections == 1  # the second attempt reused the first connection
 
 
-@on_sockets
+@async_test
 async def test_answers_are_in_the_order_of_the_commands():
     held = []
 
@@ -165,48 +165,48 @@
         assert [await client.reply() for _ in range(4)] == [
             b"value of " + ident(1),
             b"value of " + ident(2),
-            Status("PONG"),
+            StatusReply("PONG"),
             b"value of " + ident(3),
         ]
 
 
-@on_sockets
+@async_test
 async def test_a_request_with_an_open_id_is_refused():
     async with stage(lambda words: None) as s:
         first, second = await s.client(), await s.client()
         first.send(read(1))
         await s.until(lambda: s.servers[0].seen)
         reply = await second.ask(read(1))
-        assert isinstance(reply, ErrorLine) and reply.text.startswith("ERR")
+        assert isinstance(reply, ErrorReply) and reply.text.startswith("ERR")
         assert len(s.servers[0].seen) == 1
 
 
-@on_sockets
+@async_test
 async def test_invalid_input_is_answered_with_an_error_and_a_close():
     async with stage() as s:
         for bad in (b"GET / HTTP/1.1\r\n\r\n", b"*2\r\n$1\r\na\r\n$62914560\r\n", b"*-7\r\n", b"x" * 100000):
             client = await s.client()
             client.send(read(1), bad)
             assert await client.reply() == b"value of " + ident(1)
-            assert isinstance(await client.reply(), ErrorLine)
+            assert isinstance(await client.reply(), ErrorReply)
             with pytest.raises((EOFError, ConnectionError)):
                 await client.reply()
         assert s.program.front.malformed == 4
 
 
-@on_sockets
+@async_test
 async def test_an_invalid_command_gets_an_error():
     async with stage() as s:
         client = await s.client()
         others = (codec.command(b"IO.IN"), codec.command(b"FLUSHALL"))
         for bad in (read(1, c="lead"), read(1, d="soon"), *others):
             reply = await client.ask(bad)
-            assert isinstance(reply, ErrorLine) and reply.text.startswith("ERR")
+            assert isinstance(reply, ErrorReply) and reply.text.startswith("ERR")
         assert await client.ask(read(1)) == b"value of " + ident(1)
         assert len(s.servers[0].seen) == 1
 
 
-@on_sockets
+@async_test
 async def test_silent_connections_are_closed_and_those_with_open_requests_are_not():
     async with stage(lambda words: None) as s:
         silent, half, waiting = [await s.client() for _ in range(3)]
@@ -218,12 +218,12 @@
         s.program.front.sweep()
         with pytest.raises(EOFError):
             await silent.reply()
-        assert isinstance(await half.reply(), ErrorLine)
+        assert isinstance(await half.reply(), ErrorReply)
         await s.until(lambda: len(s.program.front.clients) == 1)
         assert s.program.front.owes() == 1
 
 
-@on_sockets
+@async_test
 async def test_silent_connections_are_evicted_for_new_ones():
     async with stage(limits={"sockets": 60, "memory_mb": 64}) as s:
         most = s.program.front.bounds.max_connections
@@ -234,7 +234,7 @@
         assert len(s.program.front.clients) <= most
 
 
-@on_sockets
+@async_test
 async def test_a_burst_of_silent_connections_does_not_evict_clients_with_requests():
     """All are accepted before any is read, so clients with a request look as silent as the others."""
     async with stage(limits={"sockets": 60, "memory_mb": 64}) as s:
@@ -256,10 +256,15 @@
                 sock.close()
 
 
-@on_sockets
+@async_test
 async def test_requests_open_at_the_end_of_the_shutdown_are_answered(monkeypatch):
     """Otherwise a request whose deadline is after the platform's time limit for SIGTERM gets no answer."""
-    for name, value in (("NEW_MS", 20.0), ("COUNTED_MS", 100.0), ("ADDED_MS", 150.0), ("AHEAD_MS", 50.0)):
+    for name, value in (
+        ("ACCEPT_AFTER_SIGTERM_MS", 20.0),
+        ("MAX_DEADLINE_WAIT_MS", 100.0),
+        ("KILL_ALLOWANCE_MS", 150.0),
+        ("ANSWER_LEAD_MS", 50.0),
+    ):
         monkeypatch.setattr(stopping, name, value)
     async with stage(lambda words: None) as s:
         client, other = await s.client(), await s.client()
@@ -275,7 +280,7 @@
             await client.reply()
 
 
-@on_sockets
+@async_test
 async def test_the_log_lists_beliefs_only_for_servers_in_use(capsys):
     """Otherwise the few servers in use are hard to find among hundreds in the log line."""
     async with stage(echo, echo, echo) as s:
@@ -305,7 +310,7 @@
 
     server = []
 
-    @on_sockets
+    @async_test
     async def test():
         async with stage(script) as s:
             server.append(s.servers[0])
@@ -319,7 +324,7 @@
 
 @pytest.mark.parametrize("more", [echo([b"", b"", ident(1)]), b"noise", b"$-1\r\n"])
 def test_bytes_after_an_answer_are_not_read_as_the_next_answer(more):
-    @on_sockets
+    @async_test
     async def test():
         async with stage(lambda words: echo(words) + more) as s:
             client = await s.client()
@@ -330,7 +335,7 @@
     test()
 
 
-@on_sockets
+@async_test
 async def test_bytes_on_an_idle_connection_close_it():
     async with stage() as s:
         client = await s.client()
@@ -341,19 +346,19 @@
         assert await client.ask(read(2)) == b"value of " + ident(2)
 
 
-@on_sockets
+@async_test
 async def test_a_write_that_may_have_run_fails_and_one_answered_busy_is_refused():
     failed, busy = codec.error("ERR failed used=5,cost=1"), codec.error("BUSY")
     async with stage(lambda words: failed, lambda words: busy) as s:
         client = await s.client()
         reply = await client.ask(write(1, b"b", d=400))
-        assert isinstance(reply, ErrorLine) and not reply.text.startswith("BUSY")
+        assert isinstance(reply, ErrorReply) and not reply.text.startswith("BUSY")
         reply = await client.ask(write(2, b"b", d=400, shard=1))
-        assert isinstance(reply, ErrorLine) and reply.text.startswith("BUSY")
+        assert isinstance(reply, ErrorReply) and reply.text.startswith("BUSY")
         assert len(s.servers[0].seen) <= 3 and s.servers[1].seen
 
 
-@on_sockets
+@async_test
 async def test_a_disconnected_clients_attempt_is_cancelled():
     async with stage(lambda words: None) as s:
         client = await s.client()
@@ -368,7 +373,7 @@
         assert s.program.observer.outcomes["cancelled"] == 1 and not s.program.observer.outcomes["timeout"]
 
 
-@on_sockets
+@async_test
 async def test_a_waiting_request_of_a_disconnected_client_is_never_sent():
     """A request can wait for a server, a connection or a descriptor; here its only server is draining."""
     async with stage(lambda words: None) as s:
@@ -390,26 +395,26 @@
         assert [words[2] for words in s.servers[0].seen] == [ident(1), ident(3)]
 
 
-@on_sockets
+@async_test
 async def test_a_server_that_cannot_be_reached_proves_that_nothing_ran():
     async with stage() as s:
         await s.servers[0].stop()
         client = await s.client()
         reply = await client.ask(write(1, b"b", d=3000))
-        assert isinstance(reply, ErrorLine) and reply.text.startswith("BUSY")
+        assert isinstance(reply, ErrorReply) and reply.text.startswith("BUSY")
         assert s.program.observer.outcomes["no connection"] >= 1
 
 
-@on_sockets
+@async_test
 async def test_an_unanswered_request_gets_an_error_and_leaves_no_state():
     async with stage(lambda words: None) as s:
         client = await s.client()
-        assert isinstance(await client.ask(read(1, d=150)), ErrorLine)
+        assert isinstance(await client.ask(read(1, d=150)), ErrorReply)
         await s.until(lambda: not s.program.driver.in_flight)
         assert not s.program.driver.ledger.entries
 
 
-@on_sockets
+@async_test
 async def test_changes_in_discovery_reach_the_scheduler_and_a_new_address_is_used():
     async with stage(echo, echo) as s:
         nodes = s.program.driver.ledger.nodes
@@ -422,7 +427,7 @@
         assert s.servers[1].seen and not s.servers[0].seen
 
 
-@on_sockets
+@async_test
 async def test_a_failed_call_to_discovery_is_retried():
     async with stage() as s:
         await s.until(lambda: s.discovery.calls >= 2)
@@ -434,7 +439,7 @@
         await s.until(lambda: "s9" in s.program.driver.ledger.nodes)
 
 
-@on_sockets
+@async_test
 async def test_a_new_discovery_address_is_used_at_once():
     async with stage() as s:
         await s.until(lambda: s.discovery.calls >= 2)  # the watch is pending
@@ -464,7 +469,7 @@
 def test_the_process_reloads_on_sighup_and_answers_all_requests_after_sigterm(tmp_path):
     path = tmp_path / "config.json"
 
-    @on_sockets
+    @async_test
     async def test():
         held = []
 
@@ -475,7 +480,7 @@
         discovery, other = await Discovery().start(), await Discovery().start()
         server = await StorageServer(script).start()
         discovery.put("s0", server.address, 0)
-        with socket_free() as port:
+        with unused_port() as port:
             value = config(discovery, listen=f"127.0.0.1:{port}")
         for profile in value["settings"]["profiles"]:
             profile["give_up_ms"] = 3000.0
@@ -520,7 +525,7 @@
     test()
 
 
-class socket_free:  # noqa: N801
+class unused_port:  # noqa: N801
     """Return a TCP port that is not in use."""
 
     def __enter__(self):
@@ -599,7 +604,7 @@
     leave_by = float("inf")
 
     def __init__(self):
-        self.op = Reader(*READER).read([b"IO.IN", PIECE, ident(1), names()])
+        self.op = CommandReader(*READER).read([b"IO.IN", PIECE, ident(1), names()])
         self.attempt = Attempt(0, Node("s0", 0), 1000.0)
         self.endings = []
 
@@ -684,7 +689,7 @@
 def test_the_connection_with_most_unread_bytes_is_closed_first():
     driver = SimpleNamespace(left=lambda name: True)
     bounds = FrontBounds(max_connections=9, max_asking=9, max_unread=100)
-    front = Front(Reader(*READER), driver, bounds, lambda: 0.0)
+    front = Front(CommandReader(*READER), driver, bounds, lambda: 0.0)
     clients = []
     for held in (60, 30, 50):
         client = front.protocol()
@@ -696,7 +701,7 @@
     assert [c.transport.closed for c in clients] == [True, False, False]
 
 
-@on_sockets
+@async_test
 async def test_idle_connections_over_the_limit_are_closed():
     """Otherwise idle connections would use up the limit on connections."""
     async with stage(limits={"sockets": 100, "memory_mb": 64}) as s:
@@ -715,7 +720,7 @@
     now = [0.0]
     driver = SimpleNamespace(left=lambda name: True)
     bounds = FrontBounds(max_connections=3, max_asking=9, max_unread=100)
-    front = Front(Reader(*READER), driver, bounds, lambda: now[0])
+    front = Front(CommandReader(*READER), driver, bounds, lambda: now[0])
 
     def connect(asked=False):
         client = front.protocol()
@@ -744,7 +749,7 @@
 def test_a_closed_connection_whose_peer_never_reads_is_closed_after_the_write_timeout():
     now = [0.0]
     bounds = FrontBounds(max_connections=9, max_asking=9, max_unread=100)
-    front = Front(Reader(*READER), SimpleNamespace(left=lambda name: True), bounds, lambda: now[0])
+    front = Front(CommandReader(*READER), SimpleNamespace(left=lambda name: True), bounds, lambda: now[0])
     client = front.protocol()
     client.transport = RecordingTransport()
     front._on_connected(client)
@@ -763,7 +768,7 @@
 def test_lingering_is_limited_in_time_bytes_and_connections():
     now = [0.0]
     bounds = FrontBounds(max_connections=9, max_asking=9, max_unread=100, linger=LingerBounds(2000.0, 500, 2))
-    front = Front(Reader(*READER), SimpleNamespace(left=lambda name: True), bounds, lambda: now[0])
+    front = Front(CommandReader(*READER), SimpleNamespace(left=lambda name: True), bounds, lambda: now[0])
     clients = []
     for _ in range(4):
         client = front.protocol()
@@ -788,7 +793,7 @@
 
 def test_a_lingering_connection_is_evicted_first():
     bounds = FrontBounds(max_connections=2, max_asking=9, max_unread=100)
-    front = Front(Reader(*READER), SimpleNamespace(left=lambda name: True), bounds, lambda: 0.0)
+    front = Front(CommandReader(*READER), SimpleNamespace(left=lambda name: True), bounds, lambda: 0.0)
     clients = []
     for _ in range(3):
         client = front.protocol()
@@ -825,7 +830,7 @@
         return call.endings[0].outcome
 
 
-@on_sockets
+@async_test
 async def test_attempts_wait_for_a_descriptor_instead_of_failing():
     """In a network partition, hanging attempts can hold every descriptor; healthy servers still get work."""
     servers = [await StorageServer(script).start() for script in (lambda words: None, echo, echo)]
@@ -850,7 +855,7 @@
         await server.stop()
 
 
-@on_sockets
+@async_test
 async def test_an_attempt_that_got_no_descriptor_does_not_count_against_the_server():
     servers = [await StorageServer(lambda words: None).start()]
     limited_pool = LimitedPool(servers)
@@ -860,7 +865,7 @@
     await servers[0].stop()
 
 
-@on_sockets
+@async_test
 async def test_an_attempt_that_may_not_be_sent_any_more_is_not_written():
     """A drain's grace period or a key's deduplication window can end while the connection is opened."""
     servers = [await StorageServer(echo).start()]
@@ -874,7 +879,7 @@
     await servers[0].stop()
 
 
-@on_sockets
+@async_test
 async def test_a_cancelled_attempt_resets_its_connection():
     """Otherwise buffered bytes arrive after a partition ends, when the limit is used by other attempts."""
     servers = [await StorageServer(lambda words: None).start()]
--- a/tests/test_platform_config.py
+++ b/tests/test_platform_config.py
@@ -19,8 +19,8 @@
 from cressrock.platform.program import Program
 from cressrock.platform.server_list import ServerList
 from cressrock.resp import codec
-from cressrock.resp.request import InvalidCommandError, Reader
-from tests.test_platform import Client, on_sockets, stage
+from cressrock.resp.request import CommandReader, InvalidCommandError
+from tests.test_platform import Client, async_test, stage
 
 ABSENT = object()
 
@@ -329,7 +329,7 @@
 def test_discovery_is_watched_in_every_membership_mode(mode):
     """Where lists are pushed too: a dispatcher that only waits for them would miss a drain."""
 
-    @on_sockets
+    @async_test
     async def test():
         async with stage(settings=config_with(("settings.membership_mode", mode))["settings"]) as s:
             await s.until(lambda: s.discovery.calls >= 2)
@@ -344,7 +344,7 @@
 
 def make_reader(*changes):
     found = parse_with(*changes)
-    return Reader(found.settings, list(found.classes), list(found.plans), found.shards)
+    return CommandReader(found.settings, list(found.classes), list(found.plans), found.shards)
 
 
 def request_words(command="IO.IN", body=(), **changes):
@@ -615,7 +615,7 @@
 
 
 def test_processes_of_two_customers_on_one_host_are_isolated(tmp_path):
-    @on_sockets
+    @async_test
     async def test():
         servers, processes, addresses = [], [], []
         try:
--- a/tests/test_platform_connections.py
+++ b/tests/test_platform_connections.py
@@ -17,11 +17,11 @@
 from cressrock.platform import stopping
 from cressrock.resp import codec
 from cressrock.resp import front as front_module
-from cressrock.resp.codec import ErrorLine, Status
+from cressrock.resp.codec import ErrorReply, StatusReply
 from cressrock.resp.eviction import choose_eviction
 from cressrock.resp.front import Front, FrontBounds
-from cressrock.resp.request import Reader
-from tests.test_platform import READER, Client, RecordingTransport, ident, on_sockets, read, stage, write
+from cressrock.resp.request import CommandReader
+from tests.test_platform import READER, Client, RecordingTransport, async_test, ident, read, stage, write
 
 
 def connect_raw(s, **options):
@@ -49,7 +49,7 @@
 async def as_client(s, sock):
     """Wrap a connected plain socket in a Client."""
     client = Client(*await asyncio.open_connection(sock=sock))
-    client.parser = codec.Replies(1 << 21)
+    client.parser = codec.ReplyParser(1 << 21)
     s.clients.append(client)
     return client
 
@@ -75,7 +75,7 @@
     return None
 
 
-@on_sockets
+@async_test
 async def test_an_answer_is_not_lost_to_a_reset_over_unread_input():
     """Closing a socket with unread input resets the connection, which discards answers in transit."""
     async with stage() as s:
@@ -85,12 +85,12 @@
         await asyncio.to_thread(sock.sendall, ping + b"GET / HTTP/1.1\r\n" + b"x" * 700_000)
         client = await as_client(s, sock)
         replies = await read_until_end(client)
-        assert replies[0] == Status("PONG") and isinstance(replies[1], ErrorLine) and len(replies) == 2
+        assert replies[0] == StatusReply("PONG") and isinstance(replies[1], ErrorReply) and len(replies) == 2
         client.writer.close()
         await s.until(lambda: s.program.front.ended())
 
 
-@on_sockets
+@async_test
 async def test_a_request_read_after_the_shutdown_is_not_sent():
     async with stage() as s:
         client = await s.client()
@@ -111,13 +111,13 @@
 
 
 @pytest.mark.parametrize("ending", ["sweep", "leave", "yield"])
-@on_sockets
+@async_test
 async def test_a_request_in_the_kernel_keeps_its_connection_from_being_ended(ending):
     async with stage() as s:
         front = s.program.front
         client, other = await s.client(), await s.client()
         assert await client.ask(read(1)) == b"value of " + ident(1)
-        assert await other.ask(codec.command(b"PING")) == Status("PONG")
+        assert await other.ask(codec.command(b"PING")) == StatusReply("PONG")
         mine = front_client(s, client)
         # The request is in the kernel; the event loop has not run.
         client.writer.get_extra_info("socket")._sock.send(read(2))
@@ -136,7 +136,7 @@
         client.writer.close()
 
 
-@on_sockets
+@async_test
 async def test_the_idle_timeout_restarts_with_the_first_byte_of_a_command():
     """Otherwise a command that begins shortly before the idle timeout is cut off."""
     async with stage() as s:
@@ -159,10 +159,10 @@
         client.send(read(3)[40:])
         assert await client.reply() == b"value of " + ident(3)
         # This client had sent no command before, so its timeout counts from connecting.
-        assert isinstance((await read_until_end(silent))[0], ErrorLine)
+        assert isinstance((await read_until_end(silent))[0], ErrorReply)
 
 
-@on_sockets
+@async_test
 async def test_an_incomplete_command_is_waited_for_during_shutdown():
     async with stage() as s:
         client = await s.client()
@@ -173,7 +173,7 @@
         assert await read_until_end(client) == [b"value of " + ident(1)]
 
 
-@on_sockets
+@async_test
 async def test_a_connection_with_unsent_output_is_not_evicted():
     """Closing at once would discard the rest of an answer that its client is still reading."""
     large = b"y" * 1_500_000
@@ -191,7 +191,7 @@
             sock.close()
 
 
-@on_sockets
+@async_test
 async def test_a_disconnect_is_detected_while_reading_is_paused():
     """Reading is paused while a client does not read its answers, so its end must be polled for."""
     large = b"y" * 1_500_000
@@ -210,7 +210,7 @@
         sock.close()
 
 
-@on_sockets
+@async_test
 async def test_a_disconnect_after_invalid_input_is_detected():
     async with stage(lambda words: None) as s:
         client = await s.client()
@@ -221,7 +221,7 @@
         assert s.program.driver.ledger.answer_counts[Verdict.LEFT] == 1 and not s.program.driver.pending
 
 
-@on_sockets
+@async_test
 async def test_a_reset_cancels_all_requests_of_the_connection():
     async with stage(lambda words: None) as s:
         client = await s.client()
@@ -234,7 +234,7 @@
         assert s.program.driver.ledger.answer_counts[Verdict.LEFT] == 8 and not s.program.driver.pending
 
 
-@on_sockets
+@async_test
 async def test_many_commands_in_one_read_are_all_processed_in_parts():
     """One read can hold thousands of commands, which must not delay the other clients' answers."""
     async with stage() as s:
@@ -255,13 +255,13 @@
         assert await other.ask(read(2)) == b"value of " + ident(2)
         client = await as_client(s, sock)
         for _ in range(number):
-            assert await client.reply() == Status("PONG")
+            assert await client.reply() == StatusReply("PONG")
         assert await client.reply() == b"value of " + ident(1)
         # The event loop ran between the parts.
         assert sum(had_more) >= number // s.program.front.bounds.max_pipeline // 2
 
 
-@on_sockets
+@async_test
 async def test_a_connection_with_buffered_commands_is_not_ended():
     async with stage() as s:
         front, original, seen = s.program.front, s.program.front._command, []
@@ -285,9 +285,11 @@
         assert len(replies) == 1001 and replies[-1] == b"value of " + ident(1)
 
 
-@on_sockets
+@async_test
 async def test_a_connection_with_buffered_commands_is_not_evicted():
-    front = Front(Reader(*READER), None, FrontBounds(max_connections=1, max_asking=9, max_unread=100), float)
+    front = Front(
+        CommandReader(*READER), None, FrontBounds(max_connections=1, max_asking=9, max_unread=100), float
+    )
     first, second = front.protocol(), front.protocol()
     for client in (first, second):
         client.transport = RecordingTransport()
@@ -308,7 +310,7 @@
 
     monkeypatch.setattr(front_module, "choose_eviction", counting)
     bounds = FrontBounds(max_connections=100, max_asking=99, max_unread=100)
-    front = Front(Reader(*READER), None, bounds, lambda: 0.0)
+    front = Front(CommandReader(*READER), None, bounds, lambda: 0.0)
     for _ in range(300):
         client = front.protocol()
         client.transport = RecordingTransport()
@@ -317,10 +319,10 @@
     assert len(scanned_counts) == 200 and max(scanned_counts) <= 2
 
 
-@on_sockets
+@async_test
 async def test_a_connection_skipped_for_unread_input_can_be_evicted_after_it_was_read():
     bounds = FrontBounds(max_connections=2, max_asking=9, max_unread=100)
-    front = Front(Reader(*READER), None, bounds, lambda: 0.0)
+    front = Front(CommandReader(*READER), None, bounds, lambda: 0.0)
 
     def connect():
         client = front.protocol()
@@ -342,7 +344,7 @@
         monkeypatch.setattr(stopping, name, value)
 
 
-@on_sockets
+@async_test
 async def test_a_connection_in_the_backlog_is_served_when_the_listener_closes(monkeypatch):
     async with stage() as s:
         listener, last = s.program.listener, s.program.front.clock() + 10_000
@@ -354,11 +356,16 @@
         assert not listener.is_serving()
 
 
-@on_sockets
+@async_test
 async def test_the_process_waits_for_unsent_answers_before_it_exits(monkeypatch):
     """Output buffered in the process or the kernel could be lost when the process exits."""
     set_stopping_times(
-        monkeypatch, NEW_MS=0.0, COUNTED_MS=100.0, ADDED_MS=20_000.0, AHEAD_MS=19_900.0, EXIT_MS=0.0
+        monkeypatch,
+        ACCEPT_AFTER_SIGTERM_MS=0.0,
+        MAX_DEADLINE_WAIT_MS=100.0,
+        KILL_ALLOWANCE_MS=20_000.0,
+        ANSWER_LEAD_MS=19_900.0,
+        EXIT_LEAD_MS=0.0,
     )
     large = b"y" * 1_500_000
     async with stage(lambda words: answer(large)) as s:
@@ -377,10 +384,15 @@
         await s.task
 
 
-@on_sockets
+@async_test
 async def test_each_open_request_is_answered_once_after_two_sigterms(monkeypatch):
     set_stopping_times(
-        monkeypatch, NEW_MS=10.0, COUNTED_MS=100.0, ADDED_MS=400.0, AHEAD_MS=100.0, EXIT_MS=0.0
+        monkeypatch,
+        ACCEPT_AFTER_SIGTERM_MS=10.0,
+        MAX_DEADLINE_WAIT_MS=100.0,
+        KILL_ALLOWANCE_MS=400.0,
+        ANSWER_LEAD_MS=100.0,
+        EXIT_LEAD_MS=0.0,
     )
 
     def half(words):
@@ -393,14 +405,14 @@
         waiting.send(read(2, shard=3))
         begun.send(write(3, b"y"))
         incomplete.send(read(4)[:30])
-        assert await idle.ask(codec.command(b"PING")) == Status("PONG")
+        assert await idle.ask(codec.command(b"PING")) == StatusReply("PONG")
         await s.until(lambda: s.program.front.owes() == 3 and len(s.servers[0].seen) == 2)
         os.kill(os.getpid(), signal.SIGTERM)
         await asyncio.sleep(0)
         os.kill(os.getpid(), signal.SIGTERM)
         await asyncio.sleep(0)
         # An idle client is still served: the process does not exit early.
-        assert isinstance(await idle.ask(codec.command(b"SELECT", b"0")), Status)
+        assert isinstance(await idle.ask(codec.command(b"SELECT", b"0")), StatusReply)
         all_replies = [await read_until_end(client) for client in (sent, waiting, begun, idle, incomplete)]
         assert [len(replies) for replies in all_replies] == [1, 1, 1, 0, 0]
         assert [all_replies[i][0].text.split()[0] for i in range(3)] == ["ERR", "BUSY", "ERR"]
@@ -410,7 +422,7 @@
         await s.task
 
 
-@on_sockets
+@async_test
 async def test_no_attempt_is_started_after_all_requests_were_answered():
     async with stage(lambda words: None) as s:
         s.discovery.put("s0", s.servers[0].address, 0, health="leaving")
--- a/tests/test_platform_descriptors.py
+++ b/tests/test_platform_descriptors.py
@@ -15,10 +15,10 @@
 from cressrock.lab.platform import Discovery, StorageServer, config, echo
 from cressrock.platform import program
 from cressrock.resp import codec
-from cressrock.resp.codec import Status
-from cressrock.resp.eviction import LOOP_ITERATIONS, accepted_at_once
+from cressrock.resp.codec import StatusReply
+from cressrock.resp.eviction import LOOP_ITERATIONS, max_accepts_per_iteration
 from cressrock.resp.listener import Listener
-from tests.test_platform import Client, ident, on_sockets, read, socket_free, stage
+from tests.test_platform import Client, async_test, ident, read, stage, unused_port
 
 LIMIT = 64
 
@@ -27,12 +27,12 @@
     for spare in range(LOOP_ITERATIONS, 200):
         assert (
             0
-            < LOOP_ITERATIONS * accepted_at_once(spare)
+            < LOOP_ITERATIONS * max_accepts_per_iteration(spare)
             <= spare
-            < LOOP_ITERATIONS * (accepted_at_once(spare) + 1)
+            < LOOP_ITERATIONS * (max_accepts_per_iteration(spare) + 1)
         )
-    assert accepted_at_once(0) == 1
-    assert program.SPARE - program.OWN >= LOOP_ITERATIONS
+    assert max_accepts_per_iteration(0) == 1
+    assert program.RESERVED_DESCRIPTORS - program.PROCESS_DESCRIPTORS >= LOOP_ITERATIONS
 
 
 class RecordingProtocol(asyncio.Protocol):
@@ -46,7 +46,7 @@
 
 
 @pytest.mark.parametrize("count", [1, 5])
-@on_sockets
+@async_test
 async def test_accepts_per_loop_iteration_are_bounded_until_the_front_counts_them(count):
     """Otherwise a burst of connections takes descriptors that no limit counts yet."""
     made = []
@@ -66,7 +66,7 @@
         sock.close()
 
 
-@on_sockets
+@async_test
 async def test_a_listener_without_a_descriptor_pauses_until_it_is_resumed(monkeypatch):
     """Without the pause, connections waiting in the kernel would wake the loop continuously."""
     made = []
@@ -98,7 +98,7 @@
     made[0].abort()
 
 
-@on_sockets
+@async_test
 async def test_a_new_connection_is_closed_if_all_others_are_in_use():
     """It would take a descriptor that is reserved for discovery or storage servers."""
     async with stage(lambda words: None) as s:
@@ -115,14 +115,14 @@
         assert await client.reply() == b"value of " + ident(1)
 
 
-@on_sockets
+@async_test
 async def test_a_drain_is_followed_after_idle_clients_filled_the_process(tmp_path):
     """Descriptors must remain to learn of the drain from discovery and to connect to the other server."""
     path, log = tmp_path / "config.json", tmp_path / "log"
     discovery = await Discovery().start()
     old, new = [await StorageServer(echo).start() for _ in range(2)]
     discovery.put("s0", old.address, 0)
-    with socket_free() as port:
+    with unused_port() as port:
         limits = {"cores": 1.0, "memory_mb": 96, "sockets": LIMIT}
         path.write_text(json.dumps(config(discovery, listen=f"127.0.0.1:{port}", limits=limits)))
     with log.open("wb") as err:
@@ -147,7 +147,7 @@
                 break
             except OSError:
                 await asyncio.sleep(0.02)
-        assert await first.ask(codec.command(b"PING")) == Status("PONG")
+        assert await first.ask(codec.command(b"PING")) == StatusReply("PONG")
         discovery.failing = True
         discovery.reset()
         calls_before_failure = discovery.calls
--- a/tests/test_platform_disconnects.py
+++ b/tests/test_platform_disconnects.py
@@ -14,7 +14,7 @@
 from cressrock.interface import ListKind, Node, NodeList, NodeState
 from cressrock.lab.platform import answer, echo
 from cressrock.resp import codec
-from tests.test_platform import Client, ident, on_sockets, read, stage, write
+from tests.test_platform import Client, async_test, ident, read, stage, write
 from tests.test_platform_connections import connect_raw, connect_with_small_buffers
 from tests.test_platform_pool import ManualServer, patch_connection_made, read_to_end
 
@@ -79,7 +79,7 @@
 
 
 @leaving
-@on_sockets
+@async_test
 async def test_a_request_followed_by_a_disconnect_is_not_sent(leave):
     """Its commands are read in one iteration of the event loop, but the end only in the next."""
     async with stage() as s:
@@ -95,7 +95,7 @@
 
 
 @leaving
-@on_sockets
+@async_test
 async def test_no_connection_is_opened_for_a_disconnected_client(leave):
     async with stage() as s:
         sock = connect_raw(s)
@@ -109,7 +109,7 @@
 
 
 @leaving
-@on_sockets
+@async_test
 async def test_a_waiting_request_is_not_sent_after_a_disconnect_while_reading_is_paused(leave):
     async with stage(lambda words: answer(LARGE) if words[2] == ident(1) else echo(words), echo) as s:
         disable_sweep(s)
@@ -127,7 +127,7 @@
 
 
 @leaving
-@on_sockets
+@async_test
 async def test_no_retry_is_made_after_a_disconnect_while_reading_is_paused(leave):
     """While reading is paused, the end would be read only after many retries."""
     withheld_requests = []
@@ -160,7 +160,7 @@
 
 @pytest.mark.parametrize("waits_for", ["connection", "rest", "descriptor"])
 @leaving
-@on_sockets
+@async_test
 async def test_an_attempt_is_not_started_after_a_disconnect_while_it_waits(waits_for, leave):
     """It waits for a new connection, for one to become reusable, or for a descriptor."""
     withheld, script = withhold(8)
@@ -199,7 +199,7 @@
 
 
 @leaving
-@on_sockets
+@async_test
 async def test_a_disconnect_during_a_stall_of_the_process_is_detected(leave):
     """A process that was not scheduled for long must not send requests whose clients have given up."""
     async with stage() as s:
@@ -218,7 +218,7 @@
         sock.close()
 
 
-@on_sockets
+@async_test
 async def test_buffered_requests_are_not_sent_after_a_disconnect():
     """Reading is paused until all buffered commands are processed, so the end is not read before that."""
     async with stage() as s:
@@ -234,7 +234,7 @@
 
 
 @pytest.mark.parametrize("may_cancel", [False, True])
-@on_sockets
+@async_test
 async def test_a_partly_written_request_is_stopped_after_a_disconnect(may_cancel, monkeypatch):
     """Otherwise the server starts the request when it gets the last byte, long after the disconnect."""
     peer = ManualServer()
@@ -245,7 +245,7 @@
 
     patch_connection_made(monkeypatch, shrink_buffer)
     async with stage() as s:
-        object.__setattr__(s.program.brain.settings, "may_cancel", may_cancel)
+        object.__setattr__(s.program.scheduler.settings, "may_cancel", may_cancel)
         s.discovery.put("s0", f"127.0.0.1:{peer.address[1]}", 0)
         await s.until(lambda: s.program.servers.dials["s0"] == peer.address)
         client = await s.client()
@@ -262,10 +262,10 @@
     peer.close()
 
 
-@on_sockets
+@async_test
 async def test_a_completely_written_request_continues_if_cancelling_is_disabled():
     async with stage(lambda words: None) as s:
-        object.__setattr__(s.program.brain.settings, "may_cancel", False)
+        object.__setattr__(s.program.scheduler.settings, "may_cancel", False)
         client = await s.client()
         client.send(read(1))
         await s.until(lambda: s.servers[0].seen)
@@ -278,7 +278,7 @@
         assert s.program.observer.outcomes == {"ok": 1} and not s.program.driver.ledger.entries
 
 
-@on_sockets
+@async_test
 async def test_disconnects_are_checked_only_when_attempts_are_started():
     """An attempt costs one check, or two if it opens a connection; idle clients cost none."""
     async with stage() as s:
--- a/tests/test_platform_pool.py
+++ b/tests/test_platform_pool.py
@@ -22,7 +22,7 @@
 from cressrock.resp.connection_pool import RespTransport
 from cressrock.resp.reply_progress import ReplyProgress
 from cressrock.resp.reuse_delay import MIN_DELAY_MS, ReuseDelay
-from tests.test_platform import BOUNDS, Call, on_sockets, pool_with_attempt
+from tests.test_platform import BOUNDS, Call, async_test, pool_with_attempt
 
 FAR_MS = 60000.0
 OVERSIZED = b"x" * (32 << 20)  # more than the kernel buffers for a peer that does not read
@@ -137,7 +137,7 @@
 
 def with_pool(**bounds):
     def wrap(test):
-        @on_sockets
+        @async_test
         async def run():
             harness = PoolHarness(**bounds)
             try:
@@ -363,7 +363,7 @@
 # --- simultaneous events
 
 
-@on_sockets
+@async_test
 async def test_an_answer_in_the_kernel_is_read_before_the_deadline_is_checked():
     """The event loop handles sockets before timers, so no received answer is lost."""
     peer = ManualServer()
@@ -491,8 +491,10 @@
 def test_an_answer_in_single_bytes_is_not_parsed_again_for_each(monkeypatch):
     async def test():
         read = []
-        reply = codec.Replies._reply
-        monkeypatch.setattr(codec.Replies, "_reply", lambda self, depth: read.append(0) or reply(self, depth))
+        reply = codec.ReplyParser._reply
+        monkeypatch.setattr(
+            codec.ReplyParser, "_reply", lambda self, depth: read.append(0) or reply(self, depth)
+        )
         _, connection, call = pool_with_attempt([1000.0])
         for byte in answer(b"v" * 1000):
             connection.data_received(bytes([byte]))
--- a/tests/test_platform_watch.py
+++ b/tests/test_platform_watch.py
@@ -14,7 +14,7 @@
 from cressrock.platform.config import parse
 from cressrock.platform.program import Program
 from cressrock.platform.server_list import ListError, ServerList
-from tests.test_platform import ident, on_sockets, read, socket_free, stage
+from tests.test_platform import async_test, ident, read, stage, unused_port
 from tests.test_platform_server_list import answer, entry
 
 
@@ -25,7 +25,7 @@
     monkeypatch.setattr(watch_schedule, "MAX_QUEUE_MS", 300.0)
 
 
-@on_sockets
+@async_test
 async def test_a_parallel_call_reports_a_drain_while_the_watch_is_silent(monkeypatch):
     shorten_deadlines(monkeypatch)
     async with stage() as s:
@@ -39,7 +39,7 @@
         await s.until(lambda: "s9" in nodes)
 
 
-@on_sockets
+@async_test
 async def test_a_truncated_answer_is_ignored_and_a_parallel_call_gets_the_whole(monkeypatch):
     shorten_deadlines(monkeypatch)
     async with stage() as s:
@@ -51,7 +51,7 @@
         assert watch.parallel_calls and not watch.failed and not s.discovery.halved
 
 
-@on_sockets
+@async_test
 async def test_a_reset_watch_is_reopened():
     async with stage() as s:
         nodes = s.program.driver.ledger.nodes
@@ -62,7 +62,7 @@
         assert s.program.watch.failed == 1 and not s.program.watch.parallel_calls
 
 
-@on_sockets
+@async_test
 async def test_a_late_answer_counts_although_a_parallel_call_failed(monkeypatch):
     """Discovery may only be busy, so the late call is not abandoned for the one made beside it."""
     shorten_deadlines(monkeypatch)
@@ -161,7 +161,7 @@
     if fault in (silent_twice, silent_then_busy):
         shorten_deadlines(monkeypatch)
 
-    @on_sockets
+    @async_test
     async def test():
         async with stage() as s:
             nodes, watch = s.program.driver.ledger.nodes, s.program.watch
@@ -174,7 +174,7 @@
     test()
 
 
-@on_sockets
+@async_test
 async def test_after_a_move_the_new_address_is_called_at_once():
     """The backoff for failures of the old address must not delay the first call to the new one."""
     async with stage() as s:
@@ -192,7 +192,7 @@
         await s.until(lambda: other.calls >= 2)
 
 
-@on_sockets
+@async_test
 async def test_changes_during_a_discovery_outage_are_reported_after_it(monkeypatch):
     async with stage() as s:
         nodes = s.program.driver.ledger.nodes
@@ -205,7 +205,7 @@
         await s.until(lambda: nodes["s0"].state is NodeState.DRAINING)
 
 
-@on_sockets
+@async_test
 async def test_a_new_address_that_fails_at_first_is_retried_without_the_old_ones_backoff():
     """Its changes count as known 4 s after SIGHUP, whatever the backoff of the old address was."""
     async with stage() as s:
@@ -224,7 +224,7 @@
         await s.until(lambda: "s5" in nodes)
 
 
-@on_sockets
+@async_test
 async def test_an_answer_that_arrives_during_an_address_change_is_reported():
     """The list has that answer's version from then on, so no later answer repeats its changes."""
     async with stage() as s:
@@ -261,7 +261,7 @@
     return value
 
 
-@on_sockets
+@async_test
 async def test_with_pushed_lists_discovery_is_watched_without_a_subscription_and_before_serving():
     """There, a drain counts as known from the start of a process on."""
     async with stage() as s:  # only its storage server is used
@@ -291,7 +291,7 @@
         await asyncio.gather(task, return_exceptions=True)
 
 
-@on_sockets
+@async_test
 async def test_with_pushed_lists_a_dispatcher_starts_although_discovery_is_down(monkeypatch):
     shorten_deadlines(monkeypatch)
     async with stage() as s:
@@ -341,7 +341,7 @@
     yield None, json.dumps(own)
 
 
-@on_sockets
+@async_test
 async def test_a_file_of_another_dispatcher_is_rejected_in_a_reload(tmp_path, capsys):
     """Its discovery would connect this dispatcher to another customer's servers."""
     async with stage() as s:
@@ -367,10 +367,10 @@
     """Without an early handler it would end the process."""
     path = tmp_path / "config.json"
 
-    @on_sockets
+    @async_test
     async def test():
         discovery, other = await Discovery().start(), await Discovery().start()
-        with socket_free() as port:
+        with unused_port() as port:
             value = config(discovery, listen=f"127.0.0.1:{port}")
         path.write_text(json.dumps(value))
         # The file is replaced, and SIGHUP is sent, while the old configuration is being read.
--- a/tests/test_resp.py
+++ b/tests/test_resp.py
@@ -8,10 +8,10 @@
 
 from cressrock.interface import DeduplicationScope, Idempotency, Outcome, Plan, RequestClass, Settings
 from cressrock.resp import codec
-from cressrock.resp.codec import Commands, ErrorLine, ProtocolError, Replies, Status
+from cressrock.resp.codec import CommandParser, ErrorReply, ProtocolError, ReplyParser, StatusReply
 from cressrock.resp.eviction import choose_eviction, choose_unread
 from cressrock.resp.outcomes import parse_load, parse_outcome
-from cressrock.resp.request import InvalidCommandError, Reader
+from cressrock.resp.request import CommandReader, InvalidCommandError
 
 WORD = st.binary(max_size=40)
 
@@ -24,7 +24,7 @@
 @given(st.lists(st.lists(WORD, min_size=1, max_size=5), max_size=4), st.lists(st.integers(0, 10**6)))
 def test_commands_parse_the_same_however_input_is_split(commands, cuts):
     data = b"".join(codec.command(*words) for words in commands)
-    parser, got = Commands(), []
+    parser, got = CommandParser(), []
     for part in split(data, cuts):
         found, error = parser.feed(part)
         assert error is None
@@ -49,7 +49,7 @@
 
 @given(st.lists(REPLY, max_size=4), st.lists(st.integers(0, 10**6)))
 def test_replies_parse_the_same_however_input_is_split(replies, cuts):
-    parser, got = Replies(), []
+    parser, got = ReplyParser(), []
     for part in split(b"".join(map(encode_reply, replies)), cuts):
         parser.feed(part)
         while (found := parser.next()) is not None:
@@ -59,7 +59,7 @@
 
 @given(st.binary(max_size=300), st.lists(st.integers(0, 10**6), max_size=5))
 def test_arbitrary_bytes_raise_only_protocol_errors(data, cuts):
-    commands, replies = Commands(), Replies()
+    commands, replies = CommandParser(), ReplyParser()
     for part in split(data, cuts):
         if commands.feed(part)[1] is not None:
             break
@@ -91,21 +91,21 @@
     ],
 )
 def test_a_command_over_a_limit_is_rejected_before_its_payload(data):
-    parser = Commands()
+    parser = CommandParser()
     found, error = parser.feed(data)
     assert not found and isinstance(error, ProtocolError)
     assert not parser.is_partial  # the input is discarded
 
 
 def test_commands_before_invalid_input_are_returned():
-    found, error = Commands().feed(codec.command(b"PING") + b"garbage")
+    found, error = CommandParser().feed(codec.command(b"PING") + b"garbage")
     assert found == [[b"PING"]] and error is not None
 
 
 def test_a_value_may_have_at_most_64_kib():
-    words = [b"IO.OUT", b"x" * codec.MAX_VALUE]
-    assert Commands().feed(codec.command(*words)) == ([words], None)
-    assert Commands().feed(codec.command(b"IO.OUT", b"x" * (codec.MAX_VALUE + 1)))[1] is not None
+    words = [b"IO.OUT", b"x" * codec.MAX_VALUE_BYTES]
+    assert CommandParser().feed(codec.command(*words)) == ([words], None)
+    assert CommandParser().feed(codec.command(b"IO.OUT", b"x" * (codec.MAX_VALUE_BYTES + 1)))[1] is not None
 
 
 @pytest.mark.parametrize(
@@ -123,7 +123,7 @@
     ],
 )
 def test_an_invalid_reply_is_rejected(data):
-    parser = Replies()
+    parser = ReplyParser()
     parser.feed(data)
     with pytest.raises(ProtocolError):
         parser.next()
@@ -139,11 +139,11 @@
 def test_replies_are_mapped_to_outcomes():
     assert parse_outcome([b"v", None, None]) == (Outcome.OK, b"v", "")
     assert parse_outcome([b"", b"used=1", b"inflight=2"])[:2] == (Outcome.OK, b"")
-    assert parse_outcome(ErrorLine("BUSY"))[0] is Outcome.FULL
+    assert parse_outcome(ErrorReply("BUSY"))[0] is Outcome.FULL
     for other in (
-        ErrorLine("ERR failed"),
-        ErrorLine("BUSYBODY"),
-        Status("OK"),
+        ErrorReply("ERR failed"),
+        ErrorReply("BUSYBODY"),
+        StatusReply("OK"),
         None,
         b"v",
         7,
@@ -159,7 +159,7 @@
     assert parse_load([b"v", b"used=37,cost=4", None]) == (38, 4.0)
     assert parse_load([b"v", b"used=0", None]) == (1, 0.0)  # 0 % used is reported; 0 would mean not reported
     assert parse_load([b"v", b"cost=2.5", b"inflight=3"]) == (0, 2.5)
-    assert parse_load(ErrorLine("ERR failed used=12,cost=3 inflight=7")) == (13, 3.0)
+    assert parse_load(ErrorReply("ERR failed used=12,cost=3 inflight=7")) == (13, 3.0)
     for invalid in (
         None,
         b"used=",
@@ -189,7 +189,7 @@
     hosts=3,
     most_units=8,
 )
-READER = Reader(SETTINGS, ["read", "write"], ["silver", "gold"], 9)
+READER = CommandReader(SETTINGS, ["read", "write"], ["silver", "gold"], 9)
 NAMES = {
     "c": "read",
     "t": "gold",
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -30,8 +30,8 @@
 class OvercautiousDispatch(Dispatch):
     """Sends nothing unless the endpoint responded within the last 40 ms."""
 
-    def has_slot(self, endpoint, now_ms):
-        return super().has_slot(endpoint, now_ms) and now_ms - endpoint.ejection.answered_at_ms < 40.0
+    def has_free_slot(self, endpoint, now_ms):
+        return super().has_free_slot(endpoint, now_ms) and now_ms - endpoint.ejection.answered_at_ms < 40.0
 
 
 class OvercautiousScheduler(Scheduler):
