--- a/cressrock/lab/localcost_requests.py
+++ b/cressrock/lab/localcost_requests.py
@@ -135,7 +135,7 @@
 
     def __init__(self, node: str, idle_since: float) -> None:
         self.node, self.idle_since = node, idle_since
-        self.flight = self.next = None
+        self.attempt = self.waiting_attempt = None
         self.transport = self
 
     def abort(self) -> None: ...
@@ -148,13 +148,13 @@
     draw = random.Random(seed)
     idle = [_Idle(f"s{index}", draw.random()) for index in range(n + 40)]
     for one in idle:
-        pool.idle[one.node] = OrderedDict({cast(Any, one): None})
+        pool.idle_connections[one.node] = OrderedDict({cast(Any, one): None})
     rounds, least = 10, float("inf")
     for _ in range(4):
         gc.collect()
         began = time.thread_time()
         for _ in range(rounds):
-            pool._make_room()
+            pool._close_longest_idle()
         least = min(least, time.thread_time() - began)
     yield Figure("pool.make_room.cpu_us", least * 1e6 / rounds, "us", scene="busy")
 
--- a/cressrock/platform/program.py
+++ b/cressrock/platform/program.py
@@ -56,9 +56,7 @@
 # Of the shortest latency objective: a stalled answer is abandoned while another attempt can still meet it.
 STALL_OBJECTIVE_FRACTION = 0.1
 LINGER_MS = 2000.0  # after it, the platform allows a connection without an open request to be closed
-LINGER_BYTES = (
-    16 * MAX_VALUE_BYTES
-)  # per peer: far more than a client has in flight when its connection is ended
+LINGER_BYTES = 16 * MAX_VALUE_BYTES  # per peer: far more than a client has in flight when its connection ends
 LINGERING_FRACTION = 1 / 8  # of the client connections
 SOCKET_SLACK_MS = 50.0  # every time limit is longer by this on real sockets
 STOP_POLL_S = 0.01  # interval of the checks while stopping
@@ -162,7 +160,7 @@
                 stall_ms=STALL_OBJECTIVE_FRACTION * min(cls.latency_objective_ms for cls in settings.classes),
             ),
             clock,
-            self.servers.dials.get,
+            self.servers.dial_addresses.get,
         )
         self.scheduler = Scheduler(settings, rng.getrandbits(62), clock())
         self.driver = Driver(
@@ -182,9 +180,11 @@
             self.driver,
             FrontBounds(
                 max_connections=max_clients,
-                max_asking=int(config.sockets * MAX_ASKING_FRACTION),
-                max_unread=int(config.memory_mb * MAX_UNREAD_MEMORY_FRACTION * (1 << 20)),
-                linger=LingerBounds(LINGER_MS, LINGER_BYTES, max(1, int(max_clients * LINGERING_FRACTION))),
+                max_active_connections=int(config.sockets * MAX_ASKING_FRACTION),
+                max_unread_bytes=int(config.memory_mb * MAX_UNREAD_MEMORY_FRACTION * (1 << 20)),
+                linger_bounds=LingerBounds(
+                    LINGER_MS, LINGER_BYTES, max(1, int(max_clients * LINGERING_FRACTION))
+                ),
             ),
             clock,
         )
@@ -212,7 +212,7 @@
     def _apply_report(self, report: NodeList) -> None:
         self.driver.receive_node_list(report)
         for name in self.servers.replaced:
-            self.transport.forget(name)
+            self.transport.close_idle(name)
         self.servers.replaced = []
 
     async def run(self) -> None:
@@ -245,7 +245,7 @@
             with net.report_bind_errors("listen", ":".join(map(str, self.config.listen))):
                 self.listener = listener = Listener(
                     self.config.listen,
-                    self.front.protocol,
+                    self.front.create_protocol,
                     max_accepts_per_iteration(RESERVED_DESCRIPTORS - PROCESS_DESCRIPTORS),
                 )
             host, port = self.address = listener.address()
@@ -267,25 +267,25 @@
         use as long as its answers are certain to be sent before the process exits.
         """
         stop = StopSchedule(clock(), max(cls.deadline_ms for cls in self.config.settings.classes))
-        self.log(f"stopping with {self.front.owes()} open requests")
+        self.log(f"stopping with {self.front.open_request_count()} open requests")
         self._report()
-        self.front.end_by(stop.answer_by_ms)
+        self.front.set_answer_deadline(stop.answer_by_ms)
         await asyncio.sleep(max(0.0, stop.unlisten_at_ms - clock()) / 1000)
         await self._unlisten(listener, stop.answer_by_ms)
-        while not self.front.ended() and clock() < stop.answer_by_ms:
+        while not self.front.all_closed() and clock() < stop.answer_by_ms:
             if clock() >= stop.close_idle_at_ms:
-                self.front.leave()
+                self.front.close_idle()
             await asyncio.sleep(STOP_POLL_S)
         # Requests from before SIGTERM whose deadline is later than the platform waits are answered here:
         # otherwise they would be lost.
-        self.log(f"stopped, aborting {self.front.owes()} open requests")
+        self.log(f"stopped, aborting {self.front.open_request_count()} open requests")
         self.driver.abort_pending()
         if self.loop_batches is not None:
             self.loop_batches.stop()
-        self.front.finish()
+        self.front.close_all()
         # An answer that the kernel has not delivered yet is lost if its connection is closed with unread
         # bytes, and so if the process exits.
-        while not self.front.ended() and clock() < stop.exit_at_ms:
+        while not self.front.all_closed() and clock() < stop.exit_at_ms:
             await asyncio.sleep(STOP_POLL_S)
 
     async def _unlisten(self, listener: Listener, answer_by_ms: float) -> None:
@@ -299,7 +299,7 @@
             idle_iterations = 0 if _readable(listener.fileno()) else idle_iterations + 1
             await asyncio.sleep(0)
         listener.close()
-        self.front.welcome = False
+        self.front.is_accepting = False
 
     def reload(self) -> None:
         """Reload the configuration: discovery's address may change while the program runs.
@@ -325,9 +325,9 @@
         bounds = self.front.bounds
         report_at_ms = clock() + REPORT_INTERVAL_MS
         while True:
-            await asyncio.sleep(bounds.sweep_ms / 1000)
+            await asyncio.sleep(bounds.sweep_interval_ms / 1000)
             self.front.sweep()
-            self.transport.sweep()
+            self.transport.close_expired()
             if self.listener is not None:
                 self.listener.resume()
             if clock() >= report_at_ms:
@@ -339,14 +339,16 @@
         observer, transport, front = self.observer, self.transport, self.front
         batches = self.loop_batches.count if self.loop_batches is not None else 0
         self.log(
-            f"clients={len(front.clients)} lingering={len(front.lingering)} asking={front.asking} "
-            f"owed={front.owes()} evicted={front.evicted} yielded={front.yielded} "
-            f"left_unread={front.left_unread} "
-            f"exhausted={self.listener.exhausted if self.listener is not None else 0} "
-            f"malformed={front.malformed} refused={front.refused_commands} "
+            f"clients={len(front.clients)} lingering={len(front.lingering)} "
+            f"asking={front.active_connection_count} "
+            f"owed={front.open_request_count()} evicted={front.evicted_count} "
+            f"yielded={front.closed_idle_count} left_unread={front.unread_disconnect_count} "
+            f"exhausted={self.listener.failed_accept_count if self.listener is not None else 0} "
+            f"malformed={front.invalid_input_count} refused={front.refused_command_count} "
             f"calls={self.watch.calls} failed={self.watch.failed} doubted={self.watch.parallel_calls} "
-            f"nodes={len(transport.open)} opened={transport.opened} reused={transport.reused} "
-            f"spoilt={transport.spoilt} surplus={transport.surplus} turns={batches} "
+            f"nodes={len(transport.open_connections)} opened={transport.opened_count} "
+            f"reused={transport.reused_count} spoilt={transport.invalid_answer_count} "
+            f"surplus={transport.unrequested_input_count} turns={batches} "
             f"events={observer.events} act={observer.act_ms:.0f} "
             f"longest={observer.longest_act_ms:.1f} late={observer.max_queued_ms:.1f} "
             f"cpu={time.process_time():.2f} "
--- a/cressrock/platform/server_list.py
+++ b/cressrock/platform/server_list.py
@@ -26,7 +26,7 @@
         self.zones = {name: index for index, name in enumerate(zones)}
         self.version = -1
         self.after = -1  # the version that the next call names as known; -1 asks for the whole list
-        self.dials: dict[str, tuple[str, int]] = {}
+        self.dial_addresses: dict[str, tuple[str, int]] = {}
         self.replaced: list[str] = []  # hosts that the last answer moved, restarted or removed
         self.rejected_entries: list[str] = []  # why entries of the last answer were ignored
         self._starts: dict[str, tuple[float, float]] = {}  # start in Unix time and on the scheduler's clock
@@ -64,9 +64,9 @@
             raise ListError(f"no entry can be used; the first: {self.rejected_entries[0]}")
         if whole or cached:
             kept = {name for name, *_ in entries}
-            self.replaced = [name for name in self.dials if name not in kept]
+            self.replaced = [name for name in self.dial_addresses if name not in kept]
             for name in self.replaced:
-                del self.dials[name]
+                del self.dial_addresses[name]
                 self._starts.pop(name, None)
                 self._zone_keys.pop(name, None)
         else:
@@ -77,7 +77,9 @@
             state = self._effective_state(name, start_ms, state, older or cached)
             zone = self._zone_number(name, site)
             start = self._starts.get(name)
-            is_replaced = start is not None and (start[0] != start_ms or self.dials.get(name) != dial)
+            is_replaced = start is not None and (
+                start[0] != start_ms or self.dial_addresses.get(name) != dial
+            )
             if is_replaced or state is NodeState.GONE:
                 self.replaced.append(name)
             # A start time is converted to the scheduler's clock once, when it is first reported: a step of
@@ -86,11 +88,11 @@
                 start = (start_ms, now_ms - max(0.0, wall_ms - start_ms) if start_ms else 0.0)
             if state is NodeState.GONE:
                 self._starts.pop(name, None)
-                self.dials.pop(name, None)
+                self.dial_addresses.pop(name, None)
                 self._zone_keys.pop(name, None)
             else:
                 self._starts[name] = start
-                self.dials[name] = dial
+                self.dial_addresses[name] = dial
             nodes.append(Node(name, shard, zone, start[1], state))
         used_keys = set(self._zone_keys.values())
         self._extra_zones = {key: number for key, number in self._extra_zones.items() if key in used_keys}
--- a/cressrock/resp/connection_pool.py
+++ b/cressrock/resp/connection_pool.py
@@ -52,8 +52,8 @@
         "address",
         "transport",
         "parser",
-        "flight",
-        "next",
+        "attempt",
+        "waiting_attempt",
         "has_answered",
         "idle_since",
         "has_unsent",
@@ -66,8 +66,8 @@
         self.address = address  # the server's address when it was opened
         self.transport: asyncio.Transport = cast(asyncio.Transport, None)
         self.parser = codec.ReplyParser(pool.bounds.max_answer)
-        self.flight: _InFlightAttempt | None = None
-        self.next: _InFlightAttempt | None = None  # waits until this connection may be reused
+        self.attempt: _InFlightAttempt | None = None
+        self.waiting_attempt: _InFlightAttempt | None = None  # waits until this connection may be reused
         self.has_answered = False  # it has received an answer
         self.idle_since = 0.0
         self.has_unsent = False  # part of the request is still in the write buffer
@@ -89,14 +89,14 @@
 
     def resume_writing(self) -> None:
         self.has_unsent = False
-        if self.flight is not None:
-            self.flight.leave_by = _NEVER
+        if self.attempt is not None:
+            self.attempt.leave_by = _NEVER
 
     def data_received(self, data: bytes) -> None:
-        flight = self.flight
-        if flight is None:
+        attempt = self.attempt
+        if attempt is None:
             # Unrequested bytes: whatever is read next on this connection could be the rest of them.
-            self.pool.surplus += 1
+            self.pool.unrequested_input_count += 1
             if self.has_answered:
                 self.pool.reuse_delay.record_late_bytes(self.pool.clock() - self.idle_since)
             self.pool._drop(self)
@@ -105,48 +105,48 @@
         try:
             reply = self.parser.next()
         except codec.ProtocolError as exc:
-            self.pool.spoilt += 1
+            self.pool.invalid_answer_count += 1
             self.pool._drop(self)
-            flight.finish(Outcome.ERROR, f"invalid reply: {exc}")
+            attempt.finish(Outcome.ERROR, f"invalid reply: {exc}")
             return
         if reply is None:
-            self.pool._track_progress(flight, self.parser)
+            self.pool._track_progress(attempt, self.parser)
             return
         outcome, value, text = parse_outcome(reply[0])
         used, cost = parse_load(reply[0])
-        self.flight = None
+        self.attempt = None
         self.has_answered = True
         if self.has_unsent:
             # A server starts only when it has the last byte, so an earlier reply belongs to another request
             # or refuses this one.  The connection cannot be reused: the rest of the request would be sent
             # ahead of the next one.
-            self.pool.surplus += outcome is not Outcome.FULL
+            self.pool.unrequested_input_count += outcome is not Outcome.FULL
             self.pool._drop(self)
             if outcome is Outcome.FULL:
-                flight.finish(outcome, text, value, used, cost)
+                attempt.finish(outcome, text, value, used, cost)
             else:
-                flight.finish(
+                attempt.finish(
                     Outcome.NO_CONNECTION, "received a reply before the request was completely written"
                 )
             return
         if self.parser.is_partial:
-            self.pool.surplus += 1
+            self.pool.unrequested_input_count += 1
             self.pool._drop(self)
         elif outcome is Outcome.ERROR and not isinstance(reply[0], codec.ErrorReply):
             # Complete, but not a valid answer: later replies on this connection could not be matched either.
-            self.pool.spoilt += 1
+            self.pool.invalid_answer_count += 1
             self.pool._drop(self)
         else:
             self.pool._release(self)
-        flight.finish(outcome, text, value, used, cost)
+        attempt.finish(outcome, text, value, used, cost)
 
     def eof_received(self) -> bool:
-        flight = self.flight
-        if flight is not None and self.has_unsent:
+        attempt = self.attempt
+        if attempt is not None and self.has_unsent:
             # An orderly close would still send the rest of the request, which could then run although no
             # answer can arrive any more.
             self.pool._drop(self)
-            flight.finish(
+            attempt.finish(
                 Outcome.NO_CONNECTION,
                 "server closed the connection before the request was completely written",
             )
@@ -154,15 +154,15 @@
 
     def connection_lost(self, exc: Exception | None) -> None:
         self.is_lost = True
-        flight = self.flight
+        attempt = self.attempt
         self.pool._remove(self)
-        if flight is not None:
+        if attempt is not None:
             if self.has_unsent:
-                flight.finish(
+                attempt.finish(
                     Outcome.NO_CONNECTION, "connection lost before the request was completely written"
                 )
             else:
-                flight.finish(Outcome.RESET, f"connection lost: {exc or 'closed'}")
+                attempt.finish(Outcome.RESET, f"connection lost: {exc or 'closed'}")
 
     def is_clean(self) -> bool:
         """Return whether the connection is open and the kernel holds no unread end or bytes for it."""
@@ -253,11 +253,11 @@
             return
         self.done = True
         if self.connection is not None:
-            self.connection.flight = None
+            self.connection.attempt = None
             self.connection = None
         if self.awaited is not None:
             awaited, self.awaited = self.awaited, None
-            awaited.next = None
+            awaited.waiting_attempt = None
             self.pool._return_idle(awaited)
         self.pool.active_count -= 1
         # Latency ends with the first bytes: waiting for the rest of a broken answer is not the server's load.
@@ -283,14 +283,14 @@
         self.clock = clock
         self.resolve_address = resolve_address
         self.reuse_delay = ReuseDelay(bounds.stall_ms)
-        self.idle: dict[str, OrderedDict[_Connection, None]] = {}
-        self.open: dict[_Connection, None] = {}
+        self.idle_connections: dict[str, OrderedDict[_Connection, None]] = {}
+        self.open_connections: dict[_Connection, None] = {}
         self.connecting_count = 0
         self.queue: deque[_InFlightAttempt] = deque()  # attempts that wait for a descriptor
-        self.opened = 0
-        self.reused = 0
-        self.surplus = 0  # connections closed because of unrequested bytes
-        self.spoilt = 0  # connections closed because of an invalid or incomplete answer
+        self.opened_count = 0
+        self.reused_count = 0
+        self.unrequested_input_count = 0  # connections closed because of unrequested bytes
+        self.invalid_answer_count = 0  # connections closed because of an invalid or incomplete answer
         self.active_count = 0  # attempts without an outcome
         self._checks: list[tuple[float, int, _InFlightAttempt]] = []
         self._check_sequence = 0
@@ -301,62 +301,65 @@
 
     def start(self, call: Call) -> _InFlightAttempt:
         """Start an attempt on an idle connection that may be reused, else on a new one."""
-        flight = _InFlightAttempt(self, call)
-        self._schedule_check(flight)
-        self._assign_connection(flight)
-        return flight
+        attempt = _InFlightAttempt(self, call)
+        self._schedule_check(attempt)
+        self._assign_connection(attempt)
+        return attempt
 
-    def _assign_connection(self, flight: _InFlightAttempt) -> None:
+    def _assign_connection(self, attempt: _InFlightAttempt) -> None:
         """Find a connection for an attempt: one that is ready or soon will be, else a new one."""
-        if self._use_idle(flight):
+        if self._use_idle(attempt):
             return
-        if self.queue or not self._start_connecting(flight):
+        if self.queue or not self._start_connecting(attempt):
             # During a network partition, hanging attempts can hold every descriptor.  If attempts for healthy
             # servers failed at once instead of waiting, their requests would use up all their attempts
             # immediately and be refused although servers are idle.
-            flight.queued_until = self.clock() + self.bounds.connect_timeout_ms
-            self.queue.append(flight)
-            self._schedule_check(flight)
+            attempt.queued_until = self.clock() + self.bounds.connect_timeout_ms
+            self.queue.append(attempt)
+            self._schedule_check(attempt)
 
-    def _use_idle(self, flight: _InFlightAttempt) -> bool:
+    def _use_idle(self, attempt: _InFlightAttempt) -> bool:
         """Use an idle connection, or wait for one that may soon be reused; return whether there is one."""
-        node = flight.call.attempt.node.name
+        node = attempt.call.attempt.node.name
         connection = self._take_idle(node)
         if connection is not None:
-            self.reused += 1
-            self._write_if_allowed(connection, flight)
+            self.reused_count += 1
+            self._write_if_allowed(connection, attempt)
             return True
-        idle = self.idle.get(node)
+        idle = self.idle_connections.get(node)
         if not idle:
             return False
         first = next(iter(idle))
-        full = len(self.open) + self.connecting_count >= self.bounds.max_connections
+        full = len(self.open_connections) + self.connecting_count >= self.bounds.max_connections
         if not self.reuse_delay.should_wait(
             self.reuse_delay.ready_at(first.idle_since), self.clock(), full=full
         ):
             return False
         del idle[first]
-        first.next, flight.awaited = flight, first
-        self._schedule_check(flight)
+        first.waiting_attempt, attempt.awaited = attempt, first
+        self._schedule_check(attempt)
         return True
 
-    def _start_connecting(self, flight: _InFlightAttempt) -> bool:
+    def _start_connecting(self, attempt: _InFlightAttempt) -> bool:
         """Start connecting; return False if no descriptor is free.  May end the attempt instead."""
-        node = flight.call.attempt.node.name
+        node = attempt.call.attempt.node.name
         address = self.resolve_address(node)
         if address is None:
-            flight.finish(Outcome.NO_CONNECTION, "address of the node is unknown")
+            attempt.finish(Outcome.NO_CONNECTION, "address of the node is unknown")
             return True
-        if not flight.call.may_leave():
+        if not attempt.call.may_leave():
             # Do not make the server accept a connection for a client that has disconnected.
-            flight.finish(Outcome.ABANDONED, "request ended before a connection was opened")
+            attempt.finish(Outcome.ABANDONED, "request ended before a connection was opened")
             return True
-        if len(self.open) + self.connecting_count >= self.bounds.max_connections and not self._make_room():
+        if (
+            len(self.open_connections) + self.connecting_count >= self.bounds.max_connections
+            and not self._close_longest_idle()
+        ):
             return False
         self.connecting_count += 1
-        flight.connecting = asyncio.get_running_loop().create_task(self._connect(node, address, flight))
+        attempt.connecting = asyncio.get_running_loop().create_task(self._connect(node, address, attempt))
         # Not in the task: a task cancelled before its first step runs none of its own code.
-        flight.connecting.add_done_callback(self._on_connect_done)
+        attempt.connecting.add_done_callback(self._on_connect_done)
         return True
 
     def _on_connect_done(self, task: asyncio.Task[None]) -> None:
@@ -366,38 +369,40 @@
     def _process_queue(self) -> None:
         """Give free descriptors to the attempts that wait for one, in order."""
         while self.queue:
-            flight = self.queue[0]
-            if not flight.done:
-                queued_until, flight.queued_until = flight.queued_until, _NEVER
-                if not self._use_idle(flight) and not self._start_connecting(flight):
-                    flight.queued_until = queued_until
+            attempt = self.queue[0]
+            if not attempt.done:
+                queued_until, attempt.queued_until = attempt.queued_until, _NEVER
+                if not self._use_idle(attempt) and not self._start_connecting(attempt):
+                    attempt.queued_until = queued_until
                     return
             self.queue.popleft()
 
-    def forget(self, node: str) -> None:
+    def close_idle(self, node: str) -> None:
         """Close the idle connections to a node that left, was replaced or does not answer."""
         awaited_connections = [
-            connection for connection in self.open if connection.next and connection.node == node
+            connection
+            for connection in self.open_connections
+            if connection.waiting_attempt and connection.node == node
         ]
-        for connection in [*self.idle.pop(node, ()), *awaited_connections]:
+        for connection in [*self.idle_connections.pop(node, ()), *awaited_connections]:
             self._drop(connection)
 
-    def sweep(self) -> None:
+    def close_expired(self) -> None:
         """Close connections idle for so long that the server may soon close them."""
         oldest = self.clock() - self.bounds.idle_close_ms * self.bounds.idle_part
-        for node, idle in list(self.idle.items()):
+        for node, idle in list(self.idle_connections.items()):
             for connection in list(idle):
                 if connection.idle_since > oldest:
                     break
                 self._drop(connection)
-            if not self.idle.get(node):
-                self.idle.pop(node, None)
+            if not self.idle_connections.get(node):
+                self.idle_connections.pop(node, None)
 
     # --- connections
 
     def _take_idle(self, node: str) -> _Connection | None:
         """Remove and return the most recently used idle connection that may be reused; None without one."""
-        idle = self.idle.get(node)
+        idle = self.idle_connections.get(node)
         if not idle:
             return None
         now = self.clock()
@@ -416,15 +421,15 @@
         """Return whether the connection's node has left or changed its address."""
         return connection.address is not None and self.resolve_address(connection.node) != connection.address
 
-    def _make_room(self) -> bool:
+    def _close_longest_idle(self) -> bool:
         """Close the longest idle connection; return False without an idle connection."""
-        oldest_per_node = [next(iter(idle)) for idle in self.idle.values() if idle]
+        oldest_per_node = [next(iter(idle)) for idle in self.idle_connections.values() if idle]
         if not oldest_per_node:
             return False
         self._drop(min(oldest_per_node, key=lambda connection: connection.idle_since))
         return True
 
-    async def _connect(self, node: str, address: tuple[str, int], flight: _InFlightAttempt) -> None:
+    async def _connect(self, node: str, address: tuple[str, int], attempt: _InFlightAttempt) -> None:
         connection: _Connection | None = None
         started_at = self.clock()
         try:
@@ -434,86 +439,88 @@
                     lambda: _Connection(self, node, address), *address
                 )
         except TimeoutError:
-            flight.finish(Outcome.NO_CONNECTION, "timed out while connecting")
+            attempt.finish(Outcome.NO_CONNECTION, "timed out while connecting")
         except OSError as failed:
             # A lack of descriptors in this process is no evidence about the server.
             is_local = failed.errno in (errno.EMFILE, errno.ENFILE)
-            flight.finish(
+            attempt.finish(
                 Outcome.ABANDONED if is_local else Outcome.NO_CONNECTION, f"{failed.strerror or failed}"
             )
         except ValueError as failed:  # the host name is not valid
-            flight.finish(Outcome.NO_CONNECTION, f"invalid address: {failed}")
+            attempt.finish(Outcome.NO_CONNECTION, f"invalid address: {failed}")
         finally:
-            flight.connecting = None
+            attempt.connecting = None
         if connection is None:
             return
-        self.opened += 1
+        self.opened_count += 1
         self.reuse_delay.record_connect_time(self.clock() - started_at)
         if not connection.is_lost:
-            self.open[connection] = None
-        if flight.done:
+            self.open_connections[connection] = None
+        if attempt.done:
             self._release(connection)
         elif self._has_moved(connection):
             # The node name now refers to another machine or to none.
             self._drop(connection)
-            self._assign_connection(flight)
+            self._assign_connection(attempt)
         elif not connection.is_clean():
             # The server has already closed it or sent bytes.  A request written to it would count as one
             # that may have run, or would be answered by those bytes.
             self._drop(connection)
-            flight.finish(Outcome.NO_CONNECTION, "server closed the new connection or sent unrequested bytes")
+            attempt.finish(
+                Outcome.NO_CONNECTION, "server closed the new connection or sent unrequested bytes"
+            )
         else:
-            self._write_if_allowed(connection, flight)
+            self._write_if_allowed(connection, attempt)
 
-    def _write_if_allowed(self, connection: _Connection, flight: _InFlightAttempt) -> None:
+    def _write_if_allowed(self, connection: _Connection, attempt: _InFlightAttempt) -> None:
         """Write the request, unless it may no longer be sent."""
-        if flight.call.may_leave():
-            self._write(connection, flight)
+        if attempt.call.may_leave():
+            self._write(connection, attempt)
         else:
             # Keep the idle time of a used connection: the server's idle timer is still running.
             (self._return_idle if connection.has_answered else self._release)(connection)
-            flight.finish(Outcome.ABANDONED, "request ended before its first byte was sent")
+            attempt.finish(Outcome.ABANDONED, "request ended before its first byte was sent")
 
-    def _write(self, connection: _Connection, flight: _InFlightAttempt) -> None:
-        connection.flight = flight
-        flight.connection = connection
-        call = flight.call
+    def _write(self, connection: _Connection, attempt: _InFlightAttempt) -> None:
+        connection.attempt = attempt
+        attempt.connection = connection
+        call = attempt.call
         connection.transport.write(call.op.command(call.deadline - self.clock()))
         if connection.transport.is_closing():
             # The kernel took no byte: a partial write succeeds and does not close the transport.
             connection.has_unsent = True
         elif not connection.has_unsent:
-            flight.leave_by = _NEVER
+            attempt.leave_by = _NEVER
 
     def _release(self, connection: _Connection) -> None:
         """Add a connection to the idle ones; its idle time starts now."""
-        connection.flight = None
+        connection.attempt = None
         if connection.is_lost or connection.transport.is_closing():
             return
         if self._has_moved(connection):
-            # `forget` closes idle connections only; this one was in use or connecting at the time.
+            # `close_idle` closes idle connections only; this one was in use or connecting at the time.
             self._drop(connection)
             return
         connection.idle_since = self.clock()
-        self.idle.setdefault(connection.node, OrderedDict())[connection] = None
+        self.idle_connections.setdefault(connection.node, OrderedDict())[connection] = None
         if self.queue:
             asyncio.get_running_loop().call_soon(self._process_queue)
 
-    def _write_to_awaited(self, flight: _InFlightAttempt) -> None:
+    def _write_to_awaited(self, attempt: _InFlightAttempt) -> None:
         """Write the request to the awaited connection, or find another one if bytes arrived on it."""
-        connection = cast(_Connection, flight.awaited)
-        flight.awaited = connection.next = None
+        connection = cast(_Connection, attempt.awaited)
+        attempt.awaited = connection.waiting_attempt = None
         if self._has_moved(connection) or not connection.is_clean():
             self._drop(connection)
-            self._assign_connection(flight)
+            self._assign_connection(attempt)
         else:
-            self.reused += 1
-            self._write_if_allowed(connection, flight)
+            self.reused_count += 1
+            self._write_if_allowed(connection, attempt)
 
     def _return_idle(self, connection: _Connection) -> None:
         """Put an awaited, unused connection back among the idle ones; its idle time continues."""
         if not connection.is_lost and not connection.transport.is_closing():
-            idle = self.idle.setdefault(connection.node, OrderedDict())
+            idle = self.idle_connections.setdefault(connection.node, OrderedDict())
             idle[connection] = None
             idle.move_to_end(connection, last=False)  # it was the longest idle
             if self.queue:
@@ -521,48 +528,48 @@
 
     def _drop(self, connection: _Connection) -> None:
         """Reset a connection, discarding unsent and unread bytes."""
-        connection.flight = None
+        connection.attempt = None
         self._remove(connection)
         connection.transport.abort()
 
     def _remove(self, connection: _Connection) -> None:
-        held = self.open.pop(connection, self) is None
+        held = self.open_connections.pop(connection, self) is None
         if held and self.queue:
             asyncio.get_running_loop().call_soon(self._process_queue)
-        idle = self.idle.get(connection.node)
+        idle = self.idle_connections.get(connection.node)
         if idle is not None:
             idle.pop(connection, None)
-        flight = connection.next
-        if flight is not None:
+        attempt = connection.waiting_attempt
+        if attempt is not None:
             # Nothing of the request was sent, so the attempt can use another connection.
-            connection.next = flight.awaited = None
-            asyncio.get_running_loop().call_soon(self._reassign_connection, flight)
+            connection.waiting_attempt = attempt.awaited = None
+            asyncio.get_running_loop().call_soon(self._reassign_connection, attempt)
 
-    def _reassign_connection(self, flight: _InFlightAttempt) -> None:
-        if not flight.done:
-            self._assign_connection(flight)
+    def _reassign_connection(self, attempt: _InFlightAttempt) -> None:
+        if not attempt.done:
+            self._assign_connection(attempt)
 
     # --- timeouts: one timer for all attempts
 
-    def _track_progress(self, flight: _InFlightAttempt, parser: codec.ReplyParser) -> None:
+    def _track_progress(self, attempt: _InFlightAttempt, parser: codec.ReplyParser) -> None:
         now = self.clock()
-        if flight.progress is None:
-            flight.progress = ReplyProgress(now, flight.deadline, self.bounds.stall_ms)
-        flight.progress.record(now, len(parser._buffer), parser._needed_bytes)
-        self._schedule_check(flight)
+        if attempt.progress is None:
+            attempt.progress = ReplyProgress(now, attempt.deadline, self.bounds.stall_ms)
+        attempt.progress.record(now, len(parser._buffer), parser._needed_bytes)
+        self._schedule_check(attempt)
 
-    def _schedule_check(self, flight: _InFlightAttempt) -> None:
+    def _schedule_check(self, attempt: _InFlightAttempt) -> None:
         """Schedule a check of an attempt at its next limit."""
-        at = flight.next_check_at()
-        if at >= flight.scheduled_at:
+        at = attempt.next_check_at()
+        if at >= attempt.scheduled_at:
             return  # the earlier check schedules the next one
         if len(self._checks) > 2 * self.active_count + 64:
             # Otherwise finished attempts would stay until their deadlines, at thousands per second.
             self._checks = [entry for entry in self._checks if not entry[2].done]
             heapq.heapify(self._checks)
-        flight.scheduled_at = at
+        attempt.scheduled_at = at
         self._check_sequence += 1
-        heapq.heappush(self._checks, (at, self._check_sequence, flight))
+        heapq.heappush(self._checks, (at, self._check_sequence, attempt))
         if at < self._timer_at:
             if self._timer is not None:
                 self._timer.cancel()
@@ -578,45 +585,45 @@
         self._timer, self._timer_at = None, -_NEVER  # checks scheduled meanwhile do not set the timer
         due = []
         while self._checks and (self._checks[0][2].done or self._checks[0][0] <= now):
-            at, _, flight = heapq.heappop(self._checks)
-            if not flight.done and at == flight.scheduled_at:
-                flight.scheduled_at = _NEVER
-                due.append(flight)
-        for flight in due:
-            if not flight.done:
-                self._check(flight, now)
-            if not flight.done:
-                self._schedule_check(flight)
+            at, _, attempt = heapq.heappop(self._checks)
+            if not attempt.done and at == attempt.scheduled_at:
+                attempt.scheduled_at = _NEVER
+                due.append(attempt)
+        for attempt in due:
+            if not attempt.done:
+                self._check(attempt, now)
+            if not attempt.done:
+                self._schedule_check(attempt)
         self._timer_at = _NEVER
         if self._checks:
             self._set_timer(self._checks[0][0])
 
-    def _check(self, flight: _InFlightAttempt, now: float) -> None:
+    def _check(self, attempt: _InFlightAttempt, now: float) -> None:
         """Handle the limit that an attempt has reached."""
-        connection = flight.connection
-        if now >= flight.queued_until:
+        connection = attempt.connection
+        if now >= attempt.queued_until:
             # NO_CONNECTION would count against a healthy server.
-            flight.finish(Outcome.ABANDONED, "no free descriptor for a connection")
-        elif now >= flight.deadline:
-            node, sent_at = flight.call.attempt.node.name, flight.call.attempt.sent_at_ms
-            was_contacted = connection is not None or flight.connecting is not None
-            flight.give_up("no answer before the deadline")
+            attempt.finish(Outcome.ABANDONED, "no free descriptor for a connection")
+        elif now >= attempt.deadline:
+            node, sent_at = attempt.call.attempt.node.name, attempt.call.attempt.sent_at_ms
+            was_contacted = connection is not None or attempt.connecting is not None
+            attempt.give_up("no answer before the deadline")
             if was_contacted:
                 self._close_if_silent(node, sent_at)
-        elif now >= flight.leave_by:
+        elif now >= attempt.leave_by:
             # The rest would arrive after the deduplication window, and the work could take effect twice.
-            flight.stop_sending()
-        elif flight.awaited is not None and now >= self.reuse_delay.ready_at(flight.awaited.idle_since):
-            self._write_to_awaited(flight)
+            attempt.stop_sending()
+        elif attempt.awaited is not None and now >= self.reuse_delay.ready_at(attempt.awaited.idle_since):
+            self._write_to_awaited(attempt)
         elif (
-            flight.progress is not None
-            and now >= flight.progress.next_check_at()
-            and flight.progress.is_broken(now)
+            attempt.progress is not None
+            and now >= attempt.progress.next_check_at()
+            and attempt.progress.is_broken(now)
         ):
-            self.spoilt += 1
+            self.invalid_answer_count += 1
             if connection is not None:
                 self._drop(connection)
-            flight.finish(Outcome.ERROR, "answer stopped arriving, or arrived too slowly for its deadline")
+            attempt.finish(Outcome.ERROR, "answer stopped arriving, or arrived too slowly for its deadline")
 
     def _close_if_silent(self, node: str, since: float) -> None:
         """Close a node's idle connections if none of them has been used since `since`.
@@ -624,6 +631,6 @@
         After a network partition the server may reset old connections, and a request written to one would
         count as one that may have run.  A new connection that fails proves that the request never ran.
         """
-        idle = self.idle.get(node)
+        idle = self.idle_connections.get(node)
         if idle and max(connection.idle_since for connection in idle) < since:
-            self.forget(node)
+            self.close_idle(node)
--- a/cressrock/resp/front.py
+++ b/cressrock/resp/front.py
@@ -31,14 +31,14 @@
     """Limits on client connections; times in milliseconds."""
 
     max_connections: int
-    max_asking: int  # connections that have sent a command; above it the longest idle is closed
-    max_unread: int  # bytes of answers that clients have not read, over all connections
-    linger: LingerBounds = LingerBounds(2000.0, 1 << 20, 64)  # after this side has ended
+    max_active_connections: int  # connections that have sent a command; above it the longest idle is closed
+    max_unread_bytes: int  # bytes of answers that clients have not read, over all connections
+    linger_bounds: LingerBounds = LingerBounds(2000.0, 1 << 20, 64)  # after this side has ended
     max_pipeline: int = 64  # open requests per connection; more are refused
     idle_timeout_ms: float = 2100.0  # without an open request; the platform permits closing after 2 s
     write_timeout_ms: float = 5000.0  # until the client must have read pending answers
     new_connection_ms: float = 250.0  # a connection younger than this is evicted only after all others
-    sweep_ms: float = 200.0
+    sweep_interval_ms: float = 200.0
 
 
 class _Pending:
@@ -107,12 +107,12 @@
             self.active_at = now
             if not self.has_sent_command:
                 self.has_sent_command = True
-                front.asking += 1
+                front.active_connection_count += 1
                 front.silent_clients.pop(self, None)
             front.idle_clients.pop(self, None)
             self.queue.append(front._command(self, words, now))
         if exc is not None:
-            front.malformed += 1
+            front.invalid_input_count += 1
             self.queue.append(_Pending(codec.error(f"ERR Protocol error: {exc}")))
             self.is_ending = True
             front.idle_clients.pop(self, None)
@@ -153,7 +153,7 @@
         if self.transport.is_closing():
             return False
         if self.peer_has_closed():
-            self.front.left_unread += 1
+            self.front.unread_disconnect_count += 1
             return False
         return True
 
@@ -226,24 +226,24 @@
         self.bounds = bounds
         self.clock = clock
         self.clients: dict[_Client, None] = {}
-        self.lingering: Lingering[_Client] = Lingering(bounds.linger)
+        self.lingering: Lingering[_Client] = Lingering(bounds.linger_bounds)
         self.open_ids: set[str] = set()
-        self.asking = 0  # connections that have sent a command
+        self.active_connection_count = 0  # connections that have sent a command
         # Idle connections that have sent a command, longest idle first.
         self.idle_clients: dict[_Client, None] = {}
         self.silent_clients: dict[_Client, None] = {}  # have sent no command yet, oldest first
-        self.welcome = True  # new connections can still be opened
+        self.is_accepting = True  # new connections can still be opened
         self.is_leaving = False
         self.answers_due_at = FOREVER  # deadline of all answers
         self.submitted_count = 0
-        self.malformed = 0
-        self.refused_commands = 0
-        self.evicted = 0  # connections closed for a new one
-        self.yielded = 0  # idle connections ended because of `max_asking`
+        self.invalid_input_count = 0
+        self.refused_command_count = 0
+        self.evicted_count = 0  # connections closed for a new one
+        self.closed_idle_count = 0  # idle connections ended because of `max_active_connections`
         # Attempts not started because the kernel reported a disconnect that had not been read yet.
-        self.left_unread = 0
+        self.unread_disconnect_count = 0
 
-    def protocol(self) -> _Client:
+    def create_protocol(self) -> _Client:
         """Return the protocol object for a new connection."""
         return _Client(self)
 
@@ -271,29 +271,29 @@
                     client.transport.write(codec.error("ERR Protocol error: half a command"))
                 client.end()
 
-    def end_by(self, answers_due_at: float) -> None:
+    def set_answer_deadline(self, answers_due_at: float) -> None:
         """Go on accepting requests, but limit their deadlines to `answers_due_at` on the driver's clock."""
         self.answers_due_at = answers_due_at
 
-    def leave(self) -> None:
+    def close_idle(self) -> None:
         """End each connection once it is idle; commands received before that are still served."""
         self.is_leaving = True
         for client in list(self.clients):
             if client.is_idle():
                 client.end()
 
-    def finish(self) -> None:
+    def close_all(self) -> None:
         """End every connection; called once all requests have been answered."""
-        self.leave()
+        self.close_idle()
         for client in list(self.clients):
             if not client.transport.is_closing():
                 client.end()
 
-    def ended(self) -> bool:
+    def all_closed(self) -> bool:
         """Return whether every connection has been closed by both sides."""
         return not self.clients and not len(self.lingering)
 
-    def owes(self) -> int:
+    def open_request_count(self) -> int:
         """Return the number of unanswered requests."""
         return len(self.open_ids)
 
@@ -329,7 +329,7 @@
         self.idle_clients |= dict.fromkeys(unflushed)
         if candidate is None:
             return False
-        self.evicted += 1
+        self.evicted_count += 1
         # Its descriptor is needed now, so it does not linger.  It has no unread input, so it is not reset.
         self._close(candidate)
         return True
@@ -364,11 +364,11 @@
         connections, and other clients could not connect although the dispatcher has no load.
         """
         self.idle_clients[client] = None
-        if self.asking > self.bounds.max_asking and self.welcome:
+        if self.active_connection_count > self.bounds.max_active_connections and self.is_accepting:
             # The kernel may hold the next command of a connection that looks idle here.
             for other in self.idle_clients:
                 if other.is_idle():
-                    self.yielded += 1
+                    self.closed_idle_count += 1
                     other.end()
                     break
 
@@ -377,13 +377,13 @@
         self.silent_clients.pop(client, None)
         if self.clients.pop(client, self) is None:
             self.idle_clients.pop(client, None)
-            self.asking -= client.has_sent_command
+            self.active_connection_count -= client.has_sent_command
 
     def _limit_unread(self) -> None:
         """Close connections until the total of unread answers is within its limit."""
         blocked = (c for c in (*self.clients, *self.lingering) if c.blocked_since is not None)
         unread_bytes = {c: c.transport.get_write_buffer_size() for c in blocked}
-        for client in choose_unread(unread_bytes, self.bounds.max_unread):
+        for client in choose_unread(unread_bytes, self.bounds.max_unread_bytes):
             client.transport.abort()
 
     def _on_lost(self, client: _Client) -> None:
@@ -407,11 +407,11 @@
             try:
                 request = self.reader.read(words)
             except InvalidCommandError as exc:
-                self.refused_commands += 1
+                self.refused_command_count += 1
                 return _Pending(codec.error(f"ERR {exc}"))
             if request.name in self.open_ids:
                 # A storage server would take it for a duplicate of the open request.
-                self.refused_commands += 1
+                self.refused_command_count += 1
                 return _Pending(codec.error("ERR the id is open already"))
             if len(client.queue) >= self.bounds.max_pipeline:
                 return _Pending(codec.error("BUSY"))
@@ -438,7 +438,7 @@
             return _Pending(codec.status("PONG"))
         if verb in (b"CLIENT", b"SELECT"):
             return _Pending(codec.status("OK"))
-        self.refused_commands += 1
+        self.refused_command_count += 1
         return _Pending(codec.error("ERR unknown command"))
 
     def _answer(self, client: _Client, pending: _Pending, result: Any) -> None:
--- a/cressrock/resp/listener.py
+++ b/cressrock/resp/listener.py
@@ -30,7 +30,7 @@
         self.protocol_factory = protocol_factory
         self.max_accepts = max_accepts
         self.loop = asyncio.get_running_loop()
-        self.exhausted = 0  # how often accept failed, as when no descriptor was free
+        self.failed_accept_count = 0  # how often accept failed, as when no descriptor was free
         self._tasks: set[asyncio.Task[object]] = set()
         self._is_paused = False
         family = socket.AF_INET6 if ":" in address[0] else socket.AF_INET
@@ -71,7 +71,7 @@
                 return
             except OSError:
                 # Without the pause, connections waiting in the kernel would wake the loop continuously.
-                self.exhausted += 1
+                self.failed_accept_count += 1
                 self._is_paused = True
                 self.loop.remove_reader(self.socket)
                 return
--- a/tests/test_capacity_local.py
+++ b/tests/test_capacity_local.py
@@ -63,7 +63,7 @@
 def test_the_count_of_lines_fails_a_list_that_goes_through_all_servers():
     class Slow(ServerList):
         def receive(self, *given, **more):
-            for name in self.dials:
+            for name in self.dial_addresses:
                 assert name
             return super().receive(*given, **more)
 
@@ -158,7 +158,7 @@
     return Front(
         CommandReader(settings, ["read"], ["gold"], 4),
         requests.Core(4, 1).driver,
-        FrontBounds(max_connections=10**6, max_asking=10**6, max_unread=1 << 20),
+        FrontBounds(max_connections=10**6, max_active_connections=10**6, max_unread_bytes=1 << 20),
         lambda: 0.0,
     )
 
@@ -166,7 +166,7 @@
 def clients(n):
     them = front()
     for _ in range(n):
-        client = them.protocol()
+        client = them.create_protocol()
         client.connection_made(Transport())
         client.data_received(codec.command(b"PING"))
     return them
@@ -183,7 +183,7 @@
         them = clients(n)
 
         def one():
-            client = them.protocol()
+            client = them.create_protocol()
             client.connection_made(Transport())
             client.data_received(codec.command(b"PING"))
 
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -136,7 +136,7 @@
         assert await client.ask(codec.command(b"PING")) == StatusReply("PONG")
         assert await client.ask(read(1)) == b"value of " + ident(1)
         pool = s.program.transport
-        reusable_at = pool.reuse_delay.ready_at(next(iter(pool.open)).idle_since)
+        reusable_at = pool.reuse_delay.ready_at(next(iter(pool.open_connections)).idle_since)
         await s.until(lambda: pool.clock() >= reusable_at)  # the delay before reuse
         assert await client.ask(write(2, b"x" * 65536)) == b"value of " + ident(2)
         first, second = s.servers[0].seen
@@ -191,7 +191,7 @@
             assert isinstance(await client.reply(), ErrorReply)
             with pytest.raises((EOFError, ConnectionError)):
                 await client.reply()
-        assert s.program.front.malformed == 4
+        assert s.program.front.invalid_input_count == 4
 
 
 @async_test
@@ -220,7 +220,7 @@
             await silent.reply()
         assert isinstance(await half.reply(), ErrorReply)
         await s.until(lambda: len(s.program.front.clients) == 1)
-        assert s.program.front.owes() == 1
+        assert s.program.front.open_request_count() == 1
 
 
 @async_test
@@ -250,7 +250,7 @@
                 client = Client(*await asyncio.open_connection(sock=sock))
                 s.clients.append(client)
                 assert await client.reply() == b"value of " + ident(number)
-        assert s.program.front.evicted >= most
+        assert s.program.front.evicted_count >= most
         for sock, asks in raw:
             if not asks:
                 sock.close()
@@ -270,10 +270,10 @@
         client, other = await s.client(), await s.client()
         client.send(write(1, b"x", d=4000))
         other.send(read(2))
-        await s.until(lambda: s.servers[0].seen and s.program.front.owes() == 2)
+        await s.until(lambda: s.servers[0].seen and s.program.front.open_request_count() == 2)
         os.kill(os.getpid(), signal.SIGTERM)
         await s.task
-        assert s.program.front.owes() == 0  # the process may exit at any time from here on
+        assert s.program.front.open_request_count() == 0  # the process may exit at any time from here on
         replies = [await client.reply(), await other.reply()]
         assert [reply.text.split()[0] for reply in replies] == ["ERR", "BUSY"]
         with pytest.raises(EOFError):
@@ -342,7 +342,7 @@
         assert await client.ask(read(1)) == b"value of " + ident(1)
         for writer in s.servers[0].open:
             writer.write(answer(b"of nobody"))
-        await s.until(lambda: not s.program.transport.open)
+        await s.until(lambda: not s.program.transport.open_connections)
         assert await client.ask(read(2)) == b"value of " + ident(2)
 
 
@@ -367,7 +367,7 @@
         client.writer.close()
         await s.until(lambda: not s.servers[0].open)
         driver = s.program.driver
-        assert not driver.pending and not driver.ledger.entries and not s.program.front.owes()
+        assert not driver.pending and not driver.ledger.entries and not s.program.front.open_request_count()
         # Without the notification to the driver, the above would hold only at the request's deadline.
         assert driver.ledger.answer_counts[Verdict.LEFT] == 1
         assert s.program.observer.outcomes["cancelled"] == 1 and not s.program.observer.outcomes["timeout"]
@@ -383,9 +383,9 @@
         s.discovery.put("s0", s.servers[0].address, 0, health="leaving")
         await s.until(lambda: s.program.driver.ledger.nodes["s0"].state is NodeState.DRAINING)
         second.send(read(2))
-        await s.until(lambda: s.program.front.owes() == 2)
+        await s.until(lambda: s.program.front.open_request_count() == 2)
         second.writer.close()
-        await s.until(lambda: s.program.front.owes() == 1)
+        await s.until(lambda: s.program.front.open_request_count() == 1)
         assert s.program.driver.ledger.answer_counts[Verdict.LEFT] == 1 and len(s.program.driver.pending) == 1
         s.discovery.put("s0", s.servers[0].address, 0)
         await s.until(lambda: s.program.driver.ledger.nodes["s0"].state is NodeState.READY)
@@ -421,7 +421,9 @@
         s.discovery.put("s1", s.servers[1].address, 1, health="leaving")
         await s.until(lambda: nodes["s1"].state is NodeState.DRAINING)
         s.discovery.put("s0", s.servers[1].address, 0)  # the name now refers to another machine
-        await s.until(lambda: s.program.servers.dials["s0"][1] == int(s.servers[1].address.split(":")[1]))
+        await s.until(
+            lambda: s.program.servers.dial_addresses["s0"][1] == int(s.servers[1].address.split(":")[1])
+        )
         client = await s.client()
         assert await client.ask(read(1)) == b"value of " + ident(1)
         assert s.servers[1].seen and not s.servers[0].seen
@@ -688,11 +690,11 @@
 
 def test_the_connection_with_most_unread_bytes_is_closed_first():
     driver = SimpleNamespace(left=lambda name: True)
-    bounds = FrontBounds(max_connections=9, max_asking=9, max_unread=100)
+    bounds = FrontBounds(max_connections=9, max_active_connections=9, max_unread_bytes=100)
     front = Front(CommandReader(*READER), driver, bounds, lambda: 0.0)
     clients = []
     for held in (60, 30, 50):
-        client = front.protocol()
+        client = front.create_protocol()
         client.transport = RecordingTransport()
         client.transport.held = held
         front.clients[client] = None
@@ -705,7 +707,7 @@
 async def test_idle_connections_over_the_limit_are_closed():
     """Otherwise idle connections would use up the limit on connections."""
     async with stage(limits={"sockets": 100, "memory_mb": 64}) as s:
-        most = s.program.front.bounds.max_asking
+        most = s.program.front.bounds.max_active_connections
         clients = [await s.client() for _ in range(most + 5)]
         for number, client in enumerate(clients):
             assert await client.ask(read(number)) == b"value of " + ident(number)
@@ -713,20 +715,20 @@
             with pytest.raises((EOFError, ConnectionError)):
                 await client.reply()
         assert await clients[5].ask(read(99)) == b"value of " + ident(99)
-        await s.until(lambda: s.program.front.asking == most)
+        await s.until(lambda: s.program.front.active_connection_count == most)
 
 
 def test_a_new_connection_is_evicted_after_all_others():
     now = [0.0]
     driver = SimpleNamespace(left=lambda name: True)
-    bounds = FrontBounds(max_connections=3, max_asking=9, max_unread=100)
+    bounds = FrontBounds(max_connections=3, max_active_connections=9, max_unread_bytes=100)
     front = Front(CommandReader(*READER), driver, bounds, lambda: now[0])
 
     def connect(asked=False):
-        client = front.protocol()
+        client = front.create_protocol()
         client.transport = RecordingTransport()
         client.has_sent_command = asked
-        front.asking += asked
+        front.active_connection_count += asked
         front._on_connected(client)
         return client
 
@@ -743,14 +745,14 @@
         False,
         False,
     ]
-    assert front.asking == 0 and len(front.clients) == 3
+    assert front.active_connection_count == 0 and len(front.clients) == 3
 
 
 def test_a_closed_connection_whose_peer_never_reads_is_closed_after_the_write_timeout():
     now = [0.0]
-    bounds = FrontBounds(max_connections=9, max_asking=9, max_unread=100)
+    bounds = FrontBounds(max_connections=9, max_active_connections=9, max_unread_bytes=100)
     front = Front(CommandReader(*READER), SimpleNamespace(left=lambda name: True), bounds, lambda: now[0])
-    client = front.protocol()
+    client = front.create_protocol()
     client.transport = RecordingTransport()
     front._on_connected(client)
     client.data_received(b"*x\r\n")
@@ -767,11 +769,16 @@
 
 def test_lingering_is_limited_in_time_bytes_and_connections():
     now = [0.0]
-    bounds = FrontBounds(max_connections=9, max_asking=9, max_unread=100, linger=LingerBounds(2000.0, 500, 2))
+    bounds = FrontBounds(
+        max_connections=9,
+        max_active_connections=9,
+        max_unread_bytes=100,
+        linger_bounds=LingerBounds(2000.0, 500, 2),
+    )
     front = Front(CommandReader(*READER), SimpleNamespace(left=lambda name: True), bounds, lambda: now[0])
     clients = []
     for _ in range(4):
-        client = front.protocol()
+        client = front.create_protocol()
         client.transport = RecordingTransport()
         front._on_connected(client)
         client.data_received(b"*x\r\n")
@@ -783,7 +790,7 @@
     assert not clients[2].transport.closed
     clients[2].data_received(b"x" * 101)
     assert clients[2].transport.closed
-    now[0] = 3 + bounds.linger.timeout_ms
+    now[0] = 3 + bounds.linger_bounds.timeout_ms
     front.sweep()
     assert not clients[3].transport.closed
     now[0] += 1
@@ -792,17 +799,17 @@
 
 
 def test_a_lingering_connection_is_evicted_first():
-    bounds = FrontBounds(max_connections=2, max_asking=9, max_unread=100)
+    bounds = FrontBounds(max_connections=2, max_active_connections=9, max_unread_bytes=100)
     front = Front(CommandReader(*READER), SimpleNamespace(left=lambda name: True), bounds, lambda: 0.0)
     clients = []
     for _ in range(3):
-        client = front.protocol()
+        client = front.create_protocol()
         client.transport = RecordingTransport()
         front._on_connected(client)
         clients.append(client)
         if len(clients) == 1:
             client.data_received(b"*x\r\n")
-    assert [c.transport.closed for c in clients] == [True, False, False] and not front.evicted
+    assert [c.transport.closed for c in clients] == [True, False, False] and not front.evicted_count
 
 
 class LimitedPool:
@@ -847,7 +854,7 @@
     assert await limited_pool.ended(hung) is Outcome.CANCELLED
     assert [await limited_pool.ended(call) for call in waiting] == [Outcome.OK] * 4
     assert (
-        len(limited_pool.pool.open) == 1
+        len(limited_pool.pool.open_connections) == 1
         and not limited_pool.pool.queue
         and not limited_pool.pool.connecting_count
     )
@@ -875,7 +882,7 @@
     call, _ = limited_pool.call(0)
     assert await limited_pool.ended(call) is Outcome.OK
     # The connection is kept for the next attempt.
-    assert len(servers[0].seen) == 1 and limited_pool.pool.opened == 1
+    assert len(servers[0].seen) == 1 and limited_pool.pool.opened_count == 1
     await servers[0].stop()
 
 
@@ -887,7 +894,7 @@
     call, flight = limited_pool.call(0)
     while not servers[0].seen:
         await asyncio.sleep(0.001)
-    (connection,) = limited_pool.pool.open
+    (connection,) = limited_pool.pool.open_connections
     raw = connection.transport.get_extra_info("socket")
     linger = raw.getsockopt(socket.SOL_SOCKET, socket.SO_LINGER, 8)
     assert struct.unpack("ii", linger) == (1, 0)
--- a/tests/test_platform_connections.py
+++ b/tests/test_platform_connections.py
@@ -87,7 +87,7 @@
         replies = await read_until_end(client)
         assert replies[0] == StatusReply("PONG") and isinstance(replies[1], ErrorReply) and len(replies) == 2
         client.writer.close()
-        await s.until(lambda: s.program.front.ended())
+        await s.until(lambda: s.program.front.all_closed())
 
 
 @async_test
@@ -106,7 +106,7 @@
             )
         )
         client.writer.close()
-        await s.until(lambda: s.program.front.ended())
+        await s.until(lambda: s.program.front.all_closed())
         assert [words[2] for words in s.servers[0].seen] == [ident(1)]
 
 
@@ -127,9 +127,9 @@
             front.sweep()
             front.clock = clock
         elif ending == "leave":
-            front.leave()
+            front.close_idle()
         else:
-            object.__setattr__(front.bounds, "max_asking", 1)
+            object.__setattr__(front.bounds, "max_active_connections", 1)
             front._keep_idle(front_client(s, other))
         assert not mine.is_ending
         assert await client.reply() == b"value of " + ident(2)
@@ -168,7 +168,7 @@
         client = await s.client()
         client.send(read(1)[:40])
         await s.until(lambda: front_client(s, client).parser.is_partial)
-        s.program.front.leave()
+        s.program.front.close_idle()
         client.send(read(1)[40:])
         assert await read_until_end(client) == [b"value of " + ident(1)]
 
@@ -184,7 +184,7 @@
         slow.sendall(read(1))
         await s.until(lambda: s.servers[0].seen and any(not c.is_flushed() for c in front.clients))
         others = [connect_raw(s) for _ in range(2 * front.bounds.max_connections)]
-        await s.until(lambda: front.evicted >= front.bounds.max_connections)
+        await s.until(lambda: front.evicted_count >= front.bounds.max_connections)
         client = await as_client(s, slow)
         assert await client.reply() == large
         for sock in others:
@@ -203,9 +203,13 @@
         front = s.program.front
         sock = await connect_with_small_buffers(s)
         sock.sendall(read(1) + read(2, shard=1))
-        await s.until(lambda: front.owes() == 1 and any(c.blocked_since is not None for c in front.clients))
+        await s.until(
+            lambda: (
+                front.open_request_count() == 1 and any(c.blocked_since is not None for c in front.clients)
+            )
+        )
         sock.shutdown(socket.SHUT_WR)
-        await s.until(lambda: not front.owes())
+        await s.until(lambda: not front.open_request_count())
         assert s.program.driver.ledger.answer_counts[Verdict.LEFT] == 1 and not s.program.driver.pending
         sock.close()
 
@@ -215,9 +219,9 @@
     async with stage(lambda words: None) as s:
         client = await s.client()
         client.send(read(1), b"GET / HTTP/1.1\r\n\r\n")
-        await s.until(lambda: s.servers[0].seen and s.program.front.malformed)
+        await s.until(lambda: s.servers[0].seen and s.program.front.invalid_input_count)
         client.writer.close()
-        await s.until(lambda: not s.program.front.owes())
+        await s.until(lambda: not s.program.front.open_request_count())
         assert s.program.driver.ledger.answer_counts[Verdict.LEFT] == 1 and not s.program.driver.pending
 
 
@@ -226,11 +230,11 @@
     async with stage(lambda words: None) as s:
         client = await s.client()
         client.send(*(read(number, shard=number % 2) for number in range(1, 9)))
-        await s.until(lambda: s.program.front.owes() == 8)
+        await s.until(lambda: s.program.front.open_request_count() == 8)
         sock = client.writer.get_extra_info("socket")
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
         client.writer.transport.abort()
-        await s.until(lambda: not s.program.front.owes())
+        await s.until(lambda: not s.program.front.open_request_count())
         assert s.program.driver.ledger.answer_counts[Verdict.LEFT] == 8 and not s.program.driver.pending
 
 
@@ -268,7 +272,7 @@
 
         def leave():
             seen.append([c.parser.has_more for c in front.clients])
-            front.leave()
+            front.close_idle()
 
         def process_command(*args):
             if front.submitted_count == 0 and not seen:
@@ -288,9 +292,12 @@
 @async_test
 async def test_a_connection_with_buffered_commands_is_not_evicted():
     front = Front(
-        CommandReader(*READER), None, FrontBounds(max_connections=1, max_asking=9, max_unread=100), float
+        CommandReader(*READER),
+        None,
+        FrontBounds(max_connections=1, max_active_connections=9, max_unread_bytes=100),
+        float,
     )
-    first, second = front.protocol(), front.protocol()
+    first, second = front.create_protocol(), front.create_protocol()
     for client in (first, second):
         client.transport = RecordingTransport()
     front._on_connected(first)
@@ -309,23 +316,23 @@
         return choose_eviction(candidates, new_since)
 
     monkeypatch.setattr(front_module, "choose_eviction", counting)
-    bounds = FrontBounds(max_connections=100, max_asking=99, max_unread=100)
+    bounds = FrontBounds(max_connections=100, max_active_connections=99, max_unread_bytes=100)
     front = Front(CommandReader(*READER), None, bounds, lambda: 0.0)
     for _ in range(300):
-        client = front.protocol()
+        client = front.create_protocol()
         client.transport = RecordingTransport()
         front._on_connected(client)
-    assert front.evicted == 200 and len(front.clients) == 100
+    assert front.evicted_count == 200 and len(front.clients) == 100
     assert len(scanned_counts) == 200 and max(scanned_counts) <= 2
 
 
 @async_test
 async def test_a_connection_skipped_for_unread_input_can_be_evicted_after_it_was_read():
-    bounds = FrontBounds(max_connections=2, max_asking=9, max_unread=100)
+    bounds = FrontBounds(max_connections=2, max_active_connections=9, max_unread_bytes=100)
     front = Front(CommandReader(*READER), None, bounds, lambda: 0.0)
 
     def connect():
-        client = front.protocol()
+        client = front.create_protocol()
         client.transport = RecordingTransport()
         front._on_connected(client)
         return client
@@ -406,7 +413,7 @@
         begun.send(write(3, b"y"))
         incomplete.send(read(4)[:30])
         assert await idle.ask(codec.command(b"PING")) == StatusReply("PONG")
-        await s.until(lambda: s.program.front.owes() == 3 and len(s.servers[0].seen) == 2)
+        await s.until(lambda: s.program.front.open_request_count() == 3 and len(s.servers[0].seen) == 2)
         os.kill(os.getpid(), signal.SIGTERM)
         await asyncio.sleep(0)
         os.kill(os.getpid(), signal.SIGTERM)
@@ -416,7 +423,7 @@
         all_replies = [await read_until_end(client) for client in (sent, waiting, begun, idle, incomplete)]
         assert [len(replies) for replies in all_replies] == [1, 1, 1, 0, 0]
         assert [all_replies[i][0].text.split()[0] for i in range(3)] == ["ERR", "BUSY", "ERR"]
-        assert not s.program.front.owes()
+        assert not s.program.front.open_request_count()
         for client in s.clients:
             client.writer.close()
         await s.task
@@ -429,7 +436,7 @@
         await s.until(lambda: s.program.driver.ledger.nodes["s0"].state is NodeState.DRAINING)
         client = await s.client()
         client.send(read(1))
-        await s.until(lambda: s.program.front.owes() == 1)
+        await s.until(lambda: s.program.front.open_request_count() == 1)
         s.program.driver.abort_pending()
         s.program.loop_batches.stop()
         s.discovery.put("s0", s.servers[0].address, 0)  # the scheduler would start the request now
--- a/tests/test_platform_descriptors.py
+++ b/tests/test_platform_descriptors.py
@@ -90,7 +90,7 @@
     with socket.create_connection(listener.address()):
         for _ in range(50):
             await asyncio.sleep(0)
-        assert accept_calls == [0] and listener.exhausted == 1 and not made
+        assert accept_calls == [0] and listener.failed_accept_count == 1 and not made
         listener.resume()
         while not made:
             await asyncio.sleep(0)
--- a/tests/test_platform_disconnects.py
+++ b/tests/test_platform_disconnects.py
@@ -87,7 +87,9 @@
         sock = connect_raw(s)
         sock.sendall(read(1) + read(2))
         leave(sock)
-        await s.until(lambda: s.program.front.submitted_count == 3 and not s.program.front.owes())
+        await s.until(
+            lambda: s.program.front.submitted_count == 3 and not s.program.front.open_request_count()
+        )
         await serve_other_client(s)
         assert not count_attempts(s, 1) and not count_attempts(s, 2)
         assert s.program.driver.ledger.answer_counts[Verdict.LEFT] == 2
@@ -101,9 +103,11 @@
         sock = connect_raw(s)
         sock.sendall(read(1))
         leave(sock)
-        await s.until(lambda: s.program.front.submitted_count == 1 and not s.program.front.owes())
+        await s.until(
+            lambda: s.program.front.submitted_count == 1 and not s.program.front.open_request_count()
+        )
         await serve_other_client(s)
-        assert s.program.transport.opened == s.servers[0].connections == 1
+        assert s.program.transport.opened_count == s.servers[0].connections == 1
         assert s.program.driver.ledger.answer_counts[Verdict.LEFT] == 1
         sock.close()
 
@@ -118,7 +122,7 @@
         sock = await connect_with_small_buffers(s)
         sock.sendall(read(1) + read(2, shard=1))
         await s.until(lambda: any(c.blocked_since is not None for c in s.program.front.clients))
-        assert s.program.front.owes() == 1
+        assert s.program.front.open_request_count() == 1
         leave(sock)
         deliver_state(s, "s1", 1, NodeState.READY)
         await serve_other_client(s, shard=1)
@@ -148,7 +152,7 @@
         await s.until(
             lambda: withheld_requests and any(c.blocked_since is not None for c in s.program.front.clients)
         )
-        assert s.program.front.owes() == 1
+        assert s.program.front.open_request_count() == 1
         leave(sock)
         (writer,) = s.servers[1].open
         writer.write(codec.error("ERR failed"))
@@ -191,7 +195,7 @@
             await s.until(lambda: pool.queue)
             (writer,) = s.servers[0].open
             writer.write(echo(withheld[ident(8)]))
-        await s.until(lambda: started and not s.program.front.owes())
+        await s.until(lambda: started and not s.program.front.open_request_count())
         assert not driver.in_flight and driver.ledger.answer_counts[Verdict.LEFT] == 1
         await serve_other_client(s, shard=int(waits_for == "descriptor"))
         assert not count_attempts(s, 2)
@@ -208,7 +212,7 @@
         sock, other = connect_raw(s), await s.client()
         sock.sendall(read(2))
         other.send(read(3))
-        await s.until(lambda: s.program.front.owes() == 2)
+        await s.until(lambda: s.program.front.open_request_count() == 2)
         leave(sock)
         deliver_state(s, "s0", 0, NodeState.READY)
         s.program.driver.process_batch()  # in the same iteration: nothing has been read since
@@ -227,7 +231,9 @@
         sock.sendall(codec.command(b"PING") * 2000 + b"".join(read(n) for n in range(1, 41)))
         await s.until(lambda: any(c.parser.has_more for c in s.program.front.clients))
         half_closes(sock)
-        await s.until(lambda: s.program.front.submitted_count == 41 and not s.program.front.owes())
+        await s.until(
+            lambda: s.program.front.submitted_count == 41 and not s.program.front.open_request_count()
+        )
         await serve_other_client(s)
         assert not any(count_attempts(s, number) for number in range(1, 41))
         sock.close()
@@ -247,10 +253,10 @@
     async with stage() as s:
         object.__setattr__(s.program.scheduler.settings, "may_cancel", may_cancel)
         s.discovery.put("s0", f"127.0.0.1:{peer.address[1]}", 0)
-        await s.until(lambda: s.program.servers.dials["s0"] == peer.address)
+        await s.until(lambda: s.program.servers.dial_addresses["s0"] == peer.address)
         client = await s.client()
         client.send(write(1, b"x" * 65536))
-        await s.until(lambda: any(c.has_unsent for c in s.program.transport.open))
+        await s.until(lambda: any(c.has_unsent for c in s.program.transport.open_connections))
         end = peer.accept()
         client.writer.close()
         await s.until(lambda: not s.program.driver.in_flight)
@@ -270,7 +276,7 @@
         client.send(read(1))
         await s.until(lambda: s.servers[0].seen)
         client.writer.close()
-        await s.until(lambda: not s.program.front.owes())
+        await s.until(lambda: not s.program.front.open_request_count())
         assert len(s.program.driver.in_flight) == 1
         (writer,) = s.servers[0].open
         writer.write(echo(s.servers[0].seen[0]))
--- a/tests/test_platform_pool.py
+++ b/tests/test_platform_pool.py
@@ -115,8 +115,8 @@
     async def written(self):
         """Return the connection that carries the attempt, once there is one."""
         while True:
-            for connection in self.pool.open:
-                if connection.flight is not None:
+            for connection in self.pool.open_connections:
+                if connection.attempt is not None:
                     return connection
             await asyncio.sleep(0)
 
@@ -130,7 +130,7 @@
         return end
 
     def close(self):
-        for connection in list(self.pool.open):
+        for connection in list(self.pool.open_connections):
             self.pool._drop(connection)
         self.peer.close()
 
@@ -187,7 +187,7 @@
     assert (await harness.ended(call)).outcome is Outcome.NO_CONNECTION
     await asyncio.sleep(0)
     assert await asyncio.to_thread(read_to_end, end) < len(OVERSIZED)
-    assert not harness.pool.open
+    assert not harness.pool.open_connections
 
 
 @with_pool()
@@ -214,7 +214,7 @@
         end.sendall(early)
         ending = await harness.ended(call)
         assert ending.outcome is outcome and ending.reply is None
-        assert not harness.pool.open and not harness.pool.idle.get("s0")
+        assert not harness.pool.open_connections and not harness.pool.idle_connections.get("s0")
 
     test()
 
@@ -250,7 +250,7 @@
     """A server may close earlier than configured; a request written then would end as a reset."""
     end = await harness.served()
     harness.advance(FAR_MS / 10)
-    (connection,) = harness.pool.open
+    (connection,) = harness.pool.open_connections
     end.close()
     block_until_readable(connection)
     call, _ = harness.start()  # the event loop has not read the end yet
@@ -279,7 +279,7 @@
         ending = await harness.ended(call)
         assert ending.outcome is Outcome.NO_CONNECTION and ending.reply is None
         await asyncio.sleep(0)
-        assert read_to_end(ends[0]) == 0 and not harness.pool.open
+        assert read_to_end(ends[0]) == 0 and not harness.pool.open_connections
 
     test()
 
@@ -341,7 +341,7 @@
         assert not call.endings
         end.sendall(answer(b"late"))
         assert (await harness.ended(call)).reply == b"late"
-        harness.pool.forget("s0")
+        harness.pool.close_idle("s0")
 
 
 def receive_bytes(end, count):
@@ -357,7 +357,7 @@
     assert (await harness.ended(call)).outcome is Outcome.ABANDONED
     while harness.pool.connecting_count:
         await asyncio.sleep(0)
-    assert not harness.pool.open
+    assert not harness.pool.open_connections
 
 
 # --- simultaneous events
@@ -382,7 +382,7 @@
     while not call.endings:
         await asyncio.sleep(0)
     assert call.endings[0].outcome is Outcome.OK
-    pool.forget("s0")
+    pool.close_idle("s0")
     peer.close()
 
 
@@ -407,7 +407,11 @@
             while harness.pool.connecting_count:
                 await asyncio.sleep(0)
             await asyncio.sleep(0)
-            assert sockets[0].fileno() == -1 and not harness.pool.open and not harness.pool.idle
+            assert (
+                sockets[0].fileno() == -1
+                and not harness.pool.open_connections
+                and not harness.pool.idle_connections
+            )
             assert read_to_end(harness.peer.accept()) == 0 and harness.pool.connecting_count == 0
 
         test()
@@ -508,14 +512,14 @@
     call, _ = harness.start()
     end = await harness.peer.accepted()
     await read(end, 7)
-    (connection,) = harness.pool.open
+    (connection,) = harness.pool.open_connections
     end.setblocking(False)
     try:
         end.send(answer(b"whole") + OVERSIZED)
     except BlockingIOError:
         pass
     assert (await harness.ended(call)).reply == b"whole"
-    assert not harness.pool.open and len(connection.parser._buffer) < 1 << 20
+    assert not harness.pool.open_connections and len(connection.parser._buffer) < 1 << 20
 
 
 # --- limits
@@ -564,7 +568,11 @@
     assert await read(second, 7) == b"request"
     second.sendall(answer(b"of the second"))
     assert (await harness.ended(call)).reply == b"of the second"
-    assert harness.pool.surplus == 1 and read_to_end(first) == 0 and len(harness.pool.open) == 1
+    assert (
+        harness.pool.unrequested_input_count == 1
+        and read_to_end(first) == 0
+        and len(harness.pool.open_connections) == 1
+    )
 
 
 @with_pool()
@@ -578,7 +586,7 @@
     assert (await harness.ended(call)).reply == b"two"
     harness.advance(MIN_DELAY_MS)
     harness.start()  # both may be reused, so no third is opened
-    assert await read(second, 7) == b"request" and harness.pool.opened == 2
+    assert await read(second, 7) == b"request" and harness.pool.opened_count == 2
 
 
 @with_pool()
@@ -596,7 +604,7 @@
     harness.advance(MIN_DELAY_MS)
     call, _ = harness.start()
     assert await read(first, 7) == b"request"
-    assert harness.pool.opened == 1 and harness.pool.reused == 2
+    assert harness.pool.opened_count == 1 and harness.pool.reused_count == 2
 
 
 @with_pool()
@@ -617,7 +625,7 @@
     harness.advance(MIN_DELAY_MS - 1)  # the one used last may not be reused yet
     harness.start()
     assert await read(second, 7) == b"request" and has_no_input(first)
-    harness.pool.forget("s0")
+    harness.pool.close_idle("s0")
 
 
 @with_pool()
@@ -625,7 +633,7 @@
     """When the delay is over, the bytes are in the kernel and the event loop has not read them."""
     first = await harness.served()
     call, _ = harness.start()
-    (connection,) = harness.pool.open
+    (connection,) = harness.pool.open_connections
     first.sendall(answer(b"one"))
     block_until_readable(connection)
     harness.advance(MIN_DELAY_MS)  # before the event loop runs again
@@ -640,7 +648,7 @@
     first = await harness.served()
     harness.advance(20)
     first.sendall(b"x")
-    while harness.pool.open:
+    while harness.pool.open_connections:
         await asyncio.sleep(0)
     assert harness.pool.reuse_delay.delay_ms == 40
     second = await harness.served()
@@ -694,7 +702,7 @@
             harness.advance(MIN_DELAY_MS / 2)
             assert has_no_input(first)
             call, _ = harness.start()  # the delay has continued meanwhile
-            assert await read(first, 7) == b"request" and harness.pool.opened == 1
+            assert await read(first, 7) == b"request" and harness.pool.opened_count == 1
 
         test()
 
@@ -706,7 +714,7 @@
     reset(first)
     second = await harness.peer.accepted()
     assert await read(second, 7) == b"request" and not call.endings
-    assert len(harness.pool.open) == 1
+    assert len(harness.pool.open_connections) == 1
 
 
 # --- address changes
@@ -722,7 +730,7 @@
 
         def change_address(connection=None):
             harness.addresses["s0"] = other.address
-            harness.pool.forget("s0")
+            harness.pool.close_idle("s0")
 
         if waits_for_reuse:
             first = await harness.served()
@@ -733,7 +741,7 @@
                 patch_connection_made(patch, change_address)
                 call, _ = harness.start()
                 first = await harness.peer.accepted()
-                while not harness.pool.opened:
+                while not harness.pool.opened_count:
                     await asyncio.sleep(0)
         second = (
             other.listener.accept()[0] if await asyncio.to_thread(has_pending_connection, other) else None
@@ -741,7 +749,7 @@
         assert await read(second, 7) == b"request" and read_to_end(first) == 0
         second.sendall(answer(b"there"))
         assert (await harness.ended(call)).reply == b"there"
-        (connection,) = harness.pool.open
+        (connection,) = harness.pool.open_connections
         assert connection.address == other.address
         second.close()
         other.close()
@@ -764,9 +772,9 @@
             del harness.addresses["s0"]
         else:
             harness.addresses["s0"] = ("127.0.0.1", 1)
-        harness.pool.forget("s0")
+        harness.pool.close_idle("s0")
         end.sendall(answer(b"old"))
         assert (await harness.ended(call)).reply == b"old"  # the answer belongs to this request
-        assert not harness.pool.open and not harness.pool.idle.get("s0")
+        assert not harness.pool.open_connections and not harness.pool.idle_connections.get("s0")
 
     test()
--- a/tests/test_platform_server_list.py
+++ b/tests/test_platform_server_list.py
@@ -67,7 +67,7 @@
         ("s1", 2, 1, 0.0, NodeState.READY),
         ("s2", 0, 1, 0.0, NodeState.DRAINING),
     ]
-    assert servers.dials["s1"] == ("127.0.0.1", 7001)
+    assert servers.dial_addresses["s1"] == ("127.0.0.1", 7001)
 
 
 def test_a_start_time_is_converted_to_the_schedulers_clock_once():
@@ -84,9 +84,9 @@
     servers.receive(answer(entry("s1"), entry("s2")), 0, 1e12, cached=True)
     report = servers.receive(answer(entry("s1", dial="", health="left"), seq=3, whole=False), 0, 1e12)
     assert report.kind is ListKind.CHANGES and report.nodes[0].state is NodeState.GONE
-    assert set(servers.dials) == {"s2"} and servers.replaced == ["s1"] and servers.version == 3
+    assert set(servers.dial_addresses) == {"s2"} and servers.replaced == ["s1"] and servers.version == 3
     report = servers.receive(answer(entry("s3"), seq=4), 0, 1e12)
-    assert report.kind is ListKind.COMPLETE and set(servers.dials) == {"s3"}
+    assert report.kind is ListKind.COMPLETE and set(servers.dial_addresses) == {"s3"}
 
 
 @pytest.mark.parametrize(
@@ -106,7 +106,7 @@
     servers.receive(answer(entry("s1")), 0, 1e12)
     with pytest.raises(ListError):
         servers.receive(unusable, 0, 1e12)
-    assert set(servers.dials) == {"s1"} and servers.version == 1
+    assert set(servers.dial_addresses) == {"s1"} and servers.version == 1
 
 
 @pytest.mark.parametrize(
@@ -141,7 +141,7 @@
 def test_a_list_of_1024_servers_and_an_empty_list_are_accepted():
     fleet = [entry(f"s{i}", dial=f"10.1.{i // 250}.{i % 250 + 1}:6379", block=i) for i in range(1024)]
     servers = ServerList(("a",))
-    assert len(servers.receive(answer(*fleet), 0, 1e12).nodes) == len(servers.dials) == 1024
+    assert len(servers.receive(answer(*fleet), 0, 1e12).nodes) == len(servers.dial_addresses) == 1024
     assert len(json.dumps(answer(*fleet))) * 4 < MAX_ANSWER_BYTES
-    assert servers.receive(answer(seq=2), 0, 1e12).nodes == () and not servers.dials
+    assert servers.receive(answer(seq=2), 0, 1e12).nodes == () and not servers.dial_addresses
     assert len(servers.replaced) == 1024
