--- a/cressrock/dispatch/driver.py
+++ b/cressrock/dispatch/driver.py
@@ -46,7 +46,7 @@
     TimerFired,
 )
 
-FOREVER = float("inf")
+INFINITE_MS = float("inf")
 
 
 class DecisionModule(Protocol):
@@ -71,7 +71,7 @@
     def batch_processed(self, events: int, queued_ms: float, act_ms: float) -> None:
         """Report a batch: number of events, queueing time of the oldest one, and duration of `act`."""
 
-    def line(self, text: str) -> None:
+    def log_line(self, text: str) -> None:
         """Write a log line of the decision module, meant for the on-call staff."""
 
 
@@ -260,7 +260,7 @@
 
     def next_batch_ms(self) -> float:
         """Return when the next batch is due if no event arrives, in clock milliseconds; infinity if never."""
-        return min(min(self._timers.values(), default=FOREVER), self.ledger.next_overdue_ms())
+        return min(min(self._timers.values(), default=INFINITE_MS), self.ledger.next_overdue_ms())
 
     def process_batch(self) -> None:
         """Pass the queued events and expired timers to the decision module, and execute its actions."""
@@ -299,7 +299,7 @@
             plan=op.plan,
             request_class=op.request_class,
             shard=op.shard,
-            sharing_hosts=op.writers,
+            sharing_hosts=op.dispatcher_count,
             waited_ms=max(0.0, now_ms - pending.waiting_since_ms),
         )
 
@@ -326,7 +326,7 @@
             case Subscribe():
                 self.subscribe()
             case Log(text):
-                self.observer.line(text)
+                self.observer.log_line(text)
 
     def _send_attempt(self, name: str, node: str, within_ms: float, now_ms: float) -> None:
         recorded = self.ledger.send(name, node, now_ms)
@@ -369,7 +369,7 @@
     # --- reports of the transport
 
     def _on_response_started(self, call: _Call, reply: Any) -> bool:
-        if not self.ledger.commit(call.name):
+        if not self.ledger.record_response_start(call.name):
             return False
         self._give_answer(call.name, call.pending, reply, Verdict.SERVED, None)
         return True
@@ -389,7 +389,7 @@
             settled.is_answered,
             result.latency_ms,
             result.used,
-            result.elsewhere,
+            result.units_elsewhere,
             reached_node(outcome),
         )
         self._enqueue(name, 2, event)
--- a/cressrock/dispatch/http_transport.py
+++ b/cressrock/dispatch/http_transport.py
@@ -9,7 +9,7 @@
 import h11
 from anyio.abc import TaskGroup
 
-from cressrock.dispatch.driver import FOREVER
+from cressrock.dispatch.driver import INFINITE_MS
 from cressrock.dispatch.node_client import (
     AttemptProgress,
     NoConnectionError,
@@ -57,7 +57,12 @@
         reported = reported_load(headers) if headers else ReportedLoad()
         self.call.end(
             AttemptResult(
-                end_state.outcome, latency_ms, self.reply, reported.used, reported.elsewhere, end_state.text
+                end_state.outcome,
+                latency_ms,
+                self.reply,
+                reported.used,
+                reported.units_elsewhere,
+                end_state.text,
             )
         )
 
@@ -134,7 +139,9 @@
         attempt.latency_ms = self.clock() - ledger_attempt.sent_at_ms
         attempt.end_state = _EndState(outcome_of(reply.status, reply.headers))
         if payload is not None and call.begin(reply):
-            attempt.scope.deadline = FOREVER  # the class's deadline does not apply once streaming has started
+            attempt.scope.deadline = (
+                INFINITE_MS  # the class's deadline does not apply once streaming has started
+            )
             if not await self._wait_until_read(payload):
                 # Without this, a few slow clients would occupy every slot of a node.  The node has done its
                 # work; only the transfer from this process to the client remains.
--- a/cressrock/dispatch/ledger.py
+++ b/cressrock/dispatch/ledger.py
@@ -223,7 +223,7 @@
             return float("inf")
         return first_run.sent_at_ms + entry.request_class.deduplication_window_ms
 
-    def commit(self, name: str) -> bool:
+    def record_response_start(self, name: str) -> bool:
         """Record that the response to the client has started, as final answer.  False if already answered."""
         entry = self.entries.get(name)
         if entry is None or entry.verdict is not None:
--- a/cressrock/dispatch/node_client.py
+++ b/cressrock/dispatch/node_client.py
@@ -79,7 +79,7 @@
         self.idle_since: float | None = anyio.current_time()  # in s; no chunk has been requested since
         self.done = anyio.Event()
 
-    async def chunk(self) -> bytes:
+    async def read_chunk(self) -> bytes:
         """Return the next bytes, b"" at the end.  Raises PayloadTruncatedError if the node stops early."""
         if self.finished:
             return b""
@@ -116,8 +116,8 @@
         self.bounds = bounds
         self.user_agent = user_agent.encode()
         self.pools: dict[str, _Pool] = {}
-        self.opened = 0
-        self.reused = 0
+        self.opened_count = 0
+        self.reused_count = 0
         self._tasks: TaskGroup | None = None
 
     async def __aenter__(self) -> Self:
@@ -136,7 +136,7 @@
                 await channel.close()
         return await self._tasks.__aexit__(kind, error, trace)
 
-    def connections(self) -> int:
+    def connection_count(self) -> int:
         """Return the number of open connections, idle ones included."""
         return sum(pool.open_count for pool in self.pools.values())
 
@@ -201,9 +201,9 @@
         if body is None or body.length == 0:
             await channel.send(*request_events, h11.EndOfMessage())
             return await self._read_response(channel, progress, may_stream and op.stream)
-        if body.complete and (body.length or 0) <= self.bounds.gather_bytes:
+        if body.is_complete and (body.length or 0) <= self.bounds.gather_bytes:
             offset = 0
-            while data := await body.chunk(offset):
+            while data := await body.read_chunk(offset):
                 request_events.append(h11.Data(data=data))
                 offset += len(data)
             await channel.send(*request_events, h11.EndOfMessage())
@@ -236,7 +236,7 @@
     @staticmethod
     async def _upload(channel: Channel, body: Body) -> None:
         offset = 0
-        while data := await body.chunk(offset):
+        while data := await body.read_chunk(offset):
             await channel.send(h11.Data(data=data))
             offset += len(data)
         await channel.send(h11.EndOfMessage())
@@ -267,7 +267,7 @@
                 self._start_close(channel)
                 pool.open_count -= 1
                 continue
-            self.reused += 1
+            self.reused_count += 1
             return channel
         host, _, port = node.rpartition(":")
         try:
@@ -277,7 +277,7 @@
             raise NoConnectionError(
                 f"{node}: {connect_error or 'connection not accepted in time'}"
             ) from connect_error
-        self.opened += 1
+        self.opened_count += 1
         pool.open_count += 1
         channel = Channel(
             stream, h11.CLIENT, max_head=self.bounds.max_head, read_ahead=self.bounds.read_ahead
--- a/cressrock/dispatch/node_response.py
+++ b/cressrock/dispatch/node_response.py
@@ -25,7 +25,7 @@
     """The volume's usage as reported by a node; 0 for what was not reported."""
 
     used: int = 0  # 1 + percentage of the plan's rate
-    elsewhere: float = 0.0  # units that other dispatchers used, as counted by the node
+    units_elsewhere: float = 0.0  # units that other dispatchers used, as counted by the node
 
 
 def outcome_of(status: int, headers: Headers) -> Outcome:
--- a/cressrock/dispatch/operation.py
+++ b/cressrock/dispatch/operation.py
@@ -20,10 +20,10 @@
         """Total bytes; None while the payload is still being received and has no declared length."""
 
     @property
-    def complete(self) -> bool:
+    def is_complete(self) -> bool:
         """Whether the whole payload has been received."""
 
-    async def chunk(self, offset: int) -> bytes:
+    async def read_chunk(self, offset: int) -> bytes:
         """Return some bytes from an offset on, waiting until there are any; b"" at the end."""
 
 
@@ -39,7 +39,7 @@
     request_class: int
     units: float
     plan: int = 0
-    writers: int = 1
+    dispatcher_count: int = 1
     headers: Headers = field(default_factory=list)
     body: Body | None = None
     idempotency_key: str = ""
@@ -49,7 +49,7 @@
 class IncomingPayload(Protocol):
     """A response payload that is still being received from a node."""
 
-    async def chunk(self) -> bytes:
+    async def read_chunk(self) -> bytes:
         """Return the next bytes, b"" at the end.  Raises PayloadTruncatedError if the node stops early."""
 
     def abandon(self) -> None:
--- a/cressrock/dispatch/spool.py
+++ b/cressrock/dispatch/spool.py
@@ -36,7 +36,7 @@
         self.store = store
         self.declared_length = declared_length
         self.size = 0
-        self.complete = False
+        self.is_complete = False
         self.is_truncated = False
         self._chunks: list[bytes] = []
         self._chunk_offsets: list[int] = []
@@ -46,7 +46,7 @@
     @property
     def length(self) -> int | None:
         """Total bytes; None while unknown."""
-        return self.size if self.complete else self.declared_length
+        return self.size if self.is_complete else self.declared_length
 
     def append(self, data: bytes) -> None:
         """Append bytes.  Raises OSError if the temporary file cannot be created or grow."""
@@ -67,7 +67,7 @@
 
     def finish(self) -> None:
         """Mark the payload as complete and wake waiting readers."""
-        self.complete = True
+        self.is_complete = True
         self._notify_readers()
 
     def fail(self) -> None:
@@ -75,13 +75,13 @@
         self.is_truncated = True
         self._notify_readers()
 
-    async def chunk(self, offset: int) -> bytes:
+    async def read_chunk(self, offset: int) -> bytes:
         """Return some bytes from an offset on, waiting until there are any; b"" at the end.
 
         Raises PayloadTruncatedError if the payload was truncated before the offset or the spool was closed.
         """
         while offset >= self.size:
-            if self.complete:
+            if self.is_complete:
                 return b""
             if self.is_truncated:
                 raise PayloadTruncatedError("the client's payload ended early")
@@ -105,7 +105,7 @@
         self.store.memory_used_bytes -= sum(map(len, self._chunks))
         self._chunks.clear()
         self._chunk_offsets.clear()
-        self.size, self.complete = 0, False
+        self.size, self.is_complete = 0, False
         self.fail()
 
     def _spill(self) -> None:
--- a/cressrock/dispatch/task_driver.py
+++ b/cressrock/dispatch/task_driver.py
@@ -7,7 +7,7 @@
 import anyio
 from anyio.lowlevel import checkpoint
 
-from cressrock.dispatch.driver import FOREVER, DecisionModule, Driver, Observer
+from cressrock.dispatch.driver import INFINITE_MS, DecisionModule, Driver, Observer
 from cressrock.dispatch.http_transport import HttpTransport
 from cressrock.dispatch.idempotency import IdempotencyKeys
 from cressrock.dispatch.ledger import Ledger
@@ -33,7 +33,7 @@
         *,
         retry_after_ms: float,
         keys: IdempotencyKeys | None = None,
-        reader_patience_ms: float = FOREVER,
+        reader_patience_ms: float = INFINITE_MS,
         subscribe: Callable[[], None] = lambda: None,
         clock: Callable[[], float] | None = None,
     ) -> None:
@@ -54,7 +54,7 @@
         )
         self._batch_wanted = anyio.Event()
         self._timer_rescheduled = anyio.Event()
-        self._timer_at_ms = FOREVER
+        self._timer_at_ms = INFINITE_MS
 
     async def perform(
         self,
@@ -114,5 +114,5 @@
             with anyio.move_on_at(self._timer_at_ms / 1000 + ROUNDING_MARGIN_S):
                 await self._timer_rescheduled.wait()
                 continue
-            self._timer_at_ms = FOREVER
+            self._timer_at_ms = INFINITE_MS
             self._batch_wanted.set()
--- a/cressrock/dispatch/transport.py
+++ b/cressrock/dispatch/transport.py
@@ -44,7 +44,7 @@
         """The index of the volume's plan."""
 
     @property
-    def writers(self) -> int:
+    def dispatcher_count(self) -> int:
         """The number of dispatchers that carry the volume's requests."""
 
     @property
@@ -73,13 +73,13 @@
 
 @dataclass(frozen=True, slots=True)
 class AttemptResult:
-    """How an attempt ended.  `used` and `elsewhere` are the node's load report for the volume, 0 if none."""
+    """How an attempt ended.  `used` and `units_elsewhere` report the node's load of the volume; 0: none."""
 
     outcome: Outcome
     latency_ms: float
     reply: Any = None  # the node's response, in the transport's own type; used only with OK
     used: int = 0
-    elsewhere: float = 0.0
+    units_elsewhere: float = 0.0
     text: str = ""  # for the log
 
 
--- a/cressrock/lab/copysim.py
+++ b/cressrock/lab/copysim.py
@@ -42,7 +42,7 @@
 class Text:
     """A payload in memory."""
 
-    complete = True
+    is_complete = True
 
     def __init__(self, value: str) -> None:
         """Hold a client's value."""
@@ -53,7 +53,7 @@
         """Bytes in all."""
         return len(self.value)
 
-    async def chunk(self, offset: int) -> bytes:
+    async def read_chunk(self, offset: int) -> bytes:
         """Return the bytes from an offset."""
         return self.value.encode()[offset:]
 
--- a/cressrock/lab/localcost_requests.py
+++ b/cressrock/lab/localcost_requests.py
@@ -37,7 +37,7 @@
     request_class: int = 0
     units: float = 2.0
     plan: int = 0
-    writers: int = 8
+    dispatcher_count: int = 8
     idempotency_key: str = ""
 
 
@@ -53,7 +53,7 @@
 
     def batch_processed(self, *given: Any) -> None: ...
 
-    def line(self, text: str) -> None: ...
+    def log_line(self, text: str) -> None: ...
 
 
 class Core:
--- a/cressrock/lab/node.py
+++ b/cressrock/lab/node.py
@@ -297,7 +297,7 @@
                 if self._broken():
                     end = first + (last - first) // 2
                 while first < end:
-                    data = (await body.chunk(first))[: end - first]
+                    data = (await body.read_chunk(first))[: end - first]
                     await exchange.send(data)
                     first += len(data)
                 if end < last:
--- a/cressrock/lab/rack.py
+++ b/cressrock/lab/rack.py
@@ -581,9 +581,9 @@
     """A payload of no bytes."""
 
     length = 0
-    complete = True
+    is_complete = True
 
-    async def chunk(self, offset: int) -> bytes:
+    async def read_chunk(self, offset: int) -> bytes:
         """Return the end at once."""
         return b""
 
@@ -607,13 +607,13 @@
         return self.body.length
 
     @property
-    def complete(self) -> bool:
+    def is_complete(self) -> bool:
         """Whether all of it is here."""
-        return self.body.complete
+        return self.body.is_complete
 
-    async def chunk(self, offset: int) -> bytes:
+    async def read_chunk(self, offset: int) -> bytes:
         """Return the bytes that begin at an offset."""
-        return await self.body.chunk(offset)
+        return await self.body.read_chunk(offset)
 
     def close(self) -> None:
         """Let go; the last holder closes the payload."""
--- a/cressrock/observe/metrics.py
+++ b/cressrock/observe/metrics.py
@@ -126,7 +126,7 @@
         self.late.observe(late_ms / 1000)
         self.act.observe(act_ms / 1000)
 
-    def line(self, text: str) -> None:
+    def log_line(self, text: str) -> None:
         """Log a line of the decision module."""
         self.log.warning("scheduler", text=text)
 
--- a/cressrock/platform/loop_batches.py
+++ b/cressrock/platform/loop_batches.py
@@ -4,7 +4,7 @@
 
 import asyncio
 
-from cressrock.dispatch.driver import FOREVER, Driver
+from cressrock.dispatch.driver import INFINITE_MS, Driver
 
 
 class LoopBatches:
@@ -18,7 +18,7 @@
         self._scheduled = False
         self._stopped = False
         self._timer: asyncio.TimerHandle | None = None
-        self._timer_due_ms = FOREVER
+        self._timer_due_ms = INFINITE_MS
         driver.request_wakeup = self.schedule
 
     def schedule(self) -> None:
@@ -51,5 +51,5 @@
                 self._timer = self.loop.call_later(wait_s, self._on_timer)
 
     def _on_timer(self) -> None:
-        self._timer, self._timer_due_ms = None, FOREVER
+        self._timer, self._timer_due_ms = None, INFINITE_MS
         self.schedule()
--- a/cressrock/platform/program.py
+++ b/cressrock/platform/program.py
@@ -130,7 +130,7 @@
         self.longest_act_ms = max(self.longest_act_ms, act_ms)
         self.max_queued_ms = max(self.max_queued_ms, queued_ms)
 
-    def line(self, text: str) -> None:
+    def log_line(self, text: str) -> None:
         """Log a line of the scheduler."""
         self.log(text, "scheduler")
 
--- a/cressrock/programs/gateway.py
+++ b/cressrock/programs/gateway.py
@@ -356,6 +356,6 @@
         if poller is not None and poller.last_response_ms is not None:
             metrics.list_age.set(anyio.current_time() - poller.last_response_ms / 1000)
         metrics.connections.labels("clients").set(self.server.connections if self.server else 0)
-        metrics.connections.labels("nodes").set(self.node_client.connections())
+        metrics.connections.labels("nodes").set(self.node_client.connection_count())
         metrics.stored.set(self.payload_store.memory_used_bytes)
         return metrics.text()
--- a/cressrock/replication/paced_client.py
+++ b/cressrock/replication/paced_client.py
@@ -116,7 +116,7 @@
 class BytesBody:
     """A payload of bytes that are here as a whole."""
 
-    complete = True
+    is_complete = True
 
     def __init__(self, data: bytes) -> None:
         """Keep the bytes."""
@@ -127,7 +127,7 @@
         """Bytes in all."""
         return len(self._data)
 
-    async def chunk(self, offset: int) -> bytes:
+    async def read_chunk(self, offset: int) -> bytes:
         """Return the bytes from an offset."""
         return self._data[offset:]
 
--- a/cressrock/resp/front.py
+++ b/cressrock/resp/front.py
@@ -17,7 +17,7 @@
 from functools import partial
 from typing import Any, cast
 
-from cressrock.dispatch.driver import FOREVER, Driver
+from cressrock.dispatch.driver import INFINITE_MS, Driver
 from cressrock.dispatch.ledger import Verdict
 from cressrock.dispatch.transport import Denial
 from cressrock.resp import codec
@@ -234,7 +234,7 @@
         self.silent_clients: dict[_Client, None] = {}  # have sent no command yet, oldest first
         self.is_accepting = True  # new connections can still be opened
         self.is_leaving = False
-        self.answers_due_at = FOREVER  # deadline of all answers
+        self.answers_due_at = INFINITE_MS  # deadline of all answers
         self.submitted_count = 0
         self.invalid_input_count = 0
         self.refused_command_count = 0
@@ -264,7 +264,7 @@
                 # A closed connection whose peer never reads the rest would otherwise stay forever.
                 if now - client.active_at > self.bounds.write_timeout_ms:
                     client.transport.abort()
-            elif self.answers_due_at < FOREVER or not client.has_nothing_due():
+            elif self.answers_due_at < INFINITE_MS or not client.has_nothing_due():
                 pass  # during shutdown clients cannot reconnect, so open connections stay usable
             elif now - client.active_at > self.bounds.idle_timeout_ms and not client.has_unread_input():
                 if client.parser.is_partial:
--- a/cressrock/resp/outcomes.py
+++ b/cressrock/resp/outcomes.py
@@ -28,7 +28,7 @@
 
 
 def parse_load(reply: Reply) -> tuple[int, float]:
-    """Return (used, elsewhere) as the scheduler counts them: 1 + percent of the plan's rate, and units.
+    """Return (used, units_elsewhere) as the scheduler counts them: 1 + percent of the plan's rate, and units.
 
     0 means not reported.  A field that cannot be parsed counts as not reported, so that a bad load report
     does not fail the client's request.
--- a/cressrock/resp/request.py
+++ b/cressrock/resp/request.py
@@ -37,7 +37,7 @@
     request_class: int
     units: float
     plan: int
-    writers: int
+    dispatcher_count: int
     idempotency_key: str
     name: str  # the client's request id
     patience_ms: float
@@ -104,8 +104,8 @@
         shard = _parse_integer(value[b"shard"], "shard")
         if shard < -1 or (self.shards and shard >= self.shards):
             raise InvalidCommandError("shard out of bounds")
-        writers = _parse_integer(value[b"hosts"], "hosts")
-        if not 1 <= writers <= self.settings.hosts:
+        dispatcher_count = _parse_integer(value[b"hosts"], "hosts")
+        if not 1 <= dispatcher_count <= self.settings.hosts:
             raise InvalidCommandError("hosts out of bounds")
         if patience <= 0:
             raise InvalidCommandError("d out of bounds")
@@ -120,7 +120,7 @@
             request_class=index,
             units=units,
             plan=plan,
-            writers=writers,
+            dispatcher_count=dispatcher_count,
             idempotency_key=key.decode(),
             name=words[2].decode(),
             patience_ms=patience,
--- a/cressrock/webdav/front.py
+++ b/cressrock/webdav/front.py
@@ -52,7 +52,7 @@
 def _size(request: Request) -> int | None:
     """Return the size that a request's class goes by."""
     body = request.body
-    if isinstance(body, Spool) and body.complete:
+    if isinstance(body, Spool) and body.is_complete:
         return body.size
     return request.length if request.method == "PUT" else 0
 
@@ -243,7 +243,7 @@
                     spool.finish()
                     break
                 spool.append(data)
-        if spool.complete:
+        if spool.is_complete:
             return await self._answer(exchange, await self._compose(request, name, label, spools), label)
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(self._receive, exchange, spool)
@@ -421,7 +421,7 @@
         spool = Spool(self.store, int(length) if length is not None else None)
         spools.append(spool)
         try:
-            while data := await stream.chunk():
+            while data := await stream.read_chunk():
                 spool.append(bytes(data))
         except (PayloadTruncatedError, OSError):
             return Denial(Verdict.FAILED, Reason.ATTEMPTS)
@@ -456,7 +456,7 @@
             request_class=index + version.classes_at,
             units=settings.units_of(size),
             plan=self.plans[volume] + version.plans_at,
-            writers=settings.volumes[volume].writers,
+            dispatcher_count=settings.volumes[volume].writers,
             headers=list(call.headers),
             body=body,
             idempotency_key=key,
@@ -485,7 +485,7 @@
         """Pass a payload on; where the node breaks off, the client's connection is cut too."""
         try:
             await exchange.start(status, headers)
-            while data := await stream.chunk():
+            while data := await stream.read_chunk():
                 await exchange.send(data)
             await exchange.finish()
         except PayloadTruncatedError as cut:
--- a/tests/compatibility/copies_cases.py
+++ b/tests/compatibility/copies_cases.py
@@ -810,7 +810,7 @@
         content = done.content
         if done.payload is not None:
             held, first, end = done.payload
-            content = (await held.chunk(0))[first:end]
+            content = (await held.read_chunk(0))[first:end]
         self.digest.add(
             [shard, method, key, canonical(headers), done.status, canonical(done.headers), content]
         )
--- a/tests/compatibility/dispatch_cases.py
+++ b/tests/compatibility/dispatch_cases.py
@@ -151,7 +151,7 @@
             except ValueError:
                 result = "not out"
         elif kind == "commit" and entry is not None and entry.attempt_in_flight() is not None:
-            result = ledger.commit(name)
+            result = ledger.record_response_start(name)
         elif kind == "refuse" and rng.random() < 0.5:
             result = ledger.reject(name, rng.choice((Reason.SCHEDULER, Reason.STOPPING)))
         elif kind == "fail" and rng.random() < 0.5:
@@ -380,7 +380,7 @@
     def batch_processed(self, events: int, queued_ms: float, act_ms: float) -> None:
         self.digest.add(["woke", events, queued_ms, act_ms])
 
-    def line(self, text: str) -> None:
+    def log_line(self, text: str) -> None:
         self.digest.add(["line", text])
 
 
@@ -418,7 +418,7 @@
         rng.randrange(len(CLASSES)),
         float(rng.randrange(1, 9)),
         plan=rng.randrange(2),
-        writers=rng.randrange(1, 3),
+        dispatcher_count=rng.randrange(1, 3),
         idempotency_key=f"k{rng.randrange(6)}" if has_key else "",
     )
 
--- a/tests/dispatch/test_ledger.py
+++ b/tests/dispatch/test_ledger.py
@@ -169,7 +169,7 @@
             if settled.is_final_answer:
                 answers.append(Verdict.SERVED)
             assert settled.is_answered == bool(answers)
-        elif step == "commit" and in_flight and ledger.commit("r"):
+        elif step == "commit" and in_flight and ledger.record_response_start("r"):
             answers.append(Verdict.SERVED)
         elif step == "refuse" and (verdict := ledger.reject("r", Reason.SCHEDULER)) is not None:
             answers.append(verdict)
--- a/tests/programs/test_gateway.py
+++ b/tests/programs/test_gateway.py
@@ -275,7 +275,7 @@
         decisions = rig.gateway.driver.decisions
         assert not any(endpoint.in_flight for endpoint in decisions.endpoints.by_name.values())
         await anyio.sleep(40)  # the front gives up on a reader that reads nothing
-        assert not rig.gateway.driver.ledger.entries and rig.gateway.node_client.connections() < 4
+        assert not rig.gateway.driver.ledger.entries and rig.gateway.node_client.connection_count() < 4
         await stream.aclose()
 
     run(program)
--- a/tests/test_resp.py
+++ b/tests/test_resp.py
@@ -214,7 +214,7 @@
 def test_a_request_is_parsed_by_the_names_in_the_settings():
     request = READER.read(words())
     assert (request.volume, request.key, request.shard) == (NAMES["volume"], PIECE.decode(), 5)
-    assert (request.request_class, request.plan, request.units, request.writers) == (0, 1, 2.0, 3)
+    assert (request.request_class, request.plan, request.units, request.dispatcher_count) == (0, 1, 2.0, 3)
     assert (request.name, request.patience_ms, request.idempotency_key) == (ID.decode(), 480, "")
     write = READER.read(write_words(shard="-1"))
     assert (write.request_class, write.idempotency_key, write.shard) == (1, "5c0f6e1a2b3d4c59", -1)
