--- a/cressrock/http/channel.py
+++ b/cressrock/http/channel.py
@@ -34,10 +34,10 @@
 class PushStream(Protocol):
     """A stream that hands its bytes over as they come."""
 
-    def attach(self, feed: Callable[[bytes], None], end: Callable[[], None]) -> None:
+    def set_receiver(self, feed: Callable[[bytes], None], end: Callable[[], None]) -> None:
         """Hand over what has come and all that will, then the end, once."""
 
-    def hold(self, held: bool) -> None:
+    def set_reading_paused(self, held: bool) -> None:
         """Stop or go on taking bytes from the peer."""
 
 
@@ -73,7 +73,7 @@
         A stream that hands its bytes over by itself is attached instead, and no task is kept for it.
         """
         if isinstance(self.stream, PushStream):
-            self.stream.attach(self.feed, self.end)
+            self.stream.set_receiver(self.feed, self.end)
             return
         try:
             while True:
@@ -98,7 +98,7 @@
         if self._fed > self.read_ahead and not self._held:
             self._held = True
             if isinstance(self.stream, PushStream):
-                self.stream.hold(True)
+                self.stream.set_reading_paused(True)
 
     def end(self) -> None:
         """Take in that the peer will send nothing more."""
@@ -116,7 +116,7 @@
         if self._held:
             self._held = False
             if isinstance(self.stream, PushStream):
-                self.stream.hold(False)
+                self.stream.set_reading_paused(False)
             elif self._space is not None:
                 self._space.set()
 
--- a/cressrock/net.py
+++ b/cressrock/net.py
@@ -19,7 +19,7 @@
 
 
 class TcpStream(asyncio.Protocol):
-    """A TCP connection that passes received bytes to a callback (`attach`) or to a reader (`receive`)."""
+    """A TCP connection that passes received bytes to a callback (`set_receiver`) or a reader (`receive`)."""
 
     def __init__(self, connected: Callable[[TcpStream], None] | None = None) -> None:
         """`connected` is called when the connection is established."""
@@ -88,7 +88,7 @@
 
     # --- called by the transports
 
-    def attach(self, feed: Callable[[bytes], None], end: Callable[[], None]) -> None:
+    def set_receiver(self, feed: Callable[[bytes], None], end: Callable[[], None]) -> None:
         """Pass buffered and future bytes to `feed`; call `end` once when the peer has ended."""
         self._feed, self._end = feed, end
         while self._received:
@@ -98,7 +98,7 @@
         elif self._transport is not None:
             self._transport.resume_reading()
 
-    def hold(self, held: bool) -> None:
+    def set_reading_paused(self, held: bool) -> None:
         """Pause (`held`) or resume reading from the peer."""
         if self._transport is None or self._transport.is_closing():
             return
@@ -119,7 +119,7 @@
             self._received.appendleft(data[max_bytes:])
             data = data[:max_bytes]
         if not self._received:
-            self.hold(False)
+            self.set_reading_paused(False)
         return data
 
     async def send(self, item: bytes) -> None:
--- a/cressrock/platform/program.py
+++ b/cressrock/platform/program.py
@@ -319,7 +319,7 @@
         if (found.memory_mb, found.sockets) != (self.config.memory_mb, self.config.sockets):
             self.log("changed limits apply from the next start of the process")
         self.log(f"discovery is at {found.discovery[0]}:{found.discovery[1]}")
-        self.watch.move(found.discovery)
+        self.watch.change_address(found.discovery)
 
     async def _sweep(self) -> None:
         bounds = self.front.bounds
@@ -345,7 +345,7 @@
             f"yielded={front.closed_idle_count} left_unread={front.unread_disconnect_count} "
             f"exhausted={self.listener.failed_accept_count if self.listener is not None else 0} "
             f"malformed={front.invalid_input_count} refused={front.refused_command_count} "
-            f"calls={self.watch.calls} failed={self.watch.failed} doubted={self.watch.parallel_calls} "
+            f"calls={self.watch.calls} failed={self.watch.failed_rounds} doubted={self.watch.parallel_calls} "
             f"nodes={len(transport.open_connections)} opened={transport.opened_count} "
             f"reused={transport.reused_count} spoilt={transport.invalid_answer_count} "
             f"surplus={transport.unrequested_input_count} turns={batches} "
--- a/cressrock/platform/watch.py
+++ b/cressrock/platform/watch.py
@@ -49,7 +49,7 @@
         self.wall_ms = wall_ms
         self.log = log
         self.calls = 0
-        self.failed = 0  # failed calls after which no call was outstanding
+        self.failed_rounds = 0  # failed calls after which no call was outstanding
         self.parallel_calls = 0  # calls made beside a late one
         self.answered = anyio.Event()  # a call was answered since the process started
         self._subscribed = anyio.Event()
@@ -63,7 +63,7 @@
         """Call discovery at once and repeatedly; an active subscription is left as it is."""
         self._subscribed.set()
 
-    def move(self, address: tuple[str, int]) -> None:
+    def change_address(self, address: tuple[str, int]) -> None:
         """Call another address from now on; outstanding calls are cancelled and repeated there."""
         if address == self.address:
             return
@@ -139,7 +139,7 @@
     def _record_failure(self, call: Call, address: tuple[str, int], problem: str) -> None:
         if call.number in self.schedule.outstanding:
             self.log(f"call to discovery at {address[0]}:{address[1]} failed: {problem}")
-            self.failed += self.schedule.record_failure(call.number, self.clock())
+            self.failed_rounds += self.schedule.record_failure(call.number, self.clock())
             self._rescheduled.set()
 
     async def _connect(self, address: tuple[str, int]) -> Channel:
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -44,16 +44,18 @@
     return ",".join(f"{k}={v}" for k, v in values.items()).encode()
 
 
-def ident(number):
+def request_id(number):
     return f"{number:016x}".encode()
 
 
 def read(number, **more):
-    return codec.command(b"IO.IN", PIECE, ident(number), names(**more))
+    return codec.command(b"IO.IN", PIECE, request_id(number), names(**more))
 
 
 def write(number, body, **more):
-    return codec.command(b"IO.OUT", PIECE, ident(number), names(c="write", k=f"{number:016x}", **more), body)
+    return codec.command(
+        b"IO.OUT", PIECE, request_id(number), names(c="write", k=f"{number:016x}", **more), body
+    )
 
 
 class Client:
@@ -77,7 +79,7 @@
         return await self.reply()
 
 
-class Stage:
+class RunningProgram:
     """Discovery, one storage server per shard, and a running program."""
 
     def __init__(self, discovery, servers, program, task):
@@ -95,14 +97,14 @@
 
 
 @asynccontextmanager
-async def stage(*scripts, **changes):
+async def running_program(*scripts, **changes):
     discovery = await Discovery().start()
     servers = [await StorageServer(script).start() for script in scripts or (echo,)]
     for index, server in enumerate(servers):
         discovery.put(f"s{index}", server.address, index)
     program = Program(parse(json.dumps(config(discovery, **changes))), "")
     task = asyncio.create_task(program.run())
-    found = Stage(discovery, servers, program, task)
+    found = RunningProgram(discovery, servers, program, task)
     await found.until(lambda: program.address is not None or task.done())
     try:
         yield found
@@ -131,18 +133,18 @@
 
 @async_test
 async def test_a_read_and_a_write_are_forwarded_with_their_words_unchanged():
-    async with stage() as s:
+    async with running_program() as s:
         client = await s.client()
         assert await client.ask(codec.command(b"PING")) == StatusReply("PONG")
-        assert await client.ask(read(1)) == b"value of " + ident(1)
+        assert await client.ask(read(1)) == b"value of " + request_id(1)
         pool = s.program.transport
         reusable_at = pool.reuse_delay.ready_at(next(iter(pool.open_connections)).idle_since)
         await s.until(lambda: pool.clock() >= reusable_at)  # the delay before reuse
-        assert await client.ask(write(2, b"x" * 65536)) == b"value of " + ident(2)
+        assert await client.ask(write(2, b"x" * 65536)) == b"value of " + request_id(2)
         first, second = s.servers[0].seen
-        assert first[:3] == [b"IO.IN", PIECE, ident(1)] and len(first) == 4
+        assert first[:3] == [b"IO.IN", PIECE, request_id(1)] and len(first) == 4
         assert second[0] == b"IO.OUT" and second[4] == b"x" * 65536
-        assert b",k=" + ident(2) in second[3]
+        assert b",k=" + request_id(2) in second[3]
         assert s.servers[0].connections == 1  # the second attempt reused the first connection
 
 
@@ -151,28 +153,28 @@
     held = []
 
     def slow(words):
-        if words[2] == ident(1):
+        if words[2] == request_id(1):
             held.append(words)
             return None
         return echo(words)
 
-    async with stage(slow, echo) as s:
+    async with running_program(slow, echo) as s:
         client = await s.client()
         client.send(read(1), read(2, shard=1), codec.command(b"PING"), read(3, shard=1))
         await s.until(lambda: len(s.servers[1].seen) == 2)
         for writer in s.servers[0].open:
             writer.write(echo(held[0]))
         assert [await client.reply() for _ in range(4)] == [
-            b"value of " + ident(1),
-            b"value of " + ident(2),
+            b"value of " + request_id(1),
+            b"value of " + request_id(2),
             StatusReply("PONG"),
-            b"value of " + ident(3),
+            b"value of " + request_id(3),
         ]
 
 
 @async_test
 async def test_a_request_with_an_open_id_is_refused():
-    async with stage(lambda words: None) as s:
+    async with running_program(lambda words: None) as s:
         first, second = await s.client(), await s.client()
         first.send(read(1))
         await s.until(lambda: s.servers[0].seen)
@@ -183,11 +185,11 @@
 
 @async_test
 async def test_invalid_input_is_answered_with_an_error_and_a_close():
-    async with stage() as s:
+    async with running_program() as s:
         for bad in (b"GET / HTTP/1.1\r\n\r\n", b"*2\r\n$1\r\na\r\n$62914560\r\n", b"*-7\r\n", b"x" * 100000):
             client = await s.client()
             client.send(read(1), bad)
-            assert await client.reply() == b"value of " + ident(1)
+            assert await client.reply() == b"value of " + request_id(1)
             assert isinstance(await client.reply(), ErrorReply)
             with pytest.raises((EOFError, ConnectionError)):
                 await client.reply()
@@ -196,19 +198,19 @@
 
 @async_test
 async def test_an_invalid_command_gets_an_error():
-    async with stage() as s:
+    async with running_program() as s:
         client = await s.client()
         others = (codec.command(b"IO.IN"), codec.command(b"FLUSHALL"))
         for bad in (read(1, c="lead"), read(1, d="soon"), *others):
             reply = await client.ask(bad)
             assert isinstance(reply, ErrorReply) and reply.text.startswith("ERR")
-        assert await client.ask(read(1)) == b"value of " + ident(1)
+        assert await client.ask(read(1)) == b"value of " + request_id(1)
         assert len(s.servers[0].seen) == 1
 
 
 @async_test
 async def test_silent_connections_are_closed_and_those_with_open_requests_are_not():
-    async with stage(lambda words: None) as s:
+    async with running_program(lambda words: None) as s:
         silent, half, waiting = [await s.client() for _ in range(3)]
         half.send(read(1)[:30])
         waiting.send(read(2))
@@ -225,19 +227,19 @@
 
 @async_test
 async def test_silent_connections_are_evicted_for_new_ones():
-    async with stage(limits={"sockets": 60, "memory_mb": 64}) as s:
+    async with running_program(limits={"sockets": 60, "memory_mb": 64}) as s:
         most = s.program.front.bounds.max_connections
         for _ in range(2 * most):
             await s.client()
         client = await s.client()
-        assert await client.ask(read(1)) == b"value of " + ident(1)
+        assert await client.ask(read(1)) == b"value of " + request_id(1)
         assert len(s.program.front.clients) <= most
 
 
 @async_test
 async def test_a_burst_of_silent_connections_does_not_evict_clients_with_requests():
     """All are accepted before any is read, so clients with a request look as silent as the others."""
-    async with stage(limits={"sockets": 60, "memory_mb": 64}) as s:
+    async with running_program(limits={"sockets": 60, "memory_mb": 64}) as s:
         most = s.program.front.bounds.max_connections
         raw = []
         for number in range(3 * most):
@@ -249,7 +251,7 @@
             if asks:
                 client = Client(*await asyncio.open_connection(sock=sock))
                 s.clients.append(client)
-                assert await client.reply() == b"value of " + ident(number)
+                assert await client.reply() == b"value of " + request_id(number)
         assert s.program.front.evicted_count >= most
         for sock, asks in raw:
             if not asks:
@@ -266,7 +268,7 @@
         ("ANSWER_LEAD_MS", 50.0),
     ):
         monkeypatch.setattr(stopping, name, value)
-    async with stage(lambda words: None) as s:
+    async with running_program(lambda words: None) as s:
         client, other = await s.client(), await s.client()
         client.send(write(1, b"x", d=4000))
         other.send(read(2))
@@ -283,7 +285,7 @@
 @async_test
 async def test_the_log_lists_beliefs_only_for_servers_in_use(capsys):
     """Otherwise the few servers in use are hard to find among hundreds in the log line."""
-    async with stage(echo, echo, echo) as s:
+    async with running_program(echo, echo, echo) as s:
         client = await s.client()
         await client.ask(read(1, shard=1))
         s.program._report()
@@ -312,24 +314,24 @@
 
     @async_test
     async def test():
-        async with stage(script) as s:
+        async with running_program(script) as s:
             server.append(s.servers[0])
             client = await s.client()
-            assert await client.ask(read(1)) == b"value of " + ident(1)  # from a second attempt
+            assert await client.ask(read(1)) == b"value of " + request_id(1)  # from a second attempt
             assert s.program.observer.outcomes["error"] == 1
             assert s.servers[0].connections == 2  # the connection with the invalid answer was not reused
 
     test()
 
 
-@pytest.mark.parametrize("more", [echo([b"", b"", ident(1)]), b"noise", b"$-1\r\n"])
+@pytest.mark.parametrize("more", [echo([b"", b"", request_id(1)]), b"noise", b"$-1\r\n"])
 def test_bytes_after_an_answer_are_not_read_as_the_next_answer(more):
     @async_test
     async def test():
-        async with stage(lambda words: echo(words) + more) as s:
+        async with running_program(lambda words: echo(words) + more) as s:
             client = await s.client()
             for number in (1, 2, 3):
-                assert await client.ask(read(number)) == b"value of " + ident(number)
+                assert await client.ask(read(number)) == b"value of " + request_id(number)
             assert s.servers[0].connections == 3
 
     test()
@@ -337,19 +339,19 @@
 
 @async_test
 async def test_bytes_on_an_idle_connection_close_it():
-    async with stage() as s:
+    async with running_program() as s:
         client = await s.client()
-        assert await client.ask(read(1)) == b"value of " + ident(1)
+        assert await client.ask(read(1)) == b"value of " + request_id(1)
         for writer in s.servers[0].open:
             writer.write(answer(b"of nobody"))
         await s.until(lambda: not s.program.transport.open_connections)
-        assert await client.ask(read(2)) == b"value of " + ident(2)
+        assert await client.ask(read(2)) == b"value of " + request_id(2)
 
 
 @async_test
 async def test_a_write_that_may_have_run_fails_and_one_answered_busy_is_refused():
     failed, busy = codec.error("ERR failed used=5,cost=1"), codec.error("BUSY")
-    async with stage(lambda words: failed, lambda words: busy) as s:
+    async with running_program(lambda words: failed, lambda words: busy) as s:
         client = await s.client()
         reply = await client.ask(write(1, b"b", d=400))
         assert isinstance(reply, ErrorReply) and not reply.text.startswith("BUSY")
@@ -360,7 +362,7 @@
 
 @async_test
 async def test_a_disconnected_clients_attempt_is_cancelled():
-    async with stage(lambda words: None) as s:
+    async with running_program(lambda words: None) as s:
         client = await s.client()
         client.send(read(1))
         await s.until(lambda: s.servers[0].seen)
@@ -376,7 +378,7 @@
 @async_test
 async def test_a_waiting_request_of_a_disconnected_client_is_never_sent():
     """A request can wait for a server, a connection or a descriptor; here its only server is draining."""
-    async with stage(lambda words: None) as s:
+    async with running_program(lambda words: None) as s:
         first, second = await s.client(), await s.client()
         first.send(read(1))
         await s.until(lambda: s.servers[0].seen)
@@ -392,12 +394,12 @@
         third = await s.client()
         third.send(read(3))
         await s.until(lambda: len(s.servers[0].seen) == 2)
-        assert [words[2] for words in s.servers[0].seen] == [ident(1), ident(3)]
+        assert [words[2] for words in s.servers[0].seen] == [request_id(1), request_id(3)]
 
 
 @async_test
 async def test_a_server_that_cannot_be_reached_proves_that_nothing_ran():
-    async with stage() as s:
+    async with running_program() as s:
         await s.servers[0].stop()
         client = await s.client()
         reply = await client.ask(write(1, b"b", d=3000))
@@ -407,7 +409,7 @@
 
 @async_test
 async def test_an_unanswered_request_gets_an_error_and_leaves_no_state():
-    async with stage(lambda words: None) as s:
+    async with running_program(lambda words: None) as s:
         client = await s.client()
         assert isinstance(await client.ask(read(1, d=150)), ErrorReply)
         await s.until(lambda: not s.program.driver.in_flight)
@@ -416,7 +418,7 @@
 
 @async_test
 async def test_changes_in_discovery_reach_the_scheduler_and_a_new_address_is_used():
-    async with stage(echo, echo) as s:
+    async with running_program(echo, echo) as s:
         nodes = s.program.driver.ledger.nodes
         s.discovery.put("s1", s.servers[1].address, 1, health="leaving")
         await s.until(lambda: nodes["s1"].state is NodeState.DRAINING)
@@ -425,17 +427,17 @@
             lambda: s.program.servers.dial_addresses["s0"][1] == int(s.servers[1].address.split(":")[1])
         )
         client = await s.client()
-        assert await client.ask(read(1)) == b"value of " + ident(1)
+        assert await client.ask(read(1)) == b"value of " + request_id(1)
         assert s.servers[1].seen and not s.servers[0].seen
 
 
 @async_test
 async def test_a_failed_call_to_discovery_is_retried():
-    async with stage() as s:
+    async with running_program() as s:
         await s.until(lambda: s.discovery.calls >= 2)
         s.discovery.failing = True
         s.discovery.put("s0", s.servers[0].address, 0)  # completes the watch; the next call fails
-        await s.until(lambda: s.program.watch.failed)
+        await s.until(lambda: s.program.watch.failed_rounds)
         s.discovery.failing = False
         s.discovery.put("s9", s.servers[0].address, 3)
         await s.until(lambda: "s9" in s.program.driver.ledger.nodes)
@@ -443,15 +445,15 @@
 
 @async_test
 async def test_a_new_discovery_address_is_used_at_once():
-    async with stage() as s:
+    async with running_program() as s:
         await s.until(lambda: s.discovery.calls >= 2)  # the watch is pending
         other = await Discovery().start()
         other.version = s.discovery.version
-        s.program.watch.move(parse(json.dumps(config(other))).discovery)
+        s.program.watch.change_address(parse(json.dumps(config(other))).discovery)
         await s.until(lambda: other.calls >= 2)
         other.put("s5", s.servers[0].address, 2)
         await s.until(lambda: "s5" in s.program.driver.ledger.nodes)
-        assert not s.program.watch.failed
+        assert not s.program.watch.failed_rounds
 
 
 def test_a_missing_or_invalid_configuration_is_reported_in_one_line(tmp_path):
@@ -511,10 +513,10 @@
             process.send_signal(signal.SIGTERM)
             for writer in server.open:
                 writer.write(echo(held[0]))
-            assert await client.reply() == b"value of " + ident(1)
+            assert await client.reply() == b"value of " + request_id(1)
             server.script = echo
             # Open connections are still served.
-            assert await client.ask(read(2, d=3000)) == b"value of " + ident(2)
+            assert await client.ask(read(2, d=3000)) == b"value of " + request_id(2)
             with pytest.raises((EOFError, ConnectionError)):
                 await client.reply()
             assert await process.wait() == 0
@@ -606,7 +608,7 @@
     leave_by = float("inf")
 
     def __init__(self):
-        self.op = CommandReader(*READER).read([b"IO.IN", PIECE, ident(1), names()])
+        self.op = CommandReader(*READER).read([b"IO.IN", PIECE, request_id(1), names()])
         self.attempt = Attempt(0, Node("s0", 0), 1000.0)
         self.endings = []
 
@@ -706,15 +708,15 @@
 @async_test
 async def test_idle_connections_over_the_limit_are_closed():
     """Otherwise idle connections would use up the limit on connections."""
-    async with stage(limits={"sockets": 100, "memory_mb": 64}) as s:
+    async with running_program(limits={"sockets": 100, "memory_mb": 64}) as s:
         most = s.program.front.bounds.max_active_connections
         clients = [await s.client() for _ in range(most + 5)]
         for number, client in enumerate(clients):
-            assert await client.ask(read(number)) == b"value of " + ident(number)
+            assert await client.ask(read(number)) == b"value of " + request_id(number)
         for client in clients[:5]:  # the longest idle
             with pytest.raises((EOFError, ConnectionError)):
                 await client.reply()
-        assert await clients[5].ask(read(99)) == b"value of " + ident(99)
+        assert await clients[5].ask(read(99)) == b"value of " + request_id(99)
         await s.until(lambda: s.program.front.active_connection_count == most)
 
 
--- a/tests/test_platform_config.py
+++ b/tests/test_platform_config.py
@@ -20,7 +20,7 @@
 from cressrock.platform.server_list import ServerList
 from cressrock.resp import codec
 from cressrock.resp.request import CommandReader, InvalidCommandError
-from tests.test_platform import Client, async_test, stage
+from tests.test_platform import Client, async_test, running_program
 
 ABSENT = object()
 
@@ -331,7 +331,7 @@
 
     @async_test
     async def test():
-        async with stage(settings=config_with(("settings.membership_mode", mode))["settings"]) as s:
+        async with running_program(settings=config_with(("settings.membership_mode", mode))["settings"]) as s:
             await s.until(lambda: s.discovery.calls >= 2)
             s.discovery.put("s9", s.servers[0].address, 2, health="leaving")
             await s.until(lambda: "s9" in s.program.driver.ledger.withdrawn_at_ms)
--- a/tests/test_platform_connections.py
+++ b/tests/test_platform_connections.py
@@ -21,7 +21,16 @@
 from cressrock.resp.eviction import choose_eviction
 from cressrock.resp.front import Front, FrontBounds
 from cressrock.resp.request import CommandReader
-from tests.test_platform import READER, Client, RecordingTransport, async_test, ident, read, stage, write
+from tests.test_platform import (
+    READER,
+    Client,
+    RecordingTransport,
+    async_test,
+    read,
+    request_id,
+    running_program,
+    write,
+)
 
 
 def connect_raw(s, **options):
@@ -78,7 +87,7 @@
 @async_test
 async def test_an_answer_is_not_lost_to_a_reset_over_unread_input():
     """Closing a socket with unread input resets the connection, which discards answers in transit."""
-    async with stage() as s:
+    async with running_program() as s:
         sock = connect_raw(s)
         # More than one read: when the error line is written, the kernel still holds input.
         ping = codec.command(b"PING")
@@ -92,9 +101,9 @@
 
 @async_test
 async def test_a_request_read_after_the_shutdown_is_not_sent():
-    async with stage() as s:
+    async with running_program() as s:
         client = await s.client()
-        assert await client.ask(read(1)) == b"value of " + ident(1)
+        assert await client.ask(read(1)) == b"value of " + request_id(1)
         front_client(s, client).end()
         client.send(read(2))  # sent before the client reads the end
         await client.writer.drain()
@@ -107,16 +116,16 @@
         )
         client.writer.close()
         await s.until(lambda: s.program.front.all_closed())
-        assert [words[2] for words in s.servers[0].seen] == [ident(1)]
+        assert [words[2] for words in s.servers[0].seen] == [request_id(1)]
 
 
 @pytest.mark.parametrize("ending", ["sweep", "leave", "yield"])
 @async_test
 async def test_a_request_in_the_kernel_keeps_its_connection_from_being_ended(ending):
-    async with stage() as s:
+    async with running_program() as s:
         front = s.program.front
         client, other = await s.client(), await s.client()
-        assert await client.ask(read(1)) == b"value of " + ident(1)
+        assert await client.ask(read(1)) == b"value of " + request_id(1)
         assert await other.ask(codec.command(b"PING")) == StatusReply("PONG")
         mine = front_client(s, client)
         # The request is in the kernel; the event loop has not run.
@@ -132,17 +141,17 @@
             object.__setattr__(front.bounds, "max_active_connections", 1)
             front._keep_idle(front_client(s, other))
         assert not mine.is_ending
-        assert await client.reply() == b"value of " + ident(2)
+        assert await client.reply() == b"value of " + request_id(2)
         client.writer.close()
 
 
 @async_test
 async def test_the_idle_timeout_restarts_with_the_first_byte_of_a_command():
     """Otherwise a command that begins shortly before the idle timeout is cut off."""
-    async with stage() as s:
+    async with running_program() as s:
         front, clock = s.program.front, s.program.front.clock
         client, silent = await s.client(), await s.client()
-        assert await client.ask(read(1)) == b"value of " + ident(1)
+        assert await client.ask(read(1)) == b"value of " + request_id(1)
         silent.send(read(2)[:20])
         await s.until(lambda: front_client(s, silent) and front_client(s, silent).parser.is_partial)
         front.clock = lambda: clock() + front.bounds.idle_timeout_ms - 100
@@ -157,20 +166,20 @@
         front.clock = lambda: clock() + front.bounds.idle_timeout_ms + 100
         front.sweep()
         client.send(read(3)[40:])
-        assert await client.reply() == b"value of " + ident(3)
+        assert await client.reply() == b"value of " + request_id(3)
         # This client had sent no command before, so its timeout counts from connecting.
         assert isinstance((await read_until_end(silent))[0], ErrorReply)
 
 
 @async_test
 async def test_an_incomplete_command_is_waited_for_during_shutdown():
-    async with stage() as s:
+    async with running_program() as s:
         client = await s.client()
         client.send(read(1)[:40])
         await s.until(lambda: front_client(s, client).parser.is_partial)
         s.program.front.close_idle()
         client.send(read(1)[40:])
-        assert await read_until_end(client) == [b"value of " + ident(1)]
+        assert await read_until_end(client) == [b"value of " + request_id(1)]
 
 
 @async_test
@@ -178,7 +187,7 @@
     """Closing at once would discard the rest of an answer that its client is still reading."""
     large = b"y" * 1_500_000
 
-    async with stage(lambda words: answer(large), limits={"sockets": 60, "memory_mb": 192}) as s:
+    async with running_program(lambda words: answer(large), limits={"sockets": 60, "memory_mb": 192}) as s:
         front = s.program.front
         slow = await connect_with_small_buffers(s)
         slow.sendall(read(1))
@@ -197,9 +206,9 @@
     large = b"y" * 1_500_000
 
     def script(words):
-        return answer(large) if words[2] == ident(1) else None
+        return answer(large) if words[2] == request_id(1) else None
 
-    async with stage(script, lambda words: None) as s:
+    async with running_program(script, lambda words: None) as s:
         front = s.program.front
         sock = await connect_with_small_buffers(s)
         sock.sendall(read(1) + read(2, shard=1))
@@ -216,7 +225,7 @@
 
 @async_test
 async def test_a_disconnect_after_invalid_input_is_detected():
-    async with stage(lambda words: None) as s:
+    async with running_program(lambda words: None) as s:
         client = await s.client()
         client.send(read(1), b"GET / HTTP/1.1\r\n\r\n")
         await s.until(lambda: s.servers[0].seen and s.program.front.invalid_input_count)
@@ -227,7 +236,7 @@
 
 @async_test
 async def test_a_reset_cancels_all_requests_of_the_connection():
-    async with stage(lambda words: None) as s:
+    async with running_program(lambda words: None) as s:
         client = await s.client()
         client.send(*(read(number, shard=number % 2) for number in range(1, 9)))
         await s.until(lambda: s.program.front.open_request_count() == 8)
@@ -241,7 +250,7 @@
 @async_test
 async def test_many_commands_in_one_read_are_all_processed_in_parts():
     """One read can hold thousands of commands, which must not delay the other clients' answers."""
-    async with stage() as s:
+    async with running_program() as s:
         sock = connect_raw(s)
         other = await s.client()
         number = 5000
@@ -252,22 +261,22 @@
         def sample():
             mine = [c for c in s.program.front.clients if c.parser.has_more]
             had_more.append(bool(mine))
-            if all(words[2] != ident(1) for words in s.servers[0].seen):
+            if all(words[2] != request_id(1) for words in s.servers[0].seen):
                 loop.call_soon(sample)
 
         sample()
-        assert await other.ask(read(2)) == b"value of " + ident(2)
+        assert await other.ask(read(2)) == b"value of " + request_id(2)
         client = await as_client(s, sock)
         for _ in range(number):
             assert await client.reply() == StatusReply("PONG")
-        assert await client.reply() == b"value of " + ident(1)
+        assert await client.reply() == b"value of " + request_id(1)
         # The event loop ran between the parts.
         assert sum(had_more) >= number // s.program.front.bounds.max_pipeline // 2
 
 
 @async_test
 async def test_a_connection_with_buffered_commands_is_not_ended():
-    async with stage() as s:
+    async with running_program() as s:
         front, original, seen = s.program.front, s.program.front._command, []
 
         def leave():
@@ -286,7 +295,7 @@
         await s.until(lambda: len(seen) == 2)
         assert seen[1] == [True] and not any(c.is_ending for c in front.clients)
         replies = await read_until_end(await as_client(s, sock))
-        assert len(replies) == 1001 and replies[-1] == b"value of " + ident(1)
+        assert len(replies) == 1001 and replies[-1] == b"value of " + request_id(1)
 
 
 @async_test
@@ -353,13 +362,13 @@
 
 @async_test
 async def test_a_connection_in_the_backlog_is_served_when_the_listener_closes(monkeypatch):
-    async with stage() as s:
+    async with running_program() as s:
         listener, last = s.program.listener, s.program.front.clock() + 10_000
         sock = connect_raw(s)  # accepted by the kernel, not by the process
         sock.sendall(read(1))
         await s.program._unlisten(listener, last)
         client = await as_client(s, sock)
-        assert await client.reply() == b"value of " + ident(1)
+        assert await client.reply() == b"value of " + request_id(1)
         assert not listener.is_serving()
 
 
@@ -375,7 +384,7 @@
         EXIT_LEAD_MS=0.0,
     )
     large = b"y" * 1_500_000
-    async with stage(lambda words: answer(large)) as s:
+    async with running_program(lambda words: answer(large)) as s:
         sock = await connect_with_small_buffers(s)
         sock.sendall(read(1))
         await s.until(lambda: any(not c.is_flushed() for c in s.program.front.clients))
@@ -403,9 +412,9 @@
     )
 
     def half(words):
-        return echo(words)[:12] if words[2] == ident(3) else None
+        return echo(words)[:12] if words[2] == request_id(3) else None
 
-    async with stage(half) as s:
+    async with running_program(half) as s:
         s.discovery.put("s9", "127.0.0.1:1", 3, health="leaving")
         sent, waiting, begun, idle, incomplete = [await s.client() for _ in range(5)]
         sent.send(write(1, b"x"))
@@ -431,7 +440,7 @@
 
 @async_test
 async def test_no_attempt_is_started_after_all_requests_were_answered():
-    async with stage(lambda words: None) as s:
+    async with running_program(lambda words: None) as s:
         s.discovery.put("s0", s.servers[0].address, 0, health="leaving")
         await s.until(lambda: s.program.driver.ledger.nodes["s0"].state is NodeState.DRAINING)
         client = await s.client()
--- a/tests/test_platform_descriptors.py
+++ b/tests/test_platform_descriptors.py
@@ -18,7 +18,7 @@
 from cressrock.resp.codec import StatusReply
 from cressrock.resp.eviction import LOOP_ITERATIONS, max_accepts_per_iteration
 from cressrock.resp.listener import Listener
-from tests.test_platform import Client, async_test, ident, read, stage, unused_port
+from tests.test_platform import Client, async_test, read, request_id, running_program, unused_port
 
 LIMIT = 64
 
@@ -101,7 +101,7 @@
 @async_test
 async def test_a_new_connection_is_closed_if_all_others_are_in_use():
     """It would take a descriptor that is reserved for discovery or storage servers."""
-    async with stage(lambda words: None) as s:
+    async with running_program(lambda words: None) as s:
         client = await s.client()
         client.send(read(1))
         await s.until(lambda: s.servers[0].seen)
@@ -112,7 +112,7 @@
         assert s.program.front.submitted_count == 1 and len(s.program.front.clients) == 1
         for writer in s.servers[0].open:
             writer.write(echo(s.servers[0].seen[0]))
-        assert await client.reply() == b"value of " + ident(1)
+        assert await client.reply() == b"value of " + request_id(1)
 
 
 @async_test
@@ -171,7 +171,7 @@
         ):  # the first fetches the list, the second watches for changes
             await asyncio.sleep(0.01)
         late_client = await client()
-        assert await late_client.ask(read(1)) == b"value of " + ident(1)
+        assert await late_client.ask(read(1)) == b"value of " + request_id(1)
         assert new.seen and not old.seen
         process.send_signal(signal.SIGTERM)
         while not (match := re.search(r"evicted=(\d+) .*exhausted=(\d+) ", log.read_text())):
--- a/tests/test_platform_disconnects.py
+++ b/tests/test_platform_disconnects.py
@@ -14,7 +14,7 @@
 from cressrock.interface import ListKind, Node, NodeList, NodeState
 from cressrock.lab.platform import answer, echo
 from cressrock.resp import codec
-from tests.test_platform import Client, async_test, ident, read, stage, write
+from tests.test_platform import Client, async_test, read, request_id, running_program, write
 from tests.test_platform_connections import connect_raw, connect_with_small_buffers
 from tests.test_platform_pool import ManualServer, patch_connection_made, read_to_end
 
@@ -52,12 +52,12 @@
 async def serve_other_client(s, **more):
     """Serve a request of another client, so that everything started before is complete."""
     client = await s.client()
-    assert await client.ask(read(900, **more)) == b"value of " + ident(900)
+    assert await client.ask(read(900, **more)) == b"value of " + request_id(900)
 
 
 def count_attempts(s, number):
     """Return the number of attempts of a request that reached servers."""
-    return sum(words[2] == ident(number) for server in s.servers for words in server.seen)
+    return sum(words[2] == request_id(number) for server in s.servers for words in server.seen)
 
 
 def withhold(*numbers):
@@ -65,7 +65,7 @@
     withheld = {}
 
     def script(words):
-        if words[2] in [ident(number) for number in numbers]:
+        if words[2] in [request_id(number) for number in numbers]:
             withheld[words[2]] = words
             return None
         return echo(words)
@@ -82,7 +82,7 @@
 @async_test
 async def test_a_request_followed_by_a_disconnect_is_not_sent(leave):
     """Its commands are read in one iteration of the event loop, but the end only in the next."""
-    async with stage() as s:
+    async with running_program() as s:
         await prepare_idle_connection(s)
         sock = connect_raw(s)
         sock.sendall(read(1) + read(2))
@@ -99,7 +99,7 @@
 @leaving
 @async_test
 async def test_no_connection_is_opened_for_a_disconnected_client(leave):
-    async with stage() as s:
+    async with running_program() as s:
         sock = connect_raw(s)
         sock.sendall(read(1))
         leave(sock)
@@ -115,7 +115,9 @@
 @leaving
 @async_test
 async def test_a_waiting_request_is_not_sent_after_a_disconnect_while_reading_is_paused(leave):
-    async with stage(lambda words: answer(LARGE) if words[2] == ident(1) else echo(words), echo) as s:
+    async with running_program(
+        lambda words: answer(LARGE) if words[2] == request_id(1) else echo(words), echo
+    ) as s:
         disable_sweep(s)
         await prepare_idle_connection(s, shard=1)
         deliver_state(s, "s1", 1, NodeState.DRAINING)
@@ -137,14 +139,14 @@
     withheld_requests = []
 
     def script(words):
-        if words[2] == ident(1):
+        if words[2] == request_id(1):
             return answer(LARGE)
-        if words[2] == ident(2) and not withheld_requests:
+        if words[2] == request_id(2) and not withheld_requests:
             withheld_requests.append(words)
             return None
         return echo(words)
 
-    async with stage(script, script) as s:
+    async with running_program(script, script) as s:
         disable_sweep(s)
         await prepare_idle_connection(s, shard=1)
         sock = await connect_with_small_buffers(s)
@@ -168,7 +170,7 @@
 async def test_an_attempt_is_not_started_after_a_disconnect_while_it_waits(waits_for, leave):
     """It waits for a new connection, for one to become reusable, or for a descriptor."""
     withheld, script = withhold(8)
-    async with stage(script, echo) as s:
+    async with running_program(script, echo) as s:
         pool, driver = s.program.transport, s.program.driver
         if waits_for == "rest":
             pool.reuse_delay.should_wait = lambda at, now, *, full: True
@@ -185,7 +187,7 @@
         original, started = pool._write_if_allowed, []
 
         def disconnect_then_write(connection, flight):
-            if flight.call.op.name == ident(2).decode():
+            if flight.call.op.name == request_id(2).decode():
                 started.append(connection)
                 leave(sock)
             original(connection, flight)
@@ -194,7 +196,7 @@
         if waits_for == "descriptor":
             await s.until(lambda: pool.queue)
             (writer,) = s.servers[0].open
-            writer.write(echo(withheld[ident(8)]))
+            writer.write(echo(withheld[request_id(8)]))
         await s.until(lambda: started and not s.program.front.open_request_count())
         assert not driver.in_flight and driver.ledger.answer_counts[Verdict.LEFT] == 1
         await serve_other_client(s, shard=int(waits_for == "descriptor"))
@@ -206,7 +208,7 @@
 @async_test
 async def test_a_disconnect_during_a_stall_of_the_process_is_detected(leave):
     """A process that was not scheduled for long must not send requests whose clients have given up."""
-    async with stage() as s:
+    async with running_program() as s:
         await prepare_idle_connection(s)
         deliver_state(s, "s0", 0, NodeState.DRAINING)
         sock, other = connect_raw(s), await s.client()
@@ -216,7 +218,7 @@
         leave(sock)
         deliver_state(s, "s0", 0, NodeState.READY)
         s.program.driver.process_batch()  # in the same iteration: nothing has been read since
-        assert await other.reply() == b"value of " + ident(3)
+        assert await other.reply() == b"value of " + request_id(3)
         await serve_other_client(s)
         assert not count_attempts(s, 2) and s.program.driver.ledger.answer_counts[Verdict.LEFT] == 1
         sock.close()
@@ -225,7 +227,7 @@
 @async_test
 async def test_buffered_requests_are_not_sent_after_a_disconnect():
     """Reading is paused until all buffered commands are processed, so the end is not read before that."""
-    async with stage() as s:
+    async with running_program() as s:
         await prepare_idle_connection(s)
         sock = connect_raw(s)
         sock.sendall(codec.command(b"PING") * 2000 + b"".join(read(n) for n in range(1, 41)))
@@ -250,7 +252,7 @@
         connection.transport.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
 
     patch_connection_made(monkeypatch, shrink_buffer)
-    async with stage() as s:
+    async with running_program() as s:
         object.__setattr__(s.program.scheduler.settings, "may_cancel", may_cancel)
         s.discovery.put("s0", f"127.0.0.1:{peer.address[1]}", 0)
         await s.until(lambda: s.program.servers.dial_addresses["s0"] == peer.address)
@@ -270,7 +272,7 @@
 
 @async_test
 async def test_a_completely_written_request_continues_if_cancelling_is_disabled():
-    async with stage(lambda words: None) as s:
+    async with running_program(lambda words: None) as s:
         object.__setattr__(s.program.scheduler.settings, "may_cancel", False)
         client = await s.client()
         client.send(read(1))
@@ -287,7 +289,7 @@
 @async_test
 async def test_disconnects_are_checked_only_when_attempts_are_started():
     """An attempt costs one check, or two if it opens a connection; idle clients cost none."""
-    async with stage() as s:
+    async with running_program() as s:
         idle_clients = [await s.client() for _ in range(40)]
         for client in idle_clients:
             await client.ask(codec.command(b"PING"))
@@ -297,7 +299,7 @@
             client_type.peer_has_closed = lambda client: checks.append(client) or peer_has_closed(client)
             client = Client(*await asyncio.open_connection(*s.program.address))
             s.clients.append(client)
-            assert await client.ask(read(1)) == b"value of " + ident(1)
+            assert await client.ask(read(1)) == b"value of " + request_id(1)
             s.program.front.sweep()
             assert len(checks) == 2 and len(set(checks)) == 1
         finally:
--- a/tests/test_platform_watch.py
+++ b/tests/test_platform_watch.py
@@ -14,7 +14,7 @@
 from cressrock.platform.config import parse
 from cressrock.platform.program import Program
 from cressrock.platform.server_list import ListError, ServerList
-from tests.test_platform import async_test, ident, read, stage, unused_port
+from tests.test_platform import async_test, read, request_id, running_program, unused_port
 from tests.test_platform_server_list import answer, entry
 
 
@@ -28,13 +28,13 @@
 @async_test
 async def test_a_parallel_call_reports_a_drain_while_the_watch_is_silent(monkeypatch):
     shorten_deadlines(monkeypatch)
-    async with stage() as s:
+    async with running_program() as s:
         nodes, watch = s.program.driver.ledger.nodes, s.program.watch
         await s.until(lambda: s.discovery.calls >= 2)
         s.discovery.fall_silent()
         s.discovery.put("s0", s.servers[0].address, 0, health="leaving")
         await s.until(lambda: nodes["s0"].state is NodeState.DRAINING)
-        assert watch.parallel_calls and not watch.failed  # the subscription is active
+        assert watch.parallel_calls and not watch.failed_rounds  # the subscription is active
         s.discovery.put("s9", s.servers[0].address, 3)  # watched on the new connection
         await s.until(lambda: "s9" in nodes)
 
@@ -42,31 +42,31 @@
 @async_test
 async def test_a_truncated_answer_is_ignored_and_a_parallel_call_gets_the_whole(monkeypatch):
     shorten_deadlines(monkeypatch)
-    async with stage() as s:
+    async with running_program() as s:
         nodes, watch = s.program.driver.ledger.nodes, s.program.watch
         await s.until(lambda: s.discovery.calls >= 2)
         s.discovery.halved = True
         s.discovery.put("s0", s.servers[0].address, 0, health="leaving")
         await s.until(lambda: nodes["s0"].state is NodeState.DRAINING)
-        assert watch.parallel_calls and not watch.failed and not s.discovery.halved
+        assert watch.parallel_calls and not watch.failed_rounds and not s.discovery.halved
 
 
 @async_test
 async def test_a_reset_watch_is_reopened():
-    async with stage() as s:
+    async with running_program() as s:
         nodes = s.program.driver.ledger.nodes
         await s.until(lambda: s.discovery.calls >= 2)
         s.discovery.reset()
         s.discovery.put("s0", s.servers[0].address, 0, health="leaving")
         await s.until(lambda: nodes["s0"].state is NodeState.DRAINING)
-        assert s.program.watch.failed == 1 and not s.program.watch.parallel_calls
+        assert s.program.watch.failed_rounds == 1 and not s.program.watch.parallel_calls
 
 
 @async_test
 async def test_a_late_answer_counts_although_a_parallel_call_failed(monkeypatch):
     """Discovery may only be busy, so the late call is not abandoned for the one made beside it."""
     shorten_deadlines(monkeypatch)
-    async with stage() as s:
+    async with running_program() as s:
         nodes, watch = s.program.driver.ledger.nodes, s.program.watch
         await s.until(lambda: s.discovery.calls >= 2)
         held, original = [], s.discovery._after
@@ -84,17 +84,17 @@
         calls = s.discovery.calls
         await s.until(lambda: watch.parallel_calls and s.discovery.calls > calls)
         await asyncio.sleep(0.05)  # by now its failure would have ended both calls
-        assert not watch.failed
+        assert not watch.failed_rounds
         s.discovery.failing = False
         release.set()
         await s.until(lambda: nodes["s0"].state is NodeState.DRAINING)
-        assert not watch.failed
+        assert not watch.failed_rounds
 
 
 async def busy(discovery, watch, until):
     discovery.failing = True
     discovery.reset()
-    await until(lambda: watch.failed >= 3)  # the reset of the watch, and 503 twice
+    await until(lambda: watch.failed_rounds >= 3)  # the reset of the watch, and 503 twice
     discovery.failing = False
 
 
@@ -102,7 +102,7 @@
     for failed in (1, 2, 3):
         calls = discovery.calls
         discovery.reset()
-        await until(lambda failed=failed: watch.failed >= failed)
+        await until(lambda failed=failed: watch.failed_rounds >= failed)
         await until(lambda calls=calls: discovery.calls >= calls + 2)  # called again, and the watch is open
 
 
@@ -110,7 +110,7 @@
     host, port = discovery._server.sockets[0].getsockname()
     discovery._server.close()
     discovery.reset()
-    await until(lambda: watch.failed >= 3)
+    await until(lambda: watch.failed_rounds >= 3)
     discovery._server = await asyncio.start_server(discovery._serve, host, port)
 
 
@@ -139,7 +139,7 @@
     original = discovery._after
     discovery._after = lambda query: asyncio.sleep(0, {"hosts": None})
     discovery.put("s8", "127.0.0.1:1", 1)
-    await until(lambda: watch.failed >= 2)
+    await until(lambda: watch.failed_rounds >= 2)
     discovery._after = original
 
 
@@ -148,7 +148,7 @@
     original = discovery._after
     discovery._after = lambda query: asyncio.sleep(0, b"[" * 200_000)
     discovery.put("s8", "127.0.0.1:1", 1)
-    await until(lambda: watch.failed >= 2)
+    await until(lambda: watch.failed_rounds >= 2)
     discovery._after = original
 
 
@@ -163,7 +163,7 @@
 
     @async_test
     async def test():
-        async with stage() as s:
+        async with running_program() as s:
             nodes, watch = s.program.driver.ledger.nodes, s.program.watch
             await s.until(lambda: s.discovery.calls >= 2)
             s.program.driver.subscribe = lambda: None
@@ -177,29 +177,29 @@
 @async_test
 async def test_after_a_move_the_new_address_is_called_at_once():
     """The backoff for failures of the old address must not delay the first call to the new one."""
-    async with stage() as s:
+    async with running_program() as s:
         watch = s.program.watch
         await s.until(lambda: s.discovery.calls >= 2)
         s.program.driver.subscribe = lambda: None
         s.discovery.failing = True
         s.discovery.reset()
-        await s.until(lambda: watch.failed >= 3)
+        await s.until(lambda: watch.failed_rounds >= 3)
         other = await Discovery().start()
         other.version = s.discovery.version
         old_due_ms = watch.schedule.due_ms
-        watch.move(parse(json.dumps(config(other))).discovery)
+        watch.change_address(parse(json.dumps(config(other))).discovery)
         assert watch.schedule.due_ms <= watch.clock() < old_due_ms
         await s.until(lambda: other.calls >= 2)
 
 
 @async_test
 async def test_changes_during_a_discovery_outage_are_reported_after_it(monkeypatch):
-    async with stage() as s:
+    async with running_program() as s:
         nodes = s.program.driver.ledger.nodes
         await s.until(lambda: s.discovery.calls >= 2)
         s.discovery.failing = True
         s.discovery.reset()
-        await s.until(lambda: s.program.watch.failed >= 2)
+        await s.until(lambda: s.program.watch.failed_rounds >= 2)
         s.discovery.put("s0", s.servers[0].address, 0, health="leaving")
         s.discovery.failing = False
         await s.until(lambda: nodes["s0"].state is NodeState.DRAINING)
@@ -208,15 +208,15 @@
 @async_test
 async def test_a_new_address_that_fails_at_first_is_retried_without_the_old_ones_backoff():
     """Its changes count as known 4 s after SIGHUP, whatever the backoff of the old address was."""
-    async with stage() as s:
+    async with running_program() as s:
         nodes, watch = s.program.driver.ledger.nodes, s.program.watch
         await s.until(lambda: s.discovery.calls >= 2)
         other = await Discovery().start()
         other.version, other.failing = s.discovery.version, True
         reported = []
         watch.on_report = reported.append
-        watch.move(parse(json.dumps(config(other))).discovery)
-        await s.until(lambda: watch.failed >= 2)
+        watch.change_address(parse(json.dumps(config(other))).discovery)
+        await s.until(lambda: watch.failed_rounds >= 2)
         assert not reported  # no failure is reported, so the scheduler does not back off
         watch.on_report = s.program._apply_report
         other.failing = False
@@ -227,7 +227,7 @@
 @async_test
 async def test_an_answer_that_arrives_during_an_address_change_is_reported():
     """The list has that answer's version from then on, so no later answer repeats its changes."""
-    async with stage() as s:
+    async with running_program() as s:
         nodes, watch, servers = s.program.driver.ledger.nodes, s.program.watch, s.program.servers
         await s.until(lambda: s.discovery.calls >= 2)
         other = await Discovery().start()
@@ -237,7 +237,7 @@
             servers.receive = receive
             report = receive(*args, **kwargs)
             # As on SIGHUP, in the same iteration of the event loop.
-            watch.move(parse(json.dumps(config(other))).discovery)
+            watch.change_address(parse(json.dumps(config(other))).discovery)
             return report
 
         servers.receive = receive_and_move
@@ -264,7 +264,7 @@
 @async_test
 async def test_with_pushed_lists_discovery_is_watched_without_a_subscription_and_before_serving():
     """There, a drain counts as known from the start of a process on."""
-    async with stage() as s:  # only its storage server is used
+    async with running_program() as s:  # only its storage server is used
         discovery = await Discovery().start()
         discovery.put("s0", s.servers[0].address, 0)
         value = pushed_config(discovery)
@@ -294,7 +294,7 @@
 @async_test
 async def test_with_pushed_lists_a_dispatcher_starts_although_discovery_is_down(monkeypatch):
     shorten_deadlines(monkeypatch)
-    async with stage() as s:
+    async with running_program() as s:
         discovery = await Discovery().start()
         discovery.put("s0", s.servers[0].address, 0)
         discovery.failing = True
@@ -303,7 +303,7 @@
         await s.until(lambda: program.address is not None)
         s.program.address = program.address
         client = await s.client()
-        assert await client.ask(read(1)) == b"value of " + ident(1)
+        assert await client.ask(read(1)) == b"value of " + request_id(1)
         task.cancel()
         await asyncio.gather(task, return_exceptions=True)
 
@@ -344,7 +344,7 @@
 @async_test
 async def test_a_file_of_another_dispatcher_is_rejected_in_a_reload(tmp_path, capsys):
     """Its discovery would connect this dispatcher to another customer's servers."""
-    async with stage() as s:
+    async with running_program() as s:
         await s.until(lambda: s.discovery.calls >= 2)
         other = await Discovery().start()
         other.version = s.discovery.version
