--- a/cressrock/dispatch/http_transport.py
+++ b/cressrock/dispatch/http_transport.py
@@ -9,13 +9,13 @@
 import h11
 from anyio.abc import TaskGroup
 
-from cressrock.dispatch.driver import FOREVER
+from cressrock.dispatch.driver import INFINITE_MS
 from cressrock.dispatch.node_client import (
     AttemptProgress,
     NoConnectionError,
     NodeClient,
     NodePayload,
-    SentTooLateError,
+    SendNotPermittedError,
 )
 from cressrock.dispatch.node_response import ReportedLoad, outcome_of, reported_load
 from cressrock.dispatch.operation import Operation, PayloadTruncatedError, Reply
@@ -57,7 +57,12 @@
         reported = reported_load(headers) if headers else ReportedLoad()
         self.call.end(
             AttemptResult(
-                end_state.outcome, latency_ms, self.reply, reported.used, reported.elsewhere, end_state.text
+                end_state.outcome,
+                latency_ms,
+                self.reply,
+                reported.used,
+                reported.units_elsewhere,
+                end_state.text,
             )
         )
 
@@ -95,7 +100,7 @@
         try:
             with scope:
                 await self._exchange(attempt)
-        except SentTooLateError as error:
+        except SendNotPermittedError as error:
             attempt.end_state = _EndState(Outcome.ABANDONED, str(error))
         except NoConnectionError as error:
             attempt.end_state = _EndState(Outcome.NO_CONNECTION, str(error))
@@ -134,7 +139,9 @@
         attempt.latency_ms = self.clock() - ledger_attempt.sent_at_ms
         attempt.end_state = _EndState(outcome_of(reply.status, reply.headers))
         if payload is not None and call.begin(reply):
-            attempt.scope.deadline = FOREVER  # the class's deadline does not apply once streaming has started
+            attempt.scope.deadline = (
+                INFINITE_MS  # the class's deadline does not apply once streaming has started
+            )
             if not await self._wait_until_read(payload):
                 # Without this, a few slow clients would occupy every slot of a node.  The node has done its
                 # work; only the transfer from this process to the client remains.
--- a/cressrock/lab/localcost_requests.py
+++ b/cressrock/lab/localcost_requests.py
@@ -20,7 +20,7 @@
 from cressrock.interface import ListKind, Node, NodeList, Outcome
 from cressrock.lab.localcost import Figure, held_bytes, lines
 from cressrock.lab.localcost_lists import SETTINGS
-from cressrock.resp.nodes import PoolBounds, RespTransport
+from cressrock.resp.connection_pool import PoolBounds, RespTransport
 from cressrock.scheduler.scheduler import Scheduler
 
 LAG_MS = 4.0
@@ -37,7 +37,7 @@
     request_class: int = 0
     units: float = 2.0
     plan: int = 0
-    writers: int = 8
+    dispatcher_count: int = 8
     idempotency_key: str = ""
 
 
@@ -53,7 +53,7 @@
 
     def batch_processed(self, *given: Any) -> None: ...
 
-    def line(self, text: str) -> None: ...
+    def log_line(self, text: str) -> None: ...
 
 
 class Core:
@@ -135,7 +135,7 @@
 
     def __init__(self, node: str, idle_since: float) -> None:
         self.node, self.idle_since = node, idle_since
-        self.flight = self.next = None
+        self.attempt = self.waiting_attempt = None
         self.transport = self
 
     def abort(self) -> None: ...
@@ -148,13 +148,13 @@
     draw = random.Random(seed)
     idle = [_Idle(f"s{index}", draw.random()) for index in range(n + 40)]
     for one in idle:
-        pool.idle[one.node] = OrderedDict({cast(Any, one): None})
+        pool.idle_connections[one.node] = OrderedDict({cast(Any, one): None})
     rounds, least = 10, float("inf")
     for _ in range(4):
         gc.collect()
         began = time.thread_time()
         for _ in range(rounds):
-            pool._make_room()
+            pool._close_longest_idle()
         least = min(least, time.thread_time() - began)
     yield Figure("pool.make_room.cpu_us", least * 1e6 / rounds, "us", scene="busy")
 
--- a/cressrock/platform/turns.py
+++ b/cressrock/platform/loop_batches.py
@@ -4,10 +4,10 @@
 
 import asyncio
 
-from cressrock.dispatch.driver import FOREVER, Driver
+from cressrock.dispatch.driver import INFINITE_MS, Driver
 
 
-class Turns:
+class LoopBatches:
     """Runs a batch of the driver once per loop iteration if it asked for one, and when its timer is due."""
 
     def __init__(self, driver: Driver, loop: asyncio.AbstractEventLoop) -> None:
@@ -16,9 +16,9 @@
         self.loop = loop
         self.count = 0  # batches run
         self._scheduled = False
-        self._ended = False
+        self._stopped = False
         self._timer: asyncio.TimerHandle | None = None
-        self._timer_due_ms = FOREVER
+        self._timer_due_ms = INFINITE_MS
         driver.request_wakeup = self.schedule
 
     def schedule(self) -> None:
@@ -27,15 +27,15 @@
             self._scheduled = True
             self.loop.call_soon(self._run_batch)
 
-    def end(self) -> None:
+    def stop(self) -> None:
         """Run no further batch: every request is answered, and no new attempt may start."""
-        self._ended = True
+        self._stopped = True
         if self._timer is not None:
             self._timer.cancel()
 
     def _run_batch(self) -> None:
         self._scheduled = False
-        if self._ended:
+        if self._stopped:
             return
         self.count += 1
         try:
@@ -51,5 +51,5 @@
                 self._timer = self.loop.call_later(wait_s, self._on_timer)
 
     def _on_timer(self) -> None:
-        self._timer, self._timer_due_ms = None, FOREVER
+        self._timer, self._timer_due_ms = None, INFINITE_MS
         self.schedule()
--- a/cressrock/platform/program.py
+++ b/cressrock/platform/program.py
@@ -22,26 +22,27 @@
 from cressrock.dispatch.ledger import Attempt, FenceTrip, Ledger, Verdict
 from cressrock.dispatch.reasons import Reason
 from cressrock.interface import NodeList, Outcome
-from cressrock.platform import watchclock
+from cressrock.platform import watch_schedule
 from cressrock.platform.config import Config, ConfigError, find_foreign_setting, parse
-from cressrock.platform.serverlist import ListError, ServerList
+from cressrock.platform.loop_batches import LoopBatches
+from cressrock.platform.server_list import ListError, ServerList
 from cressrock.platform.stopping import StopSchedule
-from cressrock.platform.turns import Turns
 from cressrock.platform.watch import Watch
-from cressrock.resp.codec import MAX_VALUE
+from cressrock.resp.codec import MAX_VALUE_BYTES
+from cressrock.resp.connection_pool import PoolBounds, RespTransport
+from cressrock.resp.eviction import max_accepts_per_iteration
 from cressrock.resp.front import Front, FrontBounds
 from cressrock.resp.lingering import LingerBounds
 from cressrock.resp.listener import Listener
-from cressrock.resp.nodes import PoolBounds, RespTransport
-from cressrock.resp.request import Reader
-from cressrock.resp.room import accepted_at_once
-from cressrock.scheduler.beliefs import endpoint_beliefs
+from cressrock.resp.request import CommandReader
+from cressrock.scheduler.endpoint_estimates import endpoint_estimates
 from cressrock.scheduler.scheduler import Scheduler
 
-# Descriptors that are not available for established connections to clients and servers: SPARE in all, of
-# which OWN are the process's (the listener, two for discovery, three each for the event loop and the standard
-# streams, one for a file, two more); the rest is for client connections that are being accepted or closed.
-SPARE, OWN = 32, 12
+# Descriptors that are not available for established connections to clients and servers: RESERVED_DESCRIPTORS
+# in all, of which PROCESS_DESCRIPTORS are the process's (the listener, two for discovery, three each for the
+# event loop and the standard streams, one for a file, two more); the rest is for client connections that are
+# being accepted or closed.
+RESERVED_DESCRIPTORS, PROCESS_DESCRIPTORS = 32, 12
 # Storage servers get a quarter of the others, but at least this many: D stays at a few tens in all.  Clients
 # get the rest: a third of all descriptors holds requests, and idle connections and silent peers come on top.
 NODE_SOCKETS_FRACTION, MIN_NODE_SOCKETS = 0.25, 64
@@ -55,7 +56,7 @@
 # Of the shortest latency objective: a stalled answer is abandoned while another attempt can still meet it.
 STALL_OBJECTIVE_FRACTION = 0.1
 LINGER_MS = 2000.0  # after it, the platform allows a connection without an open request to be closed
-LINGER_BYTES = 16 * MAX_VALUE  # per peer: far more than a client has in flight when its connection is ended
+LINGER_BYTES = 16 * MAX_VALUE_BYTES  # per peer: far more than a client has in flight when its connection ends
 LINGERING_FRACTION = 1 / 8  # of the client connections
 SOCKET_SLACK_MS = 50.0  # every time limit is longer by this on real sockets
 STOP_POLL_S = 0.01  # interval of the checks while stopping
@@ -129,7 +130,7 @@
         self.longest_act_ms = max(self.longest_act_ms, act_ms)
         self.max_queued_ms = max(self.max_queued_ms, queued_ms)
 
-    def line(self, text: str) -> None:
+    def log_line(self, text: str) -> None:
         """Log a line of the scheduler."""
         self.log(text, "scheduler")
 
@@ -145,7 +146,7 @@
         self.observer = Observer(self.log)
         settings = config.settings
         rng = random.Random(config.seed)
-        sockets = config.sockets - SPARE
+        sockets = config.sockets - RESERVED_DESCRIPTORS
         max_clients = max(
             1, sockets - max(int(sockets * NODE_SOCKETS_FRACTION), min(MIN_NODE_SOCKETS, sockets // 2))
         )
@@ -159,11 +160,11 @@
                 stall_ms=STALL_OBJECTIVE_FRACTION * min(cls.latency_objective_ms for cls in settings.classes),
             ),
             clock,
-            self.servers.dials.get,
+            self.servers.dial_addresses.get,
         )
-        self.brain = Scheduler(settings, rng.getrandbits(62), clock())
+        self.scheduler = Scheduler(settings, rng.getrandbits(62), clock())
         self.driver = Driver(
-            self.brain,
+            self.scheduler,
             Ledger(
                 drain_grace_ms=settings.drain_grace_ms,
                 answer_slack_ms=settings.answer_slack_ms,
@@ -175,13 +176,15 @@
             clock=clock,
         )
         self.front = Front(
-            Reader(settings, list(config.classes), list(config.plans), config.shards),
+            CommandReader(settings, list(config.classes), list(config.plans), config.shards),
             self.driver,
             FrontBounds(
                 max_connections=max_clients,
-                max_asking=int(config.sockets * MAX_ASKING_FRACTION),
-                max_unread=int(config.memory_mb * MAX_UNREAD_MEMORY_FRACTION * (1 << 20)),
-                linger=LingerBounds(LINGER_MS, LINGER_BYTES, max(1, int(max_clients * LINGERING_FRACTION))),
+                max_active_connections=int(config.sockets * MAX_ASKING_FRACTION),
+                max_unread_bytes=int(config.memory_mb * MAX_UNREAD_MEMORY_FRACTION * (1 << 20)),
+                linger_bounds=LingerBounds(
+                    LINGER_MS, LINGER_BYTES, max(1, int(max_clients * LINGERING_FRACTION))
+                ),
             ),
             clock,
         )
@@ -189,7 +192,7 @@
         self.watch = Watch(
             self.servers,
             config.discovery,
-            watchclock.WatchSchedule(
+            watch_schedule.WatchSchedule(
                 clock(),
                 random.Random(rng.getrandbits(62)).random,
                 ask_every_ms=settings.ask_every_ms,
@@ -202,20 +205,20 @@
             subscribed=not settings.must_ask,
         )
         self.driver.subscribe = self.watch.subscribe
-        self.turns: Turns | None = None
+        self.loop_batches: LoopBatches | None = None
         self.listener: Listener | None = None
         self.address: tuple[str, int] | None = None  # the listener's, None until clients are served
 
     def _apply_report(self, report: NodeList) -> None:
         self.driver.receive_node_list(report)
         for name in self.servers.replaced:
-            self.transport.forget(name)
+            self.transport.close_idle(name)
         self.servers.replaced = []
 
     async def run(self) -> None:
         """Serve until SIGTERM, then until every request is answered."""
         loop, settings = asyncio.get_running_loop(), self.config.settings
-        self.turns = Turns(self.driver, loop)
+        self.loop_batches = LoopBatches(self.driver, loop)
         try:
             self._apply_report(self.servers.receive(self.config.known, clock(), wall_ms(), cached=True))
             if self.servers.rejected_entries:
@@ -237,11 +240,13 @@
             if not settings.must_ask:
                 # Where lists are pushed, a new process counts as informed of drains from its first moment on,
                 # but its configured list may be older: it waits for discovery's before it serves clients.
-                with anyio.move_on_after(watchclock.first_list_timeout_ms() / 1000):
+                with anyio.move_on_after(watch_schedule.first_list_timeout_ms() / 1000):
                     await self.watch.answered.wait()
-            with net.binding("listen", ":".join(map(str, self.config.listen))):
+            with net.report_bind_errors("listen", ":".join(map(str, self.config.listen))):
                 self.listener = listener = Listener(
-                    self.config.listen, self.front.protocol, accepted_at_once(SPARE - OWN)
+                    self.config.listen,
+                    self.front.create_protocol,
+                    max_accepts_per_iteration(RESERVED_DESCRIPTORS - PROCESS_DESCRIPTORS),
                 )
             host, port = self.address = listener.address()
             # Objects created so far live until exit; frozen, they are not scanned in every collection.
@@ -262,25 +267,25 @@
         use as long as its answers are certain to be sent before the process exits.
         """
         stop = StopSchedule(clock(), max(cls.deadline_ms for cls in self.config.settings.classes))
-        self.log(f"stopping with {self.front.owes()} open requests")
+        self.log(f"stopping with {self.front.open_request_count()} open requests")
         self._report()
-        self.front.end_by(stop.answer_by_ms)
+        self.front.set_answer_deadline(stop.answer_by_ms)
         await asyncio.sleep(max(0.0, stop.unlisten_at_ms - clock()) / 1000)
         await self._unlisten(listener, stop.answer_by_ms)
-        while not self.front.ended() and clock() < stop.answer_by_ms:
+        while not self.front.all_closed() and clock() < stop.answer_by_ms:
             if clock() >= stop.close_idle_at_ms:
-                self.front.leave()
+                self.front.close_idle()
             await asyncio.sleep(STOP_POLL_S)
         # Requests from before SIGTERM whose deadline is later than the platform waits are answered here:
         # otherwise they would be lost.
-        self.log(f"stopped, aborting {self.front.owes()} open requests")
+        self.log(f"stopped, aborting {self.front.open_request_count()} open requests")
         self.driver.abort_pending()
-        if self.turns is not None:
-            self.turns.end()
-        self.front.finish()
+        if self.loop_batches is not None:
+            self.loop_batches.stop()
+        self.front.close_all()
         # An answer that the kernel has not delivered yet is lost if its connection is closed with unread
         # bytes, and so if the process exits.
-        while not self.front.ended() and clock() < stop.exit_at_ms:
+        while not self.front.all_closed() and clock() < stop.exit_at_ms:
             await asyncio.sleep(STOP_POLL_S)
 
     async def _unlisten(self, listener: Listener, answer_by_ms: float) -> None:
@@ -294,7 +299,7 @@
             idle_iterations = 0 if _readable(listener.fileno()) else idle_iterations + 1
             await asyncio.sleep(0)
         listener.close()
-        self.front.welcome = False
+        self.front.is_accepting = False
 
     def reload(self) -> None:
         """Reload the configuration: discovery's address may change while the program runs.
@@ -314,15 +319,15 @@
         if (found.memory_mb, found.sockets) != (self.config.memory_mb, self.config.sockets):
             self.log("changed limits apply from the next start of the process")
         self.log(f"discovery is at {found.discovery[0]}:{found.discovery[1]}")
-        self.watch.move(found.discovery)
+        self.watch.change_address(found.discovery)
 
     async def _sweep(self) -> None:
         bounds = self.front.bounds
         report_at_ms = clock() + REPORT_INTERVAL_MS
         while True:
-            await asyncio.sleep(bounds.sweep_ms / 1000)
+            await asyncio.sleep(bounds.sweep_interval_ms / 1000)
             self.front.sweep()
-            self.transport.sweep()
+            self.transport.close_expired()
             if self.listener is not None:
                 self.listener.resume()
             if clock() >= report_at_ms:
@@ -332,16 +337,18 @@
     def _report(self) -> None:
         """Log the counters, and the scheduler's estimates for the servers in use."""
         observer, transport, front = self.observer, self.transport, self.front
-        turns = self.turns.count if self.turns is not None else 0
+        batches = self.loop_batches.count if self.loop_batches is not None else 0
         self.log(
-            f"clients={len(front.clients)} lingering={len(front.lingering)} asking={front.asking} "
-            f"owed={front.owes()} evicted={front.evicted} yielded={front.yielded} "
-            f"left_unread={front.left_unread} "
-            f"exhausted={self.listener.exhausted if self.listener is not None else 0} "
-            f"malformed={front.malformed} refused={front.refused_commands} "
-            f"calls={self.watch.calls} failed={self.watch.failed} doubted={self.watch.parallel_calls} "
-            f"nodes={len(transport.open)} opened={transport.opened} reused={transport.reused} "
-            f"spoilt={transport.spoilt} surplus={transport.surplus} turns={turns} "
+            f"clients={len(front.clients)} lingering={len(front.lingering)} "
+            f"asking={front.active_connection_count} "
+            f"owed={front.open_request_count()} evicted={front.evicted_count} "
+            f"yielded={front.closed_idle_count} left_unread={front.unread_disconnect_count} "
+            f"exhausted={self.listener.failed_accept_count if self.listener is not None else 0} "
+            f"malformed={front.invalid_input_count} refused={front.refused_command_count} "
+            f"calls={self.watch.calls} failed={self.watch.failed_rounds} doubted={self.watch.parallel_calls} "
+            f"nodes={len(transport.open_connections)} opened={transport.opened_count} "
+            f"reused={transport.reused_count} spoilt={transport.invalid_answer_count} "
+            f"surplus={transport.unrequested_input_count} turns={batches} "
             f"events={observer.events} act={observer.act_ms:.0f} "
             f"longest={observer.longest_act_ms:.1f} late={observer.max_queued_ms:.1f} "
             f"cpu={time.process_time():.2f} "
@@ -351,11 +358,12 @@
         observer.longest_act_ms = observer.max_queued_ms = 0.0
         used = [
             f"{b.name}:{b.state.value} D={b.window:.1f} out={b.in_flight}+{b.presumed_lost} wait={b.waiting} "
-            f"lag={b.latency_ms:.0f} base={b.uncrowded_ms:.0f} ratio={b.wait_ratio:.2f} rest={b.rest_ms:.0f}"
-            for b in endpoint_beliefs(self.brain, clock())
+            f"lag={b.latency_ms:.0f} base={b.unloaded_ms:.0f} ratio={b.wait_ratio:.2f} "
+            f"rest={b.ejected_for_ms:.0f}"
+            for b in endpoint_estimates(self.scheduler, clock())
         ]
         # A dispatcher of a large fleet uses a few of hundreds of servers, so the others are only counted.
-        unused = len(self.brain.endpoints.by_name) - len(used)
+        unused = len(self.scheduler.endpoints.by_name) - len(used)
         self.log("; ".join([*used, f"{unused} not used yet"]), "belief")
 
 
--- a/cressrock/replication/paced_client.py
+++ b/cressrock/replication/paced_client.py
@@ -10,7 +10,7 @@
 import anyio
 import h11
 
-from cressrock.dispatch.node_client import AttemptProgress, NoConnectionError, SentTooLateError
+from cressrock.dispatch.node_client import AttemptProgress, NoConnectionError, SendNotPermittedError
 from cressrock.dispatch.node_response import LOAD_HEADER
 from cressrock.dispatch.operation import Body, Operation, PayloadTruncatedError, Reply
 from cressrock.http.channel import ConnectionLostError, Headers, MessageTooLargeError, header
@@ -25,8 +25,8 @@
 BUSY_STATUS = 503
 # What may come of an exchange without an answer.
 EXCHANGE_ERRORS = (
-    NoConnectionError, SentTooLateError, ConnectionLostError, MessageTooLargeError, h11.RemoteProtocolError,
-    PayloadTruncatedError, OSError,
+    NoConnectionError, SendNotPermittedError, ConnectionLostError, MessageTooLargeError,
+    h11.RemoteProtocolError, PayloadTruncatedError, OSError,
 )  # fmt: skip
 
 
@@ -116,7 +116,7 @@
 class BytesBody:
     """A payload of bytes that are here as a whole."""
 
-    complete = True
+    is_complete = True
 
     def __init__(self, data: bytes) -> None:
         """Keep the bytes."""
@@ -127,7 +127,7 @@
         """Bytes in all."""
         return len(self._data)
 
-    async def chunk(self, offset: int) -> bytes:
+    async def read_chunk(self, offset: int) -> bytes:
         """Return the bytes from an offset."""
         return self._data[offset:]
 
--- a/cressrock/resp/request.py
+++ b/cressrock/resp/request.py
@@ -37,7 +37,7 @@
     request_class: int
     units: float
     plan: int
-    writers: int
+    dispatcher_count: int
     idempotency_key: str
     name: str  # the client's request id
     patience_ms: float
@@ -51,7 +51,7 @@
         return codec.command(*self.words[:3], names, *self.words[4:])
 
 
-class Reader:
+class CommandReader:
     """Parses commands according to the names and limits in the settings."""
 
     def __init__(self, settings: Settings, classes: list[str], plans: list[str], shards: int) -> None:
@@ -104,8 +104,8 @@
         shard = _parse_integer(value[b"shard"], "shard")
         if shard < -1 or (self.shards and shard >= self.shards):
             raise InvalidCommandError("shard out of bounds")
-        writers = _parse_integer(value[b"hosts"], "hosts")
-        if not 1 <= writers <= self.settings.hosts:
+        dispatcher_count = _parse_integer(value[b"hosts"], "hosts")
+        if not 1 <= dispatcher_count <= self.settings.hosts:
             raise InvalidCommandError("hosts out of bounds")
         if patience <= 0:
             raise InvalidCommandError("d out of bounds")
@@ -120,7 +120,7 @@
             request_class=index,
             units=units,
             plan=plan,
-            writers=writers,
+            dispatcher_count=dispatcher_count,
             idempotency_key=key.decode(),
             name=words[2].decode(),
             patience_ms=patience,
--- a/tests/compatibility/dispatch_cases.py
+++ b/tests/compatibility/dispatch_cases.py
@@ -18,7 +18,7 @@
 from cressrock.dispatch.ledger import Attempt, FenceTrip, Ledger, Verdict
 from cressrock.dispatch.node_client import NodeClient, PoolBounds
 from cressrock.dispatch.node_list import NodeListError, NodeListState
-from cressrock.dispatch.node_list_watch import NodeListSource, NodeListWatch
+from cressrock.dispatch.node_list_poller import NodeListPoller, NodeListSource
 from cressrock.dispatch.node_response import outcome_of, reported_load
 from cressrock.dispatch.operation import Operation, Reply
 from cressrock.dispatch.quota import EdgeQuota, lease_duration_ms
@@ -151,7 +151,7 @@
             except ValueError:
                 result = "not out"
         elif kind == "commit" and entry is not None and entry.attempt_in_flight() is not None:
-            result = ledger.commit(name)
+            result = ledger.record_response_start(name)
         elif kind == "refuse" and rng.random() < 0.5:
             result = ledger.reject(name, rng.choice((Reason.SCHEDULER, Reason.STOPPING)))
         elif kind == "fail" and rng.random() < 0.5:
@@ -380,7 +380,7 @@
     def batch_processed(self, events: int, queued_ms: float, act_ms: float) -> None:
         self.digest.add(["woke", events, queued_ms, act_ms])
 
-    def line(self, text: str) -> None:
+    def log_line(self, text: str) -> None:
         self.digest.add(["line", text])
 
 
@@ -418,7 +418,7 @@
         rng.randrange(len(CLASSES)),
         float(rng.randrange(1, 9)),
         plan=rng.randrange(2),
-        writers=rng.randrange(1, 3),
+        dispatcher_count=rng.randrange(1, 3),
         idempotency_key=f"k{rng.randrange(6)}" if has_key else "",
     )
 
@@ -611,10 +611,10 @@
         return lambda *args, **fields: None
 
 
-def new_watch(client: Any, cache: Path | None, reports: list[NodeList]) -> NodeListWatch:
+def new_watch(client: Any, cache: Path | None, reports: list[NodeList]) -> NodeListPoller:
     """Return a watch of the list `storage` that appends its reports to `reports`."""
     source = NodeListSource("list:1", "me", 60000.0, 2000.0, None if cache is None else str(cache))
-    return NodeListWatch(
+    return NodeListPoller(
         NodeListState("storage", max_nodes=100),
         client,
         source,
--- a/tests/test_capacity_local.py
+++ b/tests/test_capacity_local.py
@@ -25,10 +25,10 @@
 from cressrock.lab import localcost_state as state
 from cressrock.lab.capacity import SIZES as AT_SIZE
 from cressrock.lab.capacity import Measurement
-from cressrock.platform.serverlist import ServerList
+from cressrock.platform.server_list import ServerList
 from cressrock.resp import codec
 from cressrock.resp.front import Front, FrontBounds
-from cressrock.resp.request import Reader
+from cressrock.resp.request import CommandReader
 
 SIZES = (64, 128, 256, 512)
 
@@ -63,7 +63,7 @@
 def test_the_count_of_lines_fails_a_list_that_goes_through_all_servers():
     class Slow(ServerList):
         def receive(self, *given, **more):
-            for name in self.dials:
+            for name in self.dial_addresses:
                 assert name
             return super().receive(*given, **more)
 
@@ -156,9 +156,9 @@
 def front():
     settings = lists.SETTINGS
     return Front(
-        Reader(settings, ["read"], ["gold"], 4),
+        CommandReader(settings, ["read"], ["gold"], 4),
         requests.Core(4, 1).driver,
-        FrontBounds(max_connections=10**6, max_asking=10**6, max_unread=1 << 20),
+        FrontBounds(max_connections=10**6, max_active_connections=10**6, max_unread_bytes=1 << 20),
         lambda: 0.0,
     )
 
@@ -166,7 +166,7 @@
 def clients(n):
     them = front()
     for _ in range(n):
-        client = them.protocol()
+        client = them.create_protocol()
         client.connection_made(Transport())
         client.data_received(codec.command(b"PING"))
     return them
@@ -183,7 +183,7 @@
         them = clients(n)
 
         def one():
-            client = them.protocol()
+            client = them.create_protocol()
             client.connection_made(Transport())
             client.data_received(codec.command(b"PING"))
 
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -22,11 +22,11 @@
 from cressrock.platform.config import parse
 from cressrock.platform.program import Program
 from cressrock.resp import codec
-from cressrock.resp.codec import ErrorLine, Status
+from cressrock.resp.codec import ErrorReply, StatusReply
+from cressrock.resp.connection_pool import PoolBounds, RespTransport, _Connection, _InFlightAttempt
 from cressrock.resp.front import Front, FrontBounds
 from cressrock.resp.lingering import LingerBounds
-from cressrock.resp.nodes import PoolBounds, RespTransport, _Connection, _InFlightAttempt
-from cressrock.resp.request import Reader
+from cressrock.resp.request import CommandReader
 
 PIECE = b"7f3a9c21e0b4d655"
 
@@ -44,21 +44,23 @@
     return ",".join(f"{k}={v}" for k, v in values.items()).encode()
 
 
-def ident(number):
+def request_id(number):
     return f"{number:016x}".encode()
 
 
 def read(number, **more):
-    return codec.command(b"IO.IN", PIECE, ident(number), names(**more))
+    return codec.command(b"IO.IN", PIECE, request_id(number), names(**more))
 
 
 def write(number, body, **more):
-    return codec.command(b"IO.OUT", PIECE, ident(number), names(c="write", k=f"{number:016x}", **more), body)
+    return codec.command(
+        b"IO.OUT", PIECE, request_id(number), names(c="write", k=f"{number:016x}", **more), body
+    )
 
 
 class Client:
     def __init__(self, reader, writer):
-        self.reader, self.writer, self.parser = reader, writer, codec.Replies()
+        self.reader, self.writer, self.parser = reader, writer, codec.ReplyParser()
 
     def send(self, *data):
         self.writer.write(b"".join(data))
@@ -77,7 +79,7 @@
         return await self.reply()
 
 
-class Stage:
+class RunningProgram:
     """Discovery, one storage server per shard, and a running program."""
 
     def __init__(self, discovery, servers, program, task):
@@ -95,14 +97,14 @@
 
 
 @asynccontextmanager
-async def stage(*scripts, **changes):
+async def running_program(*scripts, **changes):
     discovery = await Discovery().start()
     servers = [await StorageServer(script).start() for script in scripts or (echo,)]
     for index, server in enumerate(servers):
         discovery.put(f"s{index}", server.address, index)
     program = Program(parse(json.dumps(config(discovery, **changes))), "")
     task = asyncio.create_task(program.run())
-    found = Stage(discovery, servers, program, task)
+    found = RunningProgram(discovery, servers, program, task)
     await found.until(lambda: program.address is not None or task.done())
     try:
         yield found
@@ -115,7 +117,7 @@
             await server.stop()
 
 
-def on_sockets(test):
+def async_test(test):
     """Run an async test with a 30 s limit; the limit only ends tests that hang."""
 
     @wraps(test)
@@ -129,86 +131,86 @@
     return run
 
 
-@on_sockets
+@async_test
 async def test_a_read_and_a_write_are_forwarded_with_their_words_unchanged():
-    async with stage() as s:
+    async with running_program() as s:
         client = await s.client()
-        assert await client.ask(codec.command(b"PING")) == Status("PONG")
-        assert await client.ask(read(1)) == b"value of " + ident(1)
+        assert await client.ask(codec.command(b"PING")) == StatusReply("PONG")
+        assert await client.ask(read(1)) == b"value of " + request_id(1)
         pool = s.program.transport
-        reusable_at = pool.reuse_delay.ready_at(next(iter(pool.open)).idle_since)
+        reusable_at = pool.reuse_delay.ready_at(next(iter(pool.open_connections)).idle_since)
         await s.until(lambda: pool.clock() >= reusable_at)  # the delay before reuse
-        assert await client.ask(write(2, b"x" * 65536)) == b"value of " + ident(2)
+        assert await client.ask(write(2, b"x" * 65536)) == b"value of " + request_id(2)
         first, second = s.servers[0].seen
-        assert first[:3] == [b"IO.IN", PIECE, ident(1)] and len(first) == 4
+        assert first[:3] == [b"IO.IN", PIECE, request_id(1)] and len(first) == 4
         assert second[0] == b"IO.OUT" and second[4] == b"x" * 65536
-        assert b",k=" + ident(2) in second[3]
+        assert b",k=" + request_id(2) in second[3]
         assert s.servers[0].connections == 1  # the second attempt reused the first connection
 
 
-@on_sockets
+@async_test
 async def test_answers_are_in_the_order_of_the_commands():
     held = []
 
     def slow(words):
-        if words[2] == ident(1):
+        if words[2] == request_id(1):
             held.append(words)
             return None
         return echo(words)
 
-    async with stage(slow, echo) as s:
+    async with running_program(slow, echo) as s:
         client = await s.client()
         client.send(read(1), read(2, shard=1), codec.command(b"PING"), read(3, shard=1))
         await s.until(lambda: len(s.servers[1].seen) == 2)
         for writer in s.servers[0].open:
             writer.write(echo(held[0]))
         assert [await client.reply() for _ in range(4)] == [
-            b"value of " + ident(1),
-            b"value of " + ident(2),
-            Status("PONG"),
-            b"value of " + ident(3),
+            b"value of " + request_id(1),
+            b"value of " + request_id(2),
+            StatusReply("PONG"),
+            b"value of " + request_id(3),
         ]
 
 
-@on_sockets
+@async_test
 async def test_a_request_with_an_open_id_is_refused():
-    async with stage(lambda words: None) as s:
+    async with running_program(lambda words: None) as s:
         first, second = await s.client(), await s.client()
         first.send(read(1))
         await s.until(lambda: s.servers[0].seen)
         reply = await second.ask(read(1))
-        assert isinstance(reply, ErrorLine) and reply.text.startswith("ERR")
+        assert isinstance(reply, ErrorReply) and reply.text.startswith("ERR")
         assert len(s.servers[0].seen) == 1
 
 
-@on_sockets
+@async_test
 async def test_invalid_input_is_answered_with_an_error_and_a_close():
-    async with stage() as s:
+    async with running_program() as s:
         for bad in (b"GET / HTTP/1.1\r\n\r\n", b"*2\r\n$1\r\na\r\n$62914560\r\n", b"*-7\r\n", b"x" * 100000):
             client = await s.client()
             client.send(read(1), bad)
-            assert await client.reply() == b"value of " + ident(1)
-            assert isinstance(await client.reply(), ErrorLine)
+            assert await client.reply() == b"value of " + request_id(1)
+            assert isinstance(await client.reply(), ErrorReply)
             with pytest.raises((EOFError, ConnectionError)):
                 await client.reply()
-        assert s.program.front.malformed == 4
+        assert s.program.front.invalid_input_count == 4
 
 
-@on_sockets
+@async_test
 async def test_an_invalid_command_gets_an_error():
-    async with stage() as s:
+    async with running_program() as s:
         client = await s.client()
         others = (codec.command(b"IO.IN"), codec.command(b"FLUSHALL"))
         for bad in (read(1, c="lead"), read(1, d="soon"), *others):
             reply = await client.ask(bad)
-            assert isinstance(reply, ErrorLine) and reply.text.startswith("ERR")
-        assert await client.ask(read(1)) == b"value of " + ident(1)
+            assert isinstance(reply, ErrorReply) and reply.text.startswith("ERR")
+        assert await client.ask(read(1)) == b"value of " + request_id(1)
         assert len(s.servers[0].seen) == 1
 
 
-@on_sockets
+@async_test
 async def test_silent_connections_are_closed_and_those_with_open_requests_are_not():
-    async with stage(lambda words: None) as s:
+    async with running_program(lambda words: None) as s:
         silent, half, waiting = [await s.client() for _ in range(3)]
         half.send(read(1)[:30])
         waiting.send(read(2))
@@ -218,26 +220,26 @@
         s.program.front.sweep()
         with pytest.raises(EOFError):
             await silent.reply()
-        assert isinstance(await half.reply(), ErrorLine)
+        assert isinstance(await half.reply(), ErrorReply)
         await s.until(lambda: len(s.program.front.clients) == 1)
-        assert s.program.front.owes() == 1
+        assert s.program.front.open_request_count() == 1
 
 
-@on_sockets
+@async_test
 async def test_silent_connections_are_evicted_for_new_ones():
-    async with stage(limits={"sockets": 60, "memory_mb": 64}) as s:
+    async with running_program(limits={"sockets": 60, "memory_mb": 64}) as s:
         most = s.program.front.bounds.max_connections
         for _ in range(2 * most):
             await s.client()
         client = await s.client()
-        assert await client.ask(read(1)) == b"value of " + ident(1)
+        assert await client.ask(read(1)) == b"value of " + request_id(1)
         assert len(s.program.front.clients) <= most
 
 
-@on_sockets
+@async_test
 async def test_a_burst_of_silent_connections_does_not_evict_clients_with_requests():
     """All are accepted before any is read, so clients with a request look as silent as the others."""
-    async with stage(limits={"sockets": 60, "memory_mb": 64}) as s:
+    async with running_program(limits={"sockets": 60, "memory_mb": 64}) as s:
         most = s.program.front.bounds.max_connections
         raw = []
         for number in range(3 * most):
@@ -249,36 +251,41 @@
             if asks:
                 client = Client(*await asyncio.open_connection(sock=sock))
                 s.clients.append(client)
-                assert await client.reply() == b"value of " + ident(number)
-        assert s.program.front.evicted >= most
+                assert await client.reply() == b"value of " + request_id(number)
+        assert s.program.front.evicted_count >= most
         for sock, asks in raw:
             if not asks:
                 sock.close()
 
 
-@on_sockets
+@async_test
 async def test_requests_open_at_the_end_of_the_shutdown_are_answered(monkeypatch):
     """Otherwise a request whose deadline is after the platform's time limit for SIGTERM gets no answer."""
-    for name, value in (("NEW_MS", 20.0), ("COUNTED_MS", 100.0), ("ADDED_MS", 150.0), ("AHEAD_MS", 50.0)):
+    for name, value in (
+        ("ACCEPT_AFTER_SIGTERM_MS", 20.0),
+        ("MAX_DEADLINE_WAIT_MS", 100.0),
+        ("KILL_ALLOWANCE_MS", 150.0),
+        ("ANSWER_LEAD_MS", 50.0),
+    ):
         monkeypatch.setattr(stopping, name, value)
-    async with stage(lambda words: None) as s:
+    async with running_program(lambda words: None) as s:
         client, other = await s.client(), await s.client()
         client.send(write(1, b"x", d=4000))
         other.send(read(2))
-        await s.until(lambda: s.servers[0].seen and s.program.front.owes() == 2)
+        await s.until(lambda: s.servers[0].seen and s.program.front.open_request_count() == 2)
         os.kill(os.getpid(), signal.SIGTERM)
         await s.task
-        assert s.program.front.owes() == 0  # the process may exit at any time from here on
+        assert s.program.front.open_request_count() == 0  # the process may exit at any time from here on
         replies = [await client.reply(), await other.reply()]
         assert [reply.text.split()[0] for reply in replies] == ["ERR", "BUSY"]
         with pytest.raises(EOFError):
             await client.reply()
 
 
-@on_sockets
+@async_test
 async def test_the_log_lists_beliefs_only_for_servers_in_use(capsys):
     """Otherwise the few servers in use are hard to find among hundreds in the log line."""
-    async with stage(echo, echo, echo) as s:
+    async with running_program(echo, echo, echo) as s:
         client = await s.client()
         await client.ask(read(1, shard=1))
         s.program._report()
@@ -305,146 +312,148 @@
 
     server = []
 
-    @on_sockets
+    @async_test
     async def test():
-        async with stage(script) as s:
+        async with running_program(script) as s:
             server.append(s.servers[0])
             client = await s.client()
-            assert await client.ask(read(1)) == b"value of " + ident(1)  # from a second attempt
+            assert await client.ask(read(1)) == b"value of " + request_id(1)  # from a second attempt
             assert s.program.observer.outcomes["error"] == 1
             assert s.servers[0].connections == 2  # the connection with the invalid answer was not reused
 
     test()
 
 
-@pytest.mark.parametrize("more", [echo([b"", b"", ident(1)]), b"noise", b"$-1\r\n"])
+@pytest.mark.parametrize("more", [echo([b"", b"", request_id(1)]), b"noise", b"$-1\r\n"])
 def test_bytes_after_an_answer_are_not_read_as_the_next_answer(more):
-    @on_sockets
+    @async_test
     async def test():
-        async with stage(lambda words: echo(words) + more) as s:
+        async with running_program(lambda words: echo(words) + more) as s:
             client = await s.client()
             for number in (1, 2, 3):
-                assert await client.ask(read(number)) == b"value of " + ident(number)
+                assert await client.ask(read(number)) == b"value of " + request_id(number)
             assert s.servers[0].connections == 3
 
     test()
 
 
-@on_sockets
+@async_test
 async def test_bytes_on_an_idle_connection_close_it():
-    async with stage() as s:
+    async with running_program() as s:
         client = await s.client()
-        assert await client.ask(read(1)) == b"value of " + ident(1)
+        assert await client.ask(read(1)) == b"value of " + request_id(1)
         for writer in s.servers[0].open:
             writer.write(answer(b"of nobody"))
-        await s.until(lambda: not s.program.transport.open)
-        assert await client.ask(read(2)) == b"value of " + ident(2)
+        await s.until(lambda: not s.program.transport.open_connections)
+        assert await client.ask(read(2)) == b"value of " + request_id(2)
 
 
-@on_sockets
+@async_test
 async def test_a_write_that_may_have_run_fails_and_one_answered_busy_is_refused():
     failed, busy = codec.error("ERR failed used=5,cost=1"), codec.error("BUSY")
-    async with stage(lambda words: failed, lambda words: busy) as s:
+    async with running_program(lambda words: failed, lambda words: busy) as s:
         client = await s.client()
         reply = await client.ask(write(1, b"b", d=400))
-        assert isinstance(reply, ErrorLine) and not reply.text.startswith("BUSY")
+        assert isinstance(reply, ErrorReply) and not reply.text.startswith("BUSY")
         reply = await client.ask(write(2, b"b", d=400, shard=1))
-        assert isinstance(reply, ErrorLine) and reply.text.startswith("BUSY")
+        assert isinstance(reply, ErrorReply) and reply.text.startswith("BUSY")
         assert len(s.servers[0].seen) <= 3 and s.servers[1].seen
 
 
-@on_sockets
+@async_test
 async def test_a_disconnected_clients_attempt_is_cancelled():
-    async with stage(lambda words: None) as s:
+    async with running_program(lambda words: None) as s:
         client = await s.client()
         client.send(read(1))
         await s.until(lambda: s.servers[0].seen)
         client.writer.close()
         await s.until(lambda: not s.servers[0].open)
         driver = s.program.driver
-        assert not driver.pending and not driver.ledger.entries and not s.program.front.owes()
+        assert not driver.pending and not driver.ledger.entries and not s.program.front.open_request_count()
         # Without the notification to the driver, the above would hold only at the request's deadline.
         assert driver.ledger.answer_counts[Verdict.LEFT] == 1
         assert s.program.observer.outcomes["cancelled"] == 1 and not s.program.observer.outcomes["timeout"]
 
 
-@on_sockets
+@async_test
 async def test_a_waiting_request_of_a_disconnected_client_is_never_sent():
     """A request can wait for a server, a connection or a descriptor; here its only server is draining."""
-    async with stage(lambda words: None) as s:
+    async with running_program(lambda words: None) as s:
         first, second = await s.client(), await s.client()
         first.send(read(1))
         await s.until(lambda: s.servers[0].seen)
         s.discovery.put("s0", s.servers[0].address, 0, health="leaving")
         await s.until(lambda: s.program.driver.ledger.nodes["s0"].state is NodeState.DRAINING)
         second.send(read(2))
-        await s.until(lambda: s.program.front.owes() == 2)
+        await s.until(lambda: s.program.front.open_request_count() == 2)
         second.writer.close()
-        await s.until(lambda: s.program.front.owes() == 1)
+        await s.until(lambda: s.program.front.open_request_count() == 1)
         assert s.program.driver.ledger.answer_counts[Verdict.LEFT] == 1 and len(s.program.driver.pending) == 1
         s.discovery.put("s0", s.servers[0].address, 0)
         await s.until(lambda: s.program.driver.ledger.nodes["s0"].state is NodeState.READY)
         third = await s.client()
         third.send(read(3))
         await s.until(lambda: len(s.servers[0].seen) == 2)
-        assert [words[2] for words in s.servers[0].seen] == [ident(1), ident(3)]
+        assert [words[2] for words in s.servers[0].seen] == [request_id(1), request_id(3)]
 
 
-@on_sockets
+@async_test
 async def test_a_server_that_cannot_be_reached_proves_that_nothing_ran():
-    async with stage() as s:
+    async with running_program() as s:
         await s.servers[0].stop()
         client = await s.client()
         reply = await client.ask(write(1, b"b", d=3000))
-        assert isinstance(reply, ErrorLine) and reply.text.startswith("BUSY")
+        assert isinstance(reply, ErrorReply) and reply.text.startswith("BUSY")
         assert s.program.observer.outcomes["no connection"] >= 1
 
 
-@on_sockets
+@async_test
 async def test_an_unanswered_request_gets_an_error_and_leaves_no_state():
-    async with stage(lambda words: None) as s:
+    async with running_program(lambda words: None) as s:
         client = await s.client()
-        assert isinstance(await client.ask(read(1, d=150)), ErrorLine)
+        assert isinstance(await client.ask(read(1, d=150)), ErrorReply)
         await s.until(lambda: not s.program.driver.in_flight)
         assert not s.program.driver.ledger.entries
 
 
-@on_sockets
+@async_test
 async def test_changes_in_discovery_reach_the_scheduler_and_a_new_address_is_used():
-    async with stage(echo, echo) as s:
+    async with running_program(echo, echo) as s:
         nodes = s.program.driver.ledger.nodes
         s.discovery.put("s1", s.servers[1].address, 1, health="leaving")
         await s.until(lambda: nodes["s1"].state is NodeState.DRAINING)
         s.discovery.put("s0", s.servers[1].address, 0)  # the name now refers to another machine
-        await s.until(lambda: s.program.servers.dials["s0"][1] == int(s.servers[1].address.split(":")[1]))
+        await s.until(
+            lambda: s.program.servers.dial_addresses["s0"][1] == int(s.servers[1].address.split(":")[1])
+        )
         client = await s.client()
-        assert await client.ask(read(1)) == b"value of " + ident(1)
+        assert await client.ask(read(1)) == b"value of " + request_id(1)
         assert s.servers[1].seen and not s.servers[0].seen
 
 
-@on_sockets
+@async_test
 async def test_a_failed_call_to_discovery_is_retried():
-    async with stage() as s:
+    async with running_program() as s:
         await s.until(lambda: s.discovery.calls >= 2)
         s.discovery.failing = True
         s.discovery.put("s0", s.servers[0].address, 0)  # completes the watch; the next call fails
-        await s.until(lambda: s.program.watch.failed)
+        await s.until(lambda: s.program.watch.failed_rounds)
         s.discovery.failing = False
         s.discovery.put("s9", s.servers[0].address, 3)
         await s.until(lambda: "s9" in s.program.driver.ledger.nodes)
 
 
-@on_sockets
+@async_test
 async def test_a_new_discovery_address_is_used_at_once():
-    async with stage() as s:
+    async with running_program() as s:
         await s.until(lambda: s.discovery.calls >= 2)  # the watch is pending
         other = await Discovery().start()
         other.version = s.discovery.version
-        s.program.watch.move(parse(json.dumps(config(other))).discovery)
+        s.program.watch.change_address(parse(json.dumps(config(other))).discovery)
         await s.until(lambda: other.calls >= 2)
         other.put("s5", s.servers[0].address, 2)
         await s.until(lambda: "s5" in s.program.driver.ledger.nodes)
-        assert not s.program.watch.failed
+        assert not s.program.watch.failed_rounds
 
 
 def test_a_missing_or_invalid_configuration_is_reported_in_one_line(tmp_path):
@@ -464,7 +473,7 @@
 def test_the_process_reloads_on_sighup_and_answers_all_requests_after_sigterm(tmp_path):
     path = tmp_path / "config.json"
 
-    @on_sockets
+    @async_test
     async def test():
         held = []
 
@@ -475,7 +484,7 @@
         discovery, other = await Discovery().start(), await Discovery().start()
         server = await StorageServer(script).start()
         discovery.put("s0", server.address, 0)
-        with socket_free() as port:
+        with unused_port() as port:
             value = config(discovery, listen=f"127.0.0.1:{port}")
         for profile in value["settings"]["profiles"]:
             profile["give_up_ms"] = 3000.0
@@ -504,10 +513,10 @@
             process.send_signal(signal.SIGTERM)
             for writer in server.open:
                 writer.write(echo(held[0]))
-            assert await client.reply() == b"value of " + ident(1)
+            assert await client.reply() == b"value of " + request_id(1)
             server.script = echo
             # Open connections are still served.
-            assert await client.ask(read(2, d=3000)) == b"value of " + ident(2)
+            assert await client.ask(read(2, d=3000)) == b"value of " + request_id(2)
             with pytest.raises((EOFError, ConnectionError)):
                 await client.reply()
             assert await process.wait() == 0
@@ -520,7 +529,7 @@
     test()
 
 
-class socket_free:  # noqa: N801
+class unused_port:  # noqa: N801
     """Return a TCP port that is not in use."""
 
     def __enter__(self):
@@ -599,7 +608,7 @@
     leave_by = float("inf")
 
     def __init__(self):
-        self.op = Reader(*READER).read([b"IO.IN", PIECE, ident(1), names()])
+        self.op = CommandReader(*READER).read([b"IO.IN", PIECE, request_id(1), names()])
         self.attempt = Attempt(0, Node("s0", 0), 1000.0)
         self.endings = []
 
@@ -683,11 +692,11 @@
 
 def test_the_connection_with_most_unread_bytes_is_closed_first():
     driver = SimpleNamespace(left=lambda name: True)
-    bounds = FrontBounds(max_connections=9, max_asking=9, max_unread=100)
-    front = Front(Reader(*READER), driver, bounds, lambda: 0.0)
+    bounds = FrontBounds(max_connections=9, max_active_connections=9, max_unread_bytes=100)
+    front = Front(CommandReader(*READER), driver, bounds, lambda: 0.0)
     clients = []
     for held in (60, 30, 50):
-        client = front.protocol()
+        client = front.create_protocol()
         client.transport = RecordingTransport()
         client.transport.held = held
         front.clients[client] = None
@@ -696,32 +705,32 @@
     assert [c.transport.closed for c in clients] == [True, False, False]
 
 
-@on_sockets
+@async_test
 async def test_idle_connections_over_the_limit_are_closed():
     """Otherwise idle connections would use up the limit on connections."""
-    async with stage(limits={"sockets": 100, "memory_mb": 64}) as s:
-        most = s.program.front.bounds.max_asking
+    async with running_program(limits={"sockets": 100, "memory_mb": 64}) as s:
+        most = s.program.front.bounds.max_active_connections
         clients = [await s.client() for _ in range(most + 5)]
         for number, client in enumerate(clients):
-            assert await client.ask(read(number)) == b"value of " + ident(number)
+            assert await client.ask(read(number)) == b"value of " + request_id(number)
         for client in clients[:5]:  # the longest idle
             with pytest.raises((EOFError, ConnectionError)):
                 await client.reply()
-        assert await clients[5].ask(read(99)) == b"value of " + ident(99)
-        await s.until(lambda: s.program.front.asking == most)
+        assert await clients[5].ask(read(99)) == b"value of " + request_id(99)
+        await s.until(lambda: s.program.front.active_connection_count == most)
 
 
 def test_a_new_connection_is_evicted_after_all_others():
     now = [0.0]
     driver = SimpleNamespace(left=lambda name: True)
-    bounds = FrontBounds(max_connections=3, max_asking=9, max_unread=100)
-    front = Front(Reader(*READER), driver, bounds, lambda: now[0])
+    bounds = FrontBounds(max_connections=3, max_active_connections=9, max_unread_bytes=100)
+    front = Front(CommandReader(*READER), driver, bounds, lambda: now[0])
 
     def connect(asked=False):
-        client = front.protocol()
+        client = front.create_protocol()
         client.transport = RecordingTransport()
         client.has_sent_command = asked
-        front.asking += asked
+        front.active_connection_count += asked
         front._on_connected(client)
         return client
 
@@ -738,14 +747,14 @@
         False,
         False,
     ]
-    assert front.asking == 0 and len(front.clients) == 3
+    assert front.active_connection_count == 0 and len(front.clients) == 3
 
 
 def test_a_closed_connection_whose_peer_never_reads_is_closed_after_the_write_timeout():
     now = [0.0]
-    bounds = FrontBounds(max_connections=9, max_asking=9, max_unread=100)
-    front = Front(Reader(*READER), SimpleNamespace(left=lambda name: True), bounds, lambda: now[0])
-    client = front.protocol()
+    bounds = FrontBounds(max_connections=9, max_active_connections=9, max_unread_bytes=100)
+    front = Front(CommandReader(*READER), SimpleNamespace(left=lambda name: True), bounds, lambda: now[0])
+    client = front.create_protocol()
     client.transport = RecordingTransport()
     front._on_connected(client)
     client.data_received(b"*x\r\n")
@@ -762,11 +771,16 @@
 
 def test_lingering_is_limited_in_time_bytes_and_connections():
     now = [0.0]
-    bounds = FrontBounds(max_connections=9, max_asking=9, max_unread=100, linger=LingerBounds(2000.0, 500, 2))
-    front = Front(Reader(*READER), SimpleNamespace(left=lambda name: True), bounds, lambda: now[0])
+    bounds = FrontBounds(
+        max_connections=9,
+        max_active_connections=9,
+        max_unread_bytes=100,
+        linger_bounds=LingerBounds(2000.0, 500, 2),
+    )
+    front = Front(CommandReader(*READER), SimpleNamespace(left=lambda name: True), bounds, lambda: now[0])
     clients = []
     for _ in range(4):
-        client = front.protocol()
+        client = front.create_protocol()
         client.transport = RecordingTransport()
         front._on_connected(client)
         client.data_received(b"*x\r\n")
@@ -778,7 +792,7 @@
     assert not clients[2].transport.closed
     clients[2].data_received(b"x" * 101)
     assert clients[2].transport.closed
-    now[0] = 3 + bounds.linger.timeout_ms
+    now[0] = 3 + bounds.linger_bounds.timeout_ms
     front.sweep()
     assert not clients[3].transport.closed
     now[0] += 1
@@ -787,17 +801,17 @@
 
 
 def test_a_lingering_connection_is_evicted_first():
-    bounds = FrontBounds(max_connections=2, max_asking=9, max_unread=100)
-    front = Front(Reader(*READER), SimpleNamespace(left=lambda name: True), bounds, lambda: 0.0)
+    bounds = FrontBounds(max_connections=2, max_active_connections=9, max_unread_bytes=100)
+    front = Front(CommandReader(*READER), SimpleNamespace(left=lambda name: True), bounds, lambda: 0.0)
     clients = []
     for _ in range(3):
-        client = front.protocol()
+        client = front.create_protocol()
         client.transport = RecordingTransport()
         front._on_connected(client)
         clients.append(client)
         if len(clients) == 1:
             client.data_received(b"*x\r\n")
-    assert [c.transport.closed for c in clients] == [True, False, False] and not front.evicted
+    assert [c.transport.closed for c in clients] == [True, False, False] and not front.evicted_count
 
 
 class LimitedPool:
@@ -825,7 +839,7 @@
         return call.endings[0].outcome
 
 
-@on_sockets
+@async_test
 async def test_attempts_wait_for_a_descriptor_instead_of_failing():
     """In a network partition, hanging attempts can hold every descriptor; healthy servers still get work."""
     servers = [await StorageServer(script).start() for script in (lambda words: None, echo, echo)]
@@ -842,7 +856,7 @@
     assert await limited_pool.ended(hung) is Outcome.CANCELLED
     assert [await limited_pool.ended(call) for call in waiting] == [Outcome.OK] * 4
     assert (
-        len(limited_pool.pool.open) == 1
+        len(limited_pool.pool.open_connections) == 1
         and not limited_pool.pool.queue
         and not limited_pool.pool.connecting_count
     )
@@ -850,7 +864,7 @@
         await server.stop()
 
 
-@on_sockets
+@async_test
 async def test_an_attempt_that_got_no_descriptor_does_not_count_against_the_server():
     servers = [await StorageServer(lambda words: None).start()]
     limited_pool = LimitedPool(servers)
@@ -860,7 +874,7 @@
     await servers[0].stop()
 
 
-@on_sockets
+@async_test
 async def test_an_attempt_that_may_not_be_sent_any_more_is_not_written():
     """A drain's grace period or a key's deduplication window can end while the connection is opened."""
     servers = [await StorageServer(echo).start()]
@@ -870,11 +884,11 @@
     call, _ = limited_pool.call(0)
     assert await limited_pool.ended(call) is Outcome.OK
     # The connection is kept for the next attempt.
-    assert len(servers[0].seen) == 1 and limited_pool.pool.opened == 1
+    assert len(servers[0].seen) == 1 and limited_pool.pool.opened_count == 1
     await servers[0].stop()
 
 
-@on_sockets
+@async_test
 async def test_a_cancelled_attempt_resets_its_connection():
     """Otherwise buffered bytes arrive after a partition ends, when the limit is used by other attempts."""
     servers = [await StorageServer(lambda words: None).start()]
@@ -882,7 +896,7 @@
     call, flight = limited_pool.call(0)
     while not servers[0].seen:
         await asyncio.sleep(0.001)
-    (connection,) = limited_pool.pool.open
+    (connection,) = limited_pool.pool.open_connections
     raw = connection.transport.get_extra_info("socket")
     linger = raw.getsockopt(socket.SOL_SOCKET, socket.SO_LINGER, 8)
     assert struct.unpack("ii", linger) == (1, 0)
--- a/tests/test_platform_endings.py
+++ b/tests/test_platform_connections.py
@@ -17,11 +17,20 @@
 from cressrock.platform import stopping
 from cressrock.resp import codec
 from cressrock.resp import front as front_module
-from cressrock.resp.codec import ErrorLine, Status
+from cressrock.resp.codec import ErrorReply, StatusReply
+from cressrock.resp.eviction import choose_eviction
 from cressrock.resp.front import Front, FrontBounds
-from cressrock.resp.request import Reader
-from cressrock.resp.room import choose_eviction
-from tests.test_platform import READER, Client, RecordingTransport, ident, on_sockets, read, stage, write
+from cressrock.resp.request import CommandReader
+from tests.test_platform import (
+    READER,
+    Client,
+    RecordingTransport,
+    async_test,
+    read,
+    request_id,
+    running_program,
+    write,
+)
 
 
 def connect_raw(s, **options):
@@ -49,7 +58,7 @@
 async def as_client(s, sock):
     """Wrap a connected plain socket in a Client."""
     client = Client(*await asyncio.open_connection(sock=sock))
-    client.parser = codec.Replies(1 << 21)
+    client.parser = codec.ReplyParser(1 << 21)
     s.clients.append(client)
     return client
 
@@ -75,26 +84,26 @@
     return None
 
 
-@on_sockets
+@async_test
 async def test_an_answer_is_not_lost_to_a_reset_over_unread_input():
     """Closing a socket with unread input resets the connection, which discards answers in transit."""
-    async with stage() as s:
+    async with running_program() as s:
         sock = connect_raw(s)
         # More than one read: when the error line is written, the kernel still holds input.
         ping = codec.command(b"PING")
         await asyncio.to_thread(sock.sendall, ping + b"GET / HTTP/1.1\r\n" + b"x" * 700_000)
         client = await as_client(s, sock)
         replies = await read_until_end(client)
-        assert replies[0] == Status("PONG") and isinstance(replies[1], ErrorLine) and len(replies) == 2
+        assert replies[0] == StatusReply("PONG") and isinstance(replies[1], ErrorReply) and len(replies) == 2
         client.writer.close()
-        await s.until(lambda: s.program.front.ended())
+        await s.until(lambda: s.program.front.all_closed())
 
 
-@on_sockets
+@async_test
 async def test_a_request_read_after_the_shutdown_is_not_sent():
-    async with stage() as s:
+    async with running_program() as s:
         client = await s.client()
-        assert await client.ask(read(1)) == b"value of " + ident(1)
+        assert await client.ask(read(1)) == b"value of " + request_id(1)
         front_client(s, client).end()
         client.send(read(2))  # sent before the client reads the end
         await client.writer.drain()
@@ -106,18 +115,18 @@
             )
         )
         client.writer.close()
-        await s.until(lambda: s.program.front.ended())
-        assert [words[2] for words in s.servers[0].seen] == [ident(1)]
+        await s.until(lambda: s.program.front.all_closed())
+        assert [words[2] for words in s.servers[0].seen] == [request_id(1)]
 
 
 @pytest.mark.parametrize("ending", ["sweep", "leave", "yield"])
-@on_sockets
+@async_test
 async def test_a_request_in_the_kernel_keeps_its_connection_from_being_ended(ending):
-    async with stage() as s:
+    async with running_program() as s:
         front = s.program.front
         client, other = await s.client(), await s.client()
-        assert await client.ask(read(1)) == b"value of " + ident(1)
-        assert await other.ask(codec.command(b"PING")) == Status("PONG")
+        assert await client.ask(read(1)) == b"value of " + request_id(1)
+        assert await other.ask(codec.command(b"PING")) == StatusReply("PONG")
         mine = front_client(s, client)
         # The request is in the kernel; the event loop has not run.
         client.writer.get_extra_info("socket")._sock.send(read(2))
@@ -127,22 +136,22 @@
             front.sweep()
             front.clock = clock
         elif ending == "leave":
-            front.leave()
+            front.close_idle()
         else:
-            object.__setattr__(front.bounds, "max_asking", 1)
+            object.__setattr__(front.bounds, "max_active_connections", 1)
             front._keep_idle(front_client(s, other))
         assert not mine.is_ending
-        assert await client.reply() == b"value of " + ident(2)
+        assert await client.reply() == b"value of " + request_id(2)
         client.writer.close()
 
 
-@on_sockets
+@async_test
 async def test_the_idle_timeout_restarts_with_the_first_byte_of_a_command():
     """Otherwise a command that begins shortly before the idle timeout is cut off."""
-    async with stage() as s:
+    async with running_program() as s:
         front, clock = s.program.front, s.program.front.clock
         client, silent = await s.client(), await s.client()
-        assert await client.ask(read(1)) == b"value of " + ident(1)
+        assert await client.ask(read(1)) == b"value of " + request_id(1)
         silent.send(read(2)[:20])
         await s.until(lambda: front_client(s, silent) and front_client(s, silent).parser.is_partial)
         front.clock = lambda: clock() + front.bounds.idle_timeout_ms - 100
@@ -157,87 +166,91 @@
         front.clock = lambda: clock() + front.bounds.idle_timeout_ms + 100
         front.sweep()
         client.send(read(3)[40:])
-        assert await client.reply() == b"value of " + ident(3)
+        assert await client.reply() == b"value of " + request_id(3)
         # This client had sent no command before, so its timeout counts from connecting.
-        assert isinstance((await read_until_end(silent))[0], ErrorLine)
+        assert isinstance((await read_until_end(silent))[0], ErrorReply)
 
 
-@on_sockets
+@async_test
 async def test_an_incomplete_command_is_waited_for_during_shutdown():
-    async with stage() as s:
+    async with running_program() as s:
         client = await s.client()
         client.send(read(1)[:40])
         await s.until(lambda: front_client(s, client).parser.is_partial)
-        s.program.front.leave()
+        s.program.front.close_idle()
         client.send(read(1)[40:])
-        assert await read_until_end(client) == [b"value of " + ident(1)]
+        assert await read_until_end(client) == [b"value of " + request_id(1)]
 
 
-@on_sockets
+@async_test
 async def test_a_connection_with_unsent_output_is_not_evicted():
     """Closing at once would discard the rest of an answer that its client is still reading."""
     large = b"y" * 1_500_000
 
-    async with stage(lambda words: answer(large), limits={"sockets": 60, "memory_mb": 192}) as s:
+    async with running_program(lambda words: answer(large), limits={"sockets": 60, "memory_mb": 192}) as s:
         front = s.program.front
         slow = await connect_with_small_buffers(s)
         slow.sendall(read(1))
         await s.until(lambda: s.servers[0].seen and any(not c.is_flushed() for c in front.clients))
         others = [connect_raw(s) for _ in range(2 * front.bounds.max_connections)]
-        await s.until(lambda: front.evicted >= front.bounds.max_connections)
+        await s.until(lambda: front.evicted_count >= front.bounds.max_connections)
         client = await as_client(s, slow)
         assert await client.reply() == large
         for sock in others:
             sock.close()
 
 
-@on_sockets
+@async_test
 async def test_a_disconnect_is_detected_while_reading_is_paused():
     """Reading is paused while a client does not read its answers, so its end must be polled for."""
     large = b"y" * 1_500_000
 
     def script(words):
-        return answer(large) if words[2] == ident(1) else None
+        return answer(large) if words[2] == request_id(1) else None
 
-    async with stage(script, lambda words: None) as s:
+    async with running_program(script, lambda words: None) as s:
         front = s.program.front
         sock = await connect_with_small_buffers(s)
         sock.sendall(read(1) + read(2, shard=1))
-        await s.until(lambda: front.owes() == 1 and any(c.blocked_since is not None for c in front.clients))
+        await s.until(
+            lambda: (
+                front.open_request_count() == 1 and any(c.blocked_since is not None for c in front.clients)
+            )
+        )
         sock.shutdown(socket.SHUT_WR)
-        await s.until(lambda: not front.owes())
+        await s.until(lambda: not front.open_request_count())
         assert s.program.driver.ledger.answer_counts[Verdict.LEFT] == 1 and not s.program.driver.pending
         sock.close()
 
 
-@on_sockets
+@async_test
 async def test_a_disconnect_after_invalid_input_is_detected():
-    async with stage(lambda words: None) as s:
+    async with running_program(lambda words: None) as s:
         client = await s.client()
         client.send(read(1), b"GET / HTTP/1.1\r\n\r\n")
-        await s.until(lambda: s.servers[0].seen and s.program.front.malformed)
+        await s.until(lambda: s.servers[0].seen and s.program.front.invalid_input_count)
         client.writer.close()
-        await s.until(lambda: not s.program.front.owes())
+        await s.until(lambda: not s.program.front.open_request_count())
         assert s.program.driver.ledger.answer_counts[Verdict.LEFT] == 1 and not s.program.driver.pending
 
 
-@on_sockets
+@async_test
 async def test_a_reset_cancels_all_requests_of_the_connection():
-    async with stage(lambda words: None) as s:
+    async with running_program(lambda words: None) as s:
         client = await s.client()
         client.send(*(read(number, shard=number % 2) for number in range(1, 9)))
-        await s.until(lambda: s.program.front.owes() == 8)
+        await s.until(lambda: s.program.front.open_request_count() == 8)
         sock = client.writer.get_extra_info("socket")
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
         client.writer.transport.abort()
-        await s.until(lambda: not s.program.front.owes())
+        await s.until(lambda: not s.program.front.open_request_count())
         assert s.program.driver.ledger.answer_counts[Verdict.LEFT] == 8 and not s.program.driver.pending
 
 
-@on_sockets
+@async_test
 async def test_many_commands_in_one_read_are_all_processed_in_parts():
     """One read can hold thousands of commands, which must not delay the other clients' answers."""
-    async with stage() as s:
+    async with running_program() as s:
         sock = connect_raw(s)
         other = await s.client()
         number = 5000
@@ -248,27 +261,27 @@
         def sample():
             mine = [c for c in s.program.front.clients if c.parser.has_more]
             had_more.append(bool(mine))
-            if all(words[2] != ident(1) for words in s.servers[0].seen):
+            if all(words[2] != request_id(1) for words in s.servers[0].seen):
                 loop.call_soon(sample)
 
         sample()
-        assert await other.ask(read(2)) == b"value of " + ident(2)
+        assert await other.ask(read(2)) == b"value of " + request_id(2)
         client = await as_client(s, sock)
         for _ in range(number):
-            assert await client.reply() == Status("PONG")
-        assert await client.reply() == b"value of " + ident(1)
+            assert await client.reply() == StatusReply("PONG")
+        assert await client.reply() == b"value of " + request_id(1)
         # The event loop ran between the parts.
         assert sum(had_more) >= number // s.program.front.bounds.max_pipeline // 2
 
 
-@on_sockets
+@async_test
 async def test_a_connection_with_buffered_commands_is_not_ended():
-    async with stage() as s:
+    async with running_program() as s:
         front, original, seen = s.program.front, s.program.front._command, []
 
         def leave():
             seen.append([c.parser.has_more for c in front.clients])
-            front.leave()
+            front.close_idle()
 
         def process_command(*args):
             if front.submitted_count == 0 and not seen:
@@ -282,13 +295,18 @@
         await s.until(lambda: len(seen) == 2)
         assert seen[1] == [True] and not any(c.is_ending for c in front.clients)
         replies = await read_until_end(await as_client(s, sock))
-        assert len(replies) == 1001 and replies[-1] == b"value of " + ident(1)
+        assert len(replies) == 1001 and replies[-1] == b"value of " + request_id(1)
 
 
-@on_sockets
+@async_test
 async def test_a_connection_with_buffered_commands_is_not_evicted():
-    front = Front(Reader(*READER), None, FrontBounds(max_connections=1, max_asking=9, max_unread=100), float)
-    first, second = front.protocol(), front.protocol()
+    front = Front(
+        CommandReader(*READER),
+        None,
+        FrontBounds(max_connections=1, max_active_connections=9, max_unread_bytes=100),
+        float,
+    )
+    first, second = front.create_protocol(), front.create_protocol()
     for client in (first, second):
         client.transport = RecordingTransport()
     front._on_connected(first)
@@ -307,23 +325,23 @@
         return choose_eviction(candidates, new_since)
 
     monkeypatch.setattr(front_module, "choose_eviction", counting)
-    bounds = FrontBounds(max_connections=100, max_asking=99, max_unread=100)
-    front = Front(Reader(*READER), None, bounds, lambda: 0.0)
+    bounds = FrontBounds(max_connections=100, max_active_connections=99, max_unread_bytes=100)
+    front = Front(CommandReader(*READER), None, bounds, lambda: 0.0)
     for _ in range(300):
-        client = front.protocol()
+        client = front.create_protocol()
         client.transport = RecordingTransport()
         front._on_connected(client)
-    assert front.evicted == 200 and len(front.clients) == 100
+    assert front.evicted_count == 200 and len(front.clients) == 100
     assert len(scanned_counts) == 200 and max(scanned_counts) <= 2
 
 
-@on_sockets
+@async_test
 async def test_a_connection_skipped_for_unread_input_can_be_evicted_after_it_was_read():
-    bounds = FrontBounds(max_connections=2, max_asking=9, max_unread=100)
-    front = Front(Reader(*READER), None, bounds, lambda: 0.0)
+    bounds = FrontBounds(max_connections=2, max_active_connections=9, max_unread_bytes=100)
+    front = Front(CommandReader(*READER), None, bounds, lambda: 0.0)
 
     def connect():
-        client = front.protocol()
+        client = front.create_protocol()
         client.transport = RecordingTransport()
         front._on_connected(client)
         return client
@@ -342,31 +360,38 @@
         monkeypatch.setattr(stopping, name, value)
 
 
-@on_sockets
+@async_test
 async def test_a_connection_in_the_backlog_is_served_when_the_listener_closes(monkeypatch):
-    async with stage() as s:
+    async with running_program() as s:
         listener, last = s.program.listener, s.program.front.clock() + 10_000
         sock = connect_raw(s)  # accepted by the kernel, not by the process
         sock.sendall(read(1))
         await s.program._unlisten(listener, last)
         client = await as_client(s, sock)
-        assert await client.reply() == b"value of " + ident(1)
+        assert await client.reply() == b"value of " + request_id(1)
         assert not listener.is_serving()
 
 
-@on_sockets
+@async_test
 async def test_the_process_waits_for_unsent_answers_before_it_exits(monkeypatch):
     """Output buffered in the process or the kernel could be lost when the process exits."""
     set_stopping_times(
-        monkeypatch, NEW_MS=0.0, COUNTED_MS=100.0, ADDED_MS=20_000.0, AHEAD_MS=19_900.0, EXIT_MS=0.0
+        monkeypatch,
+        ACCEPT_AFTER_SIGTERM_MS=0.0,
+        MAX_DEADLINE_WAIT_MS=100.0,
+        KILL_ALLOWANCE_MS=20_000.0,
+        ANSWER_LEAD_MS=19_900.0,
+        EXIT_LEAD_MS=0.0,
     )
     large = b"y" * 1_500_000
-    async with stage(lambda words: answer(large)) as s:
+    async with running_program(lambda words: answer(large)) as s:
         sock = await connect_with_small_buffers(s)
         sock.sendall(read(1))
         await s.until(lambda: any(not c.is_flushed() for c in s.program.front.clients))
         os.kill(os.getpid(), signal.SIGTERM)
-        await s.until(lambda: s.program.turns._ended)  # all requests are answered; only output is pending
+        await s.until(
+            lambda: s.program.loop_batches._stopped
+        )  # all requests are answered; only output is pending
         await asyncio.wait([s.task], timeout=0.2)  # without the wait the task would be done by now
         assert not s.task.done()
         client = await as_client(s, sock)
@@ -375,49 +400,54 @@
         await s.task
 
 
-@on_sockets
+@async_test
 async def test_each_open_request_is_answered_once_after_two_sigterms(monkeypatch):
     set_stopping_times(
-        monkeypatch, NEW_MS=10.0, COUNTED_MS=100.0, ADDED_MS=400.0, AHEAD_MS=100.0, EXIT_MS=0.0
+        monkeypatch,
+        ACCEPT_AFTER_SIGTERM_MS=10.0,
+        MAX_DEADLINE_WAIT_MS=100.0,
+        KILL_ALLOWANCE_MS=400.0,
+        ANSWER_LEAD_MS=100.0,
+        EXIT_LEAD_MS=0.0,
     )
 
     def half(words):
-        return echo(words)[:12] if words[2] == ident(3) else None
+        return echo(words)[:12] if words[2] == request_id(3) else None
 
-    async with stage(half) as s:
+    async with running_program(half) as s:
         s.discovery.put("s9", "127.0.0.1:1", 3, health="leaving")
         sent, waiting, begun, idle, incomplete = [await s.client() for _ in range(5)]
         sent.send(write(1, b"x"))
         waiting.send(read(2, shard=3))
         begun.send(write(3, b"y"))
         incomplete.send(read(4)[:30])
-        assert await idle.ask(codec.command(b"PING")) == Status("PONG")
-        await s.until(lambda: s.program.front.owes() == 3 and len(s.servers[0].seen) == 2)
+        assert await idle.ask(codec.command(b"PING")) == StatusReply("PONG")
+        await s.until(lambda: s.program.front.open_request_count() == 3 and len(s.servers[0].seen) == 2)
         os.kill(os.getpid(), signal.SIGTERM)
         await asyncio.sleep(0)
         os.kill(os.getpid(), signal.SIGTERM)
         await asyncio.sleep(0)
         # An idle client is still served: the process does not exit early.
-        assert isinstance(await idle.ask(codec.command(b"SELECT", b"0")), Status)
+        assert isinstance(await idle.ask(codec.command(b"SELECT", b"0")), StatusReply)
         all_replies = [await read_until_end(client) for client in (sent, waiting, begun, idle, incomplete)]
         assert [len(replies) for replies in all_replies] == [1, 1, 1, 0, 0]
         assert [all_replies[i][0].text.split()[0] for i in range(3)] == ["ERR", "BUSY", "ERR"]
-        assert not s.program.front.owes()
+        assert not s.program.front.open_request_count()
         for client in s.clients:
             client.writer.close()
         await s.task
 
 
-@on_sockets
+@async_test
 async def test_no_attempt_is_started_after_all_requests_were_answered():
-    async with stage(lambda words: None) as s:
+    async with running_program(lambda words: None) as s:
         s.discovery.put("s0", s.servers[0].address, 0, health="leaving")
         await s.until(lambda: s.program.driver.ledger.nodes["s0"].state is NodeState.DRAINING)
         client = await s.client()
         client.send(read(1))
-        await s.until(lambda: s.program.front.owes() == 1)
+        await s.until(lambda: s.program.front.open_request_count() == 1)
         s.program.driver.abort_pending()
-        s.program.turns.end()
+        s.program.loop_batches.stop()
         s.discovery.put("s0", s.servers[0].address, 0)  # the scheduler would start the request now
         await s.until(lambda: s.program.driver.ledger.nodes["s0"].state is NodeState.READY)
         await asyncio.sleep(0)
--- a/tests/test_platform_leaving.py
+++ b/tests/test_platform_disconnects.py
@@ -14,9 +14,9 @@
 from cressrock.interface import ListKind, Node, NodeList, NodeState
 from cressrock.lab.platform import answer, echo
 from cressrock.resp import codec
-from tests.test_platform import Client, ident, on_sockets, read, stage, write
-from tests.test_platform_endings import connect_raw, connect_with_small_buffers
-from tests.test_platform_nodes import ManualServer, patch_connection_made, read_to_end
+from tests.test_platform import Client, async_test, read, request_id, running_program, write
+from tests.test_platform_connections import connect_raw, connect_with_small_buffers
+from tests.test_platform_pool import ManualServer, patch_connection_made, read_to_end
 
 LARGE = b"y" * 1_500_000
 
@@ -52,12 +52,12 @@
 async def serve_other_client(s, **more):
     """Serve a request of another client, so that everything started before is complete."""
     client = await s.client()
-    assert await client.ask(read(900, **more)) == b"value of " + ident(900)
+    assert await client.ask(read(900, **more)) == b"value of " + request_id(900)
 
 
 def count_attempts(s, number):
     """Return the number of attempts of a request that reached servers."""
-    return sum(words[2] == ident(number) for server in s.servers for words in server.seen)
+    return sum(words[2] == request_id(number) for server in s.servers for words in server.seen)
 
 
 def withhold(*numbers):
@@ -65,7 +65,7 @@
     withheld = {}
 
     def script(words):
-        if words[2] in [ident(number) for number in numbers]:
+        if words[2] in [request_id(number) for number in numbers]:
             withheld[words[2]] = words
             return None
         return echo(words)
@@ -79,15 +79,17 @@
 
 
 @leaving
-@on_sockets
+@async_test
 async def test_a_request_followed_by_a_disconnect_is_not_sent(leave):
     """Its commands are read in one iteration of the event loop, but the end only in the next."""
-    async with stage() as s:
+    async with running_program() as s:
         await prepare_idle_connection(s)
         sock = connect_raw(s)
         sock.sendall(read(1) + read(2))
         leave(sock)
-        await s.until(lambda: s.program.front.submitted_count == 3 and not s.program.front.owes())
+        await s.until(
+            lambda: s.program.front.submitted_count == 3 and not s.program.front.open_request_count()
+        )
         await serve_other_client(s)
         assert not count_attempts(s, 1) and not count_attempts(s, 2)
         assert s.program.driver.ledger.answer_counts[Verdict.LEFT] == 2
@@ -95,30 +97,34 @@
 
 
 @leaving
-@on_sockets
+@async_test
 async def test_no_connection_is_opened_for_a_disconnected_client(leave):
-    async with stage() as s:
+    async with running_program() as s:
         sock = connect_raw(s)
         sock.sendall(read(1))
         leave(sock)
-        await s.until(lambda: s.program.front.submitted_count == 1 and not s.program.front.owes())
+        await s.until(
+            lambda: s.program.front.submitted_count == 1 and not s.program.front.open_request_count()
+        )
         await serve_other_client(s)
-        assert s.program.transport.opened == s.servers[0].connections == 1
+        assert s.program.transport.opened_count == s.servers[0].connections == 1
         assert s.program.driver.ledger.answer_counts[Verdict.LEFT] == 1
         sock.close()
 
 
 @leaving
-@on_sockets
+@async_test
 async def test_a_waiting_request_is_not_sent_after_a_disconnect_while_reading_is_paused(leave):
-    async with stage(lambda words: answer(LARGE) if words[2] == ident(1) else echo(words), echo) as s:
+    async with running_program(
+        lambda words: answer(LARGE) if words[2] == request_id(1) else echo(words), echo
+    ) as s:
         disable_sweep(s)
         await prepare_idle_connection(s, shard=1)
         deliver_state(s, "s1", 1, NodeState.DRAINING)
         sock = await connect_with_small_buffers(s)
         sock.sendall(read(1) + read(2, shard=1))
         await s.until(lambda: any(c.blocked_since is not None for c in s.program.front.clients))
-        assert s.program.front.owes() == 1
+        assert s.program.front.open_request_count() == 1
         leave(sock)
         deliver_state(s, "s1", 1, NodeState.READY)
         await serve_other_client(s, shard=1)
@@ -127,20 +133,20 @@
 
 
 @leaving
-@on_sockets
+@async_test
 async def test_no_retry_is_made_after_a_disconnect_while_reading_is_paused(leave):
     """While reading is paused, the end would be read only after many retries."""
     withheld_requests = []
 
     def script(words):
-        if words[2] == ident(1):
+        if words[2] == request_id(1):
             return answer(LARGE)
-        if words[2] == ident(2) and not withheld_requests:
+        if words[2] == request_id(2) and not withheld_requests:
             withheld_requests.append(words)
             return None
         return echo(words)
 
-    async with stage(script, script) as s:
+    async with running_program(script, script) as s:
         disable_sweep(s)
         await prepare_idle_connection(s, shard=1)
         sock = await connect_with_small_buffers(s)
@@ -148,7 +154,7 @@
         await s.until(
             lambda: withheld_requests and any(c.blocked_since is not None for c in s.program.front.clients)
         )
-        assert s.program.front.owes() == 1
+        assert s.program.front.open_request_count() == 1
         leave(sock)
         (writer,) = s.servers[1].open
         writer.write(codec.error("ERR failed"))
@@ -160,11 +166,11 @@
 
 @pytest.mark.parametrize("waits_for", ["connection", "rest", "descriptor"])
 @leaving
-@on_sockets
+@async_test
 async def test_an_attempt_is_not_started_after_a_disconnect_while_it_waits(waits_for, leave):
     """It waits for a new connection, for one to become reusable, or for a descriptor."""
     withheld, script = withhold(8)
-    async with stage(script, echo) as s:
+    async with running_program(script, echo) as s:
         pool, driver = s.program.transport, s.program.driver
         if waits_for == "rest":
             pool.reuse_delay.should_wait = lambda at, now, *, full: True
@@ -181,7 +187,7 @@
         original, started = pool._write_if_allowed, []
 
         def disconnect_then_write(connection, flight):
-            if flight.call.op.name == ident(2).decode():
+            if flight.call.op.name == request_id(2).decode():
                 started.append(connection)
                 leave(sock)
             original(connection, flight)
@@ -190,8 +196,8 @@
         if waits_for == "descriptor":
             await s.until(lambda: pool.queue)
             (writer,) = s.servers[0].open
-            writer.write(echo(withheld[ident(8)]))
-        await s.until(lambda: started and not s.program.front.owes())
+            writer.write(echo(withheld[request_id(8)]))
+        await s.until(lambda: started and not s.program.front.open_request_count())
         assert not driver.in_flight and driver.ledger.answer_counts[Verdict.LEFT] == 1
         await serve_other_client(s, shard=int(waits_for == "descriptor"))
         assert not count_attempts(s, 2)
@@ -199,42 +205,44 @@
 
 
 @leaving
-@on_sockets
+@async_test
 async def test_a_disconnect_during_a_stall_of_the_process_is_detected(leave):
     """A process that was not scheduled for long must not send requests whose clients have given up."""
-    async with stage() as s:
+    async with running_program() as s:
         await prepare_idle_connection(s)
         deliver_state(s, "s0", 0, NodeState.DRAINING)
         sock, other = connect_raw(s), await s.client()
         sock.sendall(read(2))
         other.send(read(3))
-        await s.until(lambda: s.program.front.owes() == 2)
+        await s.until(lambda: s.program.front.open_request_count() == 2)
         leave(sock)
         deliver_state(s, "s0", 0, NodeState.READY)
         s.program.driver.process_batch()  # in the same iteration: nothing has been read since
-        assert await other.reply() == b"value of " + ident(3)
+        assert await other.reply() == b"value of " + request_id(3)
         await serve_other_client(s)
         assert not count_attempts(s, 2) and s.program.driver.ledger.answer_counts[Verdict.LEFT] == 1
         sock.close()
 
 
-@on_sockets
+@async_test
 async def test_buffered_requests_are_not_sent_after_a_disconnect():
     """Reading is paused until all buffered commands are processed, so the end is not read before that."""
-    async with stage() as s:
+    async with running_program() as s:
         await prepare_idle_connection(s)
         sock = connect_raw(s)
         sock.sendall(codec.command(b"PING") * 2000 + b"".join(read(n) for n in range(1, 41)))
         await s.until(lambda: any(c.parser.has_more for c in s.program.front.clients))
         half_closes(sock)
-        await s.until(lambda: s.program.front.submitted_count == 41 and not s.program.front.owes())
+        await s.until(
+            lambda: s.program.front.submitted_count == 41 and not s.program.front.open_request_count()
+        )
         await serve_other_client(s)
         assert not any(count_attempts(s, number) for number in range(1, 41))
         sock.close()
 
 
 @pytest.mark.parametrize("may_cancel", [False, True])
-@on_sockets
+@async_test
 async def test_a_partly_written_request_is_stopped_after_a_disconnect(may_cancel, monkeypatch):
     """Otherwise the server starts the request when it gets the last byte, long after the disconnect."""
     peer = ManualServer()
@@ -244,13 +252,13 @@
         connection.transport.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
 
     patch_connection_made(monkeypatch, shrink_buffer)
-    async with stage() as s:
-        object.__setattr__(s.program.brain.settings, "may_cancel", may_cancel)
+    async with running_program() as s:
+        object.__setattr__(s.program.scheduler.settings, "may_cancel", may_cancel)
         s.discovery.put("s0", f"127.0.0.1:{peer.address[1]}", 0)
-        await s.until(lambda: s.program.servers.dials["s0"] == peer.address)
+        await s.until(lambda: s.program.servers.dial_addresses["s0"] == peer.address)
         client = await s.client()
         client.send(write(1, b"x" * 65536))
-        await s.until(lambda: any(c.has_unsent for c in s.program.transport.open))
+        await s.until(lambda: any(c.has_unsent for c in s.program.transport.open_connections))
         end = peer.accept()
         client.writer.close()
         await s.until(lambda: not s.program.driver.in_flight)
@@ -262,15 +270,15 @@
     peer.close()
 
 
-@on_sockets
+@async_test
 async def test_a_completely_written_request_continues_if_cancelling_is_disabled():
-    async with stage(lambda words: None) as s:
-        object.__setattr__(s.program.brain.settings, "may_cancel", False)
+    async with running_program(lambda words: None) as s:
+        object.__setattr__(s.program.scheduler.settings, "may_cancel", False)
         client = await s.client()
         client.send(read(1))
         await s.until(lambda: s.servers[0].seen)
         client.writer.close()
-        await s.until(lambda: not s.program.front.owes())
+        await s.until(lambda: not s.program.front.open_request_count())
         assert len(s.program.driver.in_flight) == 1
         (writer,) = s.servers[0].open
         writer.write(echo(s.servers[0].seen[0]))
@@ -278,10 +286,10 @@
         assert s.program.observer.outcomes == {"ok": 1} and not s.program.driver.ledger.entries
 
 
-@on_sockets
+@async_test
 async def test_disconnects_are_checked_only_when_attempts_are_started():
     """An attempt costs one check, or two if it opens a connection; idle clients cost none."""
-    async with stage() as s:
+    async with running_program() as s:
         idle_clients = [await s.client() for _ in range(40)]
         for client in idle_clients:
             await client.ask(codec.command(b"PING"))
@@ -291,7 +299,7 @@
             client_type.peer_has_closed = lambda client: checks.append(client) or peer_has_closed(client)
             client = Client(*await asyncio.open_connection(*s.program.address))
             s.clients.append(client)
-            assert await client.ask(read(1)) == b"value of " + ident(1)
+            assert await client.ask(read(1)) == b"value of " + request_id(1)
             s.program.front.sweep()
             assert len(checks) == 2 and len(set(checks)) == 1
         finally:
