--- a/cressrock/failover/attempt_observer.py
+++ b/cressrock/failover/attempt_observer.py
@@ -1,4 +1,4 @@
-"""A transport that lets somebody observe how each attempt ended."""
+"""A transport wrapper that passes each attempt's result to an observer."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class _ObservedCall:
-    """One attempt whose ending the observer gets before the driver does."""
+    """One attempt whose result goes to the observer before the driver; all else is delegated."""
 
     __slots__ = ("call", "observer")
 
@@ -21,50 +21,50 @@
 
     @property
     def op(self) -> Any:
-        """Return the request."""
+        """Return the operation of the wrapped call."""
         return self.call.op
 
     @property
     def label(self) -> str:
-        """Return the label for logs."""
+        """Return the label used in logs."""
         return self.call.label
 
     @property
     def attempt(self) -> Attempt:
-        """Return the ledger's entry."""
+        """Return the attempt's entry in the ledger."""
         return self.call.attempt
 
     @property
     def deadline(self) -> float:
-        """Return when the transport stops waiting."""
+        """Return the time at which the transport stops waiting for an answer."""
         return self.call.deadline
 
     @property
     def leave_by(self) -> float:
-        """Return when the last byte has to have left."""
+        """Return the time by which the last byte must have been sent."""
         return self.call.leave_by
 
     def may_leave(self) -> bool:
-        """Whether it may still go."""
+        """Whether the attempt may still be sent."""
         return self.call.may_leave()
 
     def begin(self, reply: Any) -> bool:
-        """Hand on an answer."""
+        """Pass on an answer whose payload is still arriving; False: the request has already ended."""
         return self.call.begin(reply)
 
     def end(self, result: AttemptResult) -> None:
-        """Tell the observer, then the driver."""
+        """Pass the result to the observer, then to the driver."""
         self.observer(self.call, result)
         self.call.end(result)
 
 
 class ObservedTransport:
-    """The transport that it wraps, with an observer of each attempt's result."""
+    """Wraps a transport and calls an observer with each attempt and its result."""
 
     def __init__(self, inner: Transport, observer: Observer) -> None:
-        """`observer` gets each attempt and its result."""
+        """`inner` is the wrapped transport; `observer` is called before the driver gets the result."""
         self.inner, self.observer = inner, observer
 
     def start(self, call: Call) -> AttemptHandle:
-        """Begin an attempt."""
+        """Start an attempt on the wrapped transport."""
         return self.inner.start(_ObservedCall(call, self.observer))
--- a/cressrock/failover/edge.py
+++ b/cressrock/failover/edge.py
@@ -1,6 +1,7 @@
-"""An edge's part in failover: its reports go out, decisions come in to its router.
+"""Failover on an edge: publishes its reports and passes decisions to its router.
 
-No choice is made here, and nothing waits for it: without gossip or consensus an edge goes on alone.
+Routing decisions are made in `routing` and do not wait for this module: without gossip or consensus an edge
+continues on its own evidence.
 """
 
 from __future__ import annotations
@@ -22,7 +23,7 @@
 
 
 class EdgeFailover:
-    """`router` is what is asked where a read goes; `run` keeps it up to date."""
+    """Keeps a `router`, which routes the edge's reads, up to date by `run`."""
 
     def __init__(
         self,
@@ -31,13 +32,13 @@
         clock: Callable[[], float],
         zone_of: Callable[[Node], str],
     ) -> None:
-        """`zone_of` names a listed node's zone; `clock` gives monotonic ms."""
+        """`zone_of` returns a listed node's zone; `clock` returns monotonic ms."""
         self.router, self.runtime, self.clock, self.zone_of = router, runtime, clock, zone_of
         self.feed = EvidenceFeed(router.settings, runtime, clock)
         self.unreadable_broadcasts = 0
 
     def watch(self, driver: Driver) -> None:
-        """Learn of the attempts of a driver from now on."""
+        """Record the results of all further attempts of a driver by wrapping its transport."""
         driver.transport = ObservedTransport(driver.transport, self._record_attempt)
 
     def _record_attempt(self, call: Call, result: AttemptResult) -> None:
@@ -45,7 +46,7 @@
         self.router.record_attempt(zone, call.op.units, result.outcome, self.clock(), result.latency_ms)
 
     async def run(self) -> None:
-        """Serve until cancelled."""
+        """Apply decisions and publish reports twice per interval, until cancelled."""
         while True:
             now_ms = self.clock()
             for topic in (decision.TOPIC, decision.WRITE_MOVE_TOPIC):
@@ -57,28 +58,28 @@
 
     def _publish_reports(self, now_ms: float) -> None:
         channel = self.runtime.evidence
-        any_accused = (
+        is_any_accused = (
             self.router.wants_evidence()
             or channel.is_evidence_requested()
             or self.feed.evidence.is_any_zone_accused(now_ms)
         )
         updates = self.router.evidence.due_updates(
-            now_ms, any_accused, channel.update_interval_ms(), channel.min_interval_ms()
+            now_ms, is_any_accused, channel.update_interval_ms(), channel.min_interval_ms()
         )
         for update in updates:
             channel.publish(update.key, update.value)
 
     def _zone_loads(self, now_ms: float) -> Mapping[str, float]:
-        """Return the zones' own loads: as a collector broadcasts them, else as all reported them here."""
+        """Return the zones' own loads (units per second) from a collector's broadcast, else from gossip."""
         data = self.runtime.evidence.broadcast(SUMMARY_NAME)
         if data:
             try:
                 return decode_zone_loads(data)
-            except FailoverError:  # of another program version; what is received here serves as well
+            except FailoverError:  # e.g. from another program version; fall back to the reports received here
                 self.unreadable_broadcasts += 1
         return self.feed.evidence.zone_loads(now_ms)
 
     def status(self) -> Mapping[str, object]:
-        """Return plain values for an admin port."""
+        """Return the edge's failover state for the admin port."""
         unsent = self.runtime.evidence.unsent
         return {**self.router.status(), **self.feed.evidence.status(), "untold": unsent}
--- a/cressrock/failover/evidence_feed.py
+++ b/cressrock/failover/evidence_feed.py
@@ -1,4 +1,4 @@
-"""All edges' reports as they come by gossip, for one process."""
+"""Feeds all edges' reports from the gossip store into one process's evidence."""
 
 from __future__ import annotations
 
@@ -12,14 +12,14 @@
 from cressrock.membership.packets import MemberState
 from cressrock.membership.types import Member
 
-SUMMARY_NAME = "zones"  # under which collectors' summaries and broadcasts are found
+SUMMARY_NAME = "zones"  # name of the collectors' summaries and broadcasts
 
 
 class EvidenceFeed:
-    """`evidence` is what the gossip store holds, and what of it still counts."""
+    """Keeps `evidence` in step with the gossip store and the membership."""
 
     def __init__(self, settings: FailoverSettings, runtime: Runtime, clock: Callable[[], float]) -> None:
-        """Listen to the gossip store of `runtime`; `clock` gives monotonic ms."""
+        """Subscribe to gossip changes of `runtime`; `clock` returns monotonic ms."""
         self.runtime, self.clock = runtime, clock
         self.evidence = FleetEvidence(settings)
         self._view: tuple[Member, ...] | None = None
@@ -28,11 +28,11 @@
         runtime.on_gossip_change.append(self.on_gossip_change)
 
     def on_gossip_change(self, origin: Origin, key: str) -> None:
-        """Take a changed entry; an empty key says that anything may have changed."""
+        """Receive a changed entry; with an empty key, receive the reports of all origins."""
         now_ms = self.clock()
         if key:
             if key.startswith(REPORT_KEY_PREFIX):
-                # Of this origin alone: looking at everybody for each change is n squared in all.
+                # Only this origin: reading all origins at each change would be quadratic in their number.
                 self._receive(origin, key, self.runtime.gossip.value_of(key, origin), now_ms)
             return
         for chunk_key in (f"{REPORT_KEY_PREFIX}{index}" for index in range(MAX_CHUNKS)):
@@ -44,9 +44,9 @@
         self.runtime.evidence.receive_gossip(origin, key, value)
 
     def update_members(self) -> list[ZoneMember]:
-        """Return the members, and forget the reports of those who are not surely alive."""
+        """Return the members, and drop the reports of those that are not in state ALIVE."""
         view = self.runtime.members()
-        if view is not self._view:  # of thousands this is not made anew at each look
+        if view is not self._view:  # rebuilding the list of thousands of members at each call is expensive
             self._view = view
             self._members = [
                 ZoneMember(
--- a/cressrock/failover/leader.py
+++ b/cressrock/failover/leader.py
@@ -1,4 +1,4 @@
-"""The consensus leader's part in failover: while a process's replica leads, evaluations become decisions."""
+"""Failover on planners: while a process's consensus replica leads, it proposes failover decisions."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 
 class FailoverLeader:
-    """A planner's part; also a collector's summaries of reports, where this process is one."""
+    """Evaluates evidence on a planner, and registers the summarizer for processes that are collectors."""
 
     def __init__(
         self,
@@ -35,7 +35,7 @@
         clock: Callable[[], float],
         log: EventLog,
     ) -> None:
-        """`lease_ms`: how long a decision counts without renewal."""
+        """`lease_ms`: how long a decision is valid without renewal; `clock` returns monotonic ms."""
         self.settings, self.runtime, self.lease_ms, self.clock, self.log = (
             settings,
             runtime,
@@ -47,14 +47,14 @@
         self.summarizer = ReportSummarizer(settings)
         runtime.evidence.summarizers.add(SUMMARY_NAME, self.summarizer)
         self.memory = EvaluationMemory()
-        self.by_summaries = False  # whether the last evaluation was of collectors' summaries
+        self.by_summaries = False  # whether the last evaluation used collectors' summaries
         self.decided = 0
-        self.problems: dict[str, int] = {}  # by error code
+        self.error_counts: dict[str, int] = {}  # by error code
         self._version = NO_VERSION
         self._current: FailoverDecision | None = None
 
     async def run(self) -> None:
-        """Serve until cancelled."""
+        """Evaluate every `look_ms` while this process's replica leads, until cancelled."""
         while True:
             await anyio.sleep(self.settings.look_ms / 1000)
             self._update_current()
@@ -63,12 +63,12 @@
             if consensus is None or not self.runtime.is_leader:
                 continue
             try:
-                # What stands is read by consensus: a former leader's last decision may not be here yet.
+                # Read by consensus: a former leader's last decision may not have reached the local cache yet.
                 await consensus.read(decision.TOPIC)
                 self.memory = EvaluationMemory()
                 await self._lead(consensus)
             except CressrockError as error:
-                self._count_problem(error)
+                self._count_error(error)
 
     async def _lead(self, consensus: Consensus) -> None:
         while self.runtime.is_leader:
@@ -83,7 +83,7 @@
             await anyio.sleep(self.settings.look_ms / 1000)
 
     def _update_current(self) -> Decision | None:
-        """Return the decision that stands, whether it still counts or not, and let the summarizer know."""
+        """Return the latest decision, expired or not, and pass it to the summarizer."""
         stored = self.runtime.decision_cache.get(decision.TOPIC)
         if isinstance(stored, Expired):
             stored = stored.decision
@@ -92,18 +92,19 @@
             try:
                 self._current = decision.decode(stored.value) if stored is not None else None
             except FailoverError:
-                self._current = None  # a newer program's; reported where it is to be followed
+                self._current = None  # e.g. written by a newer version; the edges count and report it
         self.summarizer.apply_decision(self._current, self.clock())
         return stored
 
     def _evaluate(
         self, members: Sequence[ZoneMember], current: FailoverDecision | None, now_ms: float
     ) -> FailoverDecision | None:
-        """Evaluate collectors' summaries where anybody reports to collectors; else all reports."""
+        """Evaluate collectors' summaries if any process reports to collectors, otherwise all reports."""
         collector = self.runtime.evidence.collector
         by_summaries = collector is not None and collector.is_active()
         if by_summaries != self.by_summaries:
-            # Danger: marks of one way say nothing of the other's; a new memory is late, never early.
+            # The recorded intervals of one view are meaningless in the other.  Starting with an empty memory
+            # can delay a transition but not cause one too early.
             self.by_summaries, self.memory = by_summaries, EvaluationMemory()
         view: EvidenceView
         if collector is None or not by_summaries:
@@ -123,7 +124,7 @@
         try:
             decided = await consensus.decide(decision.TOPIC, value, self.lease_ms, if_version=version)
         except (DecisionConflictError, NoQuorumError) as error:
-            self._count_problem(error)
+            self._count_error(error)
             if isinstance(error, DecisionConflictError):
                 await consensus.read(decision.TOPIC)
             return
@@ -141,14 +142,14 @@
             },
         )  # fmt: skip
 
-    def _count_problem(self, error: CressrockError) -> None:
-        first = error.code not in self.problems
-        self.problems[error.code] = self.problems.get(error.code, 0) + 1
-        if first:
+    def _count_error(self, error: CressrockError) -> None:
+        is_first = error.code not in self.error_counts
+        self.error_counts[error.code] = self.error_counts.get(error.code, 0) + 1
+        if is_first:
             self.log.warning("failover.not_decided", **error.fields())
 
     def status(self) -> Mapping[str, object]:
-        """Return plain values for an admin port."""
+        """Return the leader's state and evidence for the admin port."""
         witnesses = {
             zone: {
                 "bad": dict(counts.unreachable),
@@ -163,7 +164,7 @@
             "leads": self.runtime.is_leader,
             "summed": self.by_summaries,
             "decided": self.decided,
-            "problems": dict(self.problems),
+            "problems": dict(self.error_counts),
             "tallies": witnesses,
             **self.feed.evidence.status(),
         }
--- a/cressrock/failover/local_evidence.py
+++ b/cressrock/failover/local_evidence.py
@@ -1,10 +1,9 @@
-"""What one edge observes of the zones through its clients' own attempts.  Pure.
+"""One edge's evidence about the zones, from its clients' attempts.  Pure.
 
-There are no health checks: an edge judges a zone only after clients' requests.  It counts attempts in
-intervals of its own clock and keeps the last ones in which there were any; so its health of a zone stands
-until newer attempts say otherwise, and its report says how old it is.  The health is biased towards what it
-was: mostly failures in the window, or many in a row, make a zone unreachable; three answers in a row make it
-healthy again.
+There are no active health checks: an edge judges a zone only by clients' requests.  It counts attempts in
+intervals of its own clock and keeps the window that ends with the last attempt.  A zone's health therefore
+stays until newer attempts change it, and a report contains its age.  Health has hysteresis: mostly failures
+in the window, or many in a row, make a zone unreachable; three answers in a row make it healthy again.
 """
 
 from __future__ import annotations
@@ -24,16 +23,16 @@
 from cressrock.failover.settings import FailoverSettings
 from cressrock.interface import Outcome
 
-# Answers in a row that make an unreachable zone healthy.  So many times `least` failures in a row make it
-# unreachable whatever the window says.
-STREAK = 3
-RATE_HALVING_MS = 4000.0  # of smoothed rates: longer than a window, so that a short burst is no load
-MIN_REPORTED_DEMAND = 1e-3  # units a second; below it a zone that was never tried is not reported
+# Consecutive answers that make an unreachable zone healthy.  RECOVERY_STREAK x `least` consecutive failures
+# make a zone unreachable whatever the window contains.
+RECOVERY_STREAK = 3
+RATE_HALF_LIFE_MS = 4000.0  # half-life of smoothed rates: longer than a window, to average out short bursts
+MIN_DEMAND_UNITS_PER_S = 1e-3  # with less demand, a zone that was never tried is not reported
 NEVER_MS = -1e18
 
 
 class AttemptEvidence(IntEnum):
-    """What an attempt says of the zone it went to."""
+    """What an attempt's outcome shows about its zone."""
 
     INCONCLUSIVE = 0
     REACHED = 1
@@ -42,19 +41,19 @@
 
 
 def classify_attempt(outcome: Outcome, latency_ms: float, slow_ms: float) -> AttemptEvidence:
-    """Return what an outcome says.  An error or a rejection by a node is an answer: the zone was reached."""
+    """Classify an outcome.  A node's error or rejection is an answer and shows that the zone was reached."""
     if outcome in (Outcome.TIMEOUT, Outcome.RESET, Outcome.NO_CONNECTION):
         return AttemptEvidence.FAILED
     if outcome is Outcome.ABANDONED:
         return AttemptEvidence.INCONCLUSIVE
-    if outcome is Outcome.CANCELLED:  # given up from here; only a long wait says something
+    if outcome is Outcome.CANCELLED:  # cancelled by the edge, so only a long wait is evidence
         return AttemptEvidence.SLOW if latency_ms >= slow_ms else AttemptEvidence.INCONCLUSIVE
     return AttemptEvidence.SLOW if latency_ms >= slow_ms else AttemptEvidence.REACHED
 
 
 @dataclass(slots=True)
 class _Counts:
-    """Attempts of one interval."""
+    """Counts of the attempts that ended in one interval; `slow` ones are included in `reached`."""
 
     interval: int
     reached: int = 0
@@ -64,7 +63,7 @@
 
 @dataclass(slots=True)
 class _Observation:
-    """One zone as this edge sees it: counts of the window, and rates."""
+    """This edge's evidence about one zone: counts of the window, and rates in units per second."""
 
     health: ZoneHealth = ZoneHealth.UNKNOWN
     window: deque[_Counts] = field(default_factory=deque)
@@ -73,13 +72,13 @@
     slow: int = 0
     streak: int = 0
     last_interval: int = 0  # of the last attempt
-    load_units: float = 0.0  # in the present interval
+    load_units: float = 0.0  # in the current interval
     demand_units: float = 0.0
-    load_rate: float = 0.0  # units a second, smoothed
+    load_rate: float = 0.0  # units per second, smoothed
     demand_rate: float = 0.0
 
     def count(self, interval: int, result: AttemptEvidence, units: float) -> None:
-        """Count an attempt that ended in this interval."""
+        """Count a conclusive attempt that ended in this interval."""
         if not self.window or self.window[-1].interval != interval:
             self.window.append(_Counts(interval))
         counts = self.window[-1]
@@ -98,7 +97,7 @@
             self.slow += 1
 
     def drop_before(self, interval: int) -> None:
-        """Forget counts of older intervals."""
+        """Drop the counts of intervals before `interval`."""
         while self.window[0].interval < interval:
             counts = self.window.popleft()
             self.reached -= counts.reached
@@ -106,39 +105,48 @@
             self.slow -= counts.slow
 
     def restart_window(self, interval: int) -> None:
-        """Keep of the window the answers of the present streak alone."""
+        """Reset the window to the answers of the current streak."""
         self.window.clear()
         self.window.append(_Counts(interval, self.streak))
         self.reached, self.failed, self.slow = self.streak, 0, 0
 
 
-def _next_health(settings: FailoverSettings, seen: _Observation) -> ZoneHealth:
-    """Return a zone's health by its window and streak, biased towards what it was."""
-    attempts = seen.reached + seen.failed
-    # At a zone of which half is unreachable so many failures in a row are rare (1 in 2**9); at one that is
-    # unreachable altogether they come within a window.
-    long_streak = seen.streak <= -STREAK * settings.least
-    if seen.failed >= settings.least and seen.failed >= settings.bad_share * attempts or long_streak:
+def _next_health(settings: FailoverSettings, observation: _Observation) -> ZoneHealth:
+    """Return a zone's health by its window and streak, with hysteresis."""
+    attempts = observation.reached + observation.failed
+    # At a zone of which half is unreachable, this many consecutive failures are rare (1 in 2**9); at an
+    # unreachable zone they occur within a window.
+    long_streak = observation.streak <= -RECOVERY_STREAK * settings.least
+    if (
+        observation.failed >= settings.least
+        and observation.failed >= settings.bad_share * attempts
+        or long_streak
+    ):
         return ZoneHealth.UNREACHABLE
-    if seen.health is ZoneHealth.UNREACHABLE:
+    if observation.health is ZoneHealth.UNREACHABLE:
         return ZoneHealth.UNREACHABLE
-    if seen.failed >= settings.least and seen.failed >= settings.half_share * attempts:
+    if observation.failed >= settings.least and observation.failed >= settings.half_share * attempts:
         return ZoneHealth.DEGRADED
-    if seen.reached >= settings.least and seen.slow >= settings.slow_share * seen.reached:
+    if (
+        observation.reached >= settings.least
+        and observation.slow >= settings.slow_share * observation.reached
+    ):
         return ZoneHealth.SLOW
-    # Hysteresis: half of a share leads back, so that a zone at the limit does not flap.
-    if seen.health is ZoneHealth.DEGRADED and seen.failed > settings.half_share / 2 * attempts:
+    # Hysteresis: the zone improves only at half of the threshold, so that it does not flap around it.
+    if observation.health is ZoneHealth.DEGRADED and observation.failed > settings.half_share / 2 * attempts:
         return ZoneHealth.DEGRADED
-    if seen.health is ZoneHealth.SLOW and seen.slow > settings.slow_share / 2 * max(1, seen.reached):
+    if observation.health is ZoneHealth.SLOW and observation.slow > settings.slow_share / 2 * max(
+        1, observation.reached
+    ):
         return ZoneHealth.SLOW
-    if seen.health in (ZoneHealth.DEGRADED, ZoneHealth.SLOW) and attempts < settings.least:
-        return seen.health
-    return ZoneHealth.HEALTHY if seen.reached else seen.health
+    if observation.health in (ZoneHealth.DEGRADED, ZoneHealth.SLOW) and attempts < settings.least:
+        return observation.health
+    return ZoneHealth.HEALTHY if observation.reached else observation.health
 
 
 @dataclass(frozen=True, slots=True)
 class EntryUpdate:
-    """A key of the gossip store and its new value; None removes it."""
+    """A gossip store key and its new value; None removes the key."""
 
     key: str
     value: bytes | None
@@ -146,20 +154,20 @@
 
 @dataclass(frozen=True, slots=True)
 class _ReportedHealth:
-    """What of a zone's health makes its report news."""
+    """The part of a zone's evidence whose change makes a new report due."""
 
     health: ZoneHealth
     last_reached: bool
 
 
 class LocalEvidence:
-    """One edge's evidence of all zones."""
+    """One edge's evidence about all zones."""
 
     def __init__(self, settings: FailoverSettings, now_ms: float) -> None:
-        """Begin with nothing observed."""
+        """Start without observations; the first interval begins at `now_ms`."""
         self.settings = settings
         self.interval = 1
-        self.unknown_zone_attempts = 0  # attempts in zones that the settings do not name
+        self.unknown_zone_attempts = 0  # attempts in zones that are not in the settings
         self.observations: dict[str, _Observation] = {zone: _Observation() for zone in sorted(settings.zones)}
         self._next_interval_ms = now_ms + settings.beat_ms
         self._intervals_passed = 0
@@ -167,51 +175,51 @@
         self._reported: dict[str, _ReportedHealth] = {}
         self._reported_demand: dict[str, float] = {}
         self._reported_chunks = 0
-        self._smoothing = 1 - 0.5 ** (settings.beat_ms / RATE_HALVING_MS)
+        self._smoothing = 1 - 0.5 ** (settings.beat_ms / RATE_HALF_LIFE_MS)
 
-    # --- what happens
+    # --- recording
 
     def record_attempt(self, zone: str, result: AttemptEvidence, units: float) -> None:
-        """Count an attempt's end in this interval; `units` are of the zone's own work there."""
-        seen = self.observations.get(zone)
-        if seen is None:
+        """Count an ended attempt in this interval; `units` excludes work spilled from other zones."""
+        observation = self.observations.get(zone)
+        if observation is None:
             self.unknown_zone_attempts += 1
             return
         if result is AttemptEvidence.INCONCLUSIVE:
             return
-        seen.count(self.interval, result, units)
-        seen.drop_before(self.interval - self.settings.window + 1)
-        if seen.health is ZoneHealth.UNREACHABLE and seen.streak >= STREAK:
-            # What failed before is over; to be unreachable again takes failures of its own.
-            seen.restart_window(self.interval)
-            seen.health = ZoneHealth.HEALTHY
+        observation.count(self.interval, result, units)
+        observation.drop_before(self.interval - self.settings.window + 1)
+        if observation.health is ZoneHealth.UNREACHABLE and observation.streak >= RECOVERY_STREAK:
+            # Earlier failures are dropped: only new ones can make the zone unreachable again.
+            observation.restart_window(self.interval)
+            observation.health = ZoneHealth.HEALTHY
         else:
-            seen.health = _next_health(self.settings, seen)
+            observation.health = _next_health(self.settings, observation)
 
     def record_demand(self, zone: str, units: float) -> None:
-        """Count what clients ask of a zone first, in this interval."""
-        seen = self.observations.get(zone)
-        if seen is not None:
-            seen.demand_units += units
+        """Count units that clients request with this home zone, wherever they are served."""
+        observation = self.observations.get(zone)
+        if observation is not None:
+            observation.demand_units += units
 
     def advance(self, now_ms: float) -> None:
-        """Let intervals pass, all of a pause at once; to be called before what happens is counted."""
+        """Advance to the interval of `now_ms`, over any number of intervals; call it before recording."""
         if now_ms < self._next_interval_ms:
             return
         passed = 1 + int((now_ms - self._next_interval_ms) / self.settings.beat_ms)
         self._next_interval_ms += passed * self.settings.beat_ms
         self.interval += passed
         span_s = passed * self.settings.beat_ms / 1000
-        # A young edge's rates are the mean of what it has seen, not a slow rise from nothing.
+        # After a start, rates are the mean so far instead of rising slowly from zero.
         self._intervals_passed += passed
         weight = max(1 - (1 - self._smoothing) ** passed, passed / self._intervals_passed)
-        for seen in self.observations.values():
-            seen.load_rate += weight * (seen.load_units / span_s - seen.load_rate)
-            seen.demand_rate += weight * (seen.demand_units / span_s - seen.demand_rate)
-            seen.load_units = seen.demand_units = 0.0
+        for observation in self.observations.values():
+            observation.load_rate += weight * (observation.load_units / span_s - observation.load_rate)
+            observation.demand_rate += weight * (observation.demand_units / span_s - observation.demand_rate)
+            observation.load_units = observation.demand_units = 0.0
 
     def reset_zone(self, zone: str) -> None:
-        """Forget failures of a zone that was taken back by decision: they say nothing of it now."""
+        """Reset a zone's health and counts, obsolete after it is restored by decision; rates are kept."""
         if zone in self.observations:
             old = self.observations[zone]
             self.observations[zone] = _Observation(
@@ -222,39 +230,39 @@
                 demand_rate=old.demand_rate,
             )
 
-    # --- what is read and reported
+    # --- reading and reporting
 
     def health(self, zone: str) -> ZoneHealth:
-        """Return a zone's health by this edge's own attempts."""
-        seen = self.observations.get(zone)
-        return seen.health if seen is not None else ZoneHealth.UNKNOWN
+        """Return a zone's health by this edge's own attempts; UNKNOWN for a zone not in the settings."""
+        observation = self.observations.get(zone)
+        return observation.health if observation is not None else ZoneHealth.UNKNOWN
 
     def idle_ms(self, zone: str) -> float:
-        """Return how long no attempt there has ended."""
+        """Return the time since the last attempt in a zone ended, in whole intervals."""
         return (self.interval - self.observations[zone].last_interval) * self.settings.beat_ms
 
     def reported_demand(self, zone: str) -> float:
-        """Return what this edge last reported that its clients ask of a zone first, units a second."""
+        """Return this edge's last reported demand with this home zone, in units per second."""
         return self._reported_demand.get(zone, 0.0)
 
     def reports(self) -> list[ZoneReport]:
-        """Return the reports as they would go out now, of zones that were tried or asked for."""
+        """Return the current reports of all zones that were tried or have demand."""
         reports = []
-        for zone, seen in self.observations.items():
-            if seen.health is ZoneHealth.UNKNOWN and seen.demand_rate < MIN_REPORTED_DEMAND:
+        for zone, observation in self.observations.items():
+            if observation.health is ZoneHealth.UNKNOWN and observation.demand_rate < MIN_DEMAND_UNITS_PER_S:
                 continue
-            scale = min(1.0, MAX_COUNT / max(seen.reached, seen.failed, 1))
+            scale = min(1.0, MAX_COUNT / max(observation.reached, observation.failed, 1))
             reports.append(
                 ZoneReport(
                     zone,
-                    health=int(seen.health),
-                    reached=int(seen.reached * scale),
-                    failed=int(seen.failed * scale),
-                    slow=int(seen.slow * scale),
-                    age_intervals=min(MAX_COUNT, self.interval - seen.last_interval),
-                    load=round(seen.load_rate, 3),
-                    demand=round(seen.demand_rate, 3),
-                    streak=max(-MAX_COUNT, min(MAX_COUNT, seen.streak)),
+                    health=int(observation.health),
+                    reached=int(observation.reached * scale),
+                    failed=int(observation.failed * scale),
+                    slow=int(observation.slow * scale),
+                    age_intervals=min(MAX_COUNT, self.interval - observation.last_interval),
+                    load=round(observation.load_rate, 3),
+                    demand=round(observation.demand_rate, 3),
+                    streak=max(-MAX_COUNT, min(MAX_COUNT, observation.streak)),
                 )
             )
         return reports
@@ -262,27 +270,27 @@
     def due_updates(
         self,
         now_ms: float,
-        any_accused: bool,
-        accused_interval_ms: float | None = None,
+        is_any_accused: bool,
+        accused_report_interval_ms: float | None = None,
         min_interval_ms: float = 0.0,
     ) -> list[EntryUpdate]:
-        """Return the entries that are to be published now; mostly none.
+        """Return the gossip entries to publish now; usually none.
 
-        A changed health is reported at once (once an interval at most); the rest every `calm_ms`, or while a
-        zone is accused (`any_accused`: by decision or by others; or here) so often that all edges together
-        stay within `tells` of the gossip.  `accused_interval_ms`: what a collector takes in that case.  Never
-        more often than `min_interval_ms`.
+        A changed health is reported at once, but at most once per interval.  Otherwise reports are due every
+        `calm_ms`, or while a zone is accused (by this edge, or `is_any_accused`: by a decision or by others)
+        every `accused_report_interval_ms`.  The latter is set by a collector; by default all edges together
+        publish at most `tells` reports per second.  The interval is never below `min_interval_ms`.
         """
         self.advance(now_ms)
         current = {
-            zone: _ReportedHealth(seen.health, seen.streak > 0)
-            for zone, seen in self.observations.items()
-            if seen.health is not ZoneHealth.UNKNOWN
+            zone: _ReportedHealth(observation.health, observation.streak > 0)
+            for zone, observation in self.observations.items()
+            if observation.health is not ZoneHealth.UNKNOWN
         }
-        if accused_interval_ms is None:
-            accused_interval_ms = 1000 * self.settings.edges / self.settings.tells
+        if accused_report_interval_ms is None:
+            accused_report_interval_ms = 1000 * self.settings.edges / self.settings.tells
         interval_ms = max(
-            min_interval_ms, self._report_interval_ms(current, any_accused, accused_interval_ms)
+            min_interval_ms, self._report_interval_ms(current, is_any_accused, accused_report_interval_ms)
         )
         if now_ms - self._reported_at_ms < interval_ms or (not current and not self._reported_chunks):
             return []
@@ -297,11 +305,11 @@
         return updates
 
     def _report_interval_ms(
-        self, current: dict[str, _ReportedHealth], any_accused: bool, accused_interval_ms: float
+        self, current: dict[str, _ReportedHealth], is_any_accused: bool, accused_report_interval_ms: float
     ) -> float:
         settings, interval_ms = self.settings, self.settings.calm_ms
-        if any_accused or any(zone.health > ZoneHealth.HEALTHY for zone in current.values()):
-            interval_ms = min(settings.calm_ms, max(settings.beat_ms, accused_interval_ms))
+        if is_any_accused or any(zone.health > ZoneHealth.HEALTHY for zone in current.values()):
+            interval_ms = min(settings.calm_ms, max(settings.beat_ms, accused_report_interval_ms))
         if current != self._reported:
             interval_ms = min(interval_ms, settings.beat_ms)
         return interval_ms
--- a/cressrock/failover/reports.py
+++ b/cressrock/failover/reports.py
@@ -1,4 +1,4 @@
-"""What an edge reports of the zones, and how reports are cut into entries of the gossip store."""
+"""An edge's reports about zones, and their encoding as entries of the gossip store."""
 
 from __future__ import annotations
 
@@ -11,17 +11,17 @@
 
 from cressrock.failover.wire import decode_versioned, encode_versioned, encoded_size
 
-REPORT_KEY_PREFIX = "zones/"  # reports are published as zones/0, zones/1, ...
-MAX_CHUNK_BYTES = 600  # an entry of the gossip store may have 640
+REPORT_KEY_PREFIX = "zones/"  # report chunks are published as zones/0, zones/1, ...
+MAX_CHUNK_BYTES = 600  # the gossip store's limit for an entry is 640
 CHUNK_OVERHEAD_BYTES = 24  # version, interval and array headers
 MAX_CHUNKS = 16
-MAX_COUNT = 9999  # greatest count that a report holds
+MAX_COUNT = 9999  # largest count in a report
 
 Origin = tuple[str, int]  # a process: its name and incarnation
 
 
 class ZoneHealth(IntEnum):
-    """What an edge concludes of a zone; from SLOW on it accuses the zone."""
+    """A zone's health as seen by one edge; with SLOW and above the edge accuses the zone."""
 
     UNKNOWN = 0
     HEALTHY = 1
@@ -30,21 +30,22 @@
     UNREACHABLE = 4
 
 
-# What the admin port says of a zone's health; operators' alerts match on these words.
+# Names of the health values on the admin port; operators' alerts match them.
 _OUTER_NAMES = ("silent", "good", "slow", "half", "bad")
 
 
 def outer_name(health: ZoneHealth) -> str:
-    """Return the word by which a zone's health is known outside."""
+    """Return the name of a health value on the admin port."""
     return _OUTER_NAMES[health]
 
 
 class ZoneReport(Struct, frozen=True, array_like=True):
-    """What an edge reports of one zone; counts are of the last `window` intervals in which it tried.
+    """An edge's report about one zone; counts cover `window` intervals up to the last attempt.
 
-    `age_intervals` counts from the last attempt.  `load` is the edge's work there in units a second, without
-    what it sent there for another zone; `demand` is what clients ask of this zone first, wherever it was
-    served.  `streak` is how many attempts in a row arrived last; negative: how many failed.
+    `age_intervals` is the number of intervals since the last attempt.  `load` is the edge's work there in
+    units per second, without what it spilled there for other zones.  `demand` is what its clients request
+    with this home zone, in units per second, wherever it is served.  `streak` is the number of consecutive
+    answers up to the last attempt; if negative, of consecutive failures.
     """
 
     zone: Annotated[str, Meta(max_length=64)]
@@ -59,7 +60,7 @@
 
 
 class ReportChunk(Struct, frozen=True, array_like=True):
-    """One entry of the gossip store: the sender's interval and reports; newer programs append fields."""
+    """One gossip store entry: the sender's interval and its reports.  Newer versions append fields."""
 
     interval: Annotated[int, Meta(ge=0, le=2**53)]
     reports: Annotated[list[ZoneReport], Meta(max_length=64)]
@@ -69,7 +70,7 @@
 
 
 def encode_reports(interval: int, reports: Iterable[ZoneReport]) -> list[bytes]:
-    """Return the reports, by zone, in as many chunks as are needed, each of at most MAX_CHUNK_BYTES."""
+    """Return the reports, sorted by zone, as encoded chunks of at most MAX_CHUNK_BYTES each."""
     chunks: list[bytes] = []
     group: list[ZoneReport] = []
     group_bytes = 0
@@ -85,5 +86,5 @@
 
 
 def decode_report_chunk(data: bytes) -> ReportChunk:
-    """Read one chunk.  Raises MalformedFailoverDataError, UnsupportedFailoverVersionError."""
-    return decode_versioned(_chunk_decoder, data, "evidence about zones")
+    """Decode one chunk.  Raises MalformedFailoverDataError, UnsupportedFailoverVersionError."""
+    return decode_versioned(_chunk_decoder, data, "zone report chunk")
--- a/cressrock/failover/runtime.py
+++ b/cressrock/failover/runtime.py
@@ -1,4 +1,4 @@
-"""What failover needs of the process that it runs in; `cressrock.runtime.ClusterRuntime` is one."""
+"""Interfaces that failover needs from its process; `cressrock.runtime.ClusterRuntime` implements them."""
 
 from __future__ import annotations
 
@@ -12,66 +12,66 @@
 
 
 class Gossip(Protocol):
-    """The gossip store."""
+    """The gossip store; `local` is the origin of this process's own entries."""
 
     local: Origin
 
     def put(self, key: str, value: bytes) -> None:
-        """Set an own entry."""
+        """Set an entry of this process."""
 
     def remove(self, key: str) -> None:
-        """Remove an own entry."""
+        """Remove an entry of this process."""
 
     def values(self, key: str) -> dict[Origin, bytes]:
-        """Return the value of each origin."""
+        """Return the key's value for each origin that has one."""
 
     def value_of(self, key: str, origin: Origin) -> bytes | None:
-        """Return the value of one."""
+        """Return one origin's value, or None if it has none."""
 
 
 class DecisionCache(Protocol):
-    """The decisions that count for this process."""
+    """The decisions known to this process."""
 
     def get(self, topic: str) -> Decision | Expired | None:
-        """Return what counts now."""
+        """Return a topic's current decision, wrapped in Expired after its lease; None if there is none."""
 
 
 class Consensus(Protocol):
-    """The way to the consensus leader."""
+    """Client of the consensus leader."""
 
     async def decide(
         self, topic: str, value: bytes, lease_ms: float, if_version: int | None = None
     ) -> Decision:
-        """Let a value stand.  Raises ConsensusError."""
+        """Propose a value; with `if_version`, only if that version is current.  Raises ConsensusError."""
 
     async def read(self, topic: str) -> Decision | None:
-        """Return what stands.  Raises ConsensusError."""
+        """Return a topic's current decision by consensus.  Raises ConsensusError."""
 
 
 class Runtime(Protocol):
-    """The process's part in the cluster."""
+    """The process's services in the cluster; `on_gossip_change` callbacks get an origin and a key."""
 
     on_gossip_change: list[Callable[[Origin, str], None]]
 
     @property
     def gossip(self) -> Gossip:
-        """The gossip store."""
+        """The process's gossip store."""
 
     @property
     def decision_cache(self) -> DecisionCache:
-        """The decisions that count."""
+        """The process's decision cache."""
 
     @property
     def consensus(self) -> Consensus | None:
-        """The way to the consensus leader; None without one in the settings."""
+        """The client of the consensus leader; None if consensus is not configured."""
 
     @property
     def is_leader(self) -> bool:
-        """Whether this process's replica leads, as far as it knows."""
+        """Whether this process's replica is the consensus leader, to its own knowledge."""
 
     @property
     def evidence(self) -> EvidenceChannel:
-        """The way that reports take."""
+        """The channel on which reports are published, by gossip or to collectors."""
 
     def members(self) -> tuple[Member, ...]:
-        """Return this process's view of the members."""
+        """Return this process's membership view."""
--- a/cressrock/failover/summarizer.py
+++ b/cressrock/failover/summarizer.py
@@ -1,4 +1,4 @@
-"""A collector's summaries of zone reports (`aggregation.summarizer.Summarizer`).  Pure."""
+"""Summarizes zone reports on a collector (an `aggregation.summarizer.Summarizer`).  Pure."""
 
 from __future__ import annotations
 
@@ -6,18 +6,18 @@
 from dataclasses import dataclass
 
 from cressrock.failover.decision import FailoverDecision, ZoneState
-from cressrock.failover.fleet_evidence import LOAD_REPORTS, FleetEvidence, ReceivedReport
+from cressrock.failover.fleet_evidence import MAX_LOAD_AGE_REPORTS, FleetEvidence, ReceivedReport
 from cressrock.failover.reports import REPORT_KEY_PREFIX, Origin, ZoneHealth
 from cressrock.failover.settings import FailoverSettings
 from cressrock.failover.summary import SummaryRow, ZoneLoads, decode_summary_rows, pack_counts
 from cressrock.failover.wire import encode_versioned
 from cressrock.failover.witnesses import WitnessCounts, ZoneMark, is_suspect
 
-MAX_ORIGINS = 1 << 20  # far above what a collector's members allow, which bound it
+MAX_ORIGINS = 1 << 20  # no effective limit: the collector's membership already bounds the number of senders
 
 
 @dataclass(frozen=True, slots=True)
-class _Statement:
+class _EdgeReport:
     """One edge's report about a zone."""
 
     origin: Origin
@@ -26,24 +26,24 @@
 
 
 class ReportSummarizer:
-    """Counts the reports of a collector's senders by the rules of `witnesses`."""
+    """Counts the reports of a collector's senders by the same rules as `witnesses`."""
 
     def __init__(self, settings: FailoverSettings) -> None:
-        """Begin with nothing received."""
+        """Start without reports."""
         self.settings = settings
         self.evidence = FleetEvidence(settings, max_origins=MAX_ORIGINS)
         self.marks: dict[str, ZoneMark] = {}
 
     def receive(self, origin: Origin, key: str, value: bytes | None, at_ms: float) -> bool:
-        """Take an entry that was published at a time of this clock; of others' keys nothing."""
+        """Receive an entry published at `at_ms` (local clock); other keys are ignored and return False."""
         return key.startswith(REPORT_KEY_PREFIX) and self.evidence.receive(origin, key, value, at_ms)
 
     def forget(self, origin: Origin) -> None:
-        """Forget an origin."""
+        """Remove an origin's reports."""
         self.evidence.forget(origin)
 
     def apply_decision(self, decision: FailoverDecision | None, now_ms: float) -> None:
-        """Take the decision that stands: what is tried from now on counts for the next recovery step."""
+        """Apply the current decision; if it changes a zone, only later attempts count for the next step."""
         decision = decision or FailoverDecision()
         for zone in self.settings.zones:
             entry = decision.for_zone(zone)
@@ -52,29 +52,29 @@
                 mark.begin(entry.state, entry.share, now_ms, self.evidence.latest_intervals())
 
     def summarize(self, zone: str, origins: Collection[Origin], now_ms: float) -> dict[str, bytes]:
-        """Return a row for each zone that the edges of one zone report, by key."""
-        statements: dict[str, list[_Statement]] = {}
+        """Return, by key, an encoded row for each zone reported by `origins`, edges in `zone`."""
+        edge_reports: dict[str, list[_EdgeReport]] = {}
         for origin, reports in self.evidence.reports(now_ms, origins).items():
             suspect = is_suspect(reports, self.settings.fresh_ms)
             for reported_zone, received in reports.items():
-                statements.setdefault(reported_zone, []).append(_Statement(origin, received, suspect))
+                edge_reports.setdefault(reported_zone, []).append(_EdgeReport(origin, received, suspect))
         return {
-            REPORT_KEY_PREFIX + reported_zone: encode_versioned(self._row(zone, reported_zone, about))
-            for reported_zone, about in sorted(statements.items())
+            REPORT_KEY_PREFIX + reported_zone: encode_versioned(self._row(zone, reported_zone, zone_reports))
+            for reported_zone, zone_reports in sorted(edge_reports.items())
         }
 
-    def _row(self, edge_zone: str, reported_zone: str, statements: list[_Statement]) -> SummaryRow:
+    def _row(self, edge_zone: str, reported_zone: str, edge_reports: list[_EdgeReport]) -> SummaryRow:
         settings, mark = self.settings, self.marks.setdefault(reported_zone, ZoneMark())
         counts, later = WitnessCounts(), WitnessCounts()
         accusers = requesters = 0
         load = demand = 0.0
-        for statement in statements:
-            received, suspect = statement.received, statement.suspect
-            report, since_interval = received.report, mark.intervals.get(statement.origin, -1)
+        for edge_report in edge_reports:
+            received, suspect = edge_report.received, edge_report.suspect
+            report, since_interval = received.report, mark.intervals.get(edge_report.origin, -1)
             counts.add_report(settings, edge_zone, received, suspect, None)
             later.add_report(settings, edge_zone, received, suspect, since_interval)
-            accusers += report.health >= ZoneHealth.SLOW and received.silent_ms <= settings.fresh_ms
-            if received.silent_ms <= LOAD_REPORTS * settings.calm_ms:
+            accusers += report.health >= ZoneHealth.SLOW and received.sender_age_ms <= settings.fresh_ms
+            if received.sender_age_ms <= MAX_LOAD_AGE_REPORTS * settings.calm_ms:
                 requesters += report.demand > 0
                 load += report.load
                 demand += report.demand
@@ -91,13 +91,17 @@
         )
 
     def broadcast(self, sums: Mapping[str, Mapping[str, bytes]], now_ms: float) -> tuple[bool, bytes]:
-        """Return whether any zone is accused, and all zones' own load; `sums` are by edges' zone and key."""
+        """Return whether more evidence is wanted, and the encoded loads of all zones.
+
+        More evidence is wanted while any edge accuses a zone or any zone is not LOCAL.  `sums` maps the
+        edges' zone and the key to an encoded row.
+        """
         zone_rows = decode_summary_rows(self.settings, sums).values()
         loads: dict[str, float] = {}
         for rows in zone_rows:
             for zone, row in rows.items():
                 loads[zone] = loads.get(zone, 0.0) + row.load
-        accused = any(row.accusers for rows in zone_rows for row in rows.values())
-        unsettled = any(mark.state_and_share[0] > ZoneState.LOCAL for mark in self.marks.values())
+        any_accused = any(row.accusers for rows in zone_rows for row in rows.values())
+        any_not_local = any(mark.state_and_share[0] > ZoneState.LOCAL for mark in self.marks.values())
         rounded = {zone: float(f"{load:.3g}") for zone, load in sorted(loads.items())}
-        return accused or unsettled, encode_versioned(ZoneLoads(rounded))
+        return any_accused or any_not_local, encode_versioned(ZoneLoads(rounded))
--- a/cressrock/failover/summary.py
+++ b/cressrock/failover/summary.py
@@ -1,8 +1,9 @@
 """Collectors' summaries of zone reports: their wire format, and how a leader reads them.  Pure.
 
-A row counts the reports of one zone's edges about one zone.  Rows of different edges' zones add up, since a
-process is in one zone; of one zone there is one row (`aggregation.summaries`).  A row names the state and
-share under which later attempts were counted; under another one nothing of them counts.
+A row counts the reports of one zone's edges about one zone.  Rows of different edge zones can be added, since
+each process is in exactly one zone; for each edge zone there is one row (`aggregation.summaries`).  A row
+contains the decided state and share under which its later attempts were counted; they are ignored if the
+decision has changed since.
 """
 
 from __future__ import annotations
@@ -21,16 +22,16 @@
 
 _Count = Annotated[int, Meta(ge=0, le=2**40)]
 _UnitsPerSecond = Annotated[float, Meta(ge=0, le=1e15)]
-# unreachable, reachable, degraded, slow, suspects, failed attempts, attempts
+# [unreachable, reachable, degraded, slow, suspects, failed attempts, attempts]
 _Counts = Annotated[list[_Count], Meta(min_length=7, max_length=7)]
 _Zone = Annotated[str, Meta(max_length=64)]
 
 
 class SummaryRow(Struct, frozen=True, array_like=True):
-    """What the edges of one zone say of one zone.
+    """Counts of the reports of one zone's edges about one zone; `load` and `demand` in units per second.
 
-    `accusers`: edges whose fresh report is slow or worse.  `requesters`: those whose clients ask for it
-    first. `later`: counts of attempts since the zone has been in `state` with `share` by decision.
+    `accusers`: edges whose fresh report is SLOW or worse.  `requesters`: edges whose clients have it as home
+    zone.  `later`: counts of attempts since the zone's decided state is `state` with `share`.
     """
 
     counts: _Counts
@@ -44,7 +45,7 @@
 
 
 class ZoneLoads(Struct, frozen=True, array_like=True):
-    """What collectors broadcast to every edge: the zones' own load, units a second."""
+    """The zones' own loads in units per second, broadcast by collectors to every edge."""
 
     loads: Annotated[dict[_Zone, _UnitsPerSecond], Meta(max_length=64)]
 
@@ -54,21 +55,21 @@
 
 
 def decode_summary_row(data: bytes) -> SummaryRow:
-    """Read a row.  Raises MalformedFailoverDataError, UnsupportedFailoverVersionError."""
-    return decode_versioned(_row_decoder, data, "a sum about zones")
+    """Decode a row.  Raises MalformedFailoverDataError, UnsupportedFailoverVersionError."""
+    return decode_versioned(_row_decoder, data, "summary row")
 
 
 def decode_zone_loads(data: bytes) -> dict[str, float]:
-    """Read a broadcast.  Raises MalformedFailoverDataError, UnsupportedFailoverVersionError."""
-    return decode_versioned(_loads_decoder, data, "the zones' work").loads
+    """Decode a broadcast.  Raises MalformedFailoverDataError, UnsupportedFailoverVersionError."""
+    return decode_versioned(_loads_decoder, data, "zone loads").loads
 
 
 def decode_summary_rows(
     settings: FailoverSettings, sums: Mapping[str, Mapping[str, bytes]]
 ) -> dict[str, dict[str, SummaryRow]]:
-    """Return the rows by edges' zone and zone spoken of; what cannot be read counts as not reported.
+    """Return the rows by the edges' zone and the reported zone; rows that cannot be decoded are left out.
 
-    `sums`: rows' bytes by edges' zone and key.
+    `sums` maps the edges' zone and the key to an encoded row.
     """
     rows: dict[str, dict[str, SummaryRow]] = {}
     for edge_zone, values in sums.items():
@@ -79,13 +80,13 @@
                 continue
             try:
                 zone_rows[zone] = decode_summary_row(value)
-            except FailoverError:  # of another program version: the leader decides by the others
+            except FailoverError:  # e.g. from another program version; the leader uses the other rows
                 continue
     return rows
 
 
 def pack_counts(counts: WitnessCounts, edge_zone: str) -> list[int]:
-    """Return the counts of one zone's edges as a row holds them."""
+    """Return the counts of one zone's edges in the order of `_Counts`."""
     return [
         counts.unreachable.get(edge_zone, 0),
         counts.reachable.get(edge_zone, 0),
@@ -98,7 +99,7 @@
 
 
 def add_packed(counts: WitnessCounts, edge_zone: str, packed: list[int]) -> None:
-    """Add a row's counts to those of all."""
+    """Add a row's counts, made by edges in `edge_zone`, to `counts`."""
     unreachable, reachable, degraded, slow, suspects, failed_attempts, attempts = packed
     for table, number in (
         (counts.unreachable, unreachable),
@@ -115,7 +116,7 @@
 
 
 class SummaryView:
-    """The view of a leader that has collectors' summaries (`witnesses.EvidenceView`)."""
+    """The `witnesses.EvidenceView` of a leader that has collectors' summaries."""
 
     def __init__(
         self,
@@ -124,22 +125,24 @@
         sums: Mapping[str, Mapping[str, bytes]],
         senders: Mapping[str, int],
     ) -> None:
-        """`sums`: rows' bytes by edges' zone and key; `senders`: how many edges of a zone are in them."""
+        """`sums`: encoded rows by edges' zone and key; `senders`: the number of edges in them, by zone."""
         self.settings = settings
         self.rows = decode_summary_rows(settings, sums)
         edges: dict[str, int] = {}
         for member in members:
             if member.alive and member.is_edge:
                 edges[member.zone] = edges.get(member.zone, 0) + 1
-        # Half: fewer may be a new collector to which its senders are only coming.
-        self._silent = frozenset(zone for zone, count in edges.items() if 2 * senders.get(zone, 0) < count)
+        # With less than half of the edges, this may be a new collector that its senders have yet to find.
+        self._unreported = frozenset(
+            zone for zone, count in edges.items() if 2 * senders.get(zone, 0) < count
+        )
 
     def intervals(self) -> Mapping[Origin, int]:
-        """Return none: collectors keep the intervals."""
+        """Return an empty mapping: the collectors keep the intervals."""
         return {}
 
     def count_witnesses(self, zone: str, since: ZoneMark | None) -> WitnessCounts:
-        """Count who says what of a zone."""
+        """Add up the collectors' counts; with `since`, later attempts in rows of its state and share."""
         counts = WitnessCounts()
         for edge_zone, rows in sorted(self.rows.items()):
             row = rows.get(zone)
@@ -152,7 +155,7 @@
         return counts
 
     def remote_requesters(self, zone: str) -> int:
-        """Return how many edges elsewhere have clients that ask for a zone first."""
+        """Return the number of edges in other zones whose clients have this home zone."""
         return sum(
             rows[zone].requesters
             for edge_zone, rows in self.rows.items()
@@ -160,17 +163,17 @@
         )
 
     def load(self, zone: str) -> float:
-        """Return the zone's own load."""
+        """Return the zone's own load in units per second."""
         return sum(rows[zone].load for rows in self.rows.values() if zone in rows)
 
     def demand(self, zone: str, edge_zones: Collection[str]) -> float:
-        """Return what clients ask of a zone first."""
+        """Return the demand with this home zone in units per second."""
         return sum(
             rows[zone].demand
             for edge_zone, rows in self.rows.items()
             if zone in rows and (not edge_zones or edge_zone in edge_zones)
         )
 
-    def unheard_zones(self) -> frozenset[str]:
-        """Return the zones of which no summary, or one of too few edges, is here."""
-        return self._silent
+    def unreported_zones(self) -> frozenset[str]:
+        """Return the zones without a summary, or with one of less than half of the alive edges."""
+        return self._unreported
--- a/cressrock/failover/witnesses.py
+++ b/cressrock/failover/witnesses.py
@@ -1,10 +1,10 @@
-"""How edges' reports about a zone are counted as witnesses.  Pure.
+"""Counts edges' reports about a zone as witnesses.  Pure.
 
-A leader asks its evidence through an `EvidenceView`.  `ReportView` counts reports, as a process does that
-receives all of them; `summary.SummaryView` reads what collectors counted by the very same rules.
+A leader reads its evidence through an `EvidenceView`.  `ReportView` counts reports in a process that receives
+all of them; `summary.SummaryView` reads the counts that collectors made by the same rules.
 
-What counts only if it was tried after a recovery step began is counted apart, from the sender's interval that
-a `ZoneMark` keeps of that moment.
+Attempts made after a recovery step began are counted separately.  A `ZoneMark` holds each sender's interval
+at that moment; only later intervals count.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ZoneMember:
-    """A process as the evaluation needs it; `alive` is what the leader's own view holds for sure."""
+    """A process as seen by the evaluation; `alive` only if its state is ALIVE in the leader's own view."""
 
     origin: Origin
     zone: str
@@ -30,20 +30,20 @@
 
 @dataclass(slots=True)
 class ZoneMark:
-    """When a zone's present state began, by this process's clock and by each sender's interval."""
+    """When a zone's current state began, by this process's clock and by each sender's interval."""
 
     state_and_share: tuple[int, int] = (-1, -1)
     since_ms: float = 0.0
     intervals: dict[Origin, int] = field(default_factory=dict)
 
     def begin(self, state: int, share: int, now_ms: float, intervals: Mapping[Origin, int]) -> None:
-        """Begin anew: what was tried before counts no more."""
+        """Restart at a change of state or share; earlier attempts no longer count."""
         self.state_and_share, self.since_ms, self.intervals = (state, share), now_ms, dict(intervals)
 
 
 @dataclass(slots=True)
 class WitnessCounts:
-    """Who says what of one zone: counts of witnesses, and of their attempts, by the witnesses' zone."""
+    """Counts of the witnesses about one zone, and of their attempts, by the witnesses' zone."""
 
     unreachable: dict[str, int] = field(default_factory=dict)
     reachable: dict[str, int] = field(default_factory=dict)
@@ -55,12 +55,12 @@
 
     @property
     def total_unreachable(self) -> int:
-        """Return how many say that the zone does not answer."""
+        """Return the number of witnesses that cannot reach the zone."""
         return sum(self.unreachable.values())
 
     @property
     def total_reachable(self) -> int:
-        """Return how many reach it."""
+        """Return the number of witnesses that reach the zone."""
         return sum(self.reachable.values())
 
     def add_report(
@@ -71,12 +71,13 @@
         suspect: bool,
         since_interval: int | None,
     ) -> None:
-        """Count a fresh report of an edge in `zone`; that it reached the zone only if it did so of late.
+        """Count a fresh report of an edge in `zone`; a reachable zone counts only after a recent attempt.
 
-        With `since_interval`, only on attempts after this interval, and by how the last one ended: of an
-        evacuated zone there are only a few trial reads, and a bad health would outlive several that arrived.
+        With `since_interval`, only reports on attempts after this interval count, by the result of the last
+        attempt instead of the health: an evacuated zone gets only a few trial reads, and its health stays
+        UNREACHABLE for several successful ones.
         """
-        if received is None or not _counts(settings, received, since_interval):
+        if received is None or not _is_countable(settings, received, since_interval):
             return
         if suspect:
             self.suspects += 1
@@ -84,18 +85,18 @@
         report = received.report
         self.failed_attempts[zone] = self.failed_attempts.get(zone, 0) + report.failed
         self.attempts[zone] = self.attempts.get(zone, 0) + report.failed + report.reached
-        since_start = since_interval is None
-        if report.health == ZoneHealth.UNREACHABLE if since_start else report.streak < 0:
+        uses_health = since_interval is None
+        if report.health == ZoneHealth.UNREACHABLE if uses_health else report.streak < 0:
             self.unreachable[zone] = self.unreachable.get(zone, 0) + 1
-        elif since_start and report.health == ZoneHealth.DEGRADED:
+        elif uses_health and report.health == ZoneHealth.DEGRADED:
             self.degraded[zone] = self.degraded.get(zone, 0) + 1
-        elif report.streak > 0:  # a healthy zone whose last attempt failed contradicts nobody
+        elif report.streak > 0:  # a zone reported healthy whose last attempt failed is not counted as reached
             self.reachable[zone] = self.reachable.get(zone, 0) + 1
             self.slow += report.health == ZoneHealth.SLOW
 
 
-def _counts(settings: FailoverSettings, received: ReceivedReport, since_interval: int | None) -> bool:
-    """Whether a report is new enough to count."""
+def _is_countable(settings: FailoverSettings, received: ReceivedReport, since_interval: int | None) -> bool:
+    """Whether a report is recent enough to be counted."""
     health = received.report.health
     if received.age_ms > settings.fresh_ms or health == ZoneHealth.UNKNOWN:
         return False
@@ -105,40 +106,40 @@
 
 
 def is_suspect(reports: Mapping[str, ReceivedReport], fresh_ms: float) -> bool:
-    """Whether an edge's own network may be at fault: it reaches no zone well, or misses most of them."""
+    """Whether an edge's own network may be at fault: most zones that it tried are degraded or unreachable."""
     fresh = [
         received.report.health
         for received in reports.values()
         if received.age_ms <= fresh_ms and received.report.health
     ]
-    accused = sum(health >= ZoneHealth.DEGRADED for health in fresh)
-    return accused > 0 and (accused == len(fresh) or 2 * accused > len(fresh))
+    accused_count = sum(health >= ZoneHealth.DEGRADED for health in fresh)
+    return accused_count > 0 and (accused_count == len(fresh) or 2 * accused_count > len(fresh))
 
 
 class EvidenceView(Protocol):
-    """What an evaluation asks of the evidence."""
+    """The evidence as read by an evaluation."""
 
     def intervals(self) -> Mapping[Origin, int]:
-        """Return the newest interval of each sender, where reports are counted here."""
+        """Return the newest interval of each sender; empty if collectors count the reports."""
 
     def count_witnesses(self, zone: str, since: ZoneMark | None) -> WitnessCounts:
-        """Count who says what of a zone; with a mark, of what was tried after it alone."""
+        """Count the witnesses about a zone; with `since`, only attempts after that mark count."""
 
     def remote_requesters(self, zone: str) -> int:
-        """Return how many edges of other zones have clients that ask for a zone first."""
+        """Return the number of edges in other zones whose clients have this home zone."""
 
     def load(self, zone: str) -> float:
-        """Return the zone's own load as its edges reported it, units a second."""
+        """Return the zone's own load as reported by edges, in units per second."""
 
     def demand(self, zone: str, edge_zones: Collection[str]) -> float:
-        """Return what clients ask of a zone first, by edges in `edge_zones` (none: in all)."""
+        """Return the demand with this home zone (units per second) in `edge_zones`, or all zones if empty."""
 
-    def unheard_zones(self) -> frozenset[str]:
-        """Return the zones whose edges' reports are missing though such edges are alive."""
+    def unreported_zones(self) -> frozenset[str]:
+        """Return the zones whose edges are alive but whose reports are missing."""
 
 
 class ReportView:
-    """The view of a process that receives all reports."""
+    """The `EvidenceView` of a process that receives all reports itself."""
 
     def __init__(
         self,
@@ -147,7 +148,7 @@
         evidence: FleetEvidence,
         now_ms: float,
     ) -> None:
-        """Take the evidence as it is now; reports of `members` that are not alive do not count."""
+        """Read the evidence as of `now_ms`; only reports of alive `members` count."""
         self.settings, self.evidence = settings, evidence
         self.members = {member.origin: member for member in members if member.alive}
         self.reports = {
@@ -158,11 +159,11 @@
         }
 
     def intervals(self) -> Mapping[Origin, int]:
-        """Return the newest interval of each sender."""
+        """Return the newest interval received from each sender."""
         return self.evidence.latest_intervals()
 
     def count_witnesses(self, zone: str, since: ZoneMark | None) -> WitnessCounts:
-        """Count who says what of a zone."""
+        """Count the witnesses about a zone from their reports."""
         counts = WitnessCounts()
         for origin, zones in self.reports.items():
             since_interval = since.intervals.get(origin, -1) if since is not None else None
@@ -173,7 +174,7 @@
         return counts
 
     def remote_requesters(self, zone: str) -> int:
-        """Return how many edges elsewhere have clients that ask for a zone first."""
+        """Return the number of reporting processes, other than the zone's own edges, with demand for it."""
         return sum(
             zone in zones and zones[zone].report.demand > 0
             for origin, zones in self.reports.items()
@@ -181,17 +182,17 @@
         )
 
     def load(self, zone: str) -> float:
-        """Return the zone's own load."""
+        """Return the zone's own load in units per second, over reports of any age."""
         return sum(zones[zone].report.load for zones in self.reports.values() if zone in zones)
 
     def demand(self, zone: str, edge_zones: Collection[str]) -> float:
-        """Return what clients ask of a zone first."""
+        """Return the demand with this home zone in units per second, over reports of any age."""
         return sum(
             zones[zone].report.demand
             for origin, zones in self.reports.items()
             if zone in zones and (not edge_zones or self.members[origin].zone in edge_zones)
         )
 
-    def unheard_zones(self) -> frozenset[str]:
-        """Return none: what is not received here is not received by anybody."""
+    def unreported_zones(self) -> frozenset[str]:
+        """Return an empty set: all reports come here directly, so none are waiting at a collector."""
         return frozenset()
--- a/tests/compatibility/zones_cases.py
+++ b/tests/compatibility/zones_cases.py
@@ -289,7 +289,14 @@
 
 def _words_of(found: dict[Any, dict[str, Any]]) -> list[Any]:
     return [
-        [*origin, zone, msgspec.msgpack.encode(heard.report), heard.age_ms, heard.interval, heard.silent_ms]
+        [
+            *origin,
+            zone,
+            msgspec.msgpack.encode(heard.report),
+            heard.age_ms,
+            heard.interval,
+            heard.sender_age_ms,
+        ]
         for origin, words in sorted(found.items())
         for zone, heard in sorted(words.items())
     ]
@@ -493,7 +500,7 @@
         view = SummaryView(stream.settings, stream.members, rows, tellers)
         digest.add(
             [
-                sorted(view.unheard_zones()),
+                sorted(view.unreported_zones()),
                 [[view.load(z), view.remote_requesters(z), view.demand(z, ["b1"])] for z in NAMES],
             ]
         )
