--- a/cressrock/failover/routing.py
+++ b/cressrock/failover/routing.py
@@ -71,7 +71,7 @@
     recovery: TokenBucket  # limits the zone's own traffic while it recovers
     spill: TokenBucket  # limits other zones' traffic
     rate_factor: float = 1.0  # factor on the spill rate, from MIN_RATE_FACTOR to 1
-    conclusive_attempts: int = 0  # conclusive attempts that ended in this interval
+    conclusive_attempts: int = 0  # ended in this interval
     overloaded_attempts: int = 0  # of these, the failed, rejected and slow ones
     spilled_units: float = 0.0  # sent there for other zones, not yet ended
     local_share: int = FULL_SHARE  # by this edge's own evidence, where no decision restricts the zone
@@ -337,7 +337,7 @@
     def _advance(self, now_ms: float) -> None:
         """Start the intervals that have begun by now; adjust rates and local recovery if there are any."""
         self.evidence.advance(now_ms)
-        if self.evidence.interval == self._interval:  # no new interval
+        if self.evidence.interval == self._interval:  # compared, since reporting advances it too
             return
         self._interval = self.evidence.interval
         for zone, traffic in self.zones.items():
--- a/tests/compatibility/record_zones.py
+++ b/tests/compatibility/record_zones.py
@@ -1,4 +1,4 @@
-"""Record bytes and decisions of the zones' part: `python -m tests.compatibility.record_zones`, once."""
+"""Record the bytes and decisions of zone failover: `python -m tests.compatibility.record_zones`, once."""
 
 from tests.compatibility import zones_cases as cases
 from tests.compatibility.canonical import save
@@ -10,9 +10,9 @@
         "zones_wire",
         {
             "values": {name: write(value).hex() for name, (write, _, value) in cases.examples().items()},
-            "refusals": cases.refusals(),
+            "refusals": cases.error_codes(),
             "settings": cases.settings_texts(),
-            "contradictions": cases.contradictions(),
+            "contradictions": cases.rejected_settings(),
             "admin answers": cases.admin_answers(),
         },
     )
@@ -20,13 +20,13 @@
         "zones_decisions",
         {
             "outcome kinds": cases.outcome_kinds(),
-            "moves": cases.moves(),
+            "moves": cases.move_results(),
             "local evidence": [cases.local_evidence(seed) for seed in range(30)],
             "fleet evidence": [cases.fleet_evidence(seed) for seed in range(30)],
-            "verdicts by reports": [cases.verdicts_by_reports(seed) for seed in range(10)],
-            "verdicts by sums": [cases.verdicts_by_sums(seed) for seed in range(7)],
-            "choices": [cases.choices(seed) for seed in range(30)],
-            "clusters": [cases.clusters(seed) for seed in range(4)],
+            "verdicts by reports": [cases.decisions_by_reports(seed) for seed in range(10)],
+            "verdicts by sums": [cases.decisions_by_summaries(seed) for seed in range(7)],
+            "choices": [cases.routing_results(seed) for seed in range(30)],
+            "clusters": [cases.cluster_results(seed) for seed in range(4)],
         },
     )
 
--- a/tests/compatibility/zones_cases.py
+++ b/tests/compatibility/zones_cases.py
@@ -1,7 +1,7 @@
-"""Example values and seeded streams of the zones' part, shared by the recording program and the test.
+"""Example values and seeded random runs of zone failover, shared by the recording program and the test.
 
-Results are written as their wire bytes where they have any, and as plain lists elsewhere, so that a digest
-holds no name of a class or a field.
+Results are recorded as wire bytes if they have a wire format, and as plain lists otherwise, so that no digest
+depends on the name of a class or field.
 """
 
 from __future__ import annotations
@@ -36,11 +36,11 @@
 
 REGIONS = {"a1": "north", "a2": "north", "b1": "south", "b2": "south"}
 NAMES = sorted(REGIONS)
-NEVER_TOLD = 0.15  # of the edges in a stream tell nothing
+UNREPORTED_FRACTION = 0.15  # of the edges skip a report at each step
 
 
 def zone_settings(edges: int = 24, capacity: float = 300.0, **more: Any) -> FailoverSettings:
-    """Return settings of four zones in two regions, read by their outer keys."""
+    """Return settings of four zones in two regions, converted from their settings keys."""
     zones = {name: {"region": region, "capacity": capacity} for name, region in REGIONS.items()}
     return msgspec.convert({"zones": zones, "edges": edges, **more}, FailoverSettings)
 
@@ -49,12 +49,12 @@
 
 
 def versioned(value: msgspec.Struct) -> bytes:
-    """Return the bytes of a value of this version."""
+    """Return a value encoded in the current version."""
     return bytes((wire.VERSION,)) + msgspec.msgpack.encode(value)
 
 
-def _piece(beat: int, words: list[ZoneReport]) -> ReportChunk:
-    return ReportChunk(beat, words)
+def _chunk(interval: int, zone_reports: list[ZoneReport]) -> ReportChunk:
+    return ReportChunk(interval, zone_reports)
 
 
 COUNTS = [3, 20, 1, 2, 0, 31, 400]
@@ -63,13 +63,13 @@
 
 
 def examples() -> dict[str, Example]:
-    """Return by name: how a value is written, how its bytes are read, and the value."""
+    """Return, by name, an encoder, a decoder and a value."""
 
-    def write_piece(value: ReportChunk) -> bytes:
+    def encode_chunk(value: ReportChunk) -> bytes:
         (data,) = reports.encode_reports(value.interval, value.reports)
         return data
 
-    said = [
+    zone_reports = [
         ZoneReport("a1", 4, 1, 9, 0, 2, 1.5, 2.5, -9),
         ZoneReport("b1", 1, 9999, 0, 12, 9999, 1e12, 0.0, 9999),
     ]
@@ -81,29 +81,29 @@
         ZoneDecision("c1", ZoneState.SLOW, 16),
         ZoneDecision("c2", ZoneState.PARTITIONED, 0, 3, 4, ["a1"]),
     ]
-    verdict = (decision.encode, decision.decode)
-    move = (decision.encode, decision.decode_write_move)
-    row = (versioned, summary.decode_summary_row)
+    decision_codec = (decision.encode, decision.decode)
+    move_codec = (decision.encode, decision.decode_write_move)
+    row_codec = (versioned, summary.decode_summary_row)
     return {
-        "report chunk, empty": (write_piece, reports.decode_report_chunk, _piece(0, [])),
-        "report chunk": (write_piece, reports.decode_report_chunk, _piece(7, said)),
+        "report chunk, empty": (encode_chunk, reports.decode_report_chunk, _chunk(0, [])),
+        "report chunk": (encode_chunk, reports.decode_report_chunk, _chunk(7, zone_reports)),
         "report chunk, defaults": (
-            write_piece,
+            encode_chunk,
             reports.decode_report_chunk,
-            _piece(2**53, [ZoneReport("z" * 64, 0)]),
+            _chunk(2**53, [ZoneReport("z" * 64, 0)]),
         ),
         "report chunk, each word": (
-            write_piece,
+            encode_chunk,
             reports.decode_report_chunk,
-            _piece(300, [ZoneReport(f"z{int(w)}", int(w)) for w in ZoneHealth]),
+            _chunk(300, [ZoneReport(f"z{int(w)}", int(w)) for w in ZoneHealth]),
         ),
-        "decision, empty": (*verdict, FailoverDecision()),
-        "decision": (*verdict, FailoverDecision(entries, {"a2": 1.5, "b2": 0.0}, 3.25)),
-        "decision, room alone": (*verdict, FailoverDecision([], {"a2": 1e12})),
-        "move of writes": (*move, WriteMove("north", "south", 500.0, "op")),
-        "move of writes, defaults": (*move, WriteMove("north", "south", 0.0)),
-        "row of sums": (*row, SummaryRow(COUNTS, 4, 5, 12.5, 0.0, 2, 8, [0] * 7)),
-        "row of sums, empty": (*row, SummaryRow([0] * 7, 0, 0, 0.0, 0.0, 0, 0, COUNTS)),
+        "decision, empty": (*decision_codec, FailoverDecision()),
+        "decision": (*decision_codec, FailoverDecision(entries, {"a2": 1.5, "b2": 0.0}, 3.25)),
+        "decision, room alone": (*decision_codec, FailoverDecision([], {"a2": 1e12})),
+        "move of writes": (*move_codec, WriteMove("north", "south", 500.0, "op")),
+        "move of writes, defaults": (*move_codec, WriteMove("north", "south", 0.0)),
+        "row of sums": (*row_codec, SummaryRow(COUNTS, 4, 5, 12.5, 0.0, 2, 8, [0] * 7)),
+        "row of sums, empty": (*row_codec, SummaryRow([0] * 7, 0, 0, 0.0, 0.0, 0, 0, COUNTS)),
         "work of zones": (
             lambda loads: versioned(ZoneLoads(loads)),
             summary.decode_zone_loads,
@@ -113,17 +113,17 @@
     }
 
 
-# What other programs may send: older ones leave the last elements out, newer ones append some.
-FOREIGN = {
+# Bytes from other program versions: older ones omit the last elements, newer ones append some.
+OTHER_VERSIONS = {
     "report chunk, short words": (
         "0192079192a2613104",
         reports.decode_report_chunk,
-        _piece(7, [ZoneReport("a1", 4)]),
+        _chunk(7, [ZoneReport("a1", 4)]),
     ),
     "report chunk, newer": (
         "0193079193a261310405c0",
         reports.decode_report_chunk,
-        _piece(7, [ZoneReport("a1", 4, 5)]),
+        _chunk(7, [ZoneReport("a1", 4, 5)]),
     ),
     "decision, short": (
         "019191" + "93a261310100",
@@ -144,12 +144,12 @@
     ),
 }
 
-# Bytes that none of the readers takes, and the code of the error with which each of them says so.
-UNREADABLE = ["", "02", "0290", "01", "01c1", "0192", "0180", "0191a0", "01ff", "019192a26131cb"]
+# Bytes that at least one decoder must reject; the error codes are recorded.
+UNDECODABLE = ["", "02", "0290", "01", "01c1", "0192", "0180", "0191a0", "01ff", "019192a26131cb"]
 
 
-def readers() -> list[Callable[[bytes], Any]]:
-    """Return all readers of bytes that come from other processes."""
+def decoders() -> list[Callable[[bytes], Any]]:
+    """Return all decoders of bytes that come from other processes."""
     return [
         reports.decode_report_chunk,
         decision.decode,
@@ -159,12 +159,12 @@
     ]
 
 
-def refusals() -> list[list[str]]:
-    """Return, for each of UNREADABLE, the error code of each reader, or "" where it reads them."""
+def error_codes() -> list[list[str]]:
+    """Return, for each of UNDECODABLE, the error code of each decoder, or "" if it accepts the bytes."""
     found = []
-    for data in UNREADABLE:
+    for data in UNDECODABLE:
         codes = []
-        for read in readers():
+        for read in decoders():
             try:
                 read(bytes.fromhex(data))
                 codes.append("")
@@ -175,7 +175,7 @@
 
 
 def settings_texts() -> dict[str, str]:
-    """Return settings as a file holds them, with every key."""
+    """Return settings encoded as JSON: with the default and with a changed value of every key."""
     plain = zone_settings()
     other = zone_settings(
         7,
@@ -213,8 +213,8 @@
     return {name: msgspec.json.encode(value).decode() for name, value in (("plain", plain), ("all", other))}
 
 
-def contradictions() -> list[list[str]]:
-    """Return settings that contradict themselves, and the field that the error names."""
+def rejected_settings() -> list[list[str]]:
+    """Return the fields whose values contradict other settings, each with its error text."""
     found = []
     for key, value in (("usual", 0.99), ("step_ms", 100.0), ("fresh_ms", 100.0), ("half_share", 0.9)):
         try:
@@ -228,16 +228,16 @@
 
 
 def outcome_kinds() -> list[list[Any]]:
-    """Return what each outcome says of a zone, fast and slow."""
+    """Return how each outcome is classified at several latencies."""
     return [
-        [outcome.value, lag, int(classify_attempt(outcome, lag, 1000.0))]
+        [outcome.value, latency_ms, int(classify_attempt(outcome, latency_ms, 1000.0))]
         for outcome in Outcome
-        for lag in (0.0, 999.9, 1000.0, 5000.0)
+        for latency_ms in (0.0, 999.9, 1000.0, 5000.0)
     ]
 
 
-def moves() -> list[list[Any]]:
-    """Return which moves of writes are refused."""
+def move_results() -> list[list[Any]]:
+    """Return, for combinations of regions, allowed loss and lag, whether a move of writes is accepted."""
     found: list[list[Any]] = []
     for source in ("north", "south", "east"):
         for target in ("north", "south", "east"):
@@ -252,108 +252,116 @@
     return found
 
 
-def _fault(source: random.Random) -> dict[str, float]:
-    """Draw how large a part of attempts fails, by zone."""
+def _draw_failure_fractions(source: random.Random) -> dict[str, float]:
+    """Draw the fraction of attempts that fail, by zone."""
     return {name: source.choice([0.0, 0.0, 0.0, 0.02, 0.3, 0.5, 0.9, 1.0]) for name in NAMES}
 
 
 def local_evidence(seed: int) -> str:
-    """Return the digest of one edge's evidence over 300 attempts and pauses."""
+    """Return the digest of one edge's evidence over 300 attempts with random pauses."""
     source = random.Random(seed)
     digest = Digest()
     settings = zone_settings(source.choice([1, 24, 230]), window=source.choice([1, 4, 8]))
     own = LocalEvidence(settings, 0.0)
-    now, failing, slow = 0.0, _fault(source), source.random() < 0.4
+    now_ms, failure_fractions, slow = 0.0, _draw_failure_fractions(source), source.random() < 0.4
     for _ in range(300):
-        now += source.choice([1.0, 20.0, 150.0, 150.0, 700.0, 15000.0 if source.random() < 0.1 else 5.0])
+        now_ms += source.choice([1.0, 20.0, 150.0, 150.0, 700.0, 15000.0 if source.random() < 0.1 else 5.0])
         if source.random() < 0.03:
-            failing, slow = _fault(source), source.random() < 0.4
-        own.advance(now)
+            failure_fractions, slow = _draw_failure_fractions(source), source.random() < 0.4
+        own.advance(now_ms)
         zone = source.choice([*NAMES, *NAMES, "elsewhere"])
-        kind = AttemptEvidence.FAILED if source.random() < failing.get(zone, 0) else AttemptEvidence.REACHED
-        if kind is AttemptEvidence.REACHED and slow and source.random() < 0.7:
-            kind = AttemptEvidence.SLOW
+        attempt_result = (
+            AttemptEvidence.FAILED
+            if source.random() < failure_fractions.get(zone, 0)
+            else AttemptEvidence.REACHED
+        )
+        if attempt_result is AttemptEvidence.REACHED and slow and source.random() < 0.7:
+            attempt_result = AttemptEvidence.SLOW
         own.record_attempt(
-            zone, AttemptEvidence.INCONCLUSIVE if source.random() < 0.02 else kind, source.uniform(0.1, 9.0)
+            zone,
+            AttemptEvidence.INCONCLUSIVE if source.random() < 0.02 else attempt_result,
+            source.uniform(0.1, 9.0),
         )
         own.record_demand(source.choice(NAMES), source.uniform(0.1, 9.0))
         if source.random() < 0.01:
             own.reset_zone(source.choice([*NAMES, "elsewhere"]))
         pace, least = source.choice([None, None, 500.0, 2000.0]), source.choice([0.0, 0.0, 0.0, 4000.0])
-        for change in own.due_updates(now, source.random() < 0.2, pace, least):
+        for change in own.due_updates(now_ms, source.random() < 0.2, pace, least):
             digest.add([change.key, change.value])
         digest.add([[int(own.health(name)), own.idle_ms(name), own.reported_demand(name)] for name in NAMES])
         digest.add([[own.interval, own.unknown_zone_attempts], msgspec.msgpack.encode(own.reports())])
     return digest.hex()
 
 
-def _words_of(found: dict[Any, dict[str, Any]]) -> list[Any]:
+def _received_reports(found: dict[Any, dict[str, Any]]) -> list[Any]:
     return [
         [
             *origin,
             zone,
-            msgspec.msgpack.encode(heard.report),
-            heard.age_ms,
-            heard.interval,
-            heard.sender_age_ms,
+            msgspec.msgpack.encode(received.report),
+            received.age_ms,
+            received.interval,
+            received.sender_age_ms,
         ]
-        for origin, words in sorted(found.items())
-        for zone, heard in sorted(words.items())
+        for origin, zone_reports in sorted(found.items())
+        for zone, received in sorted(zone_reports.items())
     ]
 
 
-def _said(source: random.Random, zone: str, word: int) -> ZoneReport:
-    bad = {0: 0, 1: source.choice([0, 0, 0, 1]), 2: 0, 3: 5, 4: source.choice([9, 9, 9, 3])}[word]
-    good = {0: 0, 1: 9, 2: 9, 3: 5, 4: source.choice([0, 0, 0, 2])}[word]
-    run = {0: 0, 1: source.choice([9, 9, 9, -1]), 2: 9, 3: source.choice([-1, 2]), 4: -9}[word]
+def _random_report(source: random.Random, zone: str, health: int) -> ZoneReport:
+    failed = {0: 0, 1: source.choice([0, 0, 0, 1]), 2: 0, 3: 5, 4: source.choice([9, 9, 9, 3])}[health]
+    reached = {0: 0, 1: 9, 2: 9, 3: 5, 4: source.choice([0, 0, 0, 2])}[health]
+    streak = {0: 0, 1: source.choice([9, 9, 9, -1]), 2: 9, 3: source.choice([-1, 2]), 4: -9}[health]
     age = source.choice([0, 0, 0, 0, 1, 5, 30])
     return ZoneReport(
         zone,
-        word,
-        good,
-        bad,
-        good * (word == 2),
+        health,
+        reached,
+        failed,
+        reached * (health == 2),
         age,
         round(source.uniform(0, 20), 3),
         source.choice([0.0, round(source.uniform(0, 20), 3)]),
-        run,
+        streak,
     )
 
 
 def fleet_evidence(seed: int) -> str:
-    """Return the digest of what a reader holds of many edges' reports, in any order, some unreadable."""
+    """Return the digest of evidence from many edges' reports, out of order and partly malformed."""
     source = random.Random(seed)
     digest = Digest()
     reader = FleetEvidence(zone_settings(), max_origins=source.choice([4, 8, 100]))
-    origins = [(f"e{n}", life) for n in range(6) for life in (1, 2)]
-    now = 0.0
+    origins = [(f"e{n}", incarnation) for n in range(6) for incarnation in (1, 2)]
+    now_ms = 0.0
     for _ in range(120):
-        now += source.choice([0.0, 50.0, 400.0, 4000.0])
+        now_ms += source.choice([0.0, 50.0, 400.0, 4000.0])
         origin = source.choice(origins)
-        words = [_said(source, zone, source.randrange(5)) for zone in NAMES if source.random() < 0.7]
+        zone_reports = [
+            _random_report(source, zone, source.randrange(5)) for zone in NAMES if source.random() < 0.7
+        ]
         if source.random() < 0.1:
-            words.append(ZoneReport("elsewhere", 4, 0, 9, 0, 0, 5.0, 5.0, -9))
-        (data,) = reports.encode_reports(source.randrange(200), words)
+            zone_reports.append(ZoneReport("elsewhere", 4, 0, 9, 0, 0, 5.0, 5.0, -9))
+        (data,) = reports.encode_reports(source.randrange(200), zone_reports)
         value: bytes | None = data
         if source.random() < 0.1:
             value = bytes([source.randrange(4)]) + data[1 : source.randrange(len(data))]
         elif source.random() < 0.1:
             value = None
         key = source.choice(["zones/0", "zones/0", "zones/1", "zones/15", "zones/1000", "other/0"])
-        digest.add(reader.receive(origin, key, value, now))
+        digest.add(reader.receive(origin, key, value, now_ms))
         if source.random() < 0.05:
             reader.forget(source.choice(origins))
         if source.random() < 0.05:
             reader.retain(source.sample(origins, 9))
         if source.random() < 0.3:
-            digest.add(_words_of(reader.reports(now)))
-            digest.add(_words_of(reader.reports(now, source.sample(origins, 5))))
-            digest.add([sorted(reader.zone_loads(now).items()), reader.is_any_zone_accused(now)])
+            digest.add(_received_reports(reader.reports(now_ms)))
+            digest.add(_received_reports(reader.reports(now_ms, source.sample(origins, 5))))
+            digest.add([sorted(reader.zone_loads(now_ms).items()), reader.is_any_zone_accused(now_ms)])
             digest.add([sorted(reader.latest_intervals().items()), reader.rejected, dict(reader.status())])
     return digest.hex()
 
 
-SCENES = [
+SCENARIOS = [
     "calm",
     "lost",
     "lost",
@@ -369,11 +377,11 @@
 ]
 
 
-class FleetStream:
-    """Edges of four zones whose reports follow drawn scenes, and a leader that judges them."""
+class SimulatedFleet:
+    """Edges of four zones whose reports follow randomly drawn scenarios."""
 
     def __init__(self, source: random.Random) -> None:
-        """Draw the settings and the members."""
+        """Draw the settings and the members at random."""
         self.source = source
         edges = source.choice([3, 8, 24])
         self.settings = zone_settings(
@@ -388,53 +396,55 @@
         self.members = [
             ZoneMember((f"e{n}", 1), NAMES[n % 4], source.random() < 0.95, True) for n in range(edges)
         ] + [ZoneMember(("p0", 1), "a1", True, False)]
-        self.now, self.beat, self.scene, self.target = 0.0, 1, "calm", "a1"
-        self.place, self.chosen = "b1", set[str]()
+        self.now_ms, self.interval, self.scenario, self.target_zone = 0.0, 1, "calm", "a1"
+        self.edge_zone, self.chosen_edges = "b1", set[str]()
 
-    def turn(self) -> None:
-        """Let time pass; now and then a new scene begins."""
-        self.now += self.source.choice([250.0, 250.0, 250.0, 1000.0])
-        self.beat += 1
+    def advance(self) -> None:
+        """Advance the time by one step; sometimes a new scenario begins or members change."""
+        self.now_ms += self.source.choice([250.0, 250.0, 250.0, 1000.0])
+        self.interval += 1
         if self.source.random() < 0.07:
-            self.scene = self.source.choice(SCENES)
-            self.target, self.place = self.source.choice(NAMES), self.source.choice(NAMES)
-            self.chosen = {m.origin[0] for m in self.members if self.source.random() < 0.2}
+            self.scenario = self.source.choice(SCENARIOS)
+            self.target_zone, self.edge_zone = self.source.choice(NAMES), self.source.choice(NAMES)
+            self.chosen_edges = {m.origin[0] for m in self.members if self.source.random() < 0.2}
         if self.source.random() < 0.02:
             self.members = [
                 ZoneMember(m.origin, m.zone, self.source.random() < 0.95, m.is_edge) for m in self.members
             ]
 
-    def _word(self, member: ZoneMember, zone: str) -> int:
-        scene, hit = self.scene, zone == self.target
-        if scene == "noise":
+    def _draw_health(self, member: ZoneMember, zone: str) -> int:
+        scenario, is_target = self.scenario, zone == self.target_zone
+        if scenario == "noise":
             return self.source.randrange(5)
-        if scene == "liars" and member.origin[0] in self.chosen:
+        if scenario == "liars" and member.origin[0] in self.chosen_edges:
             return int(ZoneHealth.UNREACHABLE)
-        if scene == "own" and member.zone != zone:
+        if scenario == "own" and member.zone != zone:
             return int(ZoneHealth.UNKNOWN)
-        if scene == "two" and zone in (self.target, self.place):
+        if scenario == "two" and zone in (self.target_zone, self.edge_zone):
             return int(ZoneHealth.UNREACHABLE)
-        if hit and scene in ("lost", "own", "unheard") and self.source.random() < 0.97:
+        if is_target and scenario in ("lost", "own", "unheard") and self.source.random() < 0.97:
             return int(ZoneHealth.UNREACHABLE)
-        if hit and scene == "half" and self.source.random() < 0.9:
+        if is_target and scenario == "half" and self.source.random() < 0.9:
             return int(ZoneHealth.DEGRADED)
-        if hit and scene == "slow" and self.source.random() < 0.9:
+        if is_target and scenario == "slow" and self.source.random() < 0.9:
             return int(ZoneHealth.SLOW)
-        if hit and scene == "blind" and member.zone == self.place:
+        if is_target and scenario == "blind" and member.zone == self.edge_zone:
             return int(ZoneHealth.UNREACHABLE)
         return int(ZoneHealth.HEALTHY)
 
     def reports(self) -> Iterator[tuple[ZoneMember, bytes]]:
-        """Return what the edges tell now."""
+        """Yield the encoded report of each edge that reports in this step."""
         for member in self.members:
-            if not member.is_edge or self.source.random() < NEVER_TOLD:
+            if not member.is_edge or self.source.random() < UNREPORTED_FRACTION:
                 continue
-            words = [_said(self.source, zone, self._word(member, zone)) for zone in NAMES]
-            (data,) = reports.encode_reports(self.beat, words)
+            zone_reports = [
+                _random_report(self.source, zone, self._draw_health(member, zone)) for zone in NAMES
+            ]
+            (data,) = reports.encode_reports(self.interval, zone_reports)
             yield member, data
 
 
-def _tallies(memory: EvaluationMemory) -> list[Any]:
+def _witness_counts(memory: EvaluationMemory) -> list[Any]:
     return [
         [
             zone,
@@ -451,71 +461,71 @@
     ]
 
 
-def verdicts_by_reports(seed: int) -> tuple[str, list[tuple[int, int]]]:
-    """Return the digest of a leader's verdicts that hears all edges, and the states and parts it went by."""
+def decisions_by_reports(seed: int) -> tuple[str, list[tuple[int, int]]]:
+    """Return the digest of decisions by a leader with all reports, and the states and shares in them."""
     source = random.Random(seed)
-    stream, digest, memory = FleetStream(source), Digest(), EvaluationMemory()
-    heard, standing, states = FleetEvidence(stream.settings), None, set()
+    fleet, digest, memory = SimulatedFleet(source), Digest(), EvaluationMemory()
+    evidence, current, states = FleetEvidence(fleet.settings), None, set()
     for _ in range(240):
-        stream.turn()
-        for member, data in stream.reports():
-            heard.receive(member.origin, "zones/0", data, stream.now)
+        fleet.advance()
+        for member, data in fleet.reports():
+            evidence.receive(member.origin, "zones/0", data, fleet.now_ms)
         if source.random() < 0.02:
             memory = EvaluationMemory()
-        view = ReportView(stream.settings, stream.members, heard, stream.now)
-        result = evaluate(stream.settings, stream.members, view, standing, stream.now, memory)
-        digest.add(_tallies(memory))
+        view = ReportView(fleet.settings, fleet.members, evidence, fleet.now_ms)
+        result = evaluate(fleet.settings, fleet.members, view, current, fleet.now_ms, memory)
+        digest.add(_witness_counts(memory))
         digest.add(decision.encode(result) if result is not None else None)
         if result is not None and source.random() < 0.9:
-            standing = result
+            current = result
             states |= {(int(e.state), e.share) for e in result.zones}
-            memory.record_decision(stream.now)
+            memory.record_decision(fleet.now_ms)
     return digest.hex(), sorted(states)
 
 
-def verdicts_by_sums(seed: int) -> tuple[str, list[tuple[int, int]]]:
-    """Return the digest of collectors' sums and of the verdicts of a leader that has these alone."""
+def decisions_by_summaries(seed: int) -> tuple[str, list[tuple[int, int]]]:
+    """Return the digest of decisions by collectors' summaries, and the states and shares in them."""
     source = random.Random(seed)
-    stream, digest, memory = FleetStream(source), Digest(), EvaluationMemory()
-    collectors = {name: ReportSummarizer(stream.settings) for name in NAMES}
-    standing, states = None, set()
+    fleet, digest, memory = SimulatedFleet(source), Digest(), EvaluationMemory()
+    collectors = {name: ReportSummarizer(fleet.settings) for name in NAMES}
+    current, states = None, set()
     for _ in range(160):
-        stream.turn()
-        for member, data in stream.reports():
-            collectors[member.zone].receive(member.origin, "zones/0", data, stream.now)
+        fleet.advance()
+        for member, data in fleet.reports():
+            collectors[member.zone].receive(member.origin, "zones/0", data, fleet.now_ms)
         if source.random() < 0.05:
-            collectors[source.choice(NAMES)].forget(source.choice(stream.members).origin)
-        rows, tellers = {}, {}
+            collectors[source.choice(NAMES)].forget(source.choice(fleet.members).origin)
+        rows, senders = {}, {}
         for name, collector in collectors.items():
-            collector.apply_decision(standing, stream.now)
-            if stream.scene == "unheard" and name == stream.place:
+            collector.apply_decision(current, fleet.now_ms)
+            if fleet.scenario == "unheard" and name == fleet.edge_zone:
                 continue
-            origins = [m.origin for m in stream.members if m.zone == name and m.is_edge]
-            rows[name] = collector.summarize(name, origins, stream.now)
-            tellers[name] = len(origins)
+            origins = [m.origin for m in fleet.members if m.zone == name and m.is_edge]
+            rows[name] = collector.summarize(name, origins, fleet.now_ms)
+            senders[name] = len(origins)
         if source.random() < 0.1:
             rows.setdefault("a1", {})["zones/b1"] = b"\x01\xc1"
         digest.add(rows)
-        digest.add(list(collectors["a1"].broadcast(rows, stream.now)))
-        view = SummaryView(stream.settings, stream.members, rows, tellers)
+        digest.add(list(collectors["a1"].broadcast(rows, fleet.now_ms)))
+        view = SummaryView(fleet.settings, fleet.members, rows, senders)
         digest.add(
             [
                 sorted(view.unreported_zones()),
                 [[view.load(z), view.remote_requesters(z), view.demand(z, ["b1"])] for z in NAMES],
             ]
         )
-        result = evaluate(stream.settings, stream.members, view, standing, stream.now, memory)
-        digest.add(_tallies(memory))
+        result = evaluate(fleet.settings, fleet.members, view, current, fleet.now_ms, memory)
+        digest.add(_witness_counts(memory))
         digest.add(decision.encode(result) if result is not None else None)
         if result is not None:
-            standing = result
+            current = result
             states |= {(int(e.state), e.share) for e in result.zones}
-            memory.record_decision(stream.now)
+            memory.record_decision(fleet.now_ms)
     return digest.hex(), sorted(states)
 
 
-def _decree(source: random.Random, number: int) -> Decision:
-    """Draw what may stand of the zones."""
+def _draw_decision(source: random.Random, number: int) -> Decision:
+    """Draw a random decision about the zones; one in ten cannot be decoded."""
     if source.random() < 0.1:
         return Decision(decision.TOPIC, number, b"\x09nonsense", 1000.0)
     entries = []
@@ -523,79 +533,83 @@
         if source.random() < 0.5:
             continue
         state = source.choice([*ZoneState, 77 if source.random() < 0.1 else ZoneState.EVACUATED])
-        part = (
+        share = (
             0 if state in (ZoneState.EVACUATED, ZoneState.PARTITIONED) else source.choice([1, 8, 16, 32, 64])
         )
         blind = source.sample(NAMES, 2) if state == ZoneState.PARTITIONED or source.random() < 0.1 else []
         entries.append(
-            ZoneDecision(zone, int(state), part, source.randrange(3), source.choice([0, 1, 24]), blind)
+            ZoneDecision(zone, int(state), share, source.randrange(3), source.choice([0, 1, 24]), blind)
         )
-    room = {zone: source.uniform(0, 300) for zone in NAMES if source.random() < 0.6}
-    verdict = FailoverDecision(entries, room, source.choice([0.0, 10.0, 300.0]))
-    return Decision(decision.TOPIC, number, decision.encode(verdict), 10000.0)
+    spare_capacity = {zone: source.uniform(0, 300) for zone in NAMES if source.random() < 0.6}
+    failover_decision = FailoverDecision(entries, spare_capacity, source.choice([0.0, 10.0, 300.0]))
+    return Decision(decision.TOPIC, number, decision.encode(failover_decision), 10000.0)
 
 
 READ_ZONES = [NAMES, ["a1", "b1"], ["a2"], [], ["elsewhere"], ["b1", "b2", "elsewhere"]]
 
 
-def _decreed(source: random.Random, choice: ZoneRouter, number: int, now: float) -> None:
+def _apply_random_decision(source: random.Random, router: ZoneRouter, number: int, now_ms: float) -> None:
     if source.random() < 0.1:
         value = (
             decision.encode(WriteMove("north", "south", 5.0, "op")) if source.random() < 0.8 else b"\x01\xc1"
         )
         move = Decision(decision.WRITE_MOVE_TOPIC, number, value, 1000.0)
-        ended = Expired(move, now) if source.random() < 0.5 else move
-        choice.apply_decision(decision.WRITE_MOVE_TOPIC, source.choice([ended, ended, None]), now)
+        ended = Expired(move, now_ms) if source.random() < 0.5 else move
+        router.apply_decision(decision.WRITE_MOVE_TOPIC, source.choice([ended, ended, None]), now_ms)
         return
-    decree = _decree(source, number)
-    ways = [decree, decree, decree, Expired(decree, now), None]
-    choice.apply_decision(source.choice([decision.TOPIC] * 9 + ["others"]), source.choice(ways), now)
+    decree = _draw_decision(source, number)
+    variants = [decree, decree, decree, Expired(decree, now_ms), None]
+    router.apply_decision(source.choice([decision.TOPIC] * 9 + ["others"]), source.choice(variants), now_ms)
 
 
-def choices(seed: int) -> tuple[str, list[str]]:
-    """Return the digest of one edge's choices over 900 reads, and the kinds of answers among them."""
+def routing_results(seed: int) -> tuple[str, list[str]]:
+    """Return the digest of one edge's routing of 900 reads, and the kinds of answers among them."""
     source = random.Random(seed)
     settings = zone_settings(source.choice([1, 4, 24]), source.choice([50.0, 300.0]))
-    choice = ZoneRouter(source.choice(NAMES), REGIONS, settings, 0.0, random.Random(seed + 1))
-    digest, now, failing, kinds = Digest(), 0.0, _fault(source), set()
+    router = ZoneRouter(source.choice(NAMES), REGIONS, settings, 0.0, random.Random(seed + 1))
+    digest, now_ms, failure_fractions, answer_kinds = Digest(), 0.0, _draw_failure_fractions(source), set()
     for number in range(900):
-        now += source.choice([1.0, 5.0, 20.0, 20.0, 60.0, 12000.0 if source.random() < 0.02 else 10.0])
+        now_ms += source.choice([1.0, 5.0, 20.0, 20.0, 60.0, 12000.0 if source.random() < 0.02 else 10.0])
         if source.random() < 0.01:
-            failing = _fault(source)
+            failure_fractions = _draw_failure_fractions(source)
         if source.random() < 0.02:
-            _decreed(source, choice, number, now)
+            _apply_random_decision(source, router, number, now_ms)
         if source.random() < 0.02:
-            choice.update_zone_loads(
+            router.update_zone_loads(
                 {zone: source.uniform(0, 400) for zone in NAMES if source.random() < 0.7}
             )
         if source.random() < 0.05:
-            for change in choice.evidence.due_updates(now, choice.wants_evidence()):
+            for change in router.evidence.due_updates(now_ms, router.wants_evidence()):
                 digest.add([change.key, change.value])
         units = source.choice([0.5, 1.0, 1.0, 8.0])
         home = source.choice(["", "", "", "b1", "elsewhere"])
-        answer = choice.route(source.choice(READ_ZONES), units, source.random() < 0.2, now, home)
+        answer = router.route(source.choice(READ_ZONES), units, source.random() < 0.2, now_ms, home)
         if isinstance(answer, Route):
             digest.add(["route", answer.zone, answer.tier])
-            kinds.add(f"tier {answer.tier}")
+            answer_kinds.add(f"tier {answer.tier}")
             source.random()
-            lag = source.choice([5.0, 5.0, 5.0, 1500.0])
-            failed = source.random() < failing[answer.zone]
-            bad = source.choice([Outcome.TIMEOUT, Outcome.RESET, Outcome.NO_CONNECTION])
-            good = source.choice([Outcome.OK, Outcome.OK, Outcome.FULL, Outcome.CANCELLED, Outcome.ABANDONED])
+            latency_ms = source.choice([5.0, 5.0, 5.0, 1500.0])
+            failed = source.random() < failure_fractions[answer.zone]
+            failed_outcome = source.choice([Outcome.TIMEOUT, Outcome.RESET, Outcome.NO_CONNECTION])
+            answered_outcome = source.choice(
+                [Outcome.OK, Outcome.OK, Outcome.FULL, Outcome.CANCELLED, Outcome.ABANDONED]
+            )
             if source.random() < 0.95:
-                choice.record_attempt(answer.zone, units, bad if failed else good, now + 1, lag)
+                router.record_attempt(
+                    answer.zone, units, failed_outcome if failed else answered_outcome, now_ms + 1, latency_ms
+                )
         else:
             digest.add(["refuse", answer.retry_after_ms, answer.reason])
-            kinds.add(answer.reason)
+            answer_kinds.add(answer.reason)
         if source.random() < 0.02:
-            choice.record_attempt("elsewhere", units, Outcome.OK, now, 5.0)
+            router.record_attempt("elsewhere", units, Outcome.OK, now_ms, 5.0)
         if number % 50 == 0:
-            digest.add([choice.status(), choice.evidence.unknown_zone_attempts])
-    return digest.hex(), sorted(kinds)
+            digest.add([router.status(), router.evidence.unknown_zone_attempts])
+    return digest.hex(), sorted(answer_kinds)
 
 
-def clusters(seed: int) -> tuple[str, int]:
-    """Return the digest of 40 s of a small cluster, and how many decrees there were."""
+def cluster_results(seed: int) -> tuple[str, int]:
+    """Return the digest of 40 s of a small cluster, and the version of its last decision."""
     settings = zone_settings(
         6,
         150.0,
@@ -606,7 +620,7 @@
         calm_ms=2000.0,
         recent_ms=3000.0,
     )
-    return zones_cluster.cluster(seed, settings, {zone: REGIONS[zone] for zone in NAMES[:3]})
+    return zones_cluster.run_cluster(seed, settings, {zone: REGIONS[zone] for zone in NAMES[:3]})
 
 
 def admin_answers() -> list[list[Any]]:
--- a/tests/failover/drill_support.py
+++ b/tests/failover/drill_support.py
@@ -1,4 +1,4 @@
-"""Four edges, three planners and six nodes in three zones, as processes, and what drills ask of them."""
+"""Drills with four edge, three planner and six node processes in three zones."""
 
 from cressrock.lab.common import Common, Told
 from cressrock.lab.day import Script
@@ -16,11 +16,11 @@
     "calm_ms": 2000.0,
     "recent_ms": 3000.0,
 }
-MIN_REQUESTS = 200  # of a drill that says anything
+MIN_REQUESTS = 200  # fewer requests would make a drill meaningless
 
 
 def with_zones(drill, name, value):
-    """Add the zones to a process's settings."""
+    """Add zones with short failover times to a process's settings."""
     value["zones"] = {
         "zones": {zone: {"region": region, "capacity": 200.0} for zone, region in REGIONS.items()},
         "edges": 4,
@@ -29,7 +29,7 @@
 
 
 def play(story, extend=with_zones):
-    """Play a story; the seven rules hold, and every request is answered."""
+    """Run a drill; fails unless the seven rules hold and every request is answered."""
     common = Common(
         seats=REPLICAS, zones={name: (zone, REGIONS[zone]) for name, zone in ZONE_OF.items()}, more=extend
     )
@@ -52,17 +52,17 @@
 
 
 async def zones_status(drill, name):
-    """Return what a process says of zones at its admin port."""
+    """Return the zones part of a process's admin status; empty if it does not answer."""
     return ((await drill.ask(name)) or {}).get("zones") or {}
 
 
 async def all_see(drill, zone, health, edges):
-    """Whether each of these edges says so of a zone's health."""
+    """Whether each of these edges reports this health of a zone."""
     return all([(await zones_status(drill, edge)).get("words", {}).get(zone) == health for edge in edges])
 
 
 async def all_follow(drill, expected, edges, zone="a1"):
-    """Whether each of these edges follows a decision that says so of a zone: (state, share) or None."""
+    """Whether each of these edges follows a decision with this (state, share) of a zone, or None if none."""
     for edge in edges:
         entry = ((await zones_status(drill, edge)).get("decreed") or {}).get(zone)
         if (entry and (entry["state"], entry["part"])) != expected:
@@ -71,7 +71,7 @@
 
 
 async def until_all_are_well(drill):
-    """Wait for one view of the members, a leader and zones in reach; return the edges' names."""
+    """Wait for an agreed membership, a leader and reachable zones; return the edges' names."""
     edges, names = [dispatcher.name for dispatcher in drill.dispatchers], drill.names()
     everybody = dict.fromkeys(names, "alive")
     await drill.until("one view", lambda: drill.sees(everybody, by=names))
@@ -82,12 +82,12 @@
 
 
 async def losses_of(drill, zone, edges):
-    """Return how many losses of a zone each edge follows."""
+    """Return a zone's count of losses in the decision that each edge follows."""
     return [(await zones_status(drill, edge))["decreed"][zone]["losses"] for edge in edges]
 
 
 async def kill_nodes(drill, zone):
-    """Kill a zone's nodes; the node list says nothing of it.  Return them for `start_nodes`."""
+    """Kill a zone's nodes without updating the node list.  Return them for `start_nodes`."""
     lost = [(node.rack.shard, node.name) for node in drill.hall.in_zone(zone)]
     for _, name in lost:
         await drill.hall.kill(name)
@@ -95,7 +95,7 @@
 
 
 async def start_nodes(drill, lost):
-    """Start nodes again, cold."""
+    """Restart the nodes with cold caches, and publish the node list."""
     for shard, name in lost:
         await drill.hall.start(shard, name, cold=True)
     drill.hall.publish()
--- a/tests/failover/support.py
+++ b/tests/failover/support.py
@@ -1,4 +1,4 @@
-"""Settings, a fleet of reporting edges, and one edge's reads: what the failover tests build on."""
+"""Helpers of the failover tests: settings, a fleet of reporting edges, and one edge's reads."""
 
 import random
 from collections import Counter
@@ -16,7 +16,7 @@
 
 REGIONS = {"a1": "north", "a2": "north", "b1": "south"}
 ZONES = sorted(REGIONS)
-EVERYBODY = range(30)
+ALL_EDGES = range(30)
 ALL_HEALTHY = dict.fromkeys(ZONES, ZoneHealth.HEALTHY)
 A1_LOST = ALL_HEALTHY | {"a1": ZoneHealth.UNREACHABLE}
 ALL_UNREACHABLE = dict.fromkeys(ZONES, ZoneHealth.UNREACHABLE)
@@ -44,7 +44,7 @@
 
 
 class Fleet:
-    """Edges' reports as a leader holds them, without gossip between, and the leader's decisions."""
+    """Edges whose reports go directly to a leader without gossip, and the leader's decisions."""
 
     def __init__(self, edges=30, settings=None, **options):
         self.settings = settings or failover_settings(edges, **options)
@@ -55,14 +55,14 @@
         self.decisions = []
 
     def receive(self, edges, health_by_zone):
-        """Receive a report of each of these edges, by number."""
+        """Deliver a report from each of these edges (numbers) to the leader."""
         reports = [report(zone, health) for zone, health in health_by_zone.items()]
         for edge in edges:
             for index, chunk in enumerate(encode_reports(self.interval, reports)):
                 self.evidence.receive((f"e{edge}", 1), f"zones/{index}", chunk, self.now_ms)
 
     def run(self, duration_ms, *reports):
-        """Let time pass, with `reports` (edges, health by zone) received anew before each evaluation."""
+        """Evaluate for a duration; `reports` (edges, health by zone) are delivered before each evaluation."""
         end_ms = self.now_ms + duration_ms
         while self.now_ms < end_ms:
             self.now_ms += EVALUATION_INTERVAL_MS
@@ -88,7 +88,7 @@
 
 
 def as_stored(content, number=1):
-    """Return a failover decision as consensus stores it."""
+    """Return a failover decision as stored by consensus."""
     return Decision(decision.TOPIC, number, decision.encode(content), 10000.0)
 
 
@@ -99,7 +99,7 @@
 def read_for(
     edge, seconds, rate=50, begin_ms=0.0, zones=tuple(REGIONS), reserved=False, outcome_of=None
 ):  # fmt: skip
-    """Route reads for some seconds; each that is sent ends as `outcome_of(zone)` says, or well."""
+    """Route reads at a rate per second; each routed read ends with `outcome_of(zone)`, by default OK."""
     answers = []
     for number in range(int(seconds * rate)):
         now_ms = begin_ms + number * 1000 / rate
@@ -112,10 +112,10 @@
 
 
 def unreachable(*zones):
-    """Return the outcomes of attempts while these zones take no connection."""
+    """Return an `outcome_of` by which attempts in these zones fail to connect."""
     return lambda zone: Outcome.NO_CONNECTION if zone in zones else Outcome.OK
 
 
 def routed_by_tier(answers):
-    """Return how many reads were sent, by tier."""
+    """Return the number of routed reads by tier."""
     return Counter(answer.tier for answer in answers if isinstance(answer, Route))
--- a/tests/failover/test_evidence.py
+++ b/tests/failover/test_evidence.py
@@ -1,4 +1,4 @@
-"""What an edge concludes from its own attempts, what it reports, and how reports merge."""
+"""An edge's health judgments from its own attempts, its reports, and the merging of reports."""
 
 import random
 
@@ -29,7 +29,7 @@
     evidence.record_attempt(zone, result, 1.0)
 
 
-def test_a_zone_that_stops_answering_is_unreachable_and_soon_healthy_again(evidence):
+def test_a_zone_that_stops_answering_becomes_unreachable_and_recovers_after_three_answers(evidence):
     now_ms = 0.0
     for _ in range(40):
         attempt(evidence, "a1", AttemptEvidence.REACHED, now_ms := now_ms + 100)
@@ -40,14 +40,14 @@
     assert now_ms - lost_at_ms <= 2000
     attempt(evidence, "a1", AttemptEvidence.REACHED, now_ms := now_ms + 60000)
     assert evidence.health("a1") is ZoneHealth.UNREACHABLE, (
-        "one answer after a minute of silence proves nothing"
+        "one answer after a minute without attempts is not sufficient"
     )
     for _ in range(2):
         attempt(evidence, "a1", AttemptEvidence.REACHED, now_ms := now_ms + 100)
     assert evidence.health("a1") is ZoneHealth.HEALTHY
 
 
-def test_degraded_and_slow_are_told_apart(evidence):
+def test_degraded_and_slow_zones_are_distinguished(evidence):
     source = random.Random(5)
     for n in range(400):
         half = AttemptEvidence.FAILED if n % 2 else AttemptEvidence.REACHED
@@ -63,7 +63,7 @@
     ]
 
 
-def test_reports_of_64_zones_come_in_chunks_that_fit_a_gossip_entry():
+def test_reports_of_64_zones_are_split_into_chunks_that_fit_a_gossip_entry():
     names = [f"zone-with-a-rather-long-name-{n:02d}" for n in range(64)]
     zones = {name: ZoneSettings(region="r", capacity=1e6) for name in names}
     evidence = LocalEvidence(FailoverSettings(zones=zones, edges=230), 0.0)
@@ -80,7 +80,7 @@
     assert len(reader.reports(0.0)[("e", 1)]) == 64
 
 
-def test_steady_state_is_reported_seldom_and_a_changed_health_at_once():
+def test_steady_state_is_reported_rarely_and_a_changed_health_at_once():
     evidence, reported_at_ms = LocalEvidence(failover_settings(230), 0.0), []
     for n in range(600):
         now_ms = n * 100.0
@@ -93,7 +93,7 @@
 
 @settings(max_examples=60, deadline=None)
 @given(st.integers(0, 2**32))
-def test_reports_merge_to_the_same_in_whatever_order_and_however_often(seed):
+def test_merging_reports_is_independent_of_order_and_repetition(seed):
     source = random.Random(seed)
     entries = []
     for n in range(3):
@@ -117,7 +117,7 @@
     assert merged[0] == merged[1], seed
 
 
-def test_unreadable_bytes_of_others_are_counted_and_harmless():
+def test_malformed_reports_are_counted_and_ignored():
     reader, source = FleetEvidence(failover_settings(), max_origins=4), random.Random(3)
     good = encode_reports(7, [ZoneReport("a1", 1, 3)])[0]
     for n in range(3000):
@@ -130,9 +130,9 @@
     reader.reports(0.0)
 
 
-def test_golden_bytes_of_reports_and_what_is_newer():
+def test_report_chunks_match_golden_bytes_and_ignore_additional_fields():
     report = ZoneReport("a1", 4, 1, 9, 0, 2, 1.5, 2.5, -9)
     assert encode_reports(7, [report])[0].hex() == (
         "01920791" + "99a2613104010900" + "02cb3ff8000000000000cb4004000000000000f7"
     )
-    assert decode_report_chunk(bytes.fromhex("01930790c0")).interval == 7, "further fields are passed over"
+    assert decode_report_chunk(bytes.fromhex("01930790c0")).interval == 7, "additional fields are ignored"
--- a/tests/failover/test_routing.py
+++ b/tests/failover/test_routing.py
@@ -1,4 +1,4 @@
-"""Where reads go: near, elsewhere within what is surely borne, or nowhere."""
+"""Reads go to the home zone, to other zones within safe rates, or are shed."""
 
 import random
 
@@ -30,7 +30,7 @@
     assert set(read_for(router(), 20)) == {HOME}
 
 
-def test_an_edge_that_cannot_reach_its_zone_reads_elsewhere_within_its_own_share():
+def test_an_edge_that_cannot_reach_its_zone_reads_elsewhere_within_its_share():
     edge = router(edges=3)
     answers = read_for(edge, 60, outcome_of=unreachable("a1"))
     limits = edge.settings
@@ -39,7 +39,7 @@
     for zone in ("a2", "b1"):
         sent = sum(isinstance(answer, Route) and answer.zone == zone for answer in later)
         assert sent <= spare * 40 * 1.05
-    assert routed_by_tier(later)[0] < 0.15 * len(later), "trial reads alone"
+    assert routed_by_tier(later)[0] < 0.15 * len(later), "only trial reads"
     assert all(answer.retry_after_ms > 0 for answer in answers if isinstance(answer, Shed))
 
 
@@ -48,7 +48,7 @@
     return FailoverDecision([ZoneDecision("a1", ZoneState.EVACUATED, 0, 1, 1)], {"a2": 10.0}, 10.0)
 
 
-def test_reads_with_a_reserve_get_no_less_of_a_rate(a1_evacuated):
+def test_reads_with_a_reserve_get_at_least_the_same_rate(a1_evacuated):
     sent = []
     for reserved in (False, True):
         edge = router()
@@ -73,17 +73,17 @@
 
 def test_only_edges_of_blind_zones_leave_a_partitioned_zone():
     entry = ZoneDecision("a1", ZoneState.PARTITIONED, 0, 1, 10, ["b1"])
-    split = FailoverDecision([entry], {"a2": 100.0, "b1": 100.0}, 10.0)
-    seeing, blind = router(here="a1"), router(here="b1")
-    for edge in (seeing, blind):
-        edge.apply_decision(decision.TOPIC, as_stored(split), 0.0)
-    assert set(read_for(seeing, 5)) == {HOME}
-    assert HOME not in read_for(blind, 5, zones=("a1", "a2"))[1:40]
+    partitioned = FailoverDecision([entry], {"a2": 100.0, "b1": 100.0}, 10.0)
+    unaffected_edge, blind_edge = router(here="a1"), router(here="b1")
+    for edge in (unaffected_edge, blind_edge):
+        edge.apply_decision(decision.TOPIC, as_stored(partitioned), 0.0)
+    assert set(read_for(unaffected_edge, 5)) == {HOME}
+    assert HOME not in read_for(blind_edge, 5, zones=("a1", "a2"))[1:40]
 
 
 @settings(max_examples=15, deadline=None)
 @given(st.integers(0, 2**32), st.sampled_from([1, 2, 4, 8, 16, 32]))
-def test_all_edges_together_stay_below_the_share_of_a_recovering_zone(seed, share):
+def test_all_edges_together_stay_within_the_share_of_a_recovering_zone(seed, share):
     source = random.Random(seed)
     edges = source.randint(2, 8)
     entry = ZoneDecision("a1", ZoneState.RECOVERING, share, 1, edges)
@@ -96,27 +96,30 @@
         for edge in fleet:
             answer = edge.route(list(REGIONS), 1.0, False, float(now_ms))
             sent += isinstance(answer, Route) and answer.zone == "a1"
-    # Whatever clients ask (here 100 a second of each edge): the part of what the zone bears, and a unit each.
+    # At most the share of the zone's capacity over 4 s, and one unit per edge, although clients ask for 100
+    # reads per second at each edge.
     assert sent <= 300.0 * share / FULL_SHARE * 4 + edges, seed
 
 
-def test_without_consensus_each_edge_recovers_at_a_time_of_its_own():
+def test_without_consensus_edges_recover_at_different_times():
     entry = ZoneDecision("a1", ZoneState.EVACUATED, 0, 1, 10)
     evacuated = FailoverDecision([entry], {"a2": 100.0}, 100.0)
-    whole_again_s = []
+    recovery_times_s = []
     for seed in range(40):
         edge = router(seed, edges=90)
         edge.apply_decision(decision.TOPIC, as_stored(evacuated), 0.0)
         read_for(edge, 3, 20, 0.0)
         edge.apply_decision(decision.TOPIC, Expired(as_stored(evacuated), 10000.0), 10000.0)
         answers = read_for(edge, 60, 20, 10000.0)
-        whole = next(n for n in range(len(answers)) if set(answers[n : n + 40]) == {HOME})
-        whole_again_s.append(whole / 20)
+        first_recovered = next(n for n in range(len(answers)) if set(answers[n : n + 40]) == {HOME})
+        recovery_times_s.append(first_recovered / 20)
         assert HOME in answers
-    assert max(whole_again_s) - min(whole_again_s) > 5.0 and min(whole_again_s) > 5.0, whole_again_s
+    assert max(recovery_times_s) - min(recovery_times_s) > 5.0 and min(recovery_times_s) > 5.0, (
+        recovery_times_s
+    )
 
 
-def test_decisions_that_cannot_be_read_count_as_none():
+def test_undecodable_decisions_are_treated_as_no_decision():
     edge = router()
     edge.apply_decision(decision.TOPIC, Decision(decision.TOPIC, 3, b"\x09nonsense", 1000.0), 0.0)
     assert edge.unreadable_decisions == 1 and set(read_for(edge, 2)) == {HOME}
@@ -124,7 +127,7 @@
 
 @pytest.fixture
 def edge_without_its_region():
-    """Return an edge of a1 after 20 seconds in which it reached neither a1 nor a2."""
+    """Return an edge in a1 that could reach neither a1 nor a2 for 20 s."""
     edge = router(edges=3)
     read_for(edge, 20, outcome_of=unreachable("a1", "a2"))
     return edge
@@ -141,6 +144,6 @@
     assert Route("a2", 1) in later[-500:]
 
 
-def test_what_nobody_asked_for_in_a_long_time_is_not_held_against_a_zone(edge_without_its_region):
+def test_evidence_about_an_unused_zone_expires(edge_without_its_region):
     edge_without_its_region.record_attempt("b1", 0.0, Outcome.ABANDONED, 90000.0)
     assert edge_without_its_region.evidence.health("a2") is ZoneHealth.UNKNOWN
