--- a/tests/compatibility/record_zones.py
+++ b/tests/compatibility/record_zones.py
@@ -11,7 +11,7 @@
         {
             "values": {name: write(value).hex() for name, (write, _, value) in cases.examples().items()},
             "refusals": cases.error_codes(),
-            "settings": cases.settings_texts(),
+            "settings": cases.settings_json(),
             "contradictions": cases.rejected_settings(),
             "admin answers": cases.admin_answers(),
         },
@@ -19,7 +19,7 @@
     save(
         "zones_decisions",
         {
-            "outcome kinds": cases.outcome_kinds(),
+            "outcome kinds": cases.outcome_classifications(),
             "moves": cases.move_results(),
             "local evidence": [cases.local_evidence(seed) for seed in range(30)],
             "fleet evidence": [cases.fleet_evidence(seed) for seed in range(30)],
--- a/tests/compatibility/test_zones.py
+++ b/tests/compatibility/test_zones.py
@@ -38,7 +38,7 @@
 @pytest.mark.parametrize("name", sorted(WIRE["settings"]))
 def test_settings_keep_their_recorded_keys(name):
     text = WIRE["settings"][name]
-    assert cases.settings_texts()[name] == text
+    assert cases.settings_json()[name] == text
     assert msgspec.json.encode(msgspec.json.decode(text, type=FailoverSettings)).decode() == text
 
 
@@ -51,7 +51,7 @@
 
 
 def test_outcomes_are_classified_as_recorded():
-    assert cases.outcome_kinds() == DECISIONS["outcome kinds"]
+    assert cases.outcome_classifications() == DECISIONS["outcome kinds"]
 
 
 def test_moves_of_writes_are_accepted_or_rejected_as_recorded():
--- a/tests/compatibility/zones_cases.py
+++ b/tests/compatibility/zones_cases.py
@@ -161,7 +161,7 @@
 
 def error_codes() -> list[list[str]]:
     """Return, for each of UNDECODABLE, the error code of each decoder, or "" if it accepts the bytes."""
-    found = []
+    results = []
     for data in UNDECODABLE:
         codes = []
         for read in decoders():
@@ -170,11 +170,11 @@
                 codes.append("")
             except FailoverError as error:
                 codes.append(error.code)
-        found.append(codes)
-    return found
+        results.append(codes)
+    return results
 
 
-def settings_texts() -> dict[str, str]:
+def settings_json() -> dict[str, str]:
     """Return settings encoded as JSON: with the default and with a changed value of every key."""
     plain = zone_settings()
     other = zone_settings(
@@ -215,19 +215,19 @@
 
 def rejected_settings() -> list[list[str]]:
     """Return the fields whose values contradict other settings, each with its error text."""
-    found = []
+    results = []
     for key, value in (("usual", 0.99), ("step_ms", 100.0), ("fresh_ms", 100.0), ("half_share", 0.9)):
         try:
             zone_settings(**{key: value})
         except ValueError as error:
-            found.append([key, str(error)])
-    return found
+            results.append([key, str(error)])
+    return results
 
 
 # --- decisions
 
 
-def outcome_kinds() -> list[list[Any]]:
+def outcome_classifications() -> list[list[Any]]:
     """Return how each outcome is classified at several latencies."""
     return [
         [outcome.value, latency_ms, int(classify_attempt(outcome, latency_ms, 1000.0))]
@@ -238,18 +238,18 @@
 
 def move_results() -> list[list[Any]]:
     """Return, for combinations of regions, allowed loss and lag, whether a move of writes is accepted."""
-    found: list[list[Any]] = []
+    results: list[list[Any]] = []
     for source in ("north", "south", "east"):
         for target in ("north", "south", "east"):
-            for lost in (0.0, 100.0):
-                for behind in (None, 0.0, 50.0, 100.0, 200.0):
+            for max_loss_ms in (0.0, 100.0):
+                for lag_ms in (None, 0.0, 50.0, 100.0, 200.0):
                     try:
-                        decision.check_write_move(REGIONS, WriteMove(source, target, lost), behind)
+                        decision.check_write_move(REGIONS, WriteMove(source, target, max_loss_ms), lag_ms)
                         answer = "moved"
                     except WriteMoveRejectedError as error:
                         answer = error.code
-                    found.append([source, target, lost, behind, answer])
-    return found
+                    results.append([source, target, max_loss_ms, lag_ms, answer])
+    return results
 
 
 def _draw_failure_fractions(source: random.Random) -> dict[str, float]:
@@ -262,13 +262,13 @@
     source = random.Random(seed)
     digest = Digest()
     settings = zone_settings(source.choice([1, 24, 230]), window=source.choice([1, 4, 8]))
-    own = LocalEvidence(settings, 0.0)
+    local = LocalEvidence(settings, 0.0)
     now_ms, failure_fractions, slow = 0.0, _draw_failure_fractions(source), source.random() < 0.4
     for _ in range(300):
         now_ms += source.choice([1.0, 20.0, 150.0, 150.0, 700.0, 15000.0 if source.random() < 0.1 else 5.0])
         if source.random() < 0.03:
             failure_fractions, slow = _draw_failure_fractions(source), source.random() < 0.4
-        own.advance(now_ms)
+        local.advance(now_ms)
         zone = source.choice([*NAMES, *NAMES, "elsewhere"])
         attempt_result = (
             AttemptEvidence.FAILED
@@ -277,23 +277,28 @@
         )
         if attempt_result is AttemptEvidence.REACHED and slow and source.random() < 0.7:
             attempt_result = AttemptEvidence.SLOW
-        own.record_attempt(
+        local.record_attempt(
             zone,
             AttemptEvidence.INCONCLUSIVE if source.random() < 0.02 else attempt_result,
             source.uniform(0.1, 9.0),
         )
-        own.record_demand(source.choice(NAMES), source.uniform(0.1, 9.0))
+        local.record_demand(source.choice(NAMES), source.uniform(0.1, 9.0))
         if source.random() < 0.01:
-            own.reset_zone(source.choice([*NAMES, "elsewhere"]))
-        pace, least = source.choice([None, None, 500.0, 2000.0]), source.choice([0.0, 0.0, 0.0, 4000.0])
-        for change in own.due_updates(now_ms, source.random() < 0.2, pace, least):
+            local.reset_zone(source.choice([*NAMES, "elsewhere"]))
+        report_interval_ms, min_interval_ms = (
+            source.choice([None, None, 500.0, 2000.0]),
+            source.choice([0.0, 0.0, 0.0, 4000.0]),
+        )
+        for change in local.due_updates(now_ms, source.random() < 0.2, report_interval_ms, min_interval_ms):
             digest.add([change.key, change.value])
-        digest.add([[int(own.health(name)), own.idle_ms(name), own.reported_demand(name)] for name in NAMES])
-        digest.add([[own.interval, own.unknown_zone_attempts], msgspec.msgpack.encode(own.reports())])
+        digest.add(
+            [[int(local.health(name)), local.idle_ms(name), local.reported_demand(name)] for name in NAMES]
+        )
+        digest.add([[local.interval, local.unknown_zone_attempts], msgspec.msgpack.encode(local.reports())])
     return digest.hex()
 
 
-def _received_reports(found: dict[Any, dict[str, Any]]) -> list[Any]:
+def _received_reports(reports_by_origin: dict[Any, dict[str, Any]]) -> list[Any]:
     return [
         [
             *origin,
@@ -303,7 +308,7 @@
             received.interval,
             received.sender_age_ms,
         ]
-        for origin, zone_reports in sorted(found.items())
+        for origin, zone_reports in sorted(reports_by_origin.items())
         for zone, received in sorted(zone_reports.items())
     ]
 
