--- a/cressrock/failover/assessment.py
+++ b/cressrock/failover/assessment.py
@@ -80,8 +80,8 @@
         if enough or _own_edges_suffice(settings, zone, counts, blind, edges):
             return Assessment(Finding.UNREACHABLE)
     if any_can_reach and blind:
-        # A zone whose only witness is one edge is indistinguishable from a network fault of that edge, which
-        # then routes around the fault by its own evidence.
+        # With a single witness in a blind zone, a partition is indistinguishable from a network fault of that
+        # edge, which routes around the fault by its own evidence.
         confirmed = [edge_zone for edge_zone in blind if counts.unreachable[edge_zone] >= 2]
         if confirmed and sum(counts.unreachable[edge_zone] for edge_zone in confirmed) >= required:
             return Assessment(Finding.PARTITIONED, tuple(confirmed))
--- a/cressrock/failover/evaluation.py
+++ b/cressrock/failover/evaluation.py
@@ -34,12 +34,10 @@
 
     histories: dict[str, ZoneHistory] = field(default_factory=dict)
     decided_at_ms: float = NEVER_MS
-    witnesses: dict[str, WitnessCounts] = field(
-        default_factory=dict
-    )  # of the last evaluation, for the status
-    unreported_since_ms: dict[str, float] = field(
-        default_factory=dict
-    )  # by zone whose edges' reports are missing
+    # Counts of the last evaluation, for the status.
+    witnesses: dict[str, WitnessCounts] = field(default_factory=dict)
+    # By zone: since when its edges' reports are missing.
+    unreported_since_ms: dict[str, float] = field(default_factory=dict)
 
     def record_decision(self, now_ms: float) -> None:
         """Record the time of a proposal, whether or not it is accepted."""
