--- a/tests/failover/drill_support.py
+++ b/tests/failover/drill_support.py
@@ -95,7 +95,7 @@
 
 
 async def start_nodes(drill, lost):
-    """Restart the nodes with cold caches, and publish the node list."""
+    """Restart the nodes in the cold state, and publish the node list."""
     for shard, name in lost:
         await drill.hall.start(shard, name, cold=True)
     drill.hall.publish()
