--- a/cressrock/aggregation/__init__.py
+++ b/cressrock/aggregation/__init__.py
@@ -1,1 +1,1 @@
-"""Reports of many processes on their way to the consensus replicas, by collectors that summarize them."""
+"""Collects the reports of many processes and sends summaries of them to the consensus replicas."""
--- a/cressrock/aggregation/channel.py
+++ b/cressrock/aggregation/channel.py
@@ -1,8 +1,8 @@
-"""One process's reports on their way, by gossip or to collectors; and its own collector, where it is one.
+"""Delivers one process's reports by gossip or to collectors, and runs its own collector if it is one.
 
-Cluster features `publish` their entries here and do not ask which way holds; `delivery`, `sender` and
-`collector` decide.  Nothing waits for any of it: without collectors reports go by gossip, and without that
-each process goes on alone.
+Cluster features `publish` their entries here without knowing how they are delivered, which `delivery`,
+`sender` and `collector` determine.  No feature waits for delivery: without collectors reports are sent by
+gossip, and without gossip each process continues on its own view.
 """
 
 from __future__ import annotations
@@ -40,36 +40,36 @@
 from cressrock.membership.packets import MemberState
 from cressrock.membership.types import Member
 
-MIN_WAIT_MS = 1.0  # between two rounds of `run`
+MIN_WAIT_MS = 1.0  # between two steps of `run`
 
 
 class EventLog(Protocol):
-    """Where events are logged, each by name and fields."""
+    """A structured log: each event has a name and fields."""
 
     def info(self, event: str, **fields: Any) -> None:
-        """Log an event."""
+        """Log an event of normal operation."""
 
     def warning(self, event: str, **fields: Any) -> None:
-        """Log an event that an operator should see."""
+        """Log an event that needs an operator's attention."""
 
 
 class Gossip(Protocol):
-    """The gossip store, as a process writes its own entries into it."""
+    """The part of the gossip store that writes a process's own entries."""
 
     def put(self, key: str, value: bytes) -> None:
-        """Set an own entry."""
+        """Set an entry of this process.  Raises CressrockError if the store rejects it."""
 
     def remove(self, key: str) -> None:
-        """Remove an own entry."""
+        """Remove an entry of this process."""
 
 
 @dataclass(frozen=True, slots=True)
 class ChannelSettings:
-    """What a process is for the collectors, and when it reports.
+    """A process's role in collecting evidence, and the timings of its reports.
 
-    `replicas`: names of the consensus replicas.  `sends_reports`: it is missed if it reports nothing.
-    `is_collector`: it announces that it collects.  `max_gossip_senders`: so many still report by gossip; 0:
-    derived.
+    `replicas`: names of the consensus replicas.  `sends_reports`: other processes expect its reports.
+    `is_collector`: it runs a collector.  `max_gossip_senders`: with more senders than this, reports go to
+    collectors; 0 derives the limit from the traffic budget.
     """
 
     zone: str
@@ -81,7 +81,10 @@
 
 
 class EvidenceChannel:
-    """`run` it in a task group beside the membership's transport, which gives `receive` what others send."""
+    """Publishes a process's entries and receives the answers.
+
+    Start `run` in a task group; the membership's transport passes incoming messages to `receive`.
+    """
 
     def __init__(
         self,
@@ -93,7 +96,7 @@
         source: random.Random,
         log: EventLog,
     ) -> None:
-        """`clock` gives monotonic ms; `source` draws times."""
+        """`clock` returns monotonic time in ms; `source` randomizes send times."""
         self.me, self.gossip, self.clock, self.log = me, gossip, clock, log
         self.sends_reports, self.timings = settings.sends_reports, settings.timings
         now_ms = clock()
@@ -105,44 +108,44 @@
         hold_ms = self.timings.renewal_interval_ms
         max_gossip_senders = settings.max_gossip_senders or derive_max_gossip_senders(hold_ms)
         self.delivery_mode = DeliveryMode(max_gossip_senders, hold_ms)
-        self.send: Callable[[str, bytes], None] = lambda name, data: None  # to a member, one datagram
+        self.send: Callable[[str, bytes], None] = lambda name, data: None  # (member name, datagram)
         self.members: Callable[[], MembersView] = lambda: ()
-        self.rejected: dict[str, int] = {}  # messages that could not be read, by code
-        self.unsent = 0  # entries that neither way took
+        self.rejected_by_code: dict[str, int] = {}  # undecodable messages, by error code
+        self.unsent = 0  # entries rejected by the sender or the gossip store
         self._entries: dict[str, bytes] = {}
-        self._in_gossip: set[str] = set()
-        self._source = source
-        self._gossip_hold_until_ms = 0.0  # nothing is gossiped before: not all of many in one moment
-        self._interval_factor = 1.0  # drawn, so that many do not gossip in step
-        self._watch = MemberWatch(tuple(settings.replicas), self.timings.summary_ttl_ms, now_ms)
-        self._wake = anyio.Event()
+        self._gossiped_keys: set[str] = set()
+        self._rng = source
+        self._gossip_hold_until_ms = 0.0  # no gossip writes before; spreads those of many processes
+        self._interval_jitter = 1.0  # random, so that processes do not gossip in step
+        self._member_watch = MemberWatch(tuple(settings.replicas), self.timings.summary_ttl_ms, now_ms)
+        self._wake_event = anyio.Event()
 
-    # --- what cluster features ask
+    # --- for cluster features
 
     @property
     def sender_count(self) -> int:
-        """Return how many members report."""
-        return self._watch.sender_count
+        """Return the number of present members that send reports."""
+        return self._member_watch.sender_count
 
     @property
     def uses_collectors(self) -> bool:
-        """Whether this process reports to collectors."""
+        """Whether this process reports to collectors instead of by gossip."""
         return self.delivery_mode.collecting
 
     def publish(self, key: str, value: bytes | None) -> None:
-        """Set an own entry; None removes it.  What neither way takes is counted and logged."""
+        """Set an entry of this process; None removes it.  Rejected ones are counted, the first is logged."""
         if value is None:
             self._entries.pop(key, None)
         else:
             self._entries[key] = value
         if self.uses_collectors:
             self._put_to_sender(key, value)
-            self._wake.set()
+            self._wake_event.set()
         elif self.clock() >= self._gossip_hold_until_ms:
             self._put_to_gossip(key, value)
 
     def broadcast(self, name: str) -> bytes:
-        """Return what the summarizer of this name broadcasts; b"" while there is nothing."""
+        """Return the last broadcast of the collector's summarizer with this name; b"" if there is none."""
         if not self.uses_collectors:
             return b""
         try:
@@ -152,35 +155,38 @@
             return b""
 
     def is_evidence_requested(self) -> bool:
-        """Whether a collector wants evidence from all."""
+        """Whether the collector currently requests evidence from all senders."""
         return self.uses_collectors and self.sender.is_evidence_requested(self.clock())
 
     def update_interval_ms(self) -> float | None:
-        """Return how often evidence may change while it is requested; None: as gossip bears."""
+        """Return the least time between changes while evidence is requested; None: limited by gossip."""
         return self.sender.update_interval_ms() if self.uses_collectors else None
 
     def min_interval_ms(self) -> float:
-        """Return the least time between two reports: where many report by gossip, what that carries."""
+        """Return the least time between two reports; above 0 only where many senders share gossip."""
         if self.uses_collectors:
             return 0.0
-        usual_ms = self.timings.renewal_interval_ms
-        return gossip_interval_ms(self.sender_count, GOSSIP_WRITES_PER_S, usual_ms) * self._interval_factor
+        renewal_interval_ms = self.timings.renewal_interval_ms
+        return (
+            gossip_interval_ms(self.sender_count, GOSSIP_WRITES_PER_S, renewal_interval_ms)
+            * self._interval_jitter
+        )
 
-    # --- what comes in
+    # --- incoming messages
 
     def on_members_changed(self) -> None:
-        """Look at the members anew."""
-        self._watch.invalidate()
+        """Mark the members as changed; the next step reads them."""
+        self._member_watch.invalidate()
 
     def receive_gossip(self, origin: Origin, key: str, value: bytes | None) -> None:
-        """Give an entry that came by gossip to the collector: its origin may report by gossip alone."""
+        """Pass an entry received by gossip to the collector; its origin may use gossip only."""
         if self.collector is not None and origin != self.me:
             now_ms = self.clock()
             self._update_members(now_ms)
             self.collector.receive_gossip(now_ms, *origin, key, value)
 
     def receive(self, sender: str, incarnation: int, data: bytes) -> None:
-        """Take a message of another process; unreadable ones are counted."""
+        """Process a message from another process; count it as rejected if it cannot be decoded."""
         try:
             message = decode(data)
         except AggregationError as error:
@@ -189,30 +195,30 @@
         now_ms = self.clock()
         if isinstance(message, ReportAck):
             if self.sender.receive(now_ms, sender, incarnation, message):
-                self._wake.set()
+                self._wake_event.set()
         elif self.collector is not None:
             self._update_members(now_ms)
             self._send_all(self.collector.receive(now_ms, sender, incarnation, message))
             self.collector.record_cost(1, self.clock() - now_ms)
 
     def _count_rejected(self, error: AggregationError) -> None:
-        self.rejected[error.code] = self.rejected.get(error.code, 0) + 1
-        if self.rejected[error.code] == 1:
+        self.rejected_by_code[error.code] = self.rejected_by_code.get(error.code, 0) + 1
+        if self.rejected_by_code[error.code] == 1:
             self.log.warning("aggregation.message_rejected", **error.fields())
 
-    # --- how it runs
+    # --- running
 
     async def run(self) -> None:
-        """Serve until cancelled."""
+        """Run a step whenever one is due, until cancelled."""
         while True:
             self.step()
-            self._wake = anyio.Event()
+            self._wake_event = anyio.Event()
             due_ms = max(self.sender.next_due_ms() - self.clock(), MIN_WAIT_MS)
             with anyio.move_on_after(min(due_ms, self.timings.summary_interval_ms) / 1000):
-                await self._wake.wait()
+                await self._wake_event.wait()
 
     def step(self) -> None:
-        """Do what is due now, once."""
+        """Refresh the members and the delivery mode, and send what is due."""
         now_ms = self.clock()
         self._update_members(now_ms)
         self._update_delivery(now_ms)
@@ -220,43 +226,46 @@
         if self.collector is not None:
             self._send_all(self.collector.tick(now_ms))
 
-    def _send_all(self, sends: Iterable[OutgoingMessage]) -> None:
-        for outgoing in sends:
+    def _send_all(self, outgoing_messages: Iterable[OutgoingMessage]) -> None:
+        for outgoing in outgoing_messages:
             data = encode(outgoing.message)
-            if outgoing.recipient == self.me[0]:  # it collects its own zone
+            if outgoing.recipient == self.me[0]:  # this process is its own collector
                 self.receive(*self.me, data)
             else:
                 self.send(outgoing.recipient, data)
 
     def _update_members(self, now_ms: float) -> None:
-        """Take the members' view, if it changed."""
-        present = self._watch.refresh(now_ms, self.members)
+        """Pass the members to the collector if they changed."""
+        present = self._member_watch.refresh(now_ms, self.members)
         if present is not None and self.collector is not None:
             members = [_member_info(member) for member in present]
-            self.collector.update_members(members, self._watch.replicas)
+            self.collector.update_members(members, self._member_watch.replicas)
 
     def _update_delivery(self, now_ms: float) -> None:
-        """Report by one way or the other, and move all entries where it changed."""
-        before = self.uses_collectors
+        """Choose between gossip and collectors; move all entries after a change of mode."""
+        was_collecting = self.uses_collectors
         collecting = self.delivery_mode.update(
-            now_ms, self.sender_count, len(self._watch.collectors), self._watch.incapable_replicas
+            now_ms,
+            self.sender_count,
+            len(self._member_watch.collectors),
+            self._member_watch.incapable_replicas,
         )
         reporting = collecting and self.sends_reports or not self.sender.is_empty()
-        self.sender.update_collectors(self._watch.collectors if reporting else ())
-        if collecting != before:
-            self._change_delivery(now_ms, collecting)
+        self.sender.update_collectors(self._member_watch.collectors if reporting else ())
+        if collecting != was_collecting:
+            self._switch_delivery(now_ms, collecting)
         if not collecting and self._gossip_hold_until_ms and now_ms >= self._gossip_hold_until_ms:
             self._gossip_hold_until_ms = 0.0
             for key, value in sorted(self._entries.items()):
                 self._put_to_gossip(key, value)
-        elif collecting and self._in_gossip and self.sender.is_acknowledged():
-            for key in sorted(self._in_gossip):  # only now: a collector has them
+        elif collecting and self._gossiped_keys and self.sender.is_acknowledged():
+            for key in sorted(self._gossiped_keys):  # kept until a collector has acknowledged all entries
                 self._put_to_gossip(key, None)
 
-    def _change_delivery(self, now_ms: float, collecting: bool) -> None:
-        way = "collectors" if collecting else "gossip"
-        self.log.info("aggregation.delivery_changed", way=way, reason=self.delivery_mode.reason)
-        self._interval_factor = 0.5 + self._source.random()
+    def _switch_delivery(self, now_ms: float, collecting: bool) -> None:
+        mode = "collectors" if collecting else "gossip"
+        self.log.info("aggregation.delivery_changed", way=mode, reason=self.delivery_mode.reason)
+        self._interval_jitter = 0.5 + self._rng.random()
         self._gossip_hold_until_ms = now_ms + self.min_interval_ms()
         for key, value in sorted(self._entries.items()):
             self._put_to_sender(key, value if collecting else None)
@@ -271,9 +280,9 @@
         try:
             if value is not None:
                 self.gossip.put(key, value)
-                self._in_gossip.add(key)
-            elif key in self._in_gossip:
-                self._in_gossip.discard(key)
+                self._gossiped_keys.add(key)
+            elif key in self._gossiped_keys:
+                self._gossiped_keys.discard(key)
                 self.gossip.remove(key)
         except CressrockError as error:
             self._count_unsent(key, error)
@@ -284,7 +293,7 @@
             self.log.warning("aggregation.report_unsent", key=key, **error.fields())
 
     def status(self) -> Mapping[str, object]:
-        """Return plain values for an admin port."""
+        """Return the state shown at the admin port, as JSON-compatible values."""
         sender, collector = self.sender, self.collector
         recipient = sender.collector[0] if sender.collector is not None and self.uses_collectors else ""
         return {
@@ -293,7 +302,7 @@
             "to": recipient,
             "answered": sender.is_acknowledged(),
             "counts": dict(sender.counts),
-            "refused": dict(self.rejected),
+            "refused": dict(self.rejected_by_code),
             "collector": collector.status(self.clock()) if collector is not None else None,
         }
 
--- a/cressrock/aggregation/delivery.py
+++ b/cressrock/aggregation/delivery.py
@@ -1,4 +1,4 @@
-"""Which way reports go: few processes' by gossip, many processes' to collectors.  Pure."""
+"""Chooses how reports are delivered: by gossip in a small fleet, to collectors in a large one."""
 
 from __future__ import annotations
 
@@ -7,42 +7,44 @@
 
 from cressrock.aggregation.messages import CAPABILITY
 
-CONTROL_BYTES_PER_S = 2000.0  # budget of control traffic for each process, in all
-MEMBERSHIP_BYTES_PER_S = 600.0  # of it for the members (benchmarks/results/members.md)
-GOSSIP_ENTRY_BYTES = 130.0  # a report with its key and header in the gossip store
-GOSSIP_COPIES = 2.0  # a change reaches each process about so often
-# Writes a second that gossip carries: 41 of 230 members are carried, 83 of 460 no more
+CONTROL_BUDGET_BYTES_PER_S = 2000.0  # control traffic allowed for each process
+MEMBERSHIP_BYTES_PER_S = 600.0  # the membership's share of it (benchmarks/results/members.md)
+GOSSIP_ENTRY_BYTES = 130.0  # one report in gossip, with key and header
+GOSSIP_COPIES_PER_CHANGE = 2.0  # each process receives a change about twice
+# Gossip delivers 41 writes a second among 230 members in time, but not 83 among 460
 # (benchmarks/results/spread.md).
 GOSSIP_WRITES_PER_S = 40.0
-CHANGES_PER_RENEWAL = 0.8  # that a sender makes between two renewals
-FIRST_CHANGE_HOLD_MS = 1000.0  # a process that joins a large fleet does not gossip for the whole hold first
-MAX_NAMES = 3  # of incapable replicas in the reason
+CHANGES_PER_RENEWAL = 0.8  # changes of one sender between two renewals
+FIRST_CHANGE_HOLD_MS = 1000.0  # so that a process joining a large fleet soon leaves gossip
+MAX_REASON_NAMES = 3  # replicas named in the reason
 
 
-def derive_max_gossip_senders(renewal_interval_ms: float, changes: float = CHANGES_PER_RENEWAL) -> int:
-    """Return of how many senders everybody can receive every report within a process's budget.
+def derive_max_gossip_senders(
+    renewal_interval_ms: float, changes_per_renewal: float = CHANGES_PER_RENEWAL
+) -> int:
+    """Return the largest number of senders whose gossip stays within the traffic budget of each process.
 
-    Each of n reports 1 / `renewal_interval_ms` and `changes` more between; each process receives, and passes
-    on, all of them.
+    Each sender reports once and makes `changes_per_renewal` changes per `renewal_interval_ms`; each process
+    receives and forwards all of them.
     """
-    reports_per_s = (1 + changes) * 1000 / renewal_interval_ms
-    budget = CONTROL_BYTES_PER_S - MEMBERSHIP_BYTES_PER_S
-    return int(budget / (reports_per_s * GOSSIP_ENTRY_BYTES * GOSSIP_COPIES))
+    reports_per_s = (1 + changes_per_renewal) * 1000 / renewal_interval_ms
+    budget_bytes_per_s = CONTROL_BUDGET_BYTES_PER_S - MEMBERSHIP_BYTES_PER_S
+    return int(budget_bytes_per_s / (reports_per_s * GOSSIP_ENTRY_BYTES * GOSSIP_COPIES_PER_CHANGE))
 
 
-def gossip_interval_ms(senders: int, writes_per_s: float, usual_ms: float) -> float:
-    """Return the least time between two reports of one process by gossip, of so many.
+def gossip_interval_ms(senders: int, writes_per_s: float, usual_interval_ms: float) -> float:
+    """Return the least time in ms between two reports of one process by gossip among `senders`.
 
-    0 while all of them report every `usual_ms` and stay within `writes_per_s`, which gossip carries; beyond,
-    as much as keeps them within it, however often evidence changes.
+    0 if all senders together, reporting every `usual_interval_ms`, stay within `writes_per_s`.  Otherwise the
+    interval that keeps them within it, however often evidence changes.
     """
     interval_ms = 1000.0 * senders / writes_per_s
-    return interval_ms if interval_ms > usual_ms else 0.0
+    return interval_ms if interval_ms > usual_interval_ms else 0.0
 
 
 @dataclass(frozen=True, slots=True)
-class _Choice:
-    """A way, and the reason as the status gives it."""
+class _DesiredMode:
+    """A mode and the reason for it, as shown in the status."""
 
     collecting: bool
     reason: str
@@ -50,42 +52,49 @@
 
 @dataclass(slots=True)
 class DeliveryMode:
-    """Whether reports go to collectors, by what this process's members say; with hysteresis.
+    """Decides from this process's members whether reports go to collectors, with hysteresis.
 
-    Up above `max_gossip_senders`, down at half, and either only after it was so for `hold_ms`: members
-    that come and go flap nothing.  A live replica that does not announce collecting would receive nothing of
-    it and decide without evidence, so with one of these all goes by gossip; likewise without any collector.
+    The mode changes to collectors above `max_gossip_senders` and back to gossip at half of it, once the
+    condition has held for `hold_ms`, so that members that join and leave do not make it flap.  Gossip is also
+    used without a collector, and while a live replica does not announce the capability: that replica would
+    receive no reports from collectors and decide without evidence.
     """
 
     max_gossip_senders: int
     hold_ms: float
     collecting: bool = False
     reason: str = "few tellers"
-    _other_since_ms: float | None = None  # since when the other way is desired
-    _changes: int = 0
+    _change_pending_since_ms: float | None = None  # when the other mode became desired
+    _change_count: int = 0
 
     def update(self, now_ms: float, senders: int, collectors: int, incapable_replicas: Sequence[str]) -> bool:
-        """Return whether to collect.  `incapable_replicas`: live ones that do not announce it."""
-        choice = self._choose(senders, collectors, incapable_replicas)
-        if choice.collecting == self.collecting:
-            self._other_since_ms, self.reason = None, choice.reason
+        """Return whether to use collectors.  `incapable_replicas`: live ones without the capability."""
+        desired = self._desired_mode(senders, collectors, incapable_replicas)
+        if desired.collecting == self.collecting:
+            self._change_pending_since_ms, self.reason = None, desired.reason
             return self.collecting
-        if self._other_since_ms is None:
-            self._other_since_ms = now_ms
-        hold_ms = self.hold_ms if self._changes else min(self.hold_ms, FIRST_CHANGE_HOLD_MS)
-        if now_ms - self._other_since_ms >= hold_ms:
-            self.collecting, self.reason, self._other_since_ms = choice.collecting, choice.reason, None
-            self._changes += 1
+        if self._change_pending_since_ms is None:
+            self._change_pending_since_ms = now_ms
+        hold_ms = self.hold_ms if self._change_count else min(self.hold_ms, FIRST_CHANGE_HOLD_MS)
+        if now_ms - self._change_pending_since_ms >= hold_ms:
+            self.collecting, self.reason, self._change_pending_since_ms = (
+                desired.collecting,
+                desired.reason,
+                None,
+            )
+            self._change_count += 1
         return self.collecting
 
-    def _choose(self, senders: int, collectors: int, incapable_replicas: Sequence[str]) -> _Choice:
-        """Return the desired way, without hysteresis in time."""
-        few = senders <= (self.max_gossip_senders // 2 if self.collecting else self.max_gossip_senders)
-        if few:
-            return _Choice(False, "few tellers")
+    def _desired_mode(self, senders: int, collectors: int, incapable_replicas: Sequence[str]) -> _DesiredMode:
+        """Return the desired mode, before the hold time is applied."""
+        gossip_suffices = senders <= (
+            self.max_gossip_senders // 2 if self.collecting else self.max_gossip_senders
+        )
+        if gossip_suffices:
+            return _DesiredMode(False, "few tellers")
         if not collectors:
-            return _Choice(False, "no collector is alive")
+            return _DesiredMode(False, "no collector is alive")
         if incapable_replicas:
-            names = ", ".join(sorted(incapable_replicas)[:MAX_NAMES])
-            return _Choice(False, f"{names} announce no {CAPABILITY.decode()}")
-        return _Choice(True, f"{senders} tellers are more than {self.max_gossip_senders}")
+            names = ", ".join(sorted(incapable_replicas)[:MAX_REASON_NAMES])
+            return _DesiredMode(False, f"{names} announce no {CAPABILITY.decode()}")
+        return _DesiredMode(True, f"{senders} tellers are more than {self.max_gossip_senders}")
--- a/cressrock/aggregation/entry_store.py
+++ b/cressrock/aggregation/entry_store.py
@@ -1,7 +1,7 @@
-"""The newest entry of each key of each origin, as a collector holds them.  Pure.
+"""A collector's store of the newest entry per origin and key.
 
-Order, loss and repetition change nothing.  Nothing is kept of incarnations that the members do not hold
-alive.
+The result does not depend on reordering, loss or repetition of older versions.  Only incarnations that the
+membership holds alive are kept.
 """
 
 from __future__ import annotations
@@ -13,94 +13,94 @@
 from cressrock.aggregation.messages import MAX_ENTRIES_PER_ORIGIN, ReportEntry
 from cressrock.aggregation.summarizer import Summarizer
 
-GOSSIP_VERSION = 0  # of entries that came by gossip: any that is reported here is newer
+GOSSIP_VERSION = 0  # of entries received by gossip; any reported version is higher
 
 
 @dataclass(slots=True)
 class StoredEntry:
-    """An entry's newest version."""
+    """The newest version of an entry."""
 
     version: int
     value: bytes | None
-    published_at_ms: float  # as far as is known on this clock
-    handed_version: int = -1  # newest that was handed over and acknowledged
+    published_at_ms: float  # estimated on this process's clock from the reported age
+    handed_version: int = -1  # newest version whose handover was acknowledged
 
     @property
     def needs_handover(self) -> bool:
-        """Whether another collector of its zone does not have it yet."""
+        """Whether this reported version is not yet acknowledged by its zone's collector."""
         return self.version != GOSSIP_VERSION and self.handed_version < self.version
 
 
 @dataclass(slots=True)
 class StoredOrigin:
-    """One origin's entries."""
+    """The entries of one origin, by key, and when it was last seen."""
 
     incarnation: int
     zone: str
     last_seen_ms: float
     entries: dict[str, StoredEntry] = field(default_factory=dict)
-    reports_here: bool = False  # by itself; else another collector handed its entries over
+    reports_here: bool = False  # False: known only by gossip or from another collector
 
     def uses_collectors(self) -> bool:
-        """Whether it reports to collectors, and not by gossip."""
+        """Whether any current entry was reported to a collector and not received by gossip."""
         return any(entry.version and entry.value is not None for entry in self.entries.values())
 
     def was_reported(self) -> bool:
-        """Whether any of its entries, or of its removals, came by a report."""
+        """Whether any entry or removal was reported to a collector."""
         return any(entry.version for entry in self.entries.values())
 
 
 class EntryStore:
-    """All origins' entries; the summarizer receives what is new."""
+    """Stores the entries of all origins and passes new ones to the summarizer."""
 
     def __init__(self, summarizer: Summarizer) -> None:
-        """Begin with none."""
+        """Start empty; `summarizer` receives every stored entry and every dropped origin."""
         self.summarizer = summarizer
         self.origins: dict[str, StoredOrigin] = {}
-        self._by_zone: dict[str, set[str]] = {}
+        self._names_by_zone: dict[str, set[str]] = {}
 
     def zones(self) -> list[str]:
-        """Return the zones of which entries are held."""
-        return sorted(zone for zone, names in self._by_zone.items() if names)
+        """Return the zones that have origins here, sorted."""
+        return sorted(zone for zone, names in self._names_by_zone.items() if names)
 
     def names_in(self, zone: str) -> set[str]:
-        """Return the names of a zone's origins."""
-        return self._by_zone[zone]
+        """Return the names of a zone's origins.  Raises KeyError for a zone never seen."""
+        return self._names_by_zone[zone]
 
     def origins_in(self, zone: str) -> Iterator[StoredOrigin]:
-        """Return a zone's origins."""
-        return (self.origins[name] for name in self._by_zone[zone])
+        """Iterate over a zone's origins.  Raises KeyError for a zone never seen."""
+        return (self.origins[name] for name in self._names_by_zone[zone])
 
     def retain(self, members: MemberTable) -> None:
-        """Forget origins that are not alive in their incarnation and zone."""
+        """Drop origins that are no longer alive in the same incarnation and zone."""
         for name, origin in list(self.origins.items()):
             member = members.alive(name, origin.incarnation)
             if member is None or member.zone != origin.zone:
                 self.forget(name)
 
     def forget(self, name: str) -> None:
-        """Forget an origin."""
+        """Drop an origin, here and in the summarizer.  Raises KeyError if it is unknown."""
         origin = self.origins.pop(name)
-        self._by_zone[origin.zone].discard(name)
+        self._names_by_zone[origin.zone].discard(name)
         self.summarizer.forget((name, origin.incarnation))
 
-    def hear(self, member: MemberInfo, at_ms: float) -> StoredOrigin:
-        """Return a member's origin, heard of at this time."""
+    def touch_origin(self, member: MemberInfo, at_ms: float) -> StoredOrigin:
+        """Return a member's origin, seen at `at_ms`; replace one that restarted or changed its zone."""
         origin = self.origins.get(member.name)
         if origin is None or origin.incarnation != member.incarnation or origin.zone != member.zone:
             if origin is not None:
                 self.forget(member.name)
             origin = self.origins[member.name] = StoredOrigin(member.incarnation, member.zone, at_ms)
-            self._by_zone.setdefault(member.zone, set()).add(member.name)
+            self._names_by_zone.setdefault(member.zone, set()).add(member.name)
         origin.last_seen_ms = max(origin.last_seen_ms, at_ms)
         return origin
 
     def receive(self, member: MemberInfo, entry: ReportEntry, now_ms: float) -> bool:
-        """Keep a member's entry if it is the newest; returns whether it was."""
+        """Store a member's entry if it is newer and there is room; return whether it was stored."""
         at_ms = now_ms - entry.age_ms
-        entries = self.hear(member, at_ms).entries
+        entries = self.touch_origin(member, at_ms).entries
         stored = entries.get(entry.key)
-        # The same version received by two ways is as old as the older of both says.
+        # If the same version arrives by two paths, the greater age is kept.
         if stored is not None and (stored.version, -stored.published_at_ms) >= (entry.version, -at_ms):
             return False
         if stored is None and len(entries) >= MAX_ENTRIES_PER_ORIGIN:
@@ -111,11 +111,11 @@
         return True
 
     def receive_gossip(self, member: MemberInfo, key: str, value: bytes | None, now_ms: float) -> None:
-        """Keep an entry that came by gossip, of a member that does not report to collectors."""
+        """Store an entry received by gossip unless the member reports to collectors."""
         known = self.origins.get(member.name)
         if known is not None and known.incarnation == member.incarnation and known.uses_collectors():
-            return  # what is left of it in the gossip store may be old
-        entries = self.hear(member, now_ms).entries
+            return  # its remaining gossip entries may be outdated
+        entries = self.touch_origin(member, now_ms).entries
         stored = entries.get(key)
         if stored is not None and stored.value == value:
             return
@@ -125,6 +125,6 @@
         self.summarizer.receive((member.name, member.incarnation), key, value, now_ms)
 
     def clear(self) -> None:
-        """Forget everything."""
+        """Drop all origins, here and in the summarizer."""
         for name in list(self.origins):
             self.forget(name)
--- a/cressrock/aggregation/handover.py
+++ b/cressrock/aggregation/handover.py
@@ -1,8 +1,7 @@
-"""Handing entries over to the collector that collects their zone now.  Pure.
+"""Hands entries over to the collector now responsible for their zone.
 
-By anti-entropy: entry by entry, until all are acknowledged; then the origins are forgotten here.  So with
-any order, loss and repetition, once it is quiet one collector holds the newest of all entries, and the other
-none.
+Each entry is sent until it is acknowledged; once all are, the origins are dropped here.  Despite reordering,
+loss and repetition, after reports stop one collector holds the newest entries and the others none.
 """
 
 from __future__ import annotations
@@ -16,20 +15,20 @@
     encoded_size,
 )
 
-MAX_BATCHES = 16  # datagrams of a zone's handover at a tick
-MAX_UNACKNOWLEDGED = 4 * MAX_BATCHES  # batches; more were not answered, and are handed over again
+MAX_BATCHES = 16  # datagrams per zone and tick
+MAX_UNACKNOWLEDGED = 4 * MAX_BATCHES  # batches; above this, pending ones are discarded and sent again
 
 
 class HandoverTracker:
-    """What is handed over, and what of it is acknowledged."""
+    """Builds batches of entries and tracks which ones were acknowledged."""
 
     def __init__(self, store: EntryStore) -> None:
-        """Hand over what is in `store`."""
+        """Start without pending batches; `store` holds the entries to hand over."""
         self.store = store
         self._unacknowledged: dict[int, list[HeldEntry]] = {}
 
-    def batches(self, zone: str, now_ms: float) -> list[list[HeldEntry]]:
-        """Return a zone's entries that have to be handed over, in batches that fit a datagram each."""
+    def build_batches(self, zone: str, now_ms: float) -> list[list[HeldEntry]]:
+        """Return a zone's entries that need a handover, in batches that fit one datagram each."""
         if len(self._unacknowledged) > MAX_UNACKNOWLEDGED:
             self._unacknowledged.clear()
         batches: list[list[HeldEntry]] = []
@@ -42,7 +41,7 @@
                     continue
                 if len(batches) >= MAX_BATCHES:
                     return [*batches, batch] if batch else batches
-                held = HeldEntry(name, origin.incarnation, _as_reported(key, stored, now_ms))
+                held = HeldEntry(name, origin.incarnation, _to_report_entry(key, stored, now_ms))
                 size = encoded_size(held)
                 if batch and size > free_bytes:
                     batches.append(batch)
@@ -51,12 +50,12 @@
                 batch.append(held)
         return [*batches, batch] if batch else batches
 
-    def sent(self, number: int, batch: list[HeldEntry]) -> None:
-        """Remember a batch until it is acknowledged."""
+    def record_sent(self, number: int, batch: list[HeldEntry]) -> None:
+        """Keep a sent batch, by message number, until it is acknowledged."""
         self._unacknowledged[number] = batch
 
     def acknowledge(self, number: int) -> None:
-        """Learn that the other collector holds a batch."""
+        """Mark a batch's entries as held by the other collector; ignore unknown numbers."""
         for held in self._unacknowledged.pop(number, ()):
             origin = self.store.origins.get(held.name)
             if origin is None or origin.incarnation != held.incarnation:
@@ -65,17 +64,17 @@
             if stored is not None:
                 stored.handed_version = max(stored.handed_version, held.entry.version)
 
-    def forget_handed(self, zone: str) -> None:
-        """Forget the origins of a zone of which nothing is left to be handed over."""
+    def forget_handed_over(self, zone: str) -> None:
+        """Drop a zone's origins with reported entries; call it once no entry needs a handover."""
         for name in sorted(self.store.names_in(zone)):
             if self.store.origins[name].was_reported():
                 self.store.forget(name)
 
     def clear(self) -> None:
-        """Forget what was sent."""
+        """Discard all pending batches."""
         self._unacknowledged.clear()
 
 
-def _as_reported(key: str, stored: StoredEntry, now_ms: float) -> ReportEntry:
+def _to_report_entry(key: str, stored: StoredEntry, now_ms: float) -> ReportEntry:
     age_ms = round(max(0.0, now_ms - stored.published_at_ms))
     return ReportEntry(key, stored.version, stored.value, age_ms)
--- a/cressrock/aggregation/members.py
+++ b/cressrock/aggregation/members.py
@@ -1,4 +1,4 @@
-"""The members as a collector needs them: who reports, who collects, who hears summaries.  Pure."""
+"""A collector's view of the membership: senders, collectors and recipients of summaries."""
 
 from __future__ import annotations
 
@@ -10,22 +10,22 @@
 
 @dataclass(frozen=True, slots=True)
 class MemberInfo:
-    """A member.  `alive`: surely; `is_present`: alive or suspect."""
+    """One member.  `alive`: not even suspect; `is_present`: alive or suspect."""
 
     name: str
     incarnation: int
     zone: str
     alive: bool
     is_present: bool
-    sends_reports: bool  # it has evidence of its own: an edge
-    is_collector: bool  # it announces that it collects
+    sends_reports: bool  # edges do
+    is_collector: bool  # announces the capability
 
 
 class MemberTable:
-    """One collector's view of the members."""
+    """Answers a collector's questions about the present members and who collects a zone."""
 
     def __init__(self, me: Origin) -> None:
-        """Begin with nobody; `me`: this process."""
+        """Start without members; `me`: name and incarnation of this process."""
         self.me = me
         self.collectors: tuple[CollectorId, ...] = ()
         self.summary_recipients: tuple[str, ...] = ()
@@ -34,13 +34,13 @@
         self._owners: dict[str, CollectorId] = {}
 
     def update(self, members: Iterable[MemberInfo], replicas: Iterable[str]) -> None:
-        """Take the members' view; `replicas`: names of the consensus replicas, which hear summaries."""
+        """Replace the members; `replicas`: names of the consensus replicas, which receive summaries."""
         self._present = {member.name: member for member in members if member.is_present}
         present = self._present.values()
         self.collectors = tuple(
             sorted((member.name, member.incarnation) for member in present if member.is_collector)
         )
-        # Other collectors too: what they broadcast to their senders is of all zones.
+        # Collectors need summaries too: what they broadcast to their senders covers all zones.
         recipients = {name for name, _ in self.collectors}
         recipients |= {name for name in replicas if name in self._present}
         self.summary_recipients = tuple(sorted(recipients - {self.me[0]}))
@@ -51,19 +51,19 @@
         self._owners.clear()
 
     def alive(self, name: str, incarnation: int) -> MemberInfo | None:
-        """Return a member in this incarnation, if it is surely alive."""
+        """Return the member if it is alive, not suspect, in this incarnation; else None."""
         member = self._present.get(name)
         if member is None or member.incarnation != incarnation or not member.alive:
             return None
         return member
 
     def owner(self, zone: str) -> CollectorId:
-        """Return who collects a zone, as this process sees it."""
+        """Return the first-ranked collector of a zone; this process if no collector is known."""
         owner = self._owners.get(zone)
         if owner is None:
             owner = self._owners[zone] = next(iter(rank_collectors(zone, self.collectors)), self.me)
         return owner
 
     def owned_zones(self) -> list[str]:
-        """Return the zones with senders that are collected here."""
+        """Return the zones with senders whose collector is this process."""
         return [zone for zone in self.senders_by_zone if self.owner(zone) == self.me]
--- a/cressrock/aggregation/messages.py
+++ b/cressrock/aggregation/messages.py
@@ -1,14 +1,14 @@
-"""What senders, collectors and replicas send to one another: bytes, version 1.  Pure.
+"""Wire format, version 1, of the messages between senders, collectors and replicas.
 
-Each message is one byte of version and a MessagePack array, carried as the opaque data of the membership's
-`Collect` datagram; the sender's name and incarnation are the envelope's.  Elements that a newer minor version
-appends are ignored, another major version is not read.  Values are opaque here: those who publish them read
-them.
+A message is one version byte followed by a MessagePack array.  It is carried as the opaque data of the
+membership's `Collect` datagram, whose envelope holds the sender's name and incarnation.  Elements appended by
+a newer minor version are ignored; another major version is rejected.  Values are opaque here and decoded by
+the features that publish them.
 
-- `Report` (sender -> collector): entries that changed, or all of them as a renewal; `ReportAck` answers.
-- `ReportAck` without numbers (collector -> sender) is a push: evidence is requested, or everything anew.
-- `Handover` (collector -> collector): entries of a zone that the receiver collects; `HandoverAck` answers.
-- `ZoneSummary` (collector -> replicas and collectors): what one zone's senders come to.
+- `Report` (sender -> collector): the changed entries, or all of them as a renewal; answered by `ReportAck`.
+- `ReportAck` without numbers (collector -> sender): a push, which requests evidence or a full resend.
+- `Handover` (collector -> collector): entries of a zone the receiver collects; answered by `HandoverAck`.
+- `ZoneSummary` (collector -> replicas and collectors): the summed reports of one zone's senders.
 """
 
 from __future__ import annotations
@@ -25,13 +25,15 @@
 )
 
 VERSION = 1
-CAPABILITY = b"collect/1"  # what a collector announces of itself among the members (`extra`)
-MAX_KEY_BYTES, MAX_VALUE_BYTES = 64, 640  # as the gossip store's own
+CAPABILITY = b"collect/1"  # announced by collectors in the membership (`extra`)
+MAX_KEY_BYTES, MAX_VALUE_BYTES = 64, 640  # same limits as the gossip store
 MAX_ENTRIES_PER_ORIGIN = 256
-MAX_MISSING_NAMES = 8  # a sample of those that were not heard
-MAX_PAYLOAD_BYTES = 1024  # of entries in a message: with its envelope below the membership's largest datagram
-HEADER_BYTES = 24  # of a message beside its entries
-MAX_QUOTED = 200  # characters of a decoder's complaint that go into an error
+MAX_MISSING_NAMES = 8  # sample of the members without a report
+MAX_PAYLOAD_BYTES = (
+    1024  # of a message's entries; with the envelope it fits the membership's largest datagram
+)
+HEADER_BYTES = 24  # bytes reserved for a message's other fields
+MAX_QUOTED_CHARS = 200  # of the decoder's message, in an error text
 
 Count = Annotated[int, Meta(ge=0, le=2**53)]
 Ms = Annotated[float, Meta(ge=0, le=1e12)]
@@ -42,10 +44,10 @@
 
 
 class ReportEntry(Struct, frozen=True, array_like=True):
-    """One entry; a value of None: the key was removed.  Versions grow in a sender's incarnation.
+    """One entry.  `value` is None when the key was removed; versions grow within a sender's incarnation.
 
-    `age_ms`: how long ago it was published, by its sender's clock, then by those of collectors that handed
-    it over.  Without it, what is sent anew to a new collector would look as if it were just published.
+    `age_ms`: time since it was published, measured by the sender's clock and then by those of the collectors
+    that handed it over.  Without it, an entry resent to a new collector would appear just published.
     """
 
     key: Key
@@ -55,22 +57,22 @@
 
 
 class Message(Struct, frozen=True, array_like=True, tag_field="t"):
-    """Any message of the collectors."""
+    """Base of all messages, told apart by the integer tag `t`."""
 
 
 class Report(Message, frozen=True, tag=1):
-    """A sender's entries.  Without any it says that the sender is there and has nothing to report."""
+    """A sender's entries.  An empty report shows that the sender is alive and has nothing to report."""
 
-    number: Count  # of this report, to be named in the acknowledgement
+    number: Count  # identifies this report in the acknowledgement
     entries: Annotated[list[ReportEntry], Meta(max_length=MAX_ENTRIES_PER_ORIGIN)] = []
 
 
 class ReportAck(Message, frozen=True, tag=2):
-    """Which reports arrived (`numbers`; none: a push), and the collector's broadcast.
+    """Acknowledges the reports in `numbers` (empty: a push) and carries the collector's broadcast.
 
-    `evidence_requested`: from all, within `window_ms` (drawn by each), and then every `update_interval_ms`.
-    `resend_all`: send everything anew.  `broadcast`: opaque, the same bytes for any number of senders;
-    `broadcast_number` orders those of one collector's incarnation.
+    `evidence_requested`: all senders report at a random time within `window_ms`, then every
+    `update_interval_ms`.  `resend_all`: report every entry again.  `broadcast`: opaque, the same for all
+    senders; `broadcast_number` orders the broadcasts of one incarnation of a collector.
     """
 
     numbers: Annotated[list[Count], Meta(max_length=MAX_ENTRIES_PER_ORIGIN)]
@@ -83,7 +85,7 @@
 
 
 class HeldEntry(Struct, frozen=True, array_like=True):
-    """One origin's entry as a collector holds it."""
+    """An entry held by a collector, with its origin's name and incarnation."""
 
     name: Name
     incarnation: Count
@@ -91,7 +93,7 @@
 
 
 class Handover(Message, frozen=True, tag=3):
-    """Entries of a zone that the receiver collects."""
+    """Transfers entries of a zone to the collector that is now responsible for it."""
 
     number: Count
     zone: Annotated[str, Meta(max_length=64)]
@@ -99,18 +101,19 @@
 
 
 class HandoverAck(Message, frozen=True, tag=4):
-    """The answer to `Handover`: the entries of this number are held here."""
+    """Confirms that the receiver holds the entries of the `Handover` with this number."""
 
     number: Count
 
 
 class ZoneSummary(Message, frozen=True, tag=5):
-    """What one zone's senders come to at one collector.
+    """One collector's summary of the reports of one zone.
 
-    `number` grows with each summary of this collector's incarnation.  `senders` were heard, `recent_senders`
-    of them of late, of `members` that are present; `oldest_ms`: since the one that was not heard for longest.
-    `sums` by key are opaque, never to be added to another collector's of the same zone.  A summary that fits
-    no datagram comes in `chunks` messages of one number, and counts once all are there.
+    `number` grows with each summary of this collector's incarnation.  `members`: senders present in the
+    membership; `senders`: those with a report here; `recent_senders`: those with a recent one; `oldest_ms`:
+    the longest time since a sender's last report.  `sums` are opaque, by key, and must not be added to those
+    of another collector for the same zone.  A summary too large for one datagram is split into `chunks`
+    messages with the same number and is used once all have arrived.
     """
 
     zone: Annotated[str, Meta(max_length=64)]
@@ -130,7 +133,7 @@
 
 @dataclass(frozen=True, slots=True)
 class OutgoingMessage:
-    """A message for a member, by name."""
+    """A message and the name of the member that receives it."""
 
     recipient: str
     message: AnyMessage
@@ -139,45 +142,45 @@
 _encode = msgspec.msgpack.Encoder().encode
 _message_decoder = msgspec.msgpack.Decoder(AnyMessage)
 _broadcast_decoder = msgspec.msgpack.Decoder(dict[Key, bytes])
-_UNREADABLE = (msgspec.DecodeError, RecursionError, UnicodeDecodeError)
+_DECODE_ERRORS = (msgspec.DecodeError, RecursionError, UnicodeDecodeError)
 
 
 def encode(message: AnyMessage) -> bytes:
-    """Return a message's bytes."""
+    """Return a message as a version byte and MessagePack."""
     return bytes((VERSION,)) + _encode(message)
 
 
 def decode(data: bytes) -> AnyMessage:
-    """Read a message.  Raises MalformedAggregationMessageError, UnsupportedAggregationVersionError."""
+    """Decode a message.  Raises MalformedAggregationMessageError, UnsupportedAggregationVersionError."""
     if not data:
-        raise MalformedAggregationMessageError("no bytes where a message of the collectors should be")
+        raise MalformedAggregationMessageError("the collector message is empty")
     if data[0] != VERSION:
         raise UnsupportedAggregationVersionError(
-            f"a collectors' message of version {data[0]}; this program reads {VERSION}"
+            f"collector message has version {data[0]}; this program supports only version {VERSION}"
         )
     try:
         return _message_decoder.decode(memoryview(data)[1:])
-    except _UNREADABLE as error:
-        text = str(error)[:MAX_QUOTED]
-        raise MalformedAggregationMessageError(f"a collectors' message that cannot be read: {text}") from None
+    except _DECODE_ERRORS as error:
+        detail = str(error)[:MAX_QUOTED_CHARS]
+        raise MalformedAggregationMessageError(f"collector message cannot be decoded: {detail}") from None
 
 
 def encode_broadcast(values: dict[str, bytes]) -> bytes:
-    """Return the bytes of a broadcast: each summarizer's value by its name."""
+    """Encode a broadcast, given each summarizer's value by its name."""
     return _encode(values)
 
 
 def decode_broadcast(data: bytes) -> dict[str, bytes]:
-    """Read a broadcast.  Raises MalformedAggregationMessageError."""
+    """Decode a broadcast; b"" gives {}.  Raises MalformedAggregationMessageError."""
     if not data:
         return {}
     try:
         return _broadcast_decoder.decode(data)
-    except _UNREADABLE as error:
-        text = str(error)[:MAX_QUOTED]
-        raise MalformedAggregationMessageError(f"a broadcast that cannot be read: {text}") from None
+    except _DECODE_ERRORS as error:
+        detail = str(error)[:MAX_QUOTED_CHARS]
+        raise MalformedAggregationMessageError(f"broadcast cannot be decoded: {detail}") from None
 
 
 def encoded_size(value: ReportEntry | HeldEntry) -> int:
-    """Return an element's bytes on the wire."""
+    """Return the encoded size of an entry in bytes."""
     return len(_encode(value))
--- a/cressrock/aggregation/ranking.py
+++ b/cressrock/aggregation/ranking.py
@@ -1,8 +1,8 @@
-"""Which collector a zone's senders report to.  Pure.
+"""Ranks the collectors of a zone.
 
-Every process ranks the collectors it holds alive by *rendezvous hashing* (highest random weight: Thaler,
-Ravishankar, "Using name-based mappings to increase hit rates", 1998) of the zone.  So no table is agreed, and
-all senders of one zone go to one collector.
+Each process ranks the collectors it considers present by *rendezvous hashing* of the zone (highest random
+weight: Thaler, Ravishankar, "Using name-based mappings to increase hit rates", 1998).  All senders of a zone
+thus report to the same collector without agreeing on a table.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 
 
 def rank_collectors(zone: str, collectors: Iterable[CollectorId]) -> list[CollectorId]:
-    """Return the collectors of a zone, the first choice first: highest random weight, then name."""
+    """Return the collectors by preference for a zone: highest random weight first, then by name."""
     seed = xxhash.xxh3_64_intdigest(zone.encode())
 
     def weight(name: str) -> int:
--- a/cressrock/aggregation/summarizer.py
+++ b/cressrock/aggregation/summarizer.py
@@ -1,4 +1,4 @@
-"""What makes summaries of a zone's entries, of each cluster feature one."""
+"""Interface of the features that summarize a zone's entries, and a registry that combines them."""
 
 from __future__ import annotations
 
@@ -10,56 +10,56 @@
 
 
 class Summarizer(Protocol):
-    """One feature's summaries.  It holds what it receives, by origin."""
+    """Summarizes one feature's entries, which it stores by origin."""
 
     def receive(self, origin: Origin, key: str, value: bytes | None, at_ms: float) -> bool:
-        """Take an entry that was published at a time of this clock; returns whether it was news."""
+        """Store an entry published at `at_ms` on this clock; return whether it changed anything."""
 
     def forget(self, origin: Origin) -> None:
-        """Forget an origin."""
+        """Drop an origin's entries."""
 
     def summarize(self, zone: str, origins: Collection[Origin], now_ms: float) -> dict[str, bytes]:
         """Return the sums over these origins, which are of one zone, by key."""
 
     def broadcast(self, sums: Mapping[str, Mapping[str, bytes]], now_ms: float) -> tuple[bool, bytes]:
-        """Return what all processes are to know: whether evidence is requested, and opaque bytes.
+        """Return whether to request evidence from all senders, and opaque bytes for all processes.
 
-        `sums`: those of all zones, by zone and key.
+        `sums`: of all zones, by zone and key.
         """
 
 
 class SummarizerRegistry:
-    """Several summarizers as one: each receives all entries, and takes those of its own keys."""
+    """Combines summarizers; each receives all entries and uses those with its own keys."""
 
     def __init__(self) -> None:
-        """Begin with none."""
+        """Start without summarizers."""
         self.summarizers: dict[str, Summarizer] = {}
 
     def add(self, name: str, summarizer: Summarizer) -> None:
-        """Add one under a name, by which its broadcast is found (`messages.decode_broadcast`)."""
+        """Add a summarizer; `name` identifies its part of the broadcast (`messages.decode_broadcast`)."""
         self.summarizers[name] = summarizer
 
     def receive(self, origin: Origin, key: str, value: bytes | None, at_ms: float) -> bool:
-        """Take an entry that was published at a time of this clock."""
-        news = False
+        """Pass an entry to all summarizers; return whether it changed anything in one."""
+        changed = False
         for summarizer in self.summarizers.values():
-            news |= summarizer.receive(origin, key, value, at_ms)
-        return news
+            changed |= summarizer.receive(origin, key, value, at_ms)
+        return changed
 
     def forget(self, origin: Origin) -> None:
-        """Forget an origin."""
+        """Drop an origin's entries in all summarizers."""
         for summarizer in self.summarizers.values():
             summarizer.forget(origin)
 
     def summarize(self, zone: str, origins: Collection[Origin], now_ms: float) -> dict[str, bytes]:
-        """Return all sums over these origins."""
+        """Return the sums of all summarizers over these origins, by key."""
         sums: dict[str, bytes] = {}
         for summarizer in self.summarizers.values():
             sums |= summarizer.summarize(zone, origins, now_ms)
         return sums
 
     def broadcast(self, sums: Mapping[str, Mapping[str, bytes]], now_ms: float) -> tuple[bool, bytes]:
-        """Return whether any of them requests evidence, and what all of them broadcast."""
+        """Return whether any summarizer requests evidence, and the encoded broadcasts of all."""
         results = {
             name: summarizer.broadcast(sums, now_ms) for name, summarizer in sorted(self.summarizers.items())
         }
--- a/cressrock/aggregation/timings.py
+++ b/cressrock/aggregation/timings.py
@@ -1,4 +1,4 @@
-"""Times of senders and collectors."""
+"""Intervals and timeouts of senders and collectors."""
 
 from __future__ import annotations
 
@@ -7,14 +7,14 @@
 
 @dataclass(frozen=True, slots=True)
 class AggregationTimings:
-    """Times in milliseconds; the same for senders and collectors."""
+    """Values in milliseconds, shared by senders and collectors."""
 
-    min_update_interval_ms: float = 500.0  # nobody reports an entry's changes more often
-    renewal_interval_ms: float = 10000.0  # everything is reported anew, though nothing changed
-    ack_timeout_ms: float = 250.0  # at least
-    max_attempts: int = 3  # reports without an acknowledgement, then another collector
-    min_backoff_ms: float = 2000.0  # from a collector that did not answer, at first; doubled with each
+    min_update_interval_ms: float = 500.0  # least time between reported changes of an entry
+    renewal_interval_ms: float = 10000.0  # all entries are reported again, changed or not
+    ack_timeout_ms: float = 250.0  # minimum; longer for a collector that answers slowly
+    max_attempts: int = 3  # unacknowledged reports before switching to another collector
+    min_backoff_ms: float = 2000.0  # after a collector did not answer; doubles each time
     max_backoff_ms: float = 30000.0
-    summary_interval_ms: float = 250.0  # how often a collector sends its summaries
-    summary_ttl_ms: float = 1000.0  # an older summary counts no more: four of them were lost or never made
-    evidence_request_ttl_ms: float = 10000.0  # a push is heeded so long
+    summary_interval_ms: float = 250.0  # between two summaries of a collector
+    summary_ttl_ms: float = 1000.0  # expires after four summaries that were lost or not made
+    evidence_request_ttl_ms: float = 10000.0  # a sender honours a push for this long
--- a/tests/compatibility/collect_cases.py
+++ b/tests/compatibility/collect_cases.py
@@ -515,7 +515,7 @@
                 ]
             )
             self.digest.add(
-                [one.unsent, dict(one.rejected), one.broadcast("listing"), one.broadcast("nobody")]
+                [one.unsent, dict(one.rejected_by_code), one.broadcast("listing"), one.broadcast("nobody")]
             )
             self.digest.add([sorted(self.spreads[name].entries.items()), one.status()])
 
