--- a/tests/aggregation/support.py
+++ b/tests/aggregation/support.py
@@ -1,4 +1,4 @@
-"""A summarizer that keeps everything, networks in memory, and senders and channels that run in told time."""
+"""A summarizer that lists all entries, and in-memory networks of collectors and channels on a fake clock."""
 
 import json
 import random
@@ -16,7 +16,7 @@
 
 
 class ListingSummarizer:
-    """A summarizer whose sums say everything: who reported what last."""
+    """A summarizer whose sums list the last entries of every origin."""
 
     def __init__(self):
         self.reported = {}
@@ -30,7 +30,7 @@
 
     def summarize(self, zone, origins, now_ms):
         listing = {
-            f"{name}@{incarnation}": as_listed(self.reported[name, incarnation])
+            f"{name}@{incarnation}": as_hex_values(self.reported[name, incarnation])
             for name, incarnation in sorted(origins)
             if (name, incarnation) in self.reported
         }
@@ -40,8 +40,8 @@
         return False, b""
 
 
-def as_listed(entries):
-    """Return entries as the summarizer above lists them: removed ones left out."""
+def as_hex_values(entries):
+    """Return the hex values by key, without removed entries, as `ListingSummarizer` lists them."""
     return {key: value.hex() for key, value in sorted(entries.items()) if value is not None}
 
 
@@ -54,12 +54,12 @@
 
 
 def report(*entries, number=1):
-    """Return a report of entries, each (key, version, value) or with an age."""
+    """Return a report; each entry is (key, version, value) or (key, version, value, age_ms)."""
     return Report(number, [ReportEntry(*entry) for entry in entries])
 
 
 class CollectorNetwork:
-    """Two collectors, a replica that hears them, and a network that loses, doubles and reorders."""
+    """Two collectors and a replica on a network that loses, repeats and reorders messages."""
 
     def __init__(self, source, senders, zone="a", loss=0.0):
         self.source, self.now_ms, self.loss, self.zone = source, 0.0, loss, zone
@@ -75,9 +75,9 @@
         for collector in self.collectors.values():
             collector.update_members(self.members, ["p0", "p1", "p2"])
 
-    def carry(self, sender, sends):
-        """Carry what goes out, and what goes out for that; some is lost, some comes twice."""
-        pending = [(sender, outgoing) for outgoing in sends]
+    def deliver(self, sender, outgoing_messages):
+        """Deliver messages and all replies to them in random order; some are lost or delivered twice."""
+        pending = [(sender, outgoing) for outgoing in outgoing_messages]
         while pending:
             name, outgoing = pending.pop(self.source.randrange(len(pending)))
             if outgoing.recipient not in self.collectors or self.source.random() < self.loss:
@@ -92,27 +92,27 @@
         while self.now_ms < end_ms:
             self.now_ms += TIMINGS.summary_interval_ms
             for name in sorted(self.collectors):
-                self.carry(name, self.collectors[name].tick(self.now_ms))
+                self.deliver(name, self.collectors[name].tick(self.now_ms))
 
     def listing(self):
-        """Return what the replica knows of all senders."""
+        """Return the entries by origin that the replica has received in summaries."""
         current = self.collectors["p2"].summaries.current(self.now_ms)
         return json.loads(current[self.zone].summary.sums["all"]) if self.zone in current else {}
 
     def owner(self):
-        """Return the name of the collector that collects the zone."""
+        """Return the name of the zone's collector."""
         return self.collectors["p0"].owner(self.zone)[0]
 
 
-class SenderLine:
-    """One sender, and collectors that answer unless they are `dead`."""
+class SenderHarness:
+    """One sender and its collectors, which acknowledge every report unless they are in `dead`."""
 
     def __init__(self, seed=1, collectors=3, window_ms=500.0):
         self.sender = ReportSender("a", TIMINGS, random.Random(seed), 0.0)
         self.now_ms, self.window_ms, self.broadcast_number = 0.0, window_ms, 0
         self.dead = set()
-        self.sent = []  # (when, to whom, bytes, message)
-        self.received = {}  # by collector: the entries that it has
+        self.sent = []  # (time in ms, collector name, size in bytes, message)
+        self.received = {}  # by collector name: the values it received, by key
         self.update_collectors([(f"p{n}", 1) for n in range(collectors)])
 
     def update_collectors(self, collectors):
@@ -143,21 +143,21 @@
         self.sender.receive(self.now_ms, name, dict(self.collectors)[name], ack)
 
 
-class GossipShelf:
-    """A gossip store that goes nowhere."""
+class InMemoryGossip:
+    """A gossip store that only records its entries and the number of writes."""
 
     def __init__(self):
-        self.held, self.writes = {}, 0
+        self.stored, self.writes = {}, 0
 
     def put(self, key, value):
-        self.held[key] = value
+        self.stored[key] = value
         self.writes += 1
 
     def remove(self, key):
-        self.held.pop(key, None)
+        self.stored.pop(key, None)
 
 
-class NoLog:
+class NullLog:
     def info(self, event, **fields):
         pass
 
@@ -165,7 +165,7 @@
 
 
 class ChannelNetwork:
-    """Some processes' channels in one place; time is told, and so is who is there."""
+    """The channels of several processes, with a fake clock and a shared list of members."""
 
     STEP_MS = 50.0
 
@@ -186,10 +186,10 @@
         channel = EvidenceChannel(
             (name, 1),
             ChannelSettings("a", self.replicas, not is_collector, is_collector, max_gossip_senders),
-            GossipShelf(),
+            InMemoryGossip(),
             clock=lambda: self.now_ms,
             source=random.Random(name),
-            log=NoLog(),
+            log=NullLog(),
         )
         channel.summarizers.add("listed", ListingSummarizer())
         channel.send = lambda recipient, data: self.datagrams.append((name, recipient, data))
--- a/tests/aggregation/test_aggregation_drill.py
+++ b/tests/aggregation/test_aggregation_drill.py
@@ -1,7 +1,7 @@
-"""Collectors by processes: killed, stopped, cut off and all gone, while a zone is lost and comes back.
+"""Real processes lose a zone while a collector is killed, stopped or cut off, or all collectors are gone.
 
-Judged from the sockets and from what each process says at its admin port.  Edges report to collectors here
-from the second edge on (`fleet.collect_from`); a fleet of few does not by itself.
+Checks the answers to clients and the status at each process's admin port.  `fleet.collect_from` makes edges
+report to collectors from the second edge on; a small fleet uses gossip by default.
 """
 
 import pytest
@@ -19,12 +19,12 @@
 )
 
 
-def play(story, collect_from=1):
+def play(scenario, collect_from=1):
     def extend(drill, name, value):
         with_zones(drill, name, value)
         value["fleet"]["collect_from"] = collect_from
 
-    drill_support.play(story, extend)
+    drill_support.play(scenario, extend)
 
 
 async def evidence_status(drill, name):
@@ -32,26 +32,26 @@
 
 
 async def all_report_to_collectors(drill, edges):
-    """Whether each of these reports to a collector, which has all of it."""
+    """Whether each of these edges reports to a collector that has acknowledged all its entries."""
     statuses = [await evidence_status(drill, edge) for edge in edges]
     return all(
         status.get("collecting") and status.get("answered") and status.get("to") for status in statuses
     )
 
 
-async def until_all_report_to_collectors(drill, edges, what="all tell collectors"):
+async def until_all_report_to_collectors(drill, edges, what="all edges report to collectors"):
     await drill.until(what, lambda: all_report_to_collectors(drill, edges))
 
 
-async def until_the_leader_has_summaries_alone(drill):
+async def until_the_leader_uses_only_summaries(drill):
     leader = await drill.leader()
 
-    async def by_summaries():
-        # Nothing of it goes by gossip any more, and the leader evaluates summaries.
+    async def leader_uses_only_summaries():
+        # No sender reports by gossip any more, and the leader evaluates summaries.
         status = await zones_status(drill, leader)
         return status.get("summed") and status.get("tellers") == 0
 
-    await drill.until("sums alone", by_summaries)
+    await drill.until("leader uses only summaries", leader_uses_only_summaries)
 
 
 async def kill(drill, collector, edges):
@@ -80,47 +80,49 @@
 
 
 @pytest.mark.parametrize(
-    ("trouble", "mend"),
+    ("inject_fault", "repair"),
     [
         pytest.param(kill, restart, id="killed"),
         pytest.param(stop, resume, id="stopped"),
         pytest.param(cut_off, heal, id="cut"),
     ],
 )
-def test_a_zone_is_evacuated_once_and_taken_back_while_its_collector_is(trouble, mend):
-    seen = {}
+def test_a_zone_is_evacuated_once_and_taken_back_while_its_collector_is(inject_fault, repair):
+    results = {}
 
-    async def story(drill):
+    async def scenario(drill):
         edges = await until_all_are_well(drill)
         await until_all_report_to_collectors(drill, edges)
-        await until_the_leader_has_summaries_alone(drill)
+        await until_the_leader_uses_only_summaries(drill)
         collector = (await evidence_status(drill, "d0"))["to"]
-        assert (await evidence_status(drill, "d1"))["to"] == collector, "one collector for a zone"
-        await trouble(drill, collector, edges)
+        assert (await evidence_status(drill, "d1"))["to"] == collector, (
+            "edges of a zone use different collectors"
+        )
+        await inject_fault(drill, collector, edges)
         lost = await kill_nodes(drill, "a1")
-        await drill.until("given up", lambda: all_follow(drill, ("gone", 0.0), edges))
+        await drill.until("zone a1 is evacuated", lambda: all_follow(drill, ("gone", 0.0), edges))
         for zone in ("a2", "b1"):
-            seen[zone] = await all_follow(drill, None, edges, zone)
-        await mend(drill, collector)
+            results[zone] = await all_follow(drill, None, edges, zone)
+        await repair(drill, collector)
         await start_nodes(drill, lost)
-        await drill.until("taken back", lambda: all_follow(drill, ("near", 1.0), edges))
-        await until_all_report_to_collectors(drill, edges, "all tell collectors again")
-        seen["losses"] = await losses_of(drill, "a1", edges)
+        await drill.until("zone a1 is recovered", lambda: all_follow(drill, ("near", 1.0), edges))
+        await until_all_report_to_collectors(drill, edges, "all edges report to collectors again")
+        results["losses"] = await losses_of(drill, "a1", edges)
         await drill.answered(60)
 
-    play(story)
-    assert seen == {"a2": True, "b1": True, "losses": [1, 1, 1, 1]}
+    play(scenario)
+    assert results == {"a2": True, "b1": True, "losses": [1, 1, 1, 1]}
 
 
-def test_without_any_collector_each_goes_on_alone_and_evidence_comes_back_with_them():
-    async def story(drill):
+def test_reports_use_gossip_without_collectors_and_return_to_restarted_ones():
+    async def scenario(drill):
         edges = await until_all_are_well(drill)
         await until_all_report_to_collectors(drill, edges)
         planners = [planner.name for planner in drill.planners]
         for name in planners:
             await drill._do(steps.Kill(name))
 
-        async def each_by_gossip():
+        async def all_report_by_gossip():
             statuses = [await evidence_status(drill, edge) for edge in edges]
             return all(
                 not status.get("collecting") and "no collector" in status.get("why", "")
@@ -128,22 +130,22 @@
             )
 
         await drill.answered(60)
-        await drill.until("each by the spread", each_by_gossip)
+        await drill.until("all edges report by gossip", all_report_by_gossip)
         for name in planners:
             await drill._do(steps.Restart(name))
-        await until_all_report_to_collectors(drill, edges, "all tell collectors again")
-        # It is decided again: a zone is lost now.
-        await drill.until("a leader", drill.leader)
+        await until_all_report_to_collectors(drill, edges, "all edges report to collectors again")
+        # Decisions are made again: a lost zone is evacuated.
+        await drill.until("a leader is elected", drill.leader)
         lost = await kill_nodes(drill, "a1")
-        await drill.until("given up", lambda: all_follow(drill, ("gone", 0.0), edges))
+        await drill.until("zone a1 is evacuated", lambda: all_follow(drill, ("gone", 0.0), edges))
         await start_nodes(drill, lost)
-        await drill.until("taken back", lambda: all_follow(drill, ("near", 1.0), edges))
+        await drill.until("zone a1 is recovered", lambda: all_follow(drill, ("near", 1.0), edges))
 
-    play(story)
+    play(scenario)
 
 
-def test_a_few_processes_report_by_gossip_without_anybody_setting_anything():
-    async def story(drill):
+def test_small_fleet_reports_by_gossip_by_default():
+    async def scenario(drill):
         edges = await until_all_are_well(drill)
         for name in edges:
             status = await evidence_status(drill, name)
@@ -153,8 +155,8 @@
         async def all_are_received():
             return (await zones_status(drill, leader)).get("tellers") == 4
 
-        await drill.until("all are heard by the spread", all_are_received)
+        await drill.until("the leader receives all reports by gossip", all_are_received)
         assert not (await zones_status(drill, leader))["summed"]
         await drill.answered(200)
 
-    play(story, collect_from=0)
+    play(scenario, collect_from=0)
--- a/tests/aggregation/test_channel.py
+++ b/tests/aggregation/test_channel.py
@@ -1,4 +1,4 @@
-"""A process's channel, without a network: entries are never nowhere, and nothing spins."""
+"""Channels on a simulated network: no entry is lost in a change of mode, and the run loop does not spin."""
 
 import dataclasses
 
@@ -14,38 +14,42 @@
 
 @pytest.fixture
 def network():
-    """Return five edges that report to collectors from the second edge on."""
+    """Return a network of five edges that report to collectors, as the limit for gossip is one."""
     return ChannelNetwork(5, max_gossip_senders=1)
 
 
 def stop_announcing(network, replicas):
-    """Let replicas say nothing of collecting, as those of older programs do."""
+    """Withdraw the capability of replicas, as if they ran an older program."""
     for name in replicas:
         network.members[name] = dataclasses.replace(network.members[name], extra=b"")
     network.announce_changes()
 
 
-def test_entries_move_from_gossip_to_collectors_and_back_and_are_never_nowhere(network):
+def test_entries_stay_available_while_switching_between_gossip_and_collectors(network):
     for edge in network.edges:
         edge.publish("zones/0", b"v")
-        assert edge.gossip.held == ENTRY, "as before, until the way is decided"
+        assert edge.gossip.stored == ENTRY, "gossip is used until the mode is decided"
     for _ in range(100):
         network.run(50)
         collectors = [network.channels[name].collector for name in network.replicas]
-        collected = [one.summarizer.summarizers["listed"].reported for one in collectors]
+        collected = [
+            node_collector.summarizer.summarizers["listed"].reported for node_collector in collectors
+        ]
         for edge in network.edges:
-            assert edge.gossip.held or any(edge.me in reported for reported in collected), "nowhere"
+            assert edge.gossip.stored or any(edge.me in reported for reported in collected), (
+                "entry is neither in gossip nor at a collector"
+            )
     assert all(
-        edge.uses_collectors and not edge.gossip.held and edge.sender.is_acknowledged()
+        edge.uses_collectors and not edge.gossip.stored and edge.sender.is_acknowledged()
         for edge in network.edges
     )
     stop_announcing(network, network.replicas[1:])
-    network.run(12000)  # by gossip again, after a hold
-    assert all(not edge.uses_collectors and edge.gossip.held == ENTRY for edge in network.edges)
+    network.run(12000)  # longer than the hold time: back to gossip
+    assert all(not edge.uses_collectors and edge.gossip.stored == ENTRY for edge in network.edges)
     assert "announce no collect/1" in network.edges[0].status()["why"]
 
 
-def test_many_without_collectors_do_not_all_write_gossip_at_once():
+def test_gossip_writes_are_spread_when_a_large_fleet_loses_its_collectors():
     network = ChannelNetwork(3, max_gossip_senders=1)
     for channel in network.channels.values():
         channel.publish("zones/0", b"v")
@@ -60,37 +64,41 @@
     network.run(20000)
     assert all(not edge.uses_collectors for edge in network.edges)
     intervals_ms = [edge.min_interval_ms() for edge in network.edges]
-    assert min(intervals_ms) >= 60000 and len(set(intervals_ms)) == 3, "drawn"
+    assert min(intervals_ms) >= 60000 and len(set(intervals_ms)) == 3, "intervals are randomized"
     assert [edge.gossip.writes for edge in network.edges] == writes
     network.run(200000)
-    assert all(edge.gossip.held for edge in network.edges)
+    assert all(edge.gossip.stored for edge in network.edges)
 
 
-def test_a_channel_that_reports_by_gossip_has_nothing_due_at_once_for_ever():
+def test_run_loop_does_not_spin_while_reporting_by_gossip():
     network = ChannelNetwork(3)
     for _ in range(60):
         network.run(1000)
         channels = network.channels.values()
-        assert all(channel.sender.next_due_ms() > network.now_ms for channel in channels), "it would spin"
+        assert all(channel.sender.next_due_ms() > network.now_ms for channel in channels), (
+            "a due time in the past makes `run` spin"
+        )
 
 
-def test_a_channel_that_reports_to_collectors_has_nothing_due_at_once_for_ever():
+def test_run_loop_does_not_spin_while_reporting_to_collectors():
     network = ChannelNetwork(3, max_gossip_senders=1)
     network.run(3000)
     for _ in range(40):
         network.run(1000)
-        assert all(edge.sender.next_due_ms() > network.now_ms for edge in network.edges), "it would spin"
+        assert all(edge.sender.next_due_ms() > network.now_ms for edge in network.edges), (
+            "a due time in the past makes `run` spin"
+        )
 
 
-def test_a_full_gossip_store_ends_nothing(monkeypatch):
+def test_full_gossip_store_is_counted_and_does_not_raise(monkeypatch):
     network = ChannelNetwork(3, max_gossip_senders=1)
     network.run(43000)
     edge = network.edges[0]
 
-    def full(key, value):
+    def raise_store_full(key, value):
         raise OriginFullError("no room")
 
-    monkeypatch.setattr(edge.gossip, "put", full)
+    monkeypatch.setattr(edge.gossip, "put", raise_store_full)
     edge.publish("zones/0", b"v")
     stop_announcing(network, network.replicas)
     network.run(15000)
--- a/tests/aggregation/test_collector.py
+++ b/tests/aggregation/test_collector.py
@@ -1,4 +1,4 @@
-"""Collectors: reports merge whatever the network does, and what is old or unknown is not kept."""
+"""Collectors converge on an unreliable network and reject outdated or unknown senders."""
 
 import random
 from collections import Counter
@@ -18,14 +18,14 @@
 from tests.aggregation.support import (
     TIMINGS,
     CollectorNetwork,
-    as_listed,
+    as_hex_values,
     edge_member,
     report,
 )
 
 
-def drawn_reports(source, senders):
-    """Return (sender, entry) in the order in which they were published; each sender's versions grow."""
+def random_reports(source, senders):
+    """Return (sender, entry) in order of publication, with increasing versions per sender."""
     reports = []
     for number in range(senders):
         for version in range(1, source.randint(1, 6) + 1):
@@ -34,10 +34,12 @@
     return reports
 
 
-def lost_doubled_and_late(source, reports):
-    """Return reports as they arrive: the newest of each key does, others are lost, repeated or reordered."""
+def lose_repeat_and_reorder(source, reports):
+    """Return reports shuffled, with losses and repetitions; the newest of each key always arrives."""
     newest = {(name, entry.key): index for index, (name, entry) in enumerate(reports)}
-    arrived = [one for i, one in enumerate(reports) if i in newest.values() or source.random() < 0.6]
+    arrived = [
+        sent_report for i, sent_report in enumerate(reports) if i in newest.values() or source.random() < 0.6
+    ]
     arrived += source.choices(reports, k=source.randint(0, 10))
     source.shuffle(arrived)
     return arrived
@@ -45,56 +47,58 @@
 
 @settings(max_examples=60, deadline=None)
 @given(st.integers(0, 2**32))
-def test_two_collectors_come_to_the_newest_entries_whatever_is_lost_doubled_or_late(seed):
+def test_collectors_converge_to_newest_entries_despite_loss_repetition_and_reordering(seed):
     source = random.Random(seed)
     senders = source.randint(1, 12)
     zone = source.choice(["a", "b", "c", "d"])
     network = CollectorNetwork(source, senders, zone=zone, loss=source.choice([0.0, 0.3]))
-    reports = drawn_reports(source, senders)
+    reports = random_reports(source, senders)
     newest, published = {}, set()
     for name, entry in reports:
         newest.setdefault(name, {})[entry.key] = entry.value
         published.add((f"{name}@1", entry.key, entry.value.hex() if entry.value is not None else None))
-    for number, (name, entry) in enumerate(lost_doubled_and_late(source, reports)):
+    for number, (name, entry) in enumerate(lose_repeat_and_reorder(source, reports)):
         for collector in source.sample(["p0", "p1"], source.randint(1, 2)):
             network.collectors[collector].receive(network.now_ms, name, 1, Report(number, [entry]))
         if source.random() < 0.3:
             network.run(TIMINGS.summary_interval_ms)
-            # On the way too: nobody is counted twice, and nothing that nobody published.
+            # Intermediate summaries contain only published entries and count no origin twice.
             for origin, entries in network.listing().items():
                 assert all((origin, key, value) in published for key, value in entries.items()), seed
     network.run(12000)
     network.loss = 0.0
     network.run(2000)
-    expected = {f"{name}@1": as_listed(entries) for name, entries in newest.items()}
+    expected = {f"{name}@1": as_hex_values(entries) for name, entries in newest.items()}
     assert network.listing() == expected, seed
     owner = network.owner()
     other = "p1" if owner == "p0" else "p0"
     assert network.collectors[owner].origin_count() == senders
-    assert network.collectors[other].origin_count() == 0, "who does not collect it holds nothing"
+    assert network.collectors[other].origin_count() == 0, (
+        "entries are left at the other collector after handover"
+    )
 
 
-def test_a_collector_that_stood_still_forgets_and_asks_for_everything():
+def test_collector_drops_entries_and_requests_a_full_resend_after_a_pause():
     network = CollectorNetwork(random.Random(1), 3)
     collector = network.collectors[network.owner()]
     collector.receive(0.0, "e1", 1, report(("k", 1, b"x")))
     network.run(500)
     assert collector.origin_count() == 1
-    late_ms = network.now_ms + 5000
-    # What lay in its socket meanwhile is of unknown age.
-    assert collector.receive(late_ms, "e2", 1, report(("k", 1, b"y"))) == []
-    assert collector.origin_count() == 0 and collector.tick(late_ms + 100) == []
-    ticks = (collector.tick(late_ms + 200 + step * 100) for step in range(20))
-    sends = next(sends for sends in ticks if sends)
-    asked = {
+    resumed_at_ms = network.now_ms + 5000
+    # The age of messages queued during the pause is unknown.
+    assert collector.receive(resumed_at_ms, "e2", 1, report(("k", 1, b"y"))) == []
+    assert collector.origin_count() == 0 and collector.tick(resumed_at_ms + 100) == []
+    ticks = (collector.tick(resumed_at_ms + 200 + step * 100) for step in range(20))
+    outgoing_messages = next(outgoing_messages for outgoing_messages in ticks if outgoing_messages)
+    pushed_names = {
         outgoing.recipient
-        for outgoing in sends
+        for outgoing in outgoing_messages
         if isinstance(outgoing.message, ReportAck) and outgoing.message.resend_all
     }
-    assert asked == {"e0", "e1", "e2"}
+    assert pushed_names == {"e0", "e1", "e2"}
     pushes = Counter()
-    for step in range(200):  # and not again and again
-        now_ms = late_ms + 3000 + step * 250
+    for step in range(200):  # pushes must not repeat without end
+        now_ms = resumed_at_ms + 3000 + step * 250
         for outgoing in collector.tick(now_ms):
             is_push = isinstance(outgoing.message, ReportAck)
             pushes[outgoing.recipient] += is_push
@@ -104,7 +108,7 @@
     assert pushes["e0"] <= 1 and pushes["e1"] <= 1 and 1 < pushes["e2"] <= 22, pushes
 
 
-def test_reports_of_the_unknown_the_dead_and_former_incarnations_are_not_kept():
+def test_reports_from_unknown_members_and_other_incarnations_are_rejected():
     network = CollectorNetwork(random.Random(1), 3)
     collector = network.collectors["p0"]
     entry = report(("k", 1, b"x"))
@@ -116,7 +120,7 @@
     assert collector.origin_count() == 0
 
 
-def test_of_one_origin_a_bounded_number_of_entries_is_kept():
+def test_entries_per_origin_are_bounded():
     network = CollectorNetwork(random.Random(1), 3)
     collector = network.collectors["p0"]
     for _ in range(3):
@@ -125,7 +129,7 @@
     assert len(collector.store.origins["e1"].entries) == MAX_ENTRIES_PER_ORIGIN
 
 
-def test_what_an_older_process_gossips_counts_and_gives_way_to_what_it_reports():
+def test_reported_entries_replace_gossiped_entries_of_the_same_origin():
     collector = CollectorNetwork(random.Random(1), 2).collectors["p0"]
     collector.receive_gossip(1.0, "e0", 1, "k", b"old")
     assert collector.summarizer.reported[("e0", 1)] == {"k": b"old"}
@@ -134,7 +138,7 @@
     assert collector.summarizer.reported[("e0", 1)] == {"k": b"new"}
 
 
-def test_summaries_and_handovers_of_who_does_not_collect_are_not_taken():
+def test_summaries_and_handovers_from_non_collectors_are_ignored():
     collector = CollectorNetwork(random.Random(1), 2).collectors["p0"]
     summary = ZoneSummary("a", 5, 1, 1, 1, 0.0, [], {})
     handover = Handover(1, "a", [HeldEntry("e1", 1, ReportEntry("k", 1, b""))])
@@ -144,7 +148,7 @@
     assert collector.origin_count() == 0 and collector.summaries.current(1.0) == {}
 
 
-def test_an_entry_grows_older_by_what_its_sender_and_each_collector_held_it(monkeypatch):
+def test_entry_age_includes_time_at_sender_and_collectors(monkeypatch):
     collector = CollectorNetwork(random.Random(2), 1).collectors["p0"]
     published_at_ms = []
     monkeypatch.setattr(
@@ -152,8 +156,8 @@
     )
     collector.receive(900.0, "e0", 1, report(("k", 1, b"x", 400.0)))
     assert published_at_ms == [500.0]
-    # Handed over it grows older still.
+    # The time held by this collector is added at handover.
     monkeypatch.setattr(collector.members, "owner", lambda zone: ("p1", 1))
-    sends = [outgoing.message for outgoing in collector.tick(950.0)]
-    handovers = [message for message in sends if isinstance(message, Handover)]
+    outgoing_messages = [outgoing.message for outgoing in collector.tick(950.0)]
+    handovers = [message for message in outgoing_messages if isinstance(message, Handover)]
     assert handovers[0].entries[0].entry.age_ms == 450.0
--- a/tests/aggregation/test_messages.py
+++ b/tests/aggregation/test_messages.py
@@ -1,4 +1,4 @@
-"""Bytes of the collectors' messages: golden ones, newer ones, and anything at all."""
+"""Encoding of collector messages: recorded bytes, newer versions and malformed input."""
 
 import contextlib
 
@@ -43,15 +43,15 @@
     ],
     ids=lambda message: type(message).__name__,
 )
-def test_messages_are_read_as_they_were_written(message):
+def test_messages_survive_an_encode_decode_round_trip(message):
     assert decode(encode(message)) == message
 
 
-def test_appended_fields_are_passed_over():
-    assert decode(bytes.fromhex("0194010790c0")) == Report(7, []), "appended fields are passed over"
+def test_appended_fields_are_ignored():
+    assert decode(bytes.fromhex("0194010790c0")) == Report(7, []), "appended fields are ignored"
 
 
-def test_another_major_version_is_not_read():
+def test_unsupported_major_version_is_rejected():
     with pytest.raises(UnsupportedAggregationVersionError):
         decode(b"\x02\x90")
 
@@ -59,16 +59,16 @@
 @pytest.mark.parametrize(
     "data",
     [b"", b"\x01", b"\x01\xc1", b"\x01\x91\x63", b"\x01\x93\x01\xff\x90", b"\x01" + b"\x91" * 4000],
-    ids=["nothing", "no body", "no MessagePack", "unknown tag", "wrong type", "nested too deep"],
+    ids=["empty", "no body", "invalid MessagePack", "unknown tag", "wrong type", "nested too deep"],
 )
-def test_damaged_bytes_are_not_read(data):
+def test_malformed_messages_are_rejected(data):
     with pytest.raises(MalformedAggregationMessageError):
         decode(data)
 
 
 @settings(max_examples=300, deadline=None)
 @given(st.binary(max_size=300))
-def test_any_bytes_are_read_or_refused_by_type(data):
+def test_arbitrary_bytes_decode_or_raise_aggregation_error(data):
     for candidate in (data, b"\x01" + data):
         with contextlib.suppress(AggregationError):
             decode(candidate)
