--- a/tests/compatibility/collect_virtual.py
+++ b/tests/compatibility/collect_virtual.py
@@ -1,4 +1,4 @@
-"""An event loop whose time passes without waiting, for recorded streams of the carriers."""
+"""An event loop with virtual time, for the recorded simulations of evidence channels."""
 
 from __future__ import annotations
 
@@ -13,15 +13,15 @@
 
 
 class _Selector(selectors.DefaultSelector):
-    """A selector that never waits: the time for which it would is added to the loop's clock."""
+    """A selector that never blocks; it advances the loop's clock by the time it would have waited."""
 
     def __init__(self) -> None:
-        """Begin at 0 s."""
+        """Start the virtual clock at 0 s."""
         super().__init__()
         self.now_s = 0.0
 
     def select(self, timeout: float | None = None) -> list[Any]:
-        """Let `timeout` pass at once."""
+        """Return the ready events; if there are none, advance the clock by `timeout` seconds."""
         ready = super().select(0)
         if timeout is not None and timeout > 0 and not ready:
             self.now_s += timeout
@@ -38,10 +38,10 @@
 
 
 def now_ms() -> float:
-    """Return the loop's time, rounded so that it does not depend on how often it was added up."""
+    """Return the loop's time in ms, rounded so that it does not depend on how many steps were summed."""
     return round(asyncio.get_running_loop().time() * 1000, 3)
 
 
 def run(main: Callable[[], Coroutine[Any, Any, _T]]) -> _T:
-    """Run an asynchronous function in a loop of its own whose time does not wait; return its result."""
+    """Run an asynchronous function in a new event loop with virtual time and return its result."""
     return anyio.run(main, backend="asyncio", backend_options={"loop_factory": _Loop})
--- a/tests/compatibility/record_collect.py
+++ b/tests/compatibility/record_collect.py
@@ -1,4 +1,4 @@
-"""Record bytes and decisions of the collectors: `python -m tests.compatibility.record_collect`, once."""
+"""Records collector messages and decisions; run once: `python -m tests.compatibility.record_collect`."""
 
 from cressrock.aggregation import messages
 from tests.compatibility import collect_cases as cases
@@ -10,21 +10,25 @@
     save(
         "collect_wire",
         {
-            "messages": {name: messages.encode(value).hex() for name, value in cases.examples().items()},
-            "down": {name: messages.encode_broadcast(value).hex() for name, value in cases.DOWN.items()},
-            "refusals": cases.refusals(),
-            "sizes": cases.sizes(),
+            "messages": {
+                name: messages.encode(value).hex() for name, value in cases.example_messages().items()
+            },
+            "down": {
+                name: messages.encode_broadcast(value).hex() for name, value in cases.BROADCASTS.items()
+            },
+            "refusals": cases.decoding_error_codes(),
+            "sizes": cases.encoded_sizes(),
         },
     )
     save(
         "collect_decisions",
         {
             "pure rules": cases.pure_rules(),
-            "ways": [cases.ways(seed) for seed in range(20)],
-            "merged": [cases.merged(seed) for seed in range(12)],
-            "collectors": [cases.collectors(seed) for seed in range(7)],
-            "teller": [cases.teller(seed) for seed in range(9)],
-            "carrier": [cases.carrier(seed) for seed in range(4)],
+            "ways": [cases.delivery_mode_digest(seed) for seed in range(20)],
+            "merged": [cases.merged_summaries_digest(seed) for seed in range(12)],
+            "collectors": [cases.collector_digest(seed) for seed in range(7)],
+            "teller": [cases.sender_digest(seed) for seed in range(9)],
+            "carrier": [cases.channel_digest(seed) for seed in range(4)],
         },
     )
 
