--- a/cressrock/aggregation/channel.py
+++ b/cressrock/aggregation/channel.py
@@ -88,7 +88,7 @@
 
     def __init__(
         self,
-        me: Origin,
+        own_id: Origin,
         settings: ChannelSettings,
         gossip: Gossip,
         *,
@@ -97,14 +97,14 @@
         log: EventLog,
     ) -> None:
         """`clock` returns monotonic time in ms; `source` randomizes send times."""
-        self.me, self.gossip, self.clock, self.log = me, gossip, clock, log
+        self.own_id, self.gossip, self.clock, self.log = own_id, gossip, clock, log
         self.sends_reports, self.timings = settings.sends_reports, settings.timings
         now_ms = clock()
         self.sender = ReportSender(settings.zone, self.timings, source, now_ms)
         self.summarizers = SummarizerRegistry()
         self.collector: ReportCollector | None = None
         if settings.is_collector:
-            self.collector = ReportCollector(me, self.timings, self.summarizers, now_ms)
+            self.collector = ReportCollector(own_id, self.timings, self.summarizers, now_ms)
         hold_ms = self.timings.renewal_interval_ms
         max_gossip_senders = settings.max_gossip_senders or derive_max_gossip_senders(hold_ms)
         self.delivery_mode = DeliveryMode(max_gossip_senders, hold_ms)
@@ -180,7 +180,7 @@
 
     def receive_gossip(self, origin: Origin, key: str, value: bytes | None) -> None:
         """Pass an entry received by gossip to the collector; its origin may use gossip only."""
-        if self.collector is not None and origin != self.me:
+        if self.collector is not None and origin != self.own_id:
             now_ms = self.clock()
             self._update_members(now_ms)
             self.collector.receive_gossip(now_ms, *origin, key, value)
@@ -229,8 +229,8 @@
     def _send_all(self, outgoing_messages: Iterable[OutgoingMessage]) -> None:
         for outgoing in outgoing_messages:
             data = encode(outgoing.message)
-            if outgoing.recipient == self.me[0]:  # this process is its own collector
-                self.receive(*self.me, data)
+            if outgoing.recipient == self.own_id[0]:  # this process is its own collector
+                self.receive(*self.own_id, data)
             else:
                 self.send(outgoing.recipient, data)
 
--- a/cressrock/aggregation/collector.py
+++ b/cressrock/aggregation/collector.py
@@ -33,7 +33,7 @@
 MAX_CORE_FRACTION = 0.5  # of one core, for processing the entries held here
 INITIAL_ENTRY_COST_MS = 0.1  # core time per entry, until `record_cost` updates it
 COST_SMOOTHING_ENTRIES = 200  # a batch this large replaces the previous cost estimate
-MAX_PUSHES_PER_TICK = 200  # the rest wait for later ticks
+MAX_PUSHES_PER_TICK = 200  # further senders are asked at later ticks
 MIN_PUSH_INTERVAL_MS = 1000.0
 SUMMARY_HEADER_BYTES = 200  # bytes reserved for a summary's other fields
 SUM_OVERHEAD_BYTES = 6  # encoding overhead per sum, without key and value
@@ -44,11 +44,11 @@
     """Stores the reports sent to this collector and produces acknowledgements, summaries and handovers."""
 
     def __init__(
-        self, me: CollectorId, timings: AggregationTimings, summarizer: Summarizer, now_ms: float
+        self, own_id: CollectorId, timings: AggregationTimings, summarizer: Summarizer, now_ms: float
     ) -> None:
-        """`me`: name and incarnation of this process."""
-        self.me, self.timings, self.summarizer = me, timings, summarizer
-        self.members = MemberTable(me)
+        """`own_id`: name and incarnation of this process."""
+        self.own_id, self.timings, self.summarizer = own_id, timings, summarizer
+        self.members = MemberTable(own_id)
         self.store = EntryStore(summarizer)
         self.handover = HandoverTracker(self.store)
         self.summaries = MergedSummaries(timings)
@@ -69,7 +69,7 @@
     def update_members(self, members: Iterable[MemberInfo], replicas: Iterable[str]) -> None:
         """Apply the current members and the replicas that receive summaries; call it when either changes."""
         self.members.update(members, replicas)
-        self.summaries.retain({*self.members.collectors, self.me})
+        self.summaries.retain({*self.members.collectors, self.own_id})
         self.store.retain(self.members)
 
     def owner(self, zone: str) -> CollectorId:
@@ -183,7 +183,7 @@
             return []
         self._next_tick_ms = max(now_ms, self._next_tick_ms + self.timings.summary_interval_ms)
         reporting = {zone for zone in self.zones() if self._is_reporting(zone, now_ms)}
-        self._active = bool(reporting) or self.summaries.has_others(self.me)
+        self._active = bool(reporting) or self.summaries.has_others(self.own_id)
         if not self._active:
             # All processes report by gossip, or the entries here were just dropped after a pause.
             return self._build_pushes(now_ms) if self._resend_all else []
@@ -196,7 +196,7 @@
         if self._evidence_requested or self._resend_all:
             outgoing_messages += self._build_pushes(now_ms)
         for zone in self.zones():
-            if self.owner(zone) != self.me:
+            if self.owner(zone) != self.own_id:
                 outgoing_messages += self._hand_over(zone, now_ms)
         return outgoing_messages
 
@@ -238,7 +238,7 @@
             for index, group in enumerate(groups)
         ]
         for summary in summaries:
-            self.summaries.receive(now_ms, self.me, summary)
+            self.summaries.receive(now_ms, self.own_id, summary)
         return summaries
 
     def _address_to_recipients(self, summaries: list[ZoneSummary]) -> list[OutgoingMessage]:
--- a/cressrock/aggregation/delivery.py
+++ b/cressrock/aggregation/delivery.py
@@ -11,7 +11,7 @@
 MEMBERSHIP_BYTES_PER_S = 600.0  # the membership's share of it (benchmarks/results/members.md)
 GOSSIP_ENTRY_BYTES = 130.0  # one report in gossip, with key and header
 GOSSIP_COPIES_PER_CHANGE = 2.0  # each process receives a change about twice
-# Gossip delivers 41 writes a second among 230 members in time, but not 83 among 460
+# Writes per second that gossip carries: it carries 41 with 230 members, but not 83 with 460
 # (benchmarks/results/spread.md).
 GOSSIP_WRITES_PER_S = 40.0
 CHANGES_PER_RENEWAL = 0.8  # changes of one sender between two renewals
--- a/cressrock/aggregation/entry_store.py
+++ b/cressrock/aggregation/entry_store.py
@@ -112,8 +112,8 @@
 
     def receive_gossip(self, member: MemberInfo, key: str, value: bytes | None, now_ms: float) -> None:
         """Store an entry received by gossip unless the member reports to collectors."""
-        known = self.origins.get(member.name)
-        if known is not None and known.incarnation == member.incarnation and known.uses_collectors():
+        origin = self.origins.get(member.name)
+        if origin is not None and origin.incarnation == member.incarnation and origin.uses_collectors():
             return  # its remaining gossip entries may be outdated
         entries = self.touch_origin(member, now_ms).entries
         stored = entries.get(key)
--- a/cressrock/aggregation/members.py
+++ b/cressrock/aggregation/members.py
@@ -22,11 +22,11 @@
 
 
 class MemberTable:
-    """Answers a collector's questions about the present members and who collects a zone."""
+    """The present members and the collector of each zone, as one collector sees them."""
 
-    def __init__(self, me: Origin) -> None:
-        """Start without members; `me`: name and incarnation of this process."""
-        self.me = me
+    def __init__(self, own_id: Origin) -> None:
+        """Start without members; `own_id`: name and incarnation of this process."""
+        self.own_id = own_id
         self.collectors: tuple[CollectorId, ...] = ()
         self.summary_recipients: tuple[str, ...] = ()
         self.senders_by_zone: dict[str, set[str]] = {}
@@ -43,7 +43,7 @@
         # Collectors need summaries too: what they broadcast to their senders covers all zones.
         recipients = {name for name, _ in self.collectors}
         recipients |= {name for name in replicas if name in self._present}
-        self.summary_recipients = tuple(sorted(recipients - {self.me[0]}))
+        self.summary_recipients = tuple(sorted(recipients - {self.own_id[0]}))
         self.senders_by_zone = {}
         for member in present:
             if member.sends_reports:
@@ -61,9 +61,9 @@
         """Return the first-ranked collector of a zone; this process if no collector is known."""
         owner = self._owners.get(zone)
         if owner is None:
-            owner = self._owners[zone] = next(iter(rank_collectors(zone, self.collectors)), self.me)
+            owner = self._owners[zone] = next(iter(rank_collectors(zone, self.collectors)), self.own_id)
         return owner
 
     def owned_zones(self) -> list[str]:
         """Return the zones with senders whose collector is this process."""
-        return [zone for zone in self.senders_by_zone if self.owner(zone) == self.me]
+        return [zone for zone in self.senders_by_zone if self.owner(zone) == self.own_id]
--- a/cressrock/aggregation/messages.py
+++ b/cressrock/aggregation/messages.py
@@ -29,9 +29,7 @@
 MAX_KEY_BYTES, MAX_VALUE_BYTES = 64, 640  # same limits as the gossip store
 MAX_ENTRIES_PER_ORIGIN = 256
 MAX_MISSING_NAMES = 8  # sample of the members without a report
-MAX_PAYLOAD_BYTES = (
-    1024  # of a message's entries; with the envelope it fits the membership's largest datagram
-)
+MAX_PAYLOAD_BYTES = 1024  # of a message's entries; the message then fits the membership's largest datagram
 HEADER_BYTES = 24  # bytes reserved for a message's other fields
 MAX_QUOTED_CHARS = 200  # of the decoder's message, in an error text
 
@@ -57,7 +55,7 @@
 
 
 class Message(Struct, frozen=True, array_like=True, tag_field="t"):
-    """Base of all messages, told apart by the integer tag `t`."""
+    """Base of all messages, distinguished by the integer tag `t`."""
 
 
 class Report(Message, frozen=True, tag=1):
--- a/cressrock/aggregation/sender.py
+++ b/cressrock/aggregation/sender.py
@@ -179,7 +179,7 @@
             self._next_renewal_ms = now_ms + interval_ms
             self._mark_all_unacknowledged()
         reports = self._build_reports(self.collector, now_ms)
-        # The timeout does not grow with attempts, so that a silent collector is soon replaced.
+        # The timeout does not grow with attempts, so that an unresponsive collector is soon replaced.
         timeout_ms = max(self.timings.ack_timeout_ms, ACK_TIMEOUT_FACTOR * self._ack_latency_ms)
         self._ack_deadline_ms = now_ms + timeout_ms * (1 + self.rng.random() / 4)
         self._sent_at_ms = now_ms
--- a/cressrock/aggregation/summaries.py
+++ b/cressrock/aggregation/summaries.py
@@ -93,9 +93,9 @@
         }
         self._summaries = {key: held for key, held in self._summaries.items() if key.collector in collectors}
 
-    def has_others(self, me: CollectorId) -> bool:
-        """Whether there is a complete summary from a collector other than `me`, expired or not."""
-        return any(summary_key.collector != me for summary_key in self._summaries)
+    def has_others(self, own_id: CollectorId) -> bool:
+        """Whether there is a complete summary from a collector other than `own_id`, expired or not."""
+        return any(summary_key.collector != own_id for summary_key in self._summaries)
 
     def newest(self, zone: str, collector: CollectorId) -> ZoneSummary | None:
         """Return a collector's last complete summary of a zone, expired or not, or None."""
--- a/tests/aggregation/test_channel.py
+++ b/tests/aggregation/test_channel.py
@@ -36,7 +36,7 @@
             node_collector.summarizer.summarizers["listed"].reported for node_collector in collectors
         ]
         for edge in network.edges:
-            assert edge.gossip.stored or any(edge.me in reported for reported in collected), (
+            assert edge.gossip.stored or any(edge.own_id in reported for reported in collected), (
                 "entry is neither in gossip nor at a collector"
             )
     assert all(
--- a/tests/aggregation/test_sender.py
+++ b/tests/aggregation/test_sender.py
@@ -43,10 +43,10 @@
     assert harness.sender.collector == (first, 1)
     harness.dead = {first}
     harness.put("k", b"y")
-    silent_since_ms = harness.now_ms
+    failed_at_ms = harness.now_ms
     while harness.received.get(second) != {"k": b"y"}:
         harness.run(10)
-        assert harness.now_ms - silent_since_ms < 2000
+        assert harness.now_ms - failed_at_ms < 2000
     harness.dead = set()
     harness.run(60000)
     assert harness.sender.collector == (first, 1) and harness.received[first] == {"k": b"y"}
