--- a/cressrock/aggregation/collector.py
+++ b/cressrock/aggregation/collector.py
@@ -1,4 +1,4 @@
-"""Protocol of one collector, without I/O.
+"""Protocol of one collector, without I/O or a clock of its own.
 
 A collector receives reports and sends summaries to the consensus replicas and the other collectors.  It
 accepts reports of any zone from any sender.  The age of an entry is a sum of durations, each measured on one
--- a/cressrock/aggregation/delivery.py
+++ b/cressrock/aggregation/delivery.py
@@ -1,4 +1,4 @@
-"""Chooses how reports are delivered: by gossip in a small fleet, to collectors in a large one."""
+"""Chooses how reports are delivered: by gossip in a small fleet, to collectors in a large one.  No I/O."""
 
 from __future__ import annotations
 
--- a/cressrock/aggregation/entry_store.py
+++ b/cressrock/aggregation/entry_store.py
@@ -1,7 +1,7 @@
 """A collector's store of the newest entry per origin and key.
 
 The result does not depend on reordering, loss or repetition of older versions.  Only incarnations that the
-membership holds alive are kept.
+membership holds alive are kept.  The module does no I/O.
 """
 
 from __future__ import annotations
--- a/cressrock/aggregation/handover.py
+++ b/cressrock/aggregation/handover.py
@@ -1,7 +1,8 @@
 """Hands entries over to the collector now responsible for their zone.
 
 Each entry is sent until it is acknowledged; once all are, the origins are dropped here.  Despite reordering,
-loss and repetition, after reports stop one collector holds the newest entries and the others none.
+loss and repetition, after reports stop one collector holds the newest entries and the others none.  The
+module does no I/O.
 """
 
 from __future__ import annotations
--- a/cressrock/aggregation/members.py
+++ b/cressrock/aggregation/members.py
@@ -1,4 +1,4 @@
-"""A collector's view of the membership: senders, collectors and recipients of summaries."""
+"""A collector's view of the membership: senders, collectors and recipients of summaries.  No I/O."""
 
 from __future__ import annotations
 
--- a/cressrock/aggregation/messages.py
+++ b/cressrock/aggregation/messages.py
@@ -3,7 +3,7 @@
 A message is one version byte followed by a MessagePack array.  It is carried as the opaque data of the
 membership's `Collect` datagram, whose envelope holds the sender's name and incarnation.  Elements appended by
 a newer minor version are ignored; another major version is rejected.  Values are opaque here and decoded by
-the features that publish them.
+the features that publish them.  The module does no I/O.
 
 - `Report` (sender -> collector): the changed entries, or all of them as a renewal; answered by `ReportAck`.
 - `ReportAck` without numbers (collector -> sender): a push, which requests evidence or a full resend.
--- a/cressrock/aggregation/ranking.py
+++ b/cressrock/aggregation/ranking.py
@@ -2,7 +2,7 @@
 
 Each process ranks the collectors it considers present by *rendezvous hashing* of the zone (highest random
 weight: Thaler, Ravishankar, "Using name-based mappings to increase hit rates", 1998).  All senders of a zone
-thus report to the same collector without agreeing on a table.
+thus report to the same collector without agreeing on a table.  The module does no I/O.
 """
 
 from __future__ import annotations
--- a/cressrock/aggregation/sender.py
+++ b/cressrock/aggregation/sender.py
@@ -1,4 +1,4 @@
-"""Reports one process's entries to the collector of its zone, without I/O.
+"""Reports one process's entries to the collector of its zone, without I/O or a clock of its own.
 
 Collector: the first one in the zone's ranking (`ranking`).  A collector that does not answer is avoided for
 an exponentially growing backoff; the next one in the ranking takes over long before the membership declares
--- a/cressrock/aggregation/summaries.py
+++ b/cressrock/aggregation/summaries.py
@@ -2,7 +2,7 @@
 
 Zones are disjoint sets of origins, so sums of *different* zones may be added.  Sums of *one* zone by two
 collectors must not be: both may contain the same origin at different ages.  Only one of them is used, the one
-with more recent senders, then with more senders.
+with more recent senders, then with more senders.  The module does no I/O.
 """
 
 from __future__ import annotations
