--- a/cressrock/presence/agreed_names.py
+++ b/cressrock/presence/agreed_names.py
@@ -1,9 +1,9 @@
-"""Agreed names: one holder for a name in a room, by a decision of the consensus; its version is the token.
+"""Agreed names: a name in a room has one holder, by a decision of the consensus; its version is the token.
 
-The versions grow over all topics for ever, so each new holder's token is greater than every former one's:
-whoever guards a thing by it refuses smaller tokens (fencing; Gray and Cheriton 1989 for leases, Burrows
-2006 for sequencers).  A holder whose gateway receives no renewal learns that its hold is unsure; it is
-never told that it holds what another may hold since.
+Versions increase over all topics and are never reused, so each new holder's token is greater than all
+previous ones, and a service that is protected by tokens rejects smaller ones (fencing; Gray and Cheriton 1989
+for leases, Burrows 2006 for sequencers).  If a gateway receives no renewal, its holders are reported as
+unsure; a holder is never reported as sure while another one may hold the name.
 """
 
 from __future__ import annotations
@@ -22,7 +22,7 @@
 
 
 class NameHolder(msgspec.Struct, frozen=True, array_like=True):
-    """The value of a decision: who holds which name."""
+    """The value of a decision: the member that holds a name, and its gateway."""
 
     format: int
     room: Annotated[str, msgspec.Meta(max_length=512)]
@@ -37,30 +37,32 @@
 
 
 def topic_of(room: str, name: str) -> str:
-    """Return the topic of a name in a room."""
+    """Return the consensus topic of a name in a room: TOPIC_PREFIX and a hash in hexadecimal."""
     return (
         TOPIC_PREFIX + hashlib.blake2b(f"{room}\0{name}".encode(), digest_size=TOPIC_HASH_BYTES).hexdigest()
     )
 
 
 def encode_holder(holder: NameHolder) -> bytes:
-    """Return a holder's bytes."""
+    """Return a holder encoded as MessagePack."""
     return _encode(holder)
 
 
 def decode_holder(value: bytes) -> NameHolder:
-    """Return the holder of a decision's value.  Raises PresenceFrameError."""
+    """Return the holder from a decision's value.  Raises PresenceFrameError if it cannot be decoded."""
     try:
         holder = _decode(value)
     except msgspec.MsgspecError as error:
-        raise PresenceFrameError(f"the value of a decree on a name: {error}") from None
+        raise PresenceFrameError(f"invalid value in a decision on an agreed name: {error}") from None
     if holder.format != FORMAT:
-        raise PresenceFrameError(f"a decree on a name of format {holder.format}, this process reads {FORMAT}")
+        raise PresenceFrameError(
+            f"decision on an agreed name has format {holder.format}; this process reads format {FORMAT}"
+        )
     return holder
 
 
 class NameHold(NamedTuple):
-    """Who holds a name, by which token."""
+    """The holder of a name, and its token."""
 
     holder: NameHolder
     number: int
@@ -68,21 +70,21 @@
 
 @dataclass(frozen=True, slots=True)
 class ProposeHolder:
-    """Let the consensus decide, after the decision of this number (0: none)."""
+    """Propose the claimant to the consensus, if the latest decision has this number (0: none)."""
 
     if_number: int
 
 
 @dataclass(frozen=True, slots=True)
 class AlreadyOwner:
-    """The session holds the name already, by this token."""
+    """The claimant already holds the name with this token."""
 
     number: int
 
 
 @dataclass(frozen=True, slots=True)
 class OwnedByOther:
-    """Another one holds it."""
+    """Another member holds the name with this token."""
 
     holder: NameHolder
     number: int
@@ -91,11 +93,11 @@
 def decide_claim(
     current: NameHold | None, member: str, *, holder_dead: bool, preempt: bool
 ) -> ProposeHolder | AlreadyOwner | OwnedByOther:
-    """Return what a claim comes to, given what stands by a linearizable read.
+    """Return the outcome of a member's claim; `current` is the holder from a linearizable read.
 
-    `holder_dead`: the holder is known to be gone (its gateway's incarnation is over for the stated time, or
-    its gateway says that the session ended).  `preempt`: the claimant wants it in any case; the holder is
-    fenced.
+    `holder_dead`: the holder is known to be gone (its gateway's incarnation has been over for `gone_ms`, or
+    its session has ended according to its gateway).  `preempt`: take the name even from a live holder, which
+    is fenced.
     """
     if current is None:
         return ProposeHolder(0)
--- a/cressrock/presence/feed.py
+++ b/cressrock/presence/feed.py
@@ -1,4 +1,4 @@
-"""A room's events for its watchers: numbered, and remembered for as far back as the feed reaches."""
+"""A room's events for its watchers, numbered; a bounded number of the latest events is kept."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class EventKind(enum.StrEnum):
-    """What happened, as the admin port names it."""
+    """The kind of an event; the values are those of the admin port."""
 
     JOIN = "join"
     LEAVE = "leave"
@@ -25,18 +25,18 @@
 
 
 class Reason(enum.StrEnum):
-    """Why a member left, as gateways and the admin port name it."""
+    """Why a member left; the values are those of the gateway streams and the admin port."""
 
-    LEFT = "left"  # its client said so
-    WITHDRAWN = "withdrawn"  # a join that did not come to its meaning
-    SILENT = "silent"  # its gateway ended it: no contact for the grace
-    CLOSED = "closed"  # its gateway ended it: an orderly stop
-    TIME = "time"  # its gateway was silent for the stated time
-    MOVED = "moved"  # it goes on at another gateway
+    LEFT = "left"  # its client left
+    WITHDRAWN = "withdrawn"  # a join that did not reach its requested level of agreement
+    SILENT = "silent"  # ended by its gateway: no contact with the client for `grace_ms`
+    CLOSED = "closed"  # ended by its gateway: an orderly shutdown
+    TIME = "time"  # its gateway was silent for `gone_ms`
+    MOVED = "moved"  # the session continues at another gateway
 
 
 class RoomEvent(msgspec.Struct, frozen=True, kw_only=True, omit_defaults=True):
-    """One event of a room; the outer names are those of the admin port's JSON."""
+    """One event of a room; the encoded names are those of the admin port's JSON."""
 
     event: EventKind
     seq: int = 0
@@ -51,20 +51,21 @@
 
 
 class Cursor(NamedTuple):
-    """A place in a feed: an event's number, within an epoch of the feed."""
+    """A position in a feed: the sequence number of an event within an epoch."""
 
     epoch: int
     seq: int
 
 
 class EventFeed:
-    """The last events of a room, numbered without gap within an epoch.
+    """The last events of a room, numbered without gaps within an epoch.
 
-    A new epoch makes every cursor of the former one invalid: its holder needs a new snapshot.
+    A new epoch invalidates all cursors of the previous one; a watcher with such a cursor needs a new
+    snapshot.
     """
 
     def __init__(self, epoch: int, max_events: int) -> None:
-        """Begin empty."""
+        """Create an empty feed that keeps at most `max_events` events."""
         self.epoch = epoch
         self.last_seq = 0
         self.events: deque[RoomEvent] = deque()
@@ -72,23 +73,23 @@
 
     @property
     def cursor(self) -> Cursor:
-        """Return the place after the last event."""
+        """Return the position after the last event."""
         return Cursor(self.epoch, self.last_seq)
 
     def append(self, event: RoomEvent) -> None:
-        """Number an event and keep it, at the cost of the oldest one."""
+        """Append an event with the next sequence number; the oldest one is evicted if the feed is full."""
         self.last_seq += 1
         self.events.append(msgspec.structs.replace(event, seq=self.last_seq))
         while len(self.events) > self._max_events:
             self.events.popleft()
 
     def restart(self, epoch: int) -> None:
-        """Begin another epoch without events; the numbers go on."""
+        """Begin another epoch and remove all events; sequence numbers continue."""
         self.epoch = epoch
         self.events.clear()
 
     def events_after(self, epoch: int, seq: int) -> list[RoomEvent] | None:
-        """Return the events after a cursor; None where it is too old or of another epoch."""
+        """Return the events after a cursor; None if it is too old or of another epoch."""
         if epoch != self.epoch or seq > self.last_seq:
             return None
         if seq == self.last_seq:
--- a/cressrock/presence/gossip_entries.py
+++ b/cressrock/presence/gossip_entries.py
@@ -1,4 +1,4 @@
-"""This gateway's entries in the gossip beside its rooms: that it has presence, which volumes it serves."""
+"""Gossip entries beside the room directory: that a gateway runs presence, and the volumes it serves."""
 
 from __future__ import annotations
 
@@ -11,29 +11,29 @@
 
 PRESENT_KEY = "presence-on"
 VOLUMES_KEY_PREFIX = "presence-carries/"
-MAX_CHUNK_BYTES = 560  # of volumes' names in one entry of the gossip
+MAX_CHUNK_BYTES = 560  # limit for the volume names in one gossip entry
 MAX_CHUNKS = 32
 
 
 class VolumeCarrier(msgspec.Struct, frozen=True):
-    """A gateway that served a volume in the last while, and whether it is sure to be there."""
+    """A gateway that served a volume recently; `sure` if it is alive with the same incarnation."""
 
     gateway: str
     sure: bool
 
 
 class GossipEntries:
-    """This gateway's entries, and what those of others say of volumes."""
+    """Publishes this gateway's entries, and reads the volumes from those of others."""
 
     def __init__(self, context: ServiceContext) -> None:
-        """A volume counts as served for `carries_ms` of the settings after a request."""
-        self.rejected = 0  # own entries that the gossip did not take
+        """A volume counts as served for `carries_ms` after its last request."""
+        self.rejected = 0  # own entries that the gossip rejected
         self._environment, self._carries_ms = context.environment, context.settings.carries_ms
         self._served_at_ms: dict[str, float] = {}
         self._published: tuple[bytes, ...] = ()
 
     def publish(self, key: str, value: bytes | None) -> None:
-        """Set an own entry, or remove it; one that the gossip does not take is counted."""
+        """Set an own entry, or remove it (None).  Rejections are counted, and the first is logged."""
         try:
             if value is None:
                 self._environment.gossip.remove(key)
@@ -45,19 +45,19 @@
                 self._environment.log.warning("presence.gossip_rejected", key=key, **error.fields())
 
     def announce(self) -> None:
-        """Tell that this gateway has presence."""
+        """Publish that this gateway runs presence."""
         self.publish(PRESENT_KEY, bytes((FORMAT,)))
 
     def announcing_gateways(self) -> set[str]:
-        """Return the gateways that announced that they have presence."""
+        """Return the names of the gateways that have published that they run presence."""
         return {origin[0] for origin in self._environment.gossip.origins(PRESENT_KEY)}
 
     def record_served_volume(self, volume: str) -> None:
-        """Note that this gateway serves a volume."""
+        """Record that this gateway has just served a request for a volume."""
         self._served_at_ms[volume] = self._environment.clock_ms()
 
     def publish_volumes(self) -> None:
-        """Put the volumes that were served in the last while into the gossip, where they changed."""
+        """Publish the entries whose lists of recently served volumes have changed."""
         clock_ms = self._environment.clock_ms()
         for volume, served_at_ms in list(self._served_at_ms.items()):
             if clock_ms - served_at_ms > self._carries_ms:
@@ -71,7 +71,7 @@
         self._published = chunks
 
     def carriers(self, volume: str | None = None) -> dict[str, list[VolumeCarrier]]:
-        """Return the gateways that served each volume, or only one, in the last while."""
+        """Return the gateways that served each volume recently; with `volume`, only those of this volume."""
         own_name = self._environment.name
         others = {gateway.name: gateway for gateway in self._environment.other_gateways()}
         carriers: dict[str, list[VolumeCarrier]] = {}
@@ -89,7 +89,10 @@
 
 
 def _chunks(volumes: list[str]) -> tuple[bytes, ...]:
-    """Return volumes' names, one a line, in at most so many entries of bounded size."""
+    """Return volume names, one per line, in at most MAX_CHUNKS entries of up to MAX_CHUNK_BYTES.
+
+    Names beyond that are left out; a single longer name has an entry of its own.
+    """
     chunks: list[bytes] = []
     for volume in volumes:
         name = volume.encode()
--- a/cressrock/presence/liveness.py
+++ b/cressrock/presence/liveness.py
@@ -1,7 +1,7 @@
-"""What may be said of gateways and their members: never gone only because somebody is silent.
+"""Failure detection for gateways and their members: a silent one is first suspected, later dead.
 
-All times are the asking gateway's own, in milliseconds; no clock of two machines is compared.  A verdict here
-widens or narrows what is *said*; nothing that routes work reads it.
+All times are those of the local gateway's clock, in milliseconds; clocks of different machines are never
+compared.  A verdict affects only what presence *reports*; nothing that routes requests reads it.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 
 
 class Certainty(enum.Enum):
-    """How sure this gateway is of what another one said last."""
+    """How certain the last known state of another gateway is."""
 
     CONFIRMED = "sure"
     SUSPECTED = "unsure"
@@ -25,7 +25,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Verdict:
-    """How sure something is, and since when (ms on the own clock)."""
+    """A certainty, and the local time in ms since when it holds."""
 
     certainty: Certainty
     since_ms: float
@@ -34,11 +34,11 @@
 def assess(
     known_until_ms: float, now_ms: float, *, synced: bool, suspect_after_ms: float, dead_after_ms: float
 ) -> Verdict:
-    """Return how sure a gateway's members are.
+    """Return how certain a gateway's members are.
 
-    `known_until_ms` is when all that it said up to then was here; `synced`: all it says is here as it
-    comes. Within `suspect_after_ms` a lost connection is no news.  Past it the members are unsure, since
-    they were last known.  Only `dead_after_ms` later, the stated time, they are gone.
+    `known_until_ms` is the time up to which everything that the gateway sent had been received; `synced`
+    tells that its changes are being received.  Up to `suspect_after_ms` after it the verdict is CONFIRMED, or
+    SUSPECTED if not `synced`.  Later the members are SUSPECTED, and only after `dead_after_ms` are they DEAD.
     """
     age_ms = now_ms - known_until_ms
     if age_ms <= suspect_after_ms:
@@ -49,7 +49,7 @@
 
 
 class GatewayState(enum.Enum):
-    """What the fleet's membership says of a gateway, as the admin port names it."""
+    """A gateway's state in the fleet's membership; the values are those of the admin port."""
 
     ALIVE = "alive"
     SUSPECT = "unsure"
@@ -59,7 +59,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Gateway:
-    """Another gateway as the fleet's membership shows it."""
+    """Another gateway as reported by the fleet's membership."""
 
     name: str
     incarnation: int
@@ -69,18 +69,18 @@
 
 
 class Majority(NamedTuple):
-    """How many gateways of a region are needed, of how many."""
+    """The number of a region's gateways that form a majority, and the number that is counted."""
 
     needed: int
     total: int
 
 
 def majority_of_region(region: str, others: Iterable[Gateway]) -> Majority:
-    """Return how many have to have a join `near`, this gateway counted.
+    """Return how many gateways, this one included, must have a member for a join to be `near`.
 
-    Counted are the region's gateways that are alive or suspected: a suspected one may be alive, so it
-    raises what is needed.  Gateways known as dead are not counted, so that each side of a long cut goes on
-    for itself: the answer gives both numbers, and who is not heard from.
+    The region's alive and suspected gateways are counted: a suspected one may be alive, so it increases the
+    majority.  Gateways that are known to be dead are not counted, so each side of a long network partition
+    keeps working on its own; the response contains both numbers and the gateways that cannot be reached.
     """
     counted = (GatewayState.ALIVE, GatewayState.SUSPECT)
     total = 1 + sum(1 for gateway in others if gateway.region == region and gateway.state in counted)
@@ -88,30 +88,36 @@
 
 
 def replica_order(room: str, region: str, others: Iterable[Gateway]) -> list[str]:
-    """Return the region's other live gateways in the order in which they are asked to replicate a room.
+    """Return the region's other alive gateways in the order in which they are asked to replicate a room.
 
-    Highest random weight (Thaler and Ravishankar 1998): every gateway gets the same order, so a room's
-    replicas are the same few whoever joins, and who looks for a lost gateway's session knows whom to ask.
+    The order is by highest random weight (rendezvous hashing; Thaler and Ravishankar 1998).  Every gateway
+    computes the same order, so a room has the same few replicas for all joins, and a gateway that looks for a
+    session of a lost gateway knows which ones to ask.
     """
 
     def weight(name: str) -> bytes:
-        """Return a gateway's weight for the room."""
+        """Return a gateway's weight for the room, compared as bytes."""
         return hashlib.blake2b(f"{room}\0{name}".encode(), digest_size=WEIGHT_BYTES).digest()
 
-    alive = [one.name for one in others if one.region == region and one.state is GatewayState.ALIVE]
+    alive = [
+        gateway.name for gateway in others if gateway.region == region and gateway.state is GatewayState.ALIVE
+    ]
     return sorted(alive, key=weight, reverse=True)
 
 
 @dataclass(frozen=True, slots=True)
 class UnreportedGateway:
-    """A gateway that this one cannot speak for; `since_ms` is NEVER where it never was."""
+    """A gateway whose members may be missing from a response.
+
+    `since_ms` is when that began, or NEVER_MS if its members were never received.
+    """
 
     name: str
     reason: str
     since_ms: float
 
 
-NEVER = -1.0
+NEVER_MS = -1.0
 SILENT = "silent"
 NOT_YET_LISTED = "not yet heard"
 PENDING = "asked"
@@ -123,10 +129,11 @@
     suspect_since_ms: Mapping[str, float],
     pending: Collection[str],
 ) -> list[UnreportedGateway]:
-    """Return the gateways that an answer does not speak for, by name.
+    """Return the gateways whose members a response may lack, ordered by name.
 
-    `listed` are those whose list of rooms the gossip has brought; `suspect_since_ms` whose members of the
-    room are unsure, since when; `pending` those that were asked and have not sent everything yet.
+    `listed` has the names whose lists of rooms have arrived by gossip; `suspect_since_ms` has those whose
+    members of the room are unsure, and since when; `pending` has those that were asked and have not sent
+    everything yet.
     """
     unreported: dict[str, UnreportedGateway] = {}
     for gateway in others:
@@ -136,20 +143,20 @@
         elif gateway.state is not GatewayState.ALIVE:
             unreported[name] = UnreportedGateway(name, gateway.state.value, gateway.state_since_ms)
         elif name not in listed:
-            unreported[name] = UnreportedGateway(name, NOT_YET_LISTED, NEVER)
+            unreported[name] = UnreportedGateway(name, NOT_YET_LISTED, NEVER_MS)
         elif name in pending:
-            unreported[name] = UnreportedGateway(name, PENDING, NEVER)
+            unreported[name] = UnreportedGateway(name, PENDING, NEVER_MS)
     for name, since_ms in suspect_since_ms.items():
         unreported.setdefault(name, UnreportedGateway(name, SILENT, since_ms))
-    return sorted(unreported.values(), key=lambda one: one.name)
+    return sorted(unreported.values(), key=lambda gateway: gateway.name)
 
 
-def is_dead_for_good(
+def is_incarnation_over(
     name: str, incarnation: int, others: Iterable[Gateway], now_ms: float, dead_after_ms: float
 ) -> bool:
-    """Whether a gateway's incarnation is over for the stated time: dead, left, or replaced so long ago.
+    """Return whether a gateway's incarnation has been dead, left or replaced for more than `dead_after_ms`.
 
-    Of a name that the membership does not hold nothing is known: not gone.
+    False for a name that the membership does not contain, as nothing is known about it.
     """
     for gateway in others:
         if gateway.name == name:
@@ -162,23 +169,23 @@
 
 
 class AwakeClock:
-    """A clock that leaves out how long its own process stood still.
+    """A clock that does not count pauses of its own process.
 
-    A process that was stopped for a minute has not heard its own clients and peers for a minute, and none of
-    them is to blame.  It is read again and again; of the time between two readings what lies beyond
-    `max_gap_ms` is left out.
+    A process that was paused for a minute has received nothing from its clients and peers for a minute
+    although they are alive.  The clock must be read regularly: of the time between two readings, the part
+    beyond `max_gap_ms` is not counted.
     """
 
     def __init__(self, now_ms: float, max_gap_ms: float) -> None:
-        """Begin at a time of the process's monotonic clock."""
+        """`now_ms` is the current time of the process's monotonic clock."""
         self.max_gap_ms = max_gap_ms
-        self.slept_ms = 0.0
+        self.paused_ms = 0.0
         self._last_ms = now_ms
 
     def now_ms(self, clock_ms: float) -> float:
-        """Return the time without what was slept."""
+        """Return the monotonic time `clock_ms` less all pauses so far, in ms."""
         gap_ms = clock_ms - self._last_ms
         if gap_ms > self.max_gap_ms:
-            self.slept_ms += gap_ms - self.max_gap_ms
+            self.paused_ms += gap_ms - self.max_gap_ms
         self._last_ms = max(self._last_ms, clock_ms)
-        return clock_ms - self.slept_ms
+        return clock_ms - self.paused_ms
--- a/cressrock/presence/messages.py
+++ b/cressrock/presence/messages.py
@@ -1,7 +1,7 @@
-"""Messages of the streams between gateways, and their frames: MessagePack behind a length of four bytes.
+"""Messages of the streams between gateways, framed as MessagePack with a length prefix of four bytes.
 
-Messages are arrays: a field's place is its name on the wire, a message's kind is a small number.  A field
-may be added at an end with a default; a reader passes over fields that it does not know.
+Messages are arrays: a field is identified by its position, a message's type by a small number (the tag).  New
+fields may be appended with a default; a reader ignores fields that it does not know.
 """
 
 from __future__ import annotations
@@ -26,20 +26,20 @@
 _Data = Annotated[bytes, msgspec.Meta(max_length=4096)]
 _SessionDigest = Annotated[bytes, msgspec.Meta(max_length=16)]
 
-# The versions of an end marker (`MemberEntry.moved` without a gateway): who ended the session.
+# The version in an end marker (`MemberEntry.moved` without a gateway) tells who ended the session.
 ENDED_BY_CLIENT = 0
 ENDED_BY_GATEWAY = 1
 
 
 class Origin(NamedTuple):
-    """A gateway's process: the only writer of its members, until it restarts with another incarnation."""
+    """A gateway process, the only writer of its members; a restart gives it another incarnation."""
 
     gateway: str
     incarnation: int
 
 
 class VersionStamp(NamedTuple):
-    """A version of one gateway's changes: what a change follows, or where a session goes on."""
+    """A version of one gateway's changes: a dependency of a change, or where a moved session continues."""
 
     gateway: _Name
     incarnation: _Number
@@ -47,16 +47,17 @@
 
     @property
     def origin(self) -> Origin:
-        """Return whose version it is."""
+        """Return the gateway process that the version belongs to."""
         return Origin(self.gateway, self.incarnation)
 
 
 class MemberEntry(msgspec.Struct, frozen=True, array_like=True):
-    """A member as its gateway describes it.
+    """A member as published by its gateway.
 
-    `secret_digest` lets another gateway check the session's secret and take it over.  `moved` makes the
-    entry a marker: the session goes on at that gateway since that version, or, without a gateway's name, it
-    was ended by its client (version 0) or by its gateway (1).
+    `hop` counts the moves of the session between gateways.  `secret_digest` lets another gateway verify the
+    session's secret and take the session over.  `moved` turns the entry into a marker: the session continues
+    at that gateway since that version or, if the gateway's name is empty, was ended by its client (version 0)
+    or by its gateway (1).
     """
 
     id: _MemberId
@@ -68,17 +69,20 @@
 
     @property
     def moved_to(self) -> Origin | None:
-        """Return where the session goes on, if it moved."""
+        """Return the gateway process where the session continues; None if it has not moved."""
         return self.moved.origin if self.moved is not None and self.moved.gateway else None
 
     @property
     def has_ended(self) -> bool:
-        """Whether this marks a session's end."""
+        """Return whether the entry marks the end of its session."""
         return self.moved is not None and not self.moved.gateway
 
 
 class Change(msgspec.Struct, frozen=True, array_like=True):
-    """One change of a gateway's members in a room, and the versions of other gateways that it follows."""
+    """One change of a gateway's members in a room, with its causes: versions of other gateways' changes.
+
+    `entry` is None if the member was removed.
+    """
 
     version: _Number
     member_id: _MemberId
@@ -88,7 +92,7 @@
 
 
 class Hello(msgspec.Struct, frozen=True, array_like=True, tag=0):
-    """The first frame of each side."""
+    """The first frame that each side of a stream sends."""
 
     format: int
     cluster: _Name
@@ -97,25 +101,25 @@
 
     @property
     def origin(self) -> Origin:
-        """Return who speaks."""
+        """Return the sender's gateway process."""
         return Origin(self.gateway, self.incarnation)
 
 
 class Subscribe(msgspec.Struct, frozen=True, array_like=True, tag=1):
-    """Send this room's changes after a version, and then as they come."""
+    """Asks for this room's changes after a version, and for all later ones as they occur."""
 
     room: _RoomName
     after_version: _Number
 
 
 class Unsubscribe(msgspec.Struct, frozen=True, array_like=True, tag=2):
-    """Send no more of this room."""
+    """Ends the subscription to this room."""
 
     room: _RoomName
 
 
 class SnapshotPage(msgspec.Struct, frozen=True, array_like=True, tag=3):
-    """A part of all members of a room as of a version; the last page completes the snapshot."""
+    """One page of a snapshot of a room's members at a version; the page with `last` completes it."""
 
     room: _RoomName
     version: _Number
@@ -126,18 +130,18 @@
 
 
 class ChangeBatch(msgspec.Struct, frozen=True, array_like=True, tag=4):
-    """Changes in order; without any: nothing changed since the version that was asked for."""
+    """Changes of a room in order; empty if nothing has changed since the requested version."""
 
     room: _RoomName
     changes: list[Change]
 
 
 class Heartbeat(msgspec.Struct, frozen=True, array_like=True, tag=5):
-    """This side is alive and has nothing to send."""
+    """Sent when there is nothing else to send, to show that the sender is alive."""
 
 
 class ReplicateRoom(msgspec.Struct, frozen=True, array_like=True, tag=6):
-    """Follow the sender's members in this room, and reply once they are there up to this version."""
+    """Asks the receiver to follow the sender's members in a room and to reply once it has this version."""
 
     request: _Number
     room: _RoomName
@@ -145,7 +149,7 @@
 
 
 class HandOverRequest(msgspec.Struct, frozen=True, array_like=True, tag=7):
-    """Hand this session over to the sender."""
+    """Asks the receiver to hand a session over to the sender; `secret` is the session's secret."""
 
     request: _Number
     room: _RoomName
@@ -154,7 +158,7 @@
 
 
 class HandOverDone(msgspec.Struct, frozen=True, array_like=True, tag=8):
-    """The session goes on at the sender since the sender's version."""
+    """Confirms that the session continues at the sender since this version of the sender's changes."""
 
     room: _RoomName
     member_id: _MemberId
@@ -163,7 +167,7 @@
 
 
 class FindMember(msgspec.Struct, frozen=True, array_like=True, tag=9):
-    """Reply with the newest entry that is known of this member."""
+    """Asks for the newest entry that the receiver knows of a member."""
 
     request: _Number
     room: _RoomName
@@ -171,7 +175,7 @@
 
 
 class Reply(msgspec.Struct, frozen=True, array_like=True, tag=10):
-    """The reply to a numbered request: an entry and its gateway where there is one."""
+    """The reply to a numbered request, with an entry and its gateway if there is one."""
 
     request: _Number
     done: bool
@@ -189,21 +193,21 @@
 
 
 def encode_frame(message: Message) -> bytes:
-    """Return a message behind its length."""
+    """Return an encoded message with its length prefix."""
     data = _encode(message)
     return len(data).to_bytes(LENGTH_BYTES, "big") + data
 
 
 def decode_frame(received: bytearray) -> Message | None:
-    """Remove the first complete frame from the bytes and return its message; None if there is none yet.
+    """Remove the first complete frame from `received` and return its message; None if it is incomplete.
 
-    Raises PresenceFrameError.
+    Raises PresenceFrameError for a frame over MAX_FRAME_BYTES or one that cannot be decoded.
     """
     if len(received) < LENGTH_BYTES:
         return None
     size = int.from_bytes(received[:LENGTH_BYTES], "big")
     if size > MAX_FRAME_BYTES:
-        raise PresenceFrameError(f"a frame of {size} bytes; at most {MAX_FRAME_BYTES} are taken")
+        raise PresenceFrameError(f"frame has {size} bytes; at most {MAX_FRAME_BYTES} are accepted")
     end = LENGTH_BYTES + size
     if len(received) < end:
         return None
@@ -212,9 +216,9 @@
     try:
         return _decoder.decode(data)
     except msgspec.MsgspecError as error:
-        raise PresenceFrameError(f"a frame that is no message: {error}") from None
+        raise PresenceFrameError(f"frame is not a valid message: {error}") from None
 
 
 def digest_of_secret(secret: bytes) -> bytes:
-    """Return what a session's secret is checked against."""
+    """Return the digest (DIGEST_BYTES bytes) that is published to verify a session's secret."""
     return hashlib.blake2b(secret, digest_size=DIGEST_BYTES).digest()
--- a/cressrock/presence/name_claims.py
+++ b/cressrock/presence/name_claims.py
@@ -1,4 +1,4 @@
-"""Agreed names at this gateway: claims by the consensus, what others hold, and giving up what is over."""
+"""Agreed names at this gateway: claims through the consensus, known holders, and dropping stale names."""
 
 from __future__ import annotations
 
@@ -18,32 +18,32 @@
 from cressrock.presence.agreed_names import AlreadyOwner, NameHold, NameHolder, OwnedByOther, topic_of
 from cressrock.presence.environment import Consensus, ServiceContext
 from cressrock.presence.feed import EventKind, RoomEvent
-from cressrock.presence.liveness import GatewayState, is_dead_for_good
+from cressrock.presence.liveness import GatewayState, is_incarnation_over
 from cressrock.presence.sessions import Session
 
-MAX_KNOWN_HOLDS = 4096  # the oldest are forgotten first
-AFTER_ALL_NAMES = "~"  # sorts after every gateway's name
+MAX_KNOWN_HOLDS = 4096  # the oldest are evicted first
+AFTER_ALL_NAMES = "~"  # sorts after the name of any gateway
 
 
 class NameClaims:
-    """Which names are held, by whom, and which of them this gateway has to give up."""
+    """The known holders of names, and the names that this gateway has to drop."""
 
     def __init__(self, context: ServiceContext) -> None:
-        """Nothing is held yet."""
-        self.rejected = 0  # decisions that were no holder of a name
+        """`context` supplies the rooms, the settings, and access to the consensus."""
+        self.rejected = 0  # decisions that could not be decoded
         self._context = context
         self._settings, self._environment = context.settings, context.environment
         self._rooms = context.rooms
-        self._holds: dict[str, NameHold] = {}  # by topic, of the decisions received
-        self._to_drop: dict[str, int] = {}  # topic -> number of the decision
+        self._holds: dict[str, NameHold] = {}  # by topic, from the decisions received
+        self._pending_drops: dict[str, int] = {}  # topic -> number of the decision
         self._claiming: set[tuple[str, str]] = set()  # topic, member
 
     def count(self) -> int:
-        """Return how many names the sessions here hold."""
+        """Return the number of names that this gateway's sessions hold."""
         return sum(len(session.agreed_names or ()) for session in self._rooms.sessions.values())
 
     def holds_in(self, room: str, members: set[str]) -> list[NameHold]:
-        """Return the names that members hold in a room."""
+        """Return the holds of a room whose holders are among `members` (ids)."""
         return [
             hold
             for hold in self._holds.values()
@@ -51,16 +51,17 @@
         ]
 
     def counts(self, hold: NameHold) -> bool:
-        """Whether a hold still counts by this process's cache of decisions."""
+        """Return whether a hold is still valid according to this process's cache of decisions."""
         decision = self._environment.cached_decision(topic_of(hold.holder.room, hold.holder.name))
         return isinstance(decision, Decision) and decision.version == hold.number
 
-    # --- claims and their end
+    # --- claims and releases
 
     async def claim(self, session: Session, name: str, *, preempt: bool, timeout_ms: float) -> int:
-        """Have a session hold a name; return its token.
+        """Claim a name for a session; return the fencing token.  With `preempt`, take it from another holder.
 
-        Raises NameHeldError, NameNotDecidedError, PresenceLimitError, SessionEndedError.
+        Raises NameHeldError if another member holds it, NameNotDecidedError if there is no decision within
+        `timeout_ms`, PresenceLimitError past `max_names`, SessionEndedError if the session ends meanwhile.
         """
         consensus = self._environment.consensus()
         if consensus is None:
@@ -70,7 +71,8 @@
         holder = self._holder(session, name)
         topic = topic_of(session.room, name)
         reason = "the council did not answer"
-        # By the room's feed a claim may be known before it is answered here: it is not unwanted meanwhile.
+        # The decision may arrive through `on_decision` before this call returns.  Until then `drop_abandoned`
+        # must not take the name for abandoned.
         self._claiming.add((topic, holder.member))
         try:
             with anyio.move_on_after(timeout_ms / 1000):
@@ -99,10 +101,10 @@
             try:
                 number = await self._claim_once(consensus, holder, preempt=preempt)
             except DecisionConflictError:
-                continue  # another decision came between: read again what stands
+                continue  # another decision was made since the read: read the current one again
             if self._rooms.sessions.get(holder.member) is not session:
-                self._to_drop[topic_of(holder.room, holder.name)] = number
-                raise SessionEndedError(f"session {holder.member} ended meanwhile")
+                self._pending_drops[topic_of(holder.room, holder.name)] = number
+                raise SessionEndedError(f"session {holder.member} ended during the claim")
             session.agreed_names = {**(session.agreed_names or {}), holder.name: number}
             return number
 
@@ -112,7 +114,7 @@
         current = None
         if decision is not None:
             current = NameHold(agreed_names.decode_holder(decision.value), decision.version)
-        dead = current is not None and self._is_dead(current.holder)
+        dead = current is not None and self._is_holder_dead(current.holder)
         outcome = agreed_names.decide_claim(current, claimant.member, holder_dead=dead, preempt=preempt)
         if isinstance(outcome, AlreadyOwner):
             return outcome.number
@@ -123,11 +125,11 @@
         decided = await consensus.decide(topic, value, self._settings.hold_ms, outcome.if_number)
         return decided.version
 
-    def _is_dead(self, holder: NameHolder) -> bool:
+    def _is_holder_dead(self, holder: NameHolder) -> bool:
         environment = self._environment
         if holder.gateway == environment.name:
             return holder.incarnation != environment.incarnation or holder.member not in self._rooms.sessions
-        return is_dead_for_good(
+        return is_incarnation_over(
             holder.gateway,
             holder.incarnation,
             environment.other_gateways(),
@@ -136,7 +138,7 @@
         )
 
     def release(self, session: Session, name: str) -> bool:
-        """Give a session's name up; whether it held it."""
+        """Release a session's name; return whether the session held it."""
         number = (session.agreed_names or {}).pop(name, None)
         if number is None:
             return False
@@ -144,13 +146,13 @@
         return True
 
     def give_up(self, room: str, name: str, number: int) -> None:
-        """Have a name dropped, if this decision on it still stands."""
-        self._to_drop[topic_of(room, name)] = number
+        """Schedule the drop of a name; it has no effect if the decision `number` has been superseded."""
+        self._pending_drops[topic_of(room, name)] = number
 
     # --- decisions received
 
     def on_decision(self, decision: Decision) -> None:
-        """Apply a decision of any topic: who holds a name now, and who is fenced."""
+        """Apply a decision: record a name's new holder, and fence the former one; ignore other topics."""
         if not decision.topic.startswith(agreed_names.TOPIC_PREFIX):
             return
         before = self._holds.get(decision.topic)
@@ -159,7 +161,7 @@
         try:
             holder = agreed_names.decode_holder(decision.value)
         except PresenceFrameError:
-            self.rejected += 1  # of a newer program; nobody here can have asked for it
+            self.rejected += 1  # written by a newer version, so no session here can have claimed it
             return
         self._holds[decision.topic] = NameHold(holder, decision.version)
         while len(self._holds) > MAX_KNOWN_HOLDS:
@@ -183,54 +185,55 @@
         if session is not None and session.agreed_names:
             session.agreed_names.pop(former.name, None)
 
-    # --- giving up what is over
+    # --- dropping stale names
 
     def drop_abandoned(self) -> None:
-        """Give up names whose holders are gone for good: own ones, and those of gateways that are no more."""
+        """Schedule the drop of names whose holders are gone: own ended sessions, or on dead gateways."""
         if not self._holds:
             return
         for topic, hold in list(self._holds.items()):
-            if topic in self._to_drop or (topic, hold.holder.member) in self._claiming:
+            if topic in self._pending_drops or (topic, hold.holder.member) in self._claiming:
                 continue
             if not isinstance(self._environment.cached_decision(topic), Decision):
-                continue  # it no longer counts; whoever dropped it is done
-            if self._has_to_drop(hold):
-                self._to_drop[topic] = hold.number
+                continue  # not valid any more: it has been dropped already
+            if self._should_drop(hold):
+                self._pending_drops[topic] = hold.number
 
-    def _has_to_drop(self, hold: NameHold) -> bool:
+    def _should_drop(self, hold: NameHold) -> bool:
         environment, holder = self._environment, hold.holder
         if (holder.gateway, holder.incarnation) == (environment.name, environment.incarnation):
             session = self._rooms.sessions.get(holder.member)
             return session is None or (session.agreed_names or {}).get(holder.name) != hold.number
-        if not self._is_dead(holder):
+        if not self._is_holder_dead(holder):
             return False
-        # One of the living does it; two would do no harm, the number guards.
+        # Only the alive gateway with the lowest name drops it.  A second drop would be harmless, because a
+        # drop names the number of the decision.
         others = environment.other_gateways()
         alive = [gateway.name for gateway in others if gateway.state is GatewayState.ALIVE]
         return environment.name < min(alive, default=AFTER_ALL_NAMES)
 
     async def run_dropping(self) -> None:
-        """Let the consensus drop what is over, one after another, until cancelled."""
+        """Drop the scheduled names through the consensus, one after another, until cancelled."""
         while True:
             await anyio.sleep(self._settings.tell_ms / 1000)
             consensus = self._environment.consensus()
-            if consensus is None or not self._to_drop:
+            if consensus is None or not self._pending_drops:
                 await anyio.sleep(self._settings.beat_ms / 2000)
                 continue
-            topic, number = next(iter(self._to_drop.items()))
+            topic, number = next(iter(self._pending_drops.items()))
             try:
                 await consensus.drop(topic, number)
             except DecisionConflictError:
-                pass  # another holder stands: it was not this one's to drop
+                pass  # superseded by a newer decision, which is not to be dropped
             except CressrockError:
-                # No leader, or no majority: the same topic is tried again after a while.
+                # No leader or no majority: retry the same topic after a delay.
                 await anyio.sleep(self._settings.beat_ms / 1000)
                 continue
             self._forget_dropped(topic, number)
 
     def _forget_dropped(self, topic: str, number: int) -> None:
-        if self._to_drop.get(topic) == number:
-            del self._to_drop[topic]
+        if self._pending_drops.get(topic) == number:
+            del self._pending_drops[topic]
         current = self._holds.get(topic)
         if current is not None and current.number == number:
             del self._holds[topic]
--- a/cressrock/presence/peer_streams.py
+++ b/cressrock/presence/peer_streams.py
@@ -1,6 +1,6 @@
-"""The streams of this gateway to and from the others, and the requests that go over them.
+"""The streams to and from other gateways, and the requests over them.
 
-It takes no decision: which streams are wanted and what they carry is said by the rooms.
+`Rooms` decides which streams are needed and what is sent over them; this module only does the I/O.
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
 
 @dataclass(slots=True)
 class _PendingRequest:
-    """A request to an origin: what came of it once `done` is set; no reply if its stream was lost."""
+    """A request to an origin; `reply` is valid once `done` is set, and None if the stream was lost."""
 
     origin: Origin
     done: anyio.Event = field(default_factory=anyio.Event)
@@ -29,42 +29,44 @@
 
 
 class PeerStreams:
-    """All streams, by the origin that they lead to or the number under which they came."""
+    """All streams: outgoing ones by origin, incoming ones by number."""
 
     def __init__(self, context: ServiceContext) -> None:
-        """Nothing is dialled before `connect_missing`."""
-        self.rejected = 0  # streams that were closed for what came by them
+        """Open no stream before `connect_missing` is called."""
+        self.rejected = 0  # streams that were closed because of an invalid frame or an exceeded limit
         self._context = context
         self._settings, self._environment = context.settings, context.environment
         self._rooms = context.rooms
         self._outboxes: dict[Origin | int, Outbox] = {}
         self._dialled: set[Origin] = set()
-        self._needed: dict[Origin, float] = {}  # streams that a request needs, until when
+        self._needed: dict[Origin, float] = {}  # origins that a request needs a stream to, until when (ms)
         self._established: dict[Origin, anyio.Event] = {}
         self._pending: dict[int, _PendingRequest] = {}
-        self._numbers = itertools.count(1)  # of streams that came, and of requests
+        self._numbers = itertools.count(1)  # for incoming streams and for requests
 
     def send(self, to: Origin | int, message: Message) -> None:
-        """Send a message by a stream, if it stands."""
+        """Queue a message for a stream; without a connected stream it is dropped."""
         outbox = self._outboxes.get(to)
         if outbox is not None:
             outbox.enqueue(message)
 
     def disconnect_all(self) -> None:
-        """Have all streams end."""
+        """Make all streams end."""
         for outbox in list(self._outboxes.values()):
             outbox.disconnect()
 
     def is_empty(self) -> bool:
-        """Whether no stream stands."""
+        """Return whether no stream is connected."""
         return not self._outboxes
 
     # --- streams to others
 
     def connect_missing(self, tasks: TaskGroup, now_ms: float) -> None:
-        """Dial the origins that are followed or asked and have no stream yet."""
+        """Connect to reachable origins without a stream that a followed room or a request needs."""
         self._needed = {origin: until for origin, until in self._needed.items() if until > now_ms}
-        self._established = {o: event for o, event in self._established.items() if o in self._needed}
+        self._established = {
+            origin: event for origin, event in self._established.items() if origin in self._needed
+        }
         missing = {*self._rooms.desired_sources(), *self._needed} - self._dialled
         if not missing:
             return
@@ -73,10 +75,10 @@
             address = addresses.get(origin)
             if address is not None:
                 self._dialled.add(origin)
-                tasks.start_soon(self._hold_stream_to, origin, address)
+                tasks.start_soon(self._maintain_stream_to, origin, address)
 
-    async def _hold_stream_to(self, origin: Origin, address: str) -> None:
-        """Hold a stream to an origin for as long as it is wanted; what broke, the next tick dials again."""
+    async def _maintain_stream_to(self, origin: Origin, address: str) -> None:
+        """Run a stream to an origin for as long as it is needed; after a failure the next tick reconnects."""
         try:
             host, _, port = address.rpartition(":")
             stream: Stream | None = None
@@ -92,11 +94,11 @@
         except (PresenceFrameError, PresenceLimitError) as error:
             self._reject(error, gateway=origin.gateway)
         except (OSError, ValueError, *BROKEN):
-            pass  # the next tick dials again; the rooms notice its silence
+            pass  # the next tick reconnects; the rooms detect the silence
         finally:
-            self._lose_stream_to(origin)
+            self._remove_stream_to(origin)
 
-    def _lose_stream_to(self, origin: Origin) -> None:
+    def _remove_stream_to(self, origin: Origin) -> None:
         self._dialled.discard(origin)
         if self._outboxes.pop(origin, None) is not None:
             self._rooms.source_disconnected(origin)
@@ -109,7 +111,7 @@
         hello = await connection.receive_hello(self._environment.cluster, self._rooms.settings.silent_ms)
         if hello.origin != origin:
             raise PresenceFrameError(
-                f"{hello.gateway} life {hello.incarnation} answers where {origin.gateway} was expected"
+                f"{hello.gateway}, incarnation {hello.incarnation}, answered instead of {origin.gateway}"
             )
         outbox = self._outboxes[origin] = Outbox(self._settings.max_backlog_bytes)
         self._rooms.source_connected(self._context.now_ms(), origin)
@@ -121,7 +123,7 @@
         self._environment.log.debug("presence.stream_ended", gateway=origin.gateway)
 
     def _receive_from_source(self, origin: Origin, message: Message) -> bool:
-        """Pass on what an origin sent; return False once its stream is not wanted any more."""
+        """Process a message from an origin; return False once its stream is not needed any more."""
         if isinstance(message, Reply):
             self._rooms.record_contact(self._context.now_ms(), origin)
             pending = self._pending.get(message.request)
@@ -136,12 +138,14 @@
     # --- streams from others
 
     async def serve(self, stream: Stream, received: bytes) -> None:
-        """Serve another gateway's stream; `received` is what was read of it after the four bytes."""
+        """Serve a stream that another gateway opened; `received` has the bytes already read after MAGIC."""
         connection = PeerConnection(stream, received)
         number: int | None = None
         try:
             if len(self._rooms.subscriber_streams()) >= self._settings.max_streams:
-                raise PresenceLimitError(f"{self._settings.max_streams} streams (presence.max_streams)")
+                raise PresenceLimitError(
+                    f"limit of {self._settings.max_streams} streams reached (presence.max_streams)"
+                )
             hello = await connection.receive_hello(self._environment.cluster, self._rooms.settings.silent_ms)
             await stream.send(encode_frame(self._hello()))
             number = next(self._numbers)
@@ -149,7 +153,7 @@
         except (PresenceFrameError, PresenceLimitError) as error:
             self._reject(error)
         except BROKEN:
-            pass  # the other side dials again if it wants to
+            pass  # the other side reconnects if it needs the stream
         finally:
             if number is not None:
                 self._outboxes.pop(number, None)
@@ -176,7 +180,7 @@
     async def _exchange(
         self, connection: PeerConnection, outbox: Outbox, receive: Callable[[Message], bool]
     ) -> None:
-        """Send what the outbox has and receive, until the stream ends or is not wanted any more."""
+        """Send the outbox's messages and receive, until the stream ends or `receive` returns False."""
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(self._write, outbox, connection.stream, tasks)
             await self._read(connection, receive)
@@ -186,13 +190,14 @@
         try:
             await outbox.write_to(stream, self._settings.beat_ms)
         except BROKEN:
-            pass  # the reader is ended with it, and whoever holds the stream closes it
+            pass  # the reader is cancelled below, and the caller closes the stream
         tasks.cancel_scope.cancel()
 
     async def _read(self, connection: PeerConnection, receive: Callable[[Message], bool]) -> None:
-        """Read messages until the stream ends, is silent, or has to be closed; raises nothing of it.
+        """Read messages until the stream ends, is silent, or has to be closed; raises none of these errors.
 
-        (Within a task group an error would come out as a group, and past its handler end the program.)
+        A task group would wrap an error in an exception group, which the caller's handlers do not catch, and
+        the program would end.
         """
         timeout_ms = 2 * self._rooms.settings.silent_ms
         try:
@@ -202,7 +207,7 @@
         except (PresenceFrameError, PresenceLimitError) as error:
             self._reject(error)
         except BROKEN:
-            pass  # as an end of the stream: whoever holds it closes it
+            pass  # handled like the end of the stream: the caller closes it
 
     def _reject(self, error: PresenceError, **fields: str) -> None:
         self.rejected += 1
@@ -213,9 +218,9 @@
     async def request(
         self, origin: Origin, make: Callable[[int], Message], timeout_ms: float
     ) -> Reply | None:
-        """Send an origin the request that `make` builds for a number; None: no reply.
+        """Send an origin a request, and return its reply, or None if there is none within `timeout_ms`.
 
-        The stream is opened if there is none.
+        `make` builds the request for a request number.  A stream is opened if there is none.
         """
         number = next(self._numbers)
         pending = _PendingRequest(origin)
--- a/cressrock/presence/subscribers.py
+++ b/cressrock/presence/subscribers.py
@@ -1,4 +1,4 @@
-"""Serves the gateways that came by a stream: changes of the rooms they follow, and their requests."""
+"""Serves gateways that opened a stream to this one: changes of the rooms they follow, and their requests."""
 
 from __future__ import annotations
 
@@ -26,14 +26,14 @@
 
 @dataclass(slots=True)
 class Subscriber:
-    """Who came by a stream, and which rooms it follows."""
+    """The gateway that opened a stream, and the rooms that it follows."""
 
     origin: Origin
     rooms: set[str] = field(default_factory=set)
 
 
 class _PendingReplication(NamedTuple):
-    """A stream waits for its gateway's members in a room to be here up to a version."""
+    """A request that is replied to once the sender's members in a room are replicated up to a version."""
 
     room: str
     version: int
@@ -42,7 +42,7 @@
 
 
 class Subscribers:
-    """All streams from other gateways, by number."""
+    """All streams that other gateways opened, by stream number."""
 
     def __init__(
         self,
@@ -52,23 +52,23 @@
         sessions: Sessions,
         outgoing: Outgoing,
     ) -> None:
-        """`outgoing` takes what is to be sent by the streams."""
+        """`outgoing` receives the messages to be sent over the streams."""
         self.by_stream: dict[int, Subscriber] = {}
         self._settings, self._local, self._table, self._sessions = settings, local, table, sessions
         self._outgoing = outgoing
         self._pending: dict[Origin, list[_PendingReplication]] = {}
 
     def connected(self, stream: int, origin: Origin) -> None:
-        """Another gateway came by a stream."""
+        """Register a stream that another gateway opened."""
         self.by_stream[stream] = Subscriber(origin)
 
     def disconnected(self, stream: int) -> None:
-        """A stream from another gateway is over."""
+        """Remove a stream that has ended, with its subscriptions and pending requests."""
         subscriber = self.by_stream.pop(stream, None)
         for room in subscriber.rooms if subscriber is not None else ():
             self._remove(stream, room)
         for pending in self._pending.values():
-            pending[:] = [one for one in pending if one.stream != stream]
+            pending[:] = [replication for replication in pending if replication.stream != stream]
 
     def _remove(self, stream: int, room: str) -> None:
         local = self._local.rooms.get(room)
@@ -77,7 +77,7 @@
             self._local.drop_unused(room)
 
     def receive_request(self, now_ms: float, stream: int, request: Message) -> None:
-        """Do what another gateway asks by its stream.  Raises PresenceLimitError past a bound."""
+        """Process another gateway's request.  Raises PresenceLimitError if a limit is exceeded."""
         subscriber = self.by_stream[stream]
         match request:
             case Subscribe():
@@ -121,7 +121,7 @@
         return Reply(request.request, True, entry, *origin)
 
     def publish_changes(self) -> None:
-        """Send subscribers what changed since they were sent something last."""
+        """Send subscribers all changes since the last ones sent, or a snapshot if the log is too short."""
         for room in sorted(self._local.unpublished):
             local = self._local.rooms.get(room)
             if local is None:
@@ -138,7 +138,7 @@
                 local.subscribers[stream] = self._local.version
         self._local.unpublished.clear()
 
-    # --- members of another gateway that are replicated here
+    # --- replication of other gateways' members
 
     def _replicate(self, now_ms: float, stream: int, origin: Origin, request: ReplicateRoom) -> None:
         if len(self._pending.get(origin, ())) >= self._settings.max_views:
@@ -152,19 +152,19 @@
         self.reply_to_replicated(origin)
 
     def reply_to_replicated(self, origin: Origin) -> None:
-        """Reply to those requests of an origin up to whose version its members are here."""
+        """Reply to those requests of an origin whose versions have been replicated here."""
         pending = self._pending.get(origin)
         if not pending:
             return
-        left = []
-        for one in pending:
-            view = self._table.views.get(one.room)
+        remaining = []
+        for replication in pending:
+            view = self._table.views.get(replication.room)
             replica = view.replicas.get(origin) if view else None
-            if replica is not None and replica.synced and replica.version >= one.version:
-                self._outgoing.append((one.stream, Reply(one.request, True)))
+            if replica is not None and replica.synced and replica.version >= replication.version:
+                self._outgoing.append((replication.stream, Reply(replication.request, True)))
             elif replica is not None:
-                left.append(one)
-        if left:
-            self._pending[origin] = left
+                remaining.append(replication)
+        if remaining:
+            self._pending[origin] = remaining
         else:
             del self._pending[origin]
--- a/cressrock/presence/suspicion.py
+++ b/cressrock/presence/suspicion.py
@@ -1,4 +1,4 @@
-"""Gateways that fall silent: their members become unsure, and are gone only at the stated time."""
+"""Detects silent gateways: their members become unsure, and are removed only after `gone_ms`."""
 
 from __future__ import annotations
 
@@ -12,14 +12,14 @@
 
 
 class SuspicionMonitor:
-    """Looks at all replicas that may not be sure."""
+    """Periodically checks all replicas that are not confirmed."""
 
     def __init__(self, table: ViewTable, delivery: CausalDelivery, settings: RoomSettings) -> None:
-        """`delivery` shows what waited for a gateway that is gone."""
+        """`delivery` releases the changes that were waiting for a gateway that is given up."""
         self._table, self._delivery, self._settings = table, delivery, settings
 
     def tick(self, now_ms: float) -> None:
-        """Suspect those that have been silent for too long, and give up those past the stated time."""
+        """Suspect gateways that are silent for more than `silent_ms`; give up those silent for `gone_ms`."""
         for origin, source in self._table.sources.items():
             if (
                 source.connected
@@ -28,30 +28,31 @@
             ):
                 source.silent = True
                 for room in source.rooms:
-                    self._table.doubtful[(room, origin)] = None
-        for room, origin in list(self._table.doubtful):
+                    self._table.unconfirmed[(room, origin)] = None
+        for room, origin in list(self._table.unconfirmed):
             self._check(now_ms, self._table.views[room], origin)
 
     def _check(self, now_ms: float, view: RoomView, origin: Origin) -> None:
         replica = view.replicas[origin]
         verdict = self.verdict(now_ms, origin, replica)
         if verdict.certainty is Certainty.DEAD:
-            self._give_up(now_ms, view, origin, replica)
+            self._remove_origin(now_ms, view, origin, replica)
         elif verdict.certainty is Certainty.SUSPECTED and not replica.suspected:
             if now_ms - verdict.since_ms > self._settings.silent_ms:
-                self._table.doubt(view, origin)
+                self._table.suspect(view, origin)
 
-    def _give_up(self, now_ms: float, view: RoomView, origin: Origin, replica: Replica) -> None:
-        view.lose_origin(origin)
+    def _remove_origin(self, now_ms: float, view: RoomView, origin: Origin, replica: Replica) -> None:
+        view.mark_origin_lost(origin)
         for member_id in list(replica.members):
             view.set_entry(origin, replica, member_id, None, Reason.TIME)
         self._table.unfollow(view, origin)
-        # Should it come back, what it had long before is no event of then.
-        view.debts[origin] = replica.version
+        # If the origin comes back, changes up to this version are old: watchers get them in a snapshot, not
+        # as events.
+        view.skipped_causes[origin] = replica.version
         self._delivery.release(now_ms, view)
 
     def verdict(self, now_ms: float, origin: Origin, replica: Replica) -> Verdict:
-        """Return how sure an origin's members in a room are."""
+        """Return how certain an origin's members in a room are; this gateway's own are always confirmed."""
         if origin == self._table.origin:
             return Verdict(Certainty.CONFIRMED, now_ms)
         source = self._table.sources.get(origin)
@@ -68,7 +69,7 @@
         )
 
     def unsure_gateways(self, now_ms: float, view: RoomView) -> dict[str, float]:
-        """Return the gateways whose members in a room are unsure, since when."""
+        """Return the gateways whose members in a room are unsure, with the earliest time (ms) since when."""
         suspect_since_ms: dict[str, float] = {}
         for origin, replica in view.replicas.items():
             if replica.suspected:
@@ -77,7 +78,7 @@
         return suspect_since_ms
 
     def as_of_ms(self, now_ms: float, view: RoomView) -> float:
-        """Return the time up to which all that the confirmed gateways sent is here."""
+        """Return the time (ms) up to which everything from the room's confirmed gateways has arrived."""
         contacts = [
             self._table.sources[origin].last_contact_ms
             for origin, replica in view.replicas.items()
--- a/cressrock/presence/view.py
+++ b/cressrock/presence/view.py
@@ -1,7 +1,7 @@
-"""A room as one gateway shows it: a replica of each origin's members, and the events of their changes.
+"""One gateway's view of a room: a replica of each origin's members, and the events for their changes.
 
-Of one member's id the greatest hop is shown, so a session that went on at another gateway is never there
-twice.
+If several origins have an entry for the same member id, the entry with the highest hop count is shown, so a
+session that was resumed at another gateway never appears twice.
 """
 
 from __future__ import annotations
@@ -14,11 +14,11 @@
 from cressrock.presence.feed import EventFeed, EventKind, Reason, RoomEvent
 from cressrock.presence.messages import ENDED_BY_CLIENT, Change, MemberEntry, Origin
 
-MAX_LOST_ORIGINS = 4096  # of a room; the oldest are forgotten first
+MAX_LOST_ORIGINS = 4096  # per room; the oldest are evicted first
 
 
 class DelayedChange(NamedTuple):
-    """A change that waits for its causes, and since when."""
+    """A change that waits until its causes are shown, with its time of arrival."""
 
     change: Change
     received_at_ms: float
@@ -26,22 +26,22 @@
 
 @dataclass(slots=True)
 class Replica:
-    """One origin's members of a room as far as they are shown, and what waits to be."""
+    """One origin's members of a room as currently shown, and the received changes that are not shown yet."""
 
-    version: int = 0  # shown up to
-    received: int = 0
+    version: int = 0  # the last version that is shown
+    received: int = 0  # the last version that was received
     members: dict[str, MemberEntry] = field(default_factory=dict)
-    synced: bool = False  # all that the origin sent is here, and its changes come by a stream
-    synced_until_ms: float = 0.0  # while not synced: until when it was
+    synced: bool = False  # the initial state has been received, and changes arrive over a connected stream
+    synced_until_ms: float = 0.0  # while not synced: when it was last known to be in sync
     suspected: bool = False
     delayed: deque[DelayedChange] = field(default_factory=deque)
-    snapshot: dict[str, MemberEntry] | None = None  # the pages that came so far
-    requested: bool = False  # the origin asked that it be followed here
+    snapshot: dict[str, MemberEntry] | None = None  # entries from the pages received so far
+    requested: bool = False  # the origin asked this gateway to replicate its members
 
 
 @dataclass(frozen=True, slots=True)
 class ShownMember:
-    """A member as it is shown: its entry, where it is, and whether that is sure."""
+    """A member as it is shown: its entry, its gateway, and whether that gateway is currently confirmed."""
 
     entry: MemberEntry
     gateway: str
@@ -50,7 +50,7 @@
 
 
 class KnownMember(NamedTuple):
-    """The newest entry that is known of a member, and where its session is by that."""
+    """The newest known entry of a member, and the origin that owns its session according to that entry."""
 
     entry: MemberEntry
     origin: Origin
@@ -58,7 +58,7 @@
 
 @dataclass(slots=True)
 class FeedIndex:
-    """What the views of one gateway share: which feeds changed, and the numbers of their epochs."""
+    """State shared by all views of a gateway: changed feeds, epoch numbers, and the count of resyncs."""
 
     numbers: Iterator[int]
     changed_rooms: set[str] = field(default_factory=set)
@@ -66,10 +66,10 @@
 
 
 class RoomView:
-    """One room: replicas of its origins' members, what is shown of them, and the feed."""
+    """One room: the replicas of its origins' members, the members shown from them, and the event feed."""
 
     __slots__ = (
-        "debts",
+        "skipped_causes",
         "expires_at_ms",
         "feed",
         "holders",
@@ -81,33 +81,34 @@
         "replicas",
         "room",
         "shown_since_own_change",
-        "waiting",
+        "delayed_origins",
         "watchers",
     )
 
     def __init__(
         self, room: str, now_ms: float, origin: Origin, feed_index: FeedIndex, max_events: int
     ) -> None:
-        """`origin` is this gateway, whose own members are shown as sure."""
+        """`origin` is this gateway; its own members are always shown as sure."""
         self.room, self.origin, self.feed_index = room, origin, feed_index
         self.expires_at_ms = now_ms
-        # The feed's epochs do not begin anew: an old cursor must not fit a later view by chance.
+        # Epoch numbers are unique over all views, so that an old cursor cannot match a later view of the
+        # room.
         self.feed = EventFeed(next(feed_index.numbers), max_events)
         self.replicas: dict[Origin, Replica] = {}
-        self.holders: dict[str, dict[Origin, MemberEntry]] = {}  # of each member's id
-        self.moving: set[str] = set()  # ids of which a marker is held
-        self.waiting: set[Origin] = set()  # have changes that wait for causes
-        # Up to which version of an origin causes are missing whose effects are shown.
-        self.debts: dict[Origin, int] = {}
-        self.lost_origins: dict[Origin, None] = {}  # silent for the stated time
+        self.holders: dict[str, dict[Origin, MemberEntry]] = {}  # by member id
+        self.moving: set[str] = set()  # ids of members with at least one marker entry
+        self.delayed_origins: set[Origin] = set()  # with changes that wait for their causes
+        # By origin: causes up to this version are not shown yet although effects of them are.
+        self.skipped_causes: dict[Origin, int] = {}
+        self.lost_origins: dict[Origin, None] = {}  # silent for longer than `gone_ms`
         self.shown_since_own_change: dict[Origin, int] = {}
         self.watchers = 0
-        self.is_open = False  # somebody here asked for it; otherwise it is only replicated for others
+        self.is_open = False  # requested by a local client; otherwise only replicated for other gateways
 
     # --- what is shown
 
     def shown_member(self, member_id: str) -> ShownMember | None:
-        """Return a member as it is shown, None if it is not there."""
+        """Return a member as it is shown; None if it is not in the room."""
         holders = self.holders.get(member_id)
         if not holders:
             return None
@@ -123,16 +124,16 @@
             return None
         there = self.replicas.get(target)
         if there is not None and there.version >= entry.moved.version:
-            return None  # its new gateway has sent that it ended
+            return None  # the new gateway's changes up to the move are shown, and it has no entry: it left
         return ShownMember(entry, *target, False)
 
     def members(self) -> list[ShownMember]:
-        """Return all members that are shown, by id."""
+        """Return all members that are shown, ordered by id."""
         shown = (self.shown_member(member_id) for member_id in sorted(self.holders))
         return [member for member in shown if member is not None]
 
     def newest_entry(self, member_id: str) -> KnownMember | None:
-        """Return the newest entry that is held of a member, and where its session is by that."""
+        """Return the newest known entry of a member and its session's origin; None if there is no entry."""
         holders = self.holders.get(member_id)
         if not holders:
             return None
@@ -141,28 +142,29 @@
         return KnownMember(entry, entry.moved_to or origin)
 
     def pending_gateways(self) -> list[str]:
-        """Return the gateways that were asked for their members and have not sent all."""
+        """Return the names of the followed gateways whose replicas are not in sync, sorted."""
         return sorted(origin[0] for origin, replica in self.replicas.items() if not replica.synced)
 
-    # --- what changes it
+    # --- changes
 
     def apply_change(self, origin: Origin, replica: Replica, change: Change) -> None:
-        """Show a change whose causes are shown, or cannot be had."""
+        """Show a change whose causes are shown or are not waited for any longer."""
         if origin != self.origin:
             self.shown_since_own_change[origin] = change.version
-        debt = self.debts.get(origin, 0)
+        skipped_version = self.skipped_causes.get(origin, 0)
         self.set_entry(origin, replica, change.member_id, change.entry, change.reason)
         self.advance(replica, change.version)
-        if debt:
-            # This is a cause whose effect was shown: it may stand in a snapshot, never as an event.
-            if change.version >= debt:
-                del self.debts[origin]
+        if skipped_version:
+            # An effect of this change was shown before it: as an event it would be out of order, so watchers
+            # get it in a new snapshot.
+            if change.version >= skipped_version:
+                del self.skipped_causes[origin]
             self.resync()
 
     def set_entry(
         self, origin: Origin, replica: Replica, member_id: str, entry: MemberEntry | None, reason: str
     ) -> None:
-        """Let an origin hold an entry of a member, or none, and emit what changes by it."""
+        """Set an origin's entry of a member, or remove it (None), and emit the events that result."""
         before = self.shown_member(member_id)
         if entry is None:
             replica.members.pop(member_id, None)
@@ -180,38 +182,38 @@
             self.moving.discard(member_id)
         self._emit_difference(before, self.shown_member(member_id), reason)
 
-    def show_own(self, replica: Replica, member_id: str, entry: MemberEntry) -> None:
-        """Enter an own member that was there before the view was, without an event."""
+    def insert_own_member(self, replica: Replica, member_id: str, entry: MemberEntry) -> None:
+        """Insert an own member that joined before the view was created; emits no event."""
         replica.members[member_id] = entry
         self.holders.setdefault(member_id, {})[self.origin] = entry
         if entry.moved is not None:
             self.moving.add(member_id)
 
     def advance(self, replica: Replica, version: int, *, synced: bool = False) -> None:
-        """Note how far a replica is, and emit that sessions have ended which were handed over to it."""
+        """Set the version that a replica shows; emit `leave` for sessions moved there that have ended."""
         before = self._shown_while_moving()
         replica.version, replica.synced = version, replica.synced or synced
         self._emit_ended(before, Reason.LEFT)
 
-    def lose_origin(self, origin: Origin) -> None:
-        """Note that an origin was silent for the stated time: nobody who moved to it is there either."""
+    def mark_origin_lost(self, origin: Origin) -> None:
+        """Mark an origin as silent for longer than `gone_ms`; members that moved to it leave the room."""
         before = self._shown_while_moving()
         self.lost_origins[origin] = None
         while len(self.lost_origins) > MAX_LOST_ORIGINS:
             del self.lost_origins[next(iter(self.lost_origins))]
         self._emit_ended(before, Reason.TIME)
 
-    def owe(self, origin: Origin, version: int) -> None:
-        """Note that an effect of an origin's version is shown before it."""
-        self.debts[origin] = max(version, self.debts.get(origin, 0))
+    def record_skipped_cause(self, origin: Origin, version: int) -> None:
+        """Record that an effect is shown before its cause, this version of an origin."""
+        self.skipped_causes[origin] = max(version, self.skipped_causes.get(origin, 0))
 
     def append_event(self, event: RoomEvent) -> None:
-        """Put an event into the feed."""
+        """Append an event to the feed, and mark the room for the notification of its watchers."""
         self.feed.append(event)
         self.feed_index.changed_rooms.add(self.room)
 
     def resync(self) -> None:
-        """Have every watcher take a new snapshot."""
+        """Restart the feed with a new epoch, which makes every watcher fetch a new snapshot."""
         self.feed_index.resyncs += 1
         self.feed.restart(next(self.feed_index.numbers))
         self.feed_index.changed_rooms.add(self.room)
@@ -242,7 +244,8 @@
             else:
                 return
         elif entry.hop:
-            # It came here from a gateway that was not seen: others may have joined after seeing it there.
+            # The member moved here from a gateway that was not visible from here.  Other members may have
+            # joined after seeing it there, so a `join` now could be out of order.
             self.resync()
             return
         self.append_event(
@@ -280,14 +283,14 @@
 
 
 class _Precedence(NamedTuple):
-    """Of the entries of one member the greatest is shown."""
+    """Sort key of a member's entries; the entry with the greatest key is shown."""
 
     hop: int
     rank: int
 
 
 def _precedence(entry: MemberEntry) -> _Precedence:
-    """Of one id the greatest hop counts; among equals the client's own end, then who has it, then silence."""
+    """Return the sort key: hop; if equal, ended by the client > present or moved > ended by the gateway."""
     moved = entry.moved
     if moved is None or moved.gateway:
         return _Precedence(entry.hop, 1)
--- a/cressrock/presence/watches.py
+++ b/cressrock/presence/watches.py
@@ -1,4 +1,4 @@
-"""Long polls: whoever waits at this gateway for a room's members or its next event."""
+"""Long polls: local requests that wait for a room's members or its next event."""
 
 from __future__ import annotations
 
@@ -13,30 +13,30 @@
 
 
 class Watches:
-    """Who waits, by room."""
+    """The requests that wait for events, by room, and the number of watchers."""
 
     def __init__(self, context: ServiceContext) -> None:
-        """Nobody waits yet."""
+        """`context` supplies the rooms, the clock and the settings."""
         self.watchers = 0
         self._settings, self._context = context.settings, context
         self._waiting: dict[str, list[anyio.Event]] = {}
 
     def notify(self, rooms: Iterable[str]) -> None:
-        """Wake whoever waits for events of these rooms."""
+        """Wake all requests that wait for events of these rooms."""
         for room in rooms:
             for event in self._waiting.pop(room, ()):
                 event.set()
 
     def check_capacity(self) -> None:
-        """Raise PresenceLimitError if no further watcher is taken."""
+        """Raise PresenceLimitError if there are `max_watchers` watchers already."""
         if self.watchers >= self._settings.max_watchers:
             raise PresenceLimitError(
-                f"{self._settings.max_watchers} watchers at a time (presence.max_watchers)"
+                f"limit of {self._settings.max_watchers} concurrent watchers reached (presence.max_watchers)"
             )
 
     @contextmanager
     def watching(self, view: RoomView) -> Iterator[None]:
-        """Count a watcher of a room, whose view stays as long, and lingers from then."""
+        """Count a watcher of a room; a view with watchers is not closed."""
         self.watchers += 1
         view.watchers += 1
         try:
@@ -49,14 +49,17 @@
                 waiting[:] = [event for event in waiting if not event.is_set()]
 
     async def wait_for_events(self, room: str, timeout_ms: float) -> None:
-        """Wait until a room's feed has changed, or the time is over."""
+        """Wait until a room's feed has changed, for at most `timeout_ms`."""
         event = anyio.Event()
         self._waiting.setdefault(room, []).append(event)
         with anyio.move_on_after(timeout_ms / 1000):
             await event.wait()
 
     async def synced_view(self, room: str) -> RoomView:
-        """Return the view of a room, once all that are asked have answered, or the time for it is over."""
+        """Return the view of a room once all followed gateways are in sync, or after `sync_ms`.
+
+        Raises PresenceLimitError if too many rooms are followed.
+        """
         context = self._context
         view = context.rooms.open_view(context.now_ms(), room)
         context.carry_out()
--- a/tests/compatibility/presence_cases.py
+++ b/tests/compatibility/presence_cases.py
@@ -154,7 +154,7 @@
         waiting = [f"g{number}" for number in range(7) if source.random() < 0.2]
         digest.add(liveness.unreported_gateways(others, telling, unsure, waiting))
         name, life = f"g{source.randrange(7)}", source.randrange(1, 4)
-        digest.add(liveness.is_dead_for_good(name, life, others, now, 60_000.0))
+        digest.add(liveness.is_incarnation_over(name, life, others, now, 60_000.0))
         holder = agreed_names.NameHolder(1, "docs", "n", f"a.1.{source.randrange(2)}", "a", 1)
         standing = agreed_names.NameHold(holder, source.randrange(1, 99)) if source.random() < 0.8 else None
         gone, take = source.random() < 0.5, source.random() < 0.5
@@ -163,7 +163,7 @@
     clock, time = liveness.AwakeClock(1000.0, 500.0), 1000.0
     for _ in range(100):
         time += source.choice((0.0, 10.0, 499.0, 500.0, 501.0, 70_000.0, -5.0))
-        digest.add([clock.now_ms(time), clock.slept_ms])
+        digest.add([clock.now_ms(time), clock.paused_ms])
     return digest.hex()
 
 
--- a/tests/presence/test_liveness.py
+++ b/tests/presence/test_liveness.py
@@ -8,7 +8,7 @@
     GatewayState,
     Verdict,
     assess,
-    is_dead_for_good,
+    is_incarnation_over,
     majority_of_region,
     replica_order,
     unreported_gateways,
@@ -50,8 +50,8 @@
 
 
 def test_a_life_is_over_once_dead_or_replaced_for_the_stated_time(others):
-    assert not is_dead_for_good("d", 1, others, 100, 100)
-    assert is_dead_for_good("d", 1, others, 101, 100)
-    assert not is_dead_for_good("b", 1, others, 1e9, 100)
-    assert is_dead_for_good("b", 0, others, 1e9, 100)
-    assert not is_dead_for_good("x", 1, others, 1e9, 100)
+    assert not is_incarnation_over("d", 1, others, 100, 100)
+    assert is_incarnation_over("d", 1, others, 101, 100)
+    assert not is_incarnation_over("b", 1, others, 1e9, 100)
+    assert is_incarnation_over("b", 0, others, 1e9, 100)
+    assert not is_incarnation_over("x", 1, others, 1e9, 100)
