--- a/tests/compatibility/record_presence.py
+++ b/tests/compatibility/record_presence.py
@@ -1,4 +1,4 @@
-"""Writes the fixtures of presence: run once as `python -m tests.compatibility.record_presence`."""
+"""Records the fixtures of presence; run once as `python -m tests.compatibility.record_presence`."""
 
 from __future__ import annotations
 
@@ -7,12 +7,12 @@
 from tests.compatibility import presence_cluster as cluster
 from tests.compatibility.canonical import save
 
-SEEDS = 40
-SEEDS_WITHOUT_STATE = 10
+SEED_COUNT = 40
+STATELESS_SEED_COUNT = 10
 
 
 def main() -> None:
-    """Record the wire, the decisions and the admin port of this version."""
+    """Record the wire format, the decisions and the admin port's responses of this version."""
     save(
         "presence_wire",
         {
@@ -27,9 +27,9 @@
     save(
         "presence_decisions",
         {
-            "play": [cases.play(seed)[0] for seed in range(SEEDS)],
-            "verdicts": [cases.verdicts(seed) for seed in range(SEEDS_WITHOUT_STATE)],
-            "crowd": [cases.crowd(seed) for seed in range(SEEDS_WITHOUT_STATE)],
+            "play": [cases.play(seed)[0] for seed in range(SEED_COUNT)],
+            "verdicts": [cases.verdicts(seed) for seed in range(STATELESS_SEED_COUNT)],
+            "crowd": [cases.crowd(seed) for seed in range(STATELESS_SEED_COUNT)],
         },
     )
     save(
--- a/tests/presence/test_agreed_names.py
+++ b/tests/presence/test_agreed_names.py
@@ -1,4 +1,4 @@
-"""What a claim on an agreed name comes to."""
+"""The outcomes of a claim on an agreed name."""
 
 from cressrock.presence.agreed_names import (
     AlreadyOwner,
@@ -10,7 +10,7 @@
 )
 
 
-def test_what_a_claim_comes_to():
+def test_claim_outcome_depends_on_holder_and_preemption():
     holder = NameHolder(1, "docs", "n", "b.1.1", "b", 1)
     hold = NameHold(holder, 5)
     assert decide_claim(None, "a.1.1", holder_dead=False, preempt=False) == ProposeHolder(0)
--- a/tests/presence/test_causal_delivery.py
+++ b/tests/presence/test_causal_delivery.py
@@ -1,4 +1,4 @@
-"""Causes before effects, through days of cuts and deaths, as a checker reads watchers' histories."""
+"""Causal order of watchers' events, checked over simulated network partitions and gateway crashes."""
 
 import pytest
 
@@ -10,17 +10,19 @@
 
 
 @pytest.mark.parametrize("seed", SEEDS)
-def test_days_of_cuts_and_deaths_leave_every_watchers_history_right(seed):
+def test_watcher_histories_are_correct_under_partitions_and_crashes(seed):
     day = Day(seed).run()
-    living = day.living_watchers
-    assert len(living) >= len(day.rooms) and len(day.watched) == day.gateways * len(day.rooms)
-    wrong = check(day.acts, living, grace_ms=QUICK.grace_ms) + converged(living, day.members)
-    assert not wrong, (seed, wrong[:5])
-    assert sum(len(told.events) for watcher in living for told in watcher.told) > 20
+    live_watchers = day.living_watchers
+    assert len(live_watchers) >= len(day.rooms) and len(day.watched) == day.gateways * len(day.rooms)
+    violations = check(day.acts, live_watchers, grace_ms=QUICK.grace_ms) + converged(
+        live_watchers, day.members
+    )
+    assert not violations, (seed, violations[:5])
+    assert sum(len(told.events) for watcher in live_watchers for told in watcher.told) > 20
 
 
-def test_without_causes_held_back_the_checker_finds_effects_before_them(monkeypatch):
-    """The bound of the checker itself: the same days, with every change shown as it comes."""
+def test_checker_detects_effects_before_causes_if_changes_are_not_delayed(monkeypatch):
+    """Verifies the checker itself: the same simulations, with every change shown as soon as it arrives."""
     monkeypatch.setattr(CausalDelivery, "_is_shown", lambda self, now_ms, view, stamp: True)
     findings = []
     for seed in SEEDS:
--- a/tests/presence/test_liveness.py
+++ b/tests/presence/test_liveness.py
@@ -1,4 +1,4 @@
-"""What may be said of a gateway, and whom a room is replicated to."""
+"""Verdicts on gateways, majorities, and the choice of a room's replicas."""
 
 import pytest
 
@@ -27,19 +27,19 @@
     ]
 
 
-def test_a_gateway_is_gone_only_after_the_stated_time():
+def test_gateway_is_dead_only_after_dead_after_ms():
     assert assess(0, 3000, synced=True, **LIMITS) == Verdict(Certainty.CONFIRMED, 0)
     assert assess(0, 10, synced=False, **LIMITS).certainty is Certainty.SUSPECTED
     assert assess(0, 3001, synced=True, **LIMITS) == Verdict(Certainty.SUSPECTED, 0)
     assert assess(0, 60001, synced=True, **LIMITS) == Verdict(Certainty.DEAD, 60000)
 
 
-def test_a_majority_counts_the_regions_gateways_that_may_be_alive(others):
+def test_majority_counts_alive_and_suspected_gateways_of_the_region(others):
     assert majority_of_region("r", others) == (2, 3)
     assert replica_order("docs", "r", others) == ["b"]
 
 
-def test_gateways_that_an_answer_does_not_speak_for_are_named_with_the_reason(others):
+def test_unreported_gateways_are_listed_with_their_reason(others):
     unreported = unreported_gateways(others, ["b", "c"], {"b": 5.0}, [])
     assert [(gateway.name, gateway.reason) for gateway in unreported] == [
         ("b", "silent"),
@@ -49,7 +49,7 @@
     ]
 
 
-def test_a_life_is_over_once_dead_or_replaced_for_the_stated_time(others):
+def test_incarnation_is_over_once_dead_or_replaced_for_dead_after_ms(others):
     assert not is_incarnation_over("d", 1, others, 100, 100)
     assert is_incarnation_over("d", 1, others, 101, 100)
     assert not is_incarnation_over("b", 1, others, 1e9, 100)
--- a/tests/presence/test_messages.py
+++ b/tests/presence/test_messages.py
@@ -1,4 +1,4 @@
-"""What gateways send one another: pinned bytes, and bytes that are no message."""
+"""The messages between gateways: their recorded encoding, and frames that are not valid messages."""
 
 import contextlib
 import random
@@ -36,31 +36,32 @@
 
 
 @pytest.mark.parametrize(("message", "recorded"), SAMPLES, ids=lambda value: type(value).__name__)
-def test_what_is_sent_is_pinned(message, recorded):
+def test_encoding_matches_recorded_bytes(message, recorded):
     assert encode_frame(message).hex() == recorded
     assert decode_frame(bytearray.fromhex(recorded)) == message
 
 
-def test_a_field_of_a_newer_version_is_passed_over():
+def test_field_of_newer_version_is_ignored():
     assert decode_frame(bytearray.fromhex("000000099401a4646f63730701")) == Subscribe("docs", 7)
 
 
 @pytest.mark.parametrize("frame", ["0000000193", "00000003c10000", "7fffffff"])
-def test_what_is_no_message_or_too_long_is_refused(frame):
+def test_invalid_or_too_long_frame_is_rejected(frame):
     with pytest.raises(PresenceFrameError):
         decode_frame(bytearray.fromhex(frame))
 
 
-def test_changed_bytes_are_refused_or_another_message():
-    source = random.Random(5)
+def test_corrupted_frame_is_rejected_or_decoded_as_another_message():
+    """A corrupted byte must not raise anything other than PresenceFrameError."""
+    rng = random.Random(5)
     for _ in range(2000):
-        data = bytearray.fromhex(source.choice(SAMPLES)[1])
-        data[source.randrange(4, len(data))] = source.randrange(256)
+        data = bytearray.fromhex(rng.choice(SAMPLES)[1])
+        data[rng.randrange(4, len(data))] = rng.randrange(256)
         with contextlib.suppress(PresenceFrameError):
             decode_frame(data)
 
 
-def test_the_value_of_a_decision_on_a_name_is_pinned():
+def test_encoding_of_name_holder_matches_recorded_bytes():
     holder = NameHolder(1, "docs", "n", "b.1.1", "b", 1)
     assert encode_holder(holder).hex() == "9601a4646f6373a16ea5622e312e31a16201"
     assert decode_holder(encode_holder(holder)) == holder
