--- a/cressrock/presence/gossip_entries.py
+++ b/cressrock/presence/gossip_entries.py
@@ -79,9 +79,9 @@
             entries = self._environment.gossip.values(f"{VOLUMES_KEY_PREFIX}{index}")
             for (name, incarnation), value in sorted(entries.items()):
                 other = others.get(name)
-                alive = other is not None and other.state is GatewayState.ALIVE
-                same = other is not None and other.incarnation == incarnation
-                carrier = VolumeCarrier(name, name == own_name or (alive and same))
+                is_alive = other is not None and other.state is GatewayState.ALIVE
+                same_incarnation = other is not None and other.incarnation == incarnation
+                carrier = VolumeCarrier(name, name == own_name or (is_alive and same_incarnation))
                 for served in value.decode(errors="replace").split("\n"):
                     if volume is None or served == volume:
                         carriers.setdefault(served, []).append(carrier)
--- a/cressrock/presence/liveness.py
+++ b/cressrock/presence/liveness.py
@@ -160,11 +160,11 @@
     """
     for gateway in others:
         if gateway.name == name:
-            over = gateway.incarnation > incarnation or gateway.state in (
+            is_over = gateway.incarnation > incarnation or gateway.state in (
                 GatewayState.DEAD,
                 GatewayState.LEFT,
             )
-            return over and now_ms - gateway.state_since_ms > dead_after_ms
+            return is_over and now_ms - gateway.state_since_ms > dead_after_ms
     return False
 
 
--- a/cressrock/presence/name_claims.py
+++ b/cressrock/presence/name_claims.py
@@ -114,13 +114,15 @@
         current = None
         if decision is not None:
             current = NameHold(agreed_names.decode_holder(decision.value), decision.version)
-        dead = current is not None and self._is_holder_dead(current.holder)
-        outcome = agreed_names.decide_claim(current, claimant.member, holder_dead=dead, preempt=preempt)
+        holder_dead = current is not None and self._is_holder_dead(current.holder)
+        outcome = agreed_names.decide_claim(
+            current, claimant.member, holder_dead=holder_dead, preempt=preempt
+        )
         if isinstance(outcome, AlreadyOwner):
             return outcome.number
         if isinstance(outcome, OwnedByOther):
-            held = f"{claimant.name!r} in {claimant.room!r}"
-            raise NameHeldError(f"{outcome.holder.member} holds {held} by token {outcome.number}")
+            claimed_name = f"{claimant.name!r} in {claimant.room!r}"
+            raise NameHeldError(f"{outcome.holder.member} holds {claimed_name} by token {outcome.number}")
         value = agreed_names.encode_holder(claimant)
         decided = await consensus.decide(topic, value, self._settings.hold_ms, outcome.if_number)
         return decided.version
--- a/cressrock/presence/peer_streams.py
+++ b/cressrock/presence/peer_streams.py
@@ -44,9 +44,9 @@
         self._pending: dict[int, _PendingRequest] = {}
         self._numbers = itertools.count(1)  # for incoming streams and for requests
 
-    def send(self, to: Origin | int, message: Message) -> None:
+    def send(self, destination: Origin | int, message: Message) -> None:
         """Queue a message for a stream; without a connected stream it is dropped."""
-        outbox = self._outboxes.get(to)
+        outbox = self._outboxes.get(destination)
         if outbox is not None:
             outbox.enqueue(message)
 
@@ -88,7 +88,7 @@
                 return
             connection = PeerConnection(stream)
             try:
-                await self._follow(origin, connection)
+                await self._run_source_stream(origin, connection)
             finally:
                 await connection.close()
         except (PresenceFrameError, PresenceLimitError) as error:
@@ -106,7 +106,7 @@
             if pending.origin == origin:
                 pending.done.set()
 
-    async def _follow(self, origin: Origin, connection: PeerConnection) -> None:
+    async def _run_source_stream(self, origin: Origin, connection: PeerConnection) -> None:
         await connection.stream.send(MAGIC + encode_frame(self._hello()))
         hello = await connection.receive_hello(self._environment.cluster, self._rooms.settings.silent_ms)
         if hello.origin != origin:
--- a/cressrock/presence/view.py
+++ b/cressrock/presence/view.py
@@ -122,8 +122,8 @@
         target = entry.moved_to
         if target is None or target == self.origin or target in self.lost_origins:
             return None
-        there = self.replicas.get(target)
-        if there is not None and there.version >= entry.moved.version:
+        target_replica = self.replicas.get(target)
+        if target_replica is not None and target_replica.version >= entry.moved.version:
             return None  # the new gateway's changes up to the move are shown, and it has no entry: it left
         return ShownMember(entry, *target, False)
 
--- a/cressrock/presence/view_table.py
+++ b/cressrock/presence/view_table.py
@@ -80,9 +80,9 @@
             raise PresenceLimitError(f"{self.settings.max_views} rooms followed here (presence.max_views)")
         view = self.views[room] = RoomView(room, now_ms, self.origin, self.feed_index, self.settings.feed)
         local = self._local.rooms.get(room)
-        own = view.replicas[self.origin] = Replica(synced=True, version=self._local.version)
+        own_replica = view.replicas[self.origin] = Replica(synced=True, version=self._local.version)
         for member_id, entry in (local.members if local else {}).items():
-            view.insert_own_member(own, member_id, entry)
+            view.insert_own_member(own_replica, member_id, entry)
         self._by_bucket.setdefault(bucket_of(room), set()).add(room)
         return view
 
@@ -94,8 +94,8 @@
         """
         view.is_open = False
         for origin, replica in list(view.replicas.items()):
-            empty = replica.synced and not replica.members and not replica.delayed
-            if origin != self.origin and (not replica.requested or empty):
+            is_empty = replica.synced and not replica.members and not replica.delayed
+            if origin != self.origin and (not replica.requested or is_empty):
                 for member_id in list(replica.members):
                     view.set_entry(origin, replica, member_id, None, "")
                 self.unfollow(view, origin)
