--- a/cressrock/presence/admin_port.py
+++ b/cressrock/presence/admin_port.py
@@ -1,4 +1,4 @@
-"""Presence on the admin port: requests under /v1/presence/ and their answers in JSON (`docs/presence.md`)."""
+"""Serves presence on the admin port: requests under /v1/presence/, with JSON answers (`docs/presence.md`)."""
 
 from __future__ import annotations
 
@@ -25,11 +25,11 @@
 PATH_PREFIX = "/v1/presence/"
 ROOMS_PREFIX = "rooms/"
 JSON_HEADERS = [(b"content-type", b"application/json")]
-POLLS_IN_GRACE = 3  # a waiting client is in contact this often within the grace
+CONTACTS_PER_GRACE_PERIOD = 3  # contacts recorded per `grace_ms` while a client waits in a long poll
 
 
 class AdminPort:
-    """Answers clients' requests from the rooms, the names, and the other gateways."""
+    """Answers clients' requests; joins and resumes may involve other gateways."""
 
     def __init__(
         self,
@@ -40,7 +40,7 @@
         recovery: SessionRecovery,
         watches: Watches,
     ) -> None:
-        """Every part is the service's own."""
+        """All arguments are shared with the service."""
         self._context = context
         self._settings, self._environment = context.settings, context.environment
         self._rooms = context.rooms
@@ -57,7 +57,7 @@
         }
 
     async def handle(self, exchange: Exchange) -> None:
-        """Serve a request under /v1/presence/."""
+        """Answer a request under /v1/presence/; a PresenceError becomes an error response."""
         try:
             path, _, query = exchange.head.target.decode("latin-1").partition("?")
             method = exchange.head.method.decode("latin-1")
@@ -72,11 +72,11 @@
         await exchange.respond(200, JSON_HEADERS, msgspec.json.encode(answer))
 
     async def post(self, action: str, body: bytes) -> Answer:
-        """Answer a POST.  Raises PresenceError."""
+        """Answer a POST to an action, such as `join`, with this JSON body.  Raises PresenceError."""
         return await self._actions[action](body)
 
     async def get(self, method: str, path: str, query: str) -> Answer:
-        """Answer what is no POST to an action.  Raises PresenceError."""
+        """Answer a GET.  Raises PresenceError, also for other methods and unknown paths."""
         fields = {key: values[-1] for key, values in parse_qs(query, keep_blank_values=True).items()}
         actions = ", ".join(self._actions)
         if method != "GET":
@@ -108,7 +108,8 @@
     def own_session(self, token: str) -> Session:
         """Return the session of a token.
 
-        Raises SessionEndedError if it is not here, PresenceRequestError and InvalidRoomError for no token.
+        Raises SessionEndedError if it is not at this gateway, PresenceRequestError or InvalidRoomError if the
+        token is malformed.
         """
         parsed = requests.parse_token(token, self._environment.volumes())
         session = self._rooms.session(parsed.member_id, parsed.secret)
@@ -129,9 +130,10 @@
         version = self._rooms.version
         self._context.carry_out()
         try:
-            promised = await self._promise(meaning, session, version, request)
+            guarantee_fields = await self._provide_guarantee(meaning, session, version, request)
         except BaseException:
-            # Whatever ended it, a disconnected client too: a join without an answer must leave no member.
+            # On any failure, including a disconnected client, the member is removed: a join without an
+            # answer must leave no member behind.
             self._rooms.leave(self._context.now_ms(), session, Reason.WITHDRAWN)
             self._context.carry_out()
             raise
@@ -139,14 +141,14 @@
         return {
             "meaning": meaning.value,
             **answers.session(session),
-            **promised,
+            **guarantee_fields,
             **answers.snapshot(view),
         }
 
-    async def _promise(
+    async def _provide_guarantee(
         self, meaning: Meaning, session: Session, version: int, request: JoinRequest
     ) -> Answer:
-        """Bring about what a join promises beyond this gateway."""
+        """Provide the guarantee that a join requested beyond this gateway; return its answer fields."""
         if meaning is Meaning.NEAR:
             return {"near": await self._replicas.replicate(session.room, version, request.wait_ms)}
         if meaning is Meaning.AGREED:
@@ -161,7 +163,7 @@
         session = self._rooms.session(token.member_id, token.secret)
         how = ResumedBy.CONTACT
         if session is None or session.room != token.room:
-            session, how = await self._recovery.bring(token, request.wait_ms)
+            session, how = await self._recovery.recover(token, request.wait_ms)
         self._rooms.touch(self._context.now_ms(), session, request.data, request.locks)
         self._context.carry_out()
         view = await self._watches.synced_view(token.room)
@@ -222,18 +224,18 @@
         view.expires_at_ms = self._context.now_ms() + self._rooms.settings.linger_ms
         if events is None:
             return {"resync": True, "events": [], **self._answers.snapshot(view)}
-        return {"resync": False, "events": events, **self._answers.about(view)}
+        return {"resync": False, "events": events, **self._answers.common_fields(view)}
 
     async def _next_events(
         self, view: RoomView, cursor: Cursor, token: str, wait_ms: float
     ) -> list[RoomEvent] | None:
-        """Return what follows a cursor, waiting for at most so long; None: a snapshot is due."""
+        """Return the events after a cursor, waiting up to `wait_ms` for one; None if a snapshot is needed."""
         ends_at_ms = self._context.now_ms() + wait_ms
         events = view.feed.events_after(*cursor)
         while events == [] and (left_ms := ends_at_ms - self._context.now_ms()) > 0:
             if token:
-                # A client that waits is there: its poll is its contact for as long as it stands.
-                left_ms = min(left_ms, self._rooms.settings.grace_ms / POLLS_IN_GRACE)
+                # An open long poll counts as contact, so the session is touched while it waits.
+                left_ms = min(left_ms, self._rooms.settings.grace_ms / CONTACTS_PER_GRACE_PERIOD)
             await self._watches.wait_for_events(view.room, left_ms)
             if token:
                 self._rooms.touch(self._context.now_ms(), self.own_session(token))
--- a/cressrock/presence/answers.py
+++ b/cressrock/presence/answers.py
@@ -1,4 +1,7 @@
-"""Answers of the admin port: what they say of a room, and of the gateways that they cannot speak for."""
+"""Builds the admin port's answers about rooms and sessions.
+
+Each answer also lists the gateways whose members it may be missing.
+"""
 
 from __future__ import annotations
 
@@ -12,12 +15,12 @@
 from cressrock.presence.sessions import Session
 from cressrock.presence.view import RoomView
 
-# The fields of an answer by their outer names, in the order in which they are written.
+# An answer's fields by their JSON names, in output order.
 Answer = dict[str, object]
 
 
 class UnreportedGateway(msgspec.Struct, frozen=True):
-    """A gateway that an answer does not speak for; the fields are those of the JSON."""
+    """A gateway whose current members an answer may be missing; field names are those of the JSON."""
 
     gateway: str
     reason: str = msgspec.field(name="why")
@@ -25,7 +28,7 @@
 
 
 class ListedMember(msgspec.Struct, frozen=True):
-    """A member in an answer; the fields are those of the JSON."""
+    """A member in an answer; field names are those of the JSON."""
 
     member: str
     gateway: str
@@ -35,7 +38,7 @@
 
 
 class ListedName(msgspec.Struct, frozen=True):
-    """An agreed name in an answer; the fields are those of the JSON."""
+    """An agreed name in an answer; field names are those of the JSON."""
 
     name: str
     member: str
@@ -44,15 +47,15 @@
 
 
 class AnswerWriter:
-    """Describes rooms and sessions as they are now."""
+    """Builds answers from the current state of rooms and sessions."""
 
     def __init__(self, context: ServiceContext, entries: GossipEntries, names: NameClaims) -> None:
-        """Everything is read; nothing is changed."""
+        """The arguments are only read, never modified."""
         self._environment, self._context = context.environment, context
         self._entries, self._names = entries, names
 
     def session(self, session: Session) -> Answer:
-        """Describe a session to its own client."""
+        """Return the session fields for the session's own client, including its token."""
         rooms, entry = self._context.rooms, session.entry
         return {
             "member": entry.id,
@@ -60,8 +63,12 @@
             "grace_ms": rooms.settings.grace_ms,
         }
 
-    def about(self, view: RoomView) -> Answer:
-        """Say of which room and by whom an answer is, and what it does not speak for."""
+    def common_fields(self, view: RoomView) -> Answer:
+        """Return the fields common to all answers on a room.
+
+        They name the room and the answering gateway, and give the cursor, the age of the data and the
+        unreported gateways.
+        """
         now_ms, rooms = self._context.now_ms(), self._context.rooms
         return {
             "room": view.room,
@@ -72,11 +79,11 @@
         }
 
     def snapshot(self, view: RoomView) -> Answer:
-        """Describe a room whole."""
+        """Return the common fields of a room with all its members and agreed names."""
         members = view.members()
         holds = self._names.holds_in(view.room, {member.entry.id for member in members})
         return {
-            **self.about(view),
+            **self.common_fields(view),
             "members": [
                 ListedMember(one.entry.id, one.gateway, one.sure, one.entry.data, one.entry.locks)
                 for one in members
@@ -88,7 +95,7 @@
         }
 
     def unreported(self, view: RoomView | None) -> list[UnreportedGateway]:
-        """Return the gateways that an answer on a room, or on none, does not speak for."""
+        """Return the gateways whose members an answer may be missing; `view` is None without a room."""
         now_ms, clock_ms = self._context.now_ms(), self._environment.clock_ms()
         suspect_since_ms = self._context.rooms.unsure_gateways(view, now_ms) if view is not None else {}
         pending = view.pending_gateways() if view is not None else ()
@@ -97,7 +104,7 @@
         for gateway in unreported_gateways(
             others, self._entries.announcing_gateways(), suspect_since_ms, pending
         ):
-            # Silence is by the rooms' clock, the fleet's states by the process's.
+            # Silence is measured on the rooms' clock, membership states on the process's monotonic clock.
             age_ms = (now_ms if gateway.reason == SILENT else clock_ms) - gateway.since_ms
             ago_ms = round(age_ms) if gateway.since_ms >= 0 else None
             answer.append(UnreportedGateway(gateway.name, gateway.reason, ago_ms))
--- a/cressrock/presence/client.py
+++ b/cressrock/presence/client.py
@@ -1,4 +1,4 @@
-"""The client library: who is in a room, over all gateways, by the JSON of a gateway's admin port."""
+"""The client library: joins and watches rooms across all gateways by the JSON API of the admin ports."""
 
 from __future__ import annotations
 
@@ -15,7 +15,10 @@
 
 
 class Member(msgspec.Struct, frozen=True):
-    """A client's session in a room.  Not `sure`: its gateway is silent; as far as is known it is there."""
+    """A client's session in a room.
+
+    `sure` is false if its gateway is silent: the member was present when last known.
+    """
 
     member: str
     gateway: str
@@ -25,7 +28,10 @@
 
 
 class NotHeard(msgspec.Struct, frozen=True):
-    """A gateway that the answering one cannot speak for, why, and since when (None: never heard)."""
+    """A gateway whose members an answer may be missing.
+
+    `why` is the reason; `since_ms_ago` is None if nothing was ever received from it.
+    """
 
     gateway: str
     why: str
@@ -33,7 +39,7 @@
 
 
 class Event(msgspec.Struct, frozen=True):
-    """What changed in a room.
+    """A change in a room.
 
     `event` is join, leave (`why`: left, silent, closed, time, withdrawn), update, moved, unsure or sure (of a
     gateway), lock-orphaned, held or fenced (of an agreed name), or resync.
@@ -52,7 +58,7 @@
 
 
 class Agreed(msgspec.Struct, frozen=True):
-    """An agreed name that this session holds; `number` is the token that fences older holders."""
+    """An agreed name that this session holds; `number` is the fencing token against older holders."""
 
     name: str
     number: int
@@ -60,7 +66,7 @@
 
 
 class _Answer(msgspec.Struct):
-    """Every field that an answer may have; which are there depends on the request."""
+    """All fields that an answer may have; which are present depends on the request."""
 
     room: str = ""
     gateway: str = ""
@@ -80,20 +86,20 @@
 
 
 class _Response(NamedTuple):
-    """The body of an answer, and which gateway gave it."""
+    """The body of an answer, and the admin address that it came from."""
 
     address: str
     data: bytes
 
 
 class Room:
-    """A room as one gateway shows it, and a session in it if this came of a join or resume.
+    """A room as seen by one gateway, with a session if it was returned by a join or resume.
 
-    `members` follows the events that `watch` has given.
+    `members` is updated by the events that `poll` and `watch` return.
     """
 
     def __init__(self, presence: Presence, address: str, answer: _Answer) -> None:
-        """Made by Presence."""
+        """Created by Presence, not by callers."""
         self.presence, self.address = presence, address
         self.path, self.member, self.token = answer.room, answer.member, answer.token
         self.meaning, self.near = answer.meaning, answer.near
@@ -110,9 +116,10 @@
             self.members = {one.member: one for one in answer.members}
 
     async def poll(self, wait_ms: float = 20_000.0) -> list[Event]:
-        """Return what follows the cursor, waiting for at most so long; counts as this client's contact.
+        """Return the events after the cursor, waiting up to `wait_ms` for one; keeps the session alive.
 
-        After an event `resync` (alone) the snapshot in `members` is new.  Raises as `watch` does.
+        A single event `resync` means that `members` was replaced by a new snapshot.  Raises the errors
+        of `watch`.
         """
         query = {"room": self.path, "after": self.cursor, "wait_ms": f"{wait_ms:g}"}
         if self.token:
@@ -139,10 +146,10 @@
                     self.members[member_id] = msgspec.structs.replace(one, sure=event.event == "sure")
 
     async def watch(self, wait_ms: float = 20_000.0) -> AsyncIterator[Event]:
-        """Yield each event once, in order, for as long as it is asked.
+        """Yield each event once, in order, until the caller stops iterating.
 
-        Raises GatewayUnreachableError where the gateway does not answer (resume at another one by the
-        token), SessionEndedError once this session has ended.
+        Raises GatewayUnreachableError if the gateway does not answer (use the token to resume at another),
+        SessionEndedError once this session has ended.
         """
         while True:
             for event in await self.poll(wait_ms):
@@ -156,7 +163,10 @@
         return await self.presence.request(self.address, request)
 
     async def touch(self, data: bytes | None = None, locks: list[str] | None = None) -> None:
-        """Say that this client is there, and what it has now.  Needed only while nothing is watched."""
+        """Keep the session alive, and update its data and locks unless they are None.
+
+        Only needed to keep it alive while the room is not watched.
+        """
         await self._post("touch", data=data, locks=locks)
 
     async def leave(self) -> None:
@@ -164,7 +174,7 @@
         await self._post("leave")
 
     async def agreed(self, name: str, *, take: bool = False, wait_ms: float = 5000.0) -> Agreed:
-        """Hold a name in the room alone; with `take` also where another session holds it, which is fenced.
+        """Hold a name in the room exclusively; `take` takes it from another session, which is fenced.
 
         Raises NameHeldError, NameNotDecidedError.
         """
@@ -172,7 +182,7 @@
         return Agreed(answer.name, answer.number, answer.hold_ms)
 
     async def release(self, name: str) -> None:
-        """Give an agreed name up."""
+        """Release an agreed name."""
         await self._post("release", name=name)
 
 
@@ -180,9 +190,9 @@
     """A client of one or more gateways' admin ports; used as an async context manager."""
 
     def __init__(self, addresses: tuple[str, ...], dial: Connect) -> None:
-        """Made by `connect`."""
+        """Use `connect` instead.  Raises ValueError if there are no addresses."""
         if not addresses:
-            raise ValueError("no gateway's admin address is given")
+            raise ValueError("at least one gateway admin address (host:port) is required")
         self.addresses = addresses
         self._connections = GatewayConnections(dial)
 
@@ -192,14 +202,14 @@
         return cls(addresses, dial)
 
     async def __aenter__(self) -> Self:
-        """Begin; connections are opened when first used."""
+        """Start the connection pool; connections are opened on first use."""
         await self._connections.open()
         return self
 
     async def __aexit__(
         self, kind: type[BaseException] | None, error: BaseException | None, trace: TracebackType | None
     ) -> bool | None:
-        """Close all connections; sessions are not ended by it."""
+        """Close all connections; sessions continue until they leave or their grace period ends."""
         await self._connections.close()
         return None
 
@@ -216,9 +226,10 @@
     ) -> Room:
         """Join a room at the first gateway that answers.
 
-        `here`: that gateway has it; `near`: a majority of its region's live gateways has it, or
-        MajorityNotReachedError is raised and nobody joined; `agreed`: the session also holds `name`, by
-        decree, or NameHeldError or NameNotDecidedError is raised and nobody joined.
+        `meaning` is the guarantee. `here`: that gateway has the session. `near`: a majority of its region's
+        live gateways has it, or MajorityNotReachedError is raised. `agreed`: the session also holds `name`,
+        by a consensus decision, or NameHeldError or NameNotDecidedError is raised. After these errors the
+        client has not joined.
         """
         body = {
             "room": path,
@@ -229,47 +240,47 @@
             "take": take,
             "wait_ms": wait_ms,
         }
-        return await self._room_of_first(AdminRequest("POST", "/v1/presence/join", body, wait_ms))
+        return await self._open_room(AdminRequest("POST", "/v1/presence/join", body, wait_ms))
 
     async def room(self, path: str) -> Room:
-        """Return a room without joining it."""
-        return await self._room_of_first(AdminRequest("GET", f"/v1/presence/rooms/{quote(path)}"))
+        """Return a room from the first gateway that answers, without joining it."""
+        return await self._open_room(AdminRequest("GET", f"/v1/presence/rooms/{quote(path)}"))
 
     async def resume(self, token: str, *, wait_ms: float = 5000.0) -> Room:
-        """Go on with a session, at the first gateway that answers, without leave and join.
+        """Resume a session at the first gateway that answers; other clients see no leave and join.
 
-        Raises SessionEndedError (join anew), SessionUnavailableError (its gateway cannot be asked now),
+        Raises SessionEndedError (join again), SessionUnavailableError (its gateway cannot be reached now),
         GatewayUnreachableError.
         """
         body = {"token": token, "wait_ms": wait_ms}
-        return await self._room_of_first(AdminRequest("POST", "/v1/presence/resume", body, wait_ms))
+        return await self._open_room(AdminRequest("POST", "/v1/presence/resume", body, wait_ms))
 
     async def carriers(self, volume: str) -> list[str]:
-        """Return the gateways that served a volume in the last while."""
+        """Return the names of the gateways that recently served a volume."""
         target = f"/v1/presence/carriers?volume={quote(volume)}"
-        response = await self._request_first(AdminRequest("GET", target))
+        response = await self._request_any_gateway(AdminRequest("GET", target))
         carriers = msgspec.json.decode(response.data)["carriers"]
         return [one["gateway"] for one in carriers.get(volume, [])]
 
-    async def _room_of_first(self, request: AdminRequest) -> Room:
-        response = await self._request_first(request)
-        return Room(self, response.address, _read(response.data))
+    async def _open_room(self, request: AdminRequest) -> Room:
+        response = await self._request_any_gateway(request)
+        return Room(self, response.address, _decode_answer(response.data))
 
-    async def _request_first(self, request: AdminRequest) -> _Response:
+    async def _request_any_gateway(self, request: AdminRequest) -> _Response:
         *others, last = self.addresses
         for address in others:
             try:
                 return _Response(address, await self._connections.request(address, request))
             except GatewayUnreachableError:
-                continue  # the next one may answer
+                continue  # try the next address
         return _Response(last, await self._connections.request(last, request))
 
     async def request(self, address: str, request: AdminRequest) -> _Answer:
-        """Ask one gateway.  Raises PresenceError by its words, GatewayUnreachableError."""
-        return _read(await self._connections.request(address, request))
+        """Send a request to one gateway.  Raises the PresenceError it reports, or GatewayUnreachableError."""
+        return _decode_answer(await self._connections.request(address, request))
 
 
-def _read(data: bytes) -> _Answer:
+def _decode_answer(data: bytes) -> _Answer:
     try:
         return msgspec.json.decode(data, type=_Answer)
     except msgspec.MsgspecError as error:
--- a/cressrock/presence/client_connections.py
+++ b/cressrock/presence/client_connections.py
@@ -1,4 +1,4 @@
-"""The client library's connections to gateways' admin ports: kept between requests, opened when needed."""
+"""The client library's pool of HTTP connections to gateways' admin ports."""
 
 from __future__ import annotations
 
@@ -19,13 +19,13 @@
 MAX_ANSWER_BYTES = 64 * 1024 * 1024
 MAX_HEAD_BYTES = 65536
 READ_AHEAD_BYTES = 1 << 20
-ANSWER_TIMEOUT_MS = 10_000.0  # beyond what a request itself may wait
+ANSWER_TIMEOUT_MS = 10_000.0  # added to the time that the request itself may wait at the gateway
 FIRST_ERROR_STATUS = 400
 
 
 @dataclass(frozen=True, slots=True)
 class AdminRequest:
-    """A request to an admin port, which may wait there for so long."""
+    """A request to an admin port, which may wait there for up to `wait_ms`."""
 
     method: str
     target: str
@@ -34,43 +34,45 @@
 
 
 class GatewayConnections:
-    """HTTP connections by address."""
+    """Keep-alive HTTP connections by address, opened on demand."""
 
     def __init__(self, dial: Connect) -> None:
-        """Nothing is connected before the first request."""
+        """`dial` opens a stream to a host and port; the first request uses it."""
         self._dial = dial
         self._idle: dict[str, list[Channel]] = {}
         self._tasks: TaskGroup | None = None
 
     async def open(self) -> None:
-        """Begin to run connections' readers, until `close`."""
+        """Start the task group that runs the connections' readers, until `close`."""
         self._tasks = await anyio.create_task_group().__aenter__()
 
     async def close(self) -> None:
-        """Close all connections."""
+        """Close all idle connections and cancel the readers."""
         assert self._tasks is not None
         for channels in self._idle.values():
             for channel in channels:
                 await channel.close()
         self._tasks.cancel_scope.cancel()
-        # The readers raise nothing: without the caller's error the group ends well, and wraps it in nothing.
+        # The readers raise nothing. The caller's exception is not passed on, since the task group would
+        # wrap it in an ExceptionGroup.
         await self._tasks.__aexit__(None, None, None)
 
     async def request(self, address: str, request: AdminRequest) -> bytes:
         """Return the body of a gateway's answer.
 
-        Raises PresenceError by the gateway's own words, GatewayUnreachableError where none came.
+        Raises the PresenceError that the gateway reports, GatewayUnreachableError without a valid answer.
         """
         timeout_ms = request.wait_ms + ANSWER_TIMEOUT_MS
         with anyio.move_on_after(timeout_ms / 1000):
-            # An idle connection may just have been closed by the gateway: then once more on a new one.
-            # Nothing was answered, and joins that were not heard of end by the grace.
+            # The gateway may just have closed an idle connection, so a failure there is retried once on a new
+            # connection. If the gateway had processed a join whose answer was lost, that session expires
+            # after the grace period.
             channel = await self._idle_channel(address)
             if channel is not None:
                 try:
                     return await self._exchange(address, channel, request)
                 except (ConnectionLostError, h11.RemoteProtocolError, MessageTooLargeError):
-                    pass  # once more, as said above
+                    pass  # retried on a new connection
             channel = await self._connect(address)
             try:
                 return await self._exchange(address, channel, request)
@@ -95,7 +97,7 @@
         else:
             await channel.close()
         if response.status_code >= FIRST_ERROR_STATUS:
-            raise _error_of(address, response.status_code, answer)
+            raise _decode_error(address, response.status_code, answer)
         return answer
 
     async def _idle_channel(self, address: str) -> Channel | None:
@@ -119,8 +121,11 @@
         return channel
 
 
-def _error_of(address: str, status: int, data: bytes) -> PresenceError:
-    """Return the error that an answer names by its code."""
+def _decode_error(address: str, status: int, data: bytes) -> PresenceError:
+    """Return the PresenceError for the error code in an answer.
+
+    Returns GatewayUnreachableError if the answer has no known code.
+    """
     try:
         answer = msgspec.json.decode(data)
         kinds = {kind.code: kind for kind in known() if issubclass(kind, PresenceError)}
--- a/cressrock/presence/connection.py
+++ b/cressrock/presence/connection.py
@@ -1,6 +1,7 @@
-"""One stream between two gateways: frames in and out, and the greeting of both sides.
+"""One stream between two gateways: sending and receiving frames, and the opening Hello exchange.
 
-Streams come to the fleet's TCP port, after four bytes that no frame of the fleet begins with.
+Streams arrive on the fleet's shared TCP port. They start with four magic bytes that cannot begin any other
+frame of the fleet's protocol.
 """
 
 from __future__ import annotations
@@ -11,16 +12,21 @@
 from cressrock.http.channel import Stream
 from cressrock.presence.messages import FORMAT, Heartbeat, Hello, Message, decode_frame, encode_frame
 
-MAGIC = b"CRP1"  # as a length it is far above any frame of the fleet's: who knows no presence parts with it
+MAGIC = (
+    b"CRP1"  # read as a frame length it exceeds the fleet's maximum: processes without presence disconnect
+)
 RECEIVE_BYTES = 65536
 CLOSE_TIMEOUT_S = 1
 
 
 class Outbox:
-    """Frames on their way; past a bound the stream is cut, and begins again from what the other side has."""
+    """Bounded send queue of a stream.
+
+    When the queue exceeds its bound, the stream is closed; a new stream resumes from the peer's last version.
+    """
 
     def __init__(self, max_bytes: int) -> None:
-        """Begin empty."""
+        """Create an empty queue for at most `max_bytes` of encoded frames."""
         self.max_bytes = max_bytes
         self.frames: list[bytes] = []
         self.size = 0
@@ -28,7 +34,7 @@
         self._filled = anyio.Event()
 
     def enqueue(self, message: Message) -> None:
-        """Add a message, or find that too much waits."""
+        """Queue a message; marks the outbox as overflowed if the queue exceeds its bound."""
         data = encode_frame(message)
         self.size += len(data)
         self.overflowed = self.overflowed or self.size > self.max_bytes
@@ -36,12 +42,12 @@
         self._filled.set()
 
     def disconnect(self) -> None:
-        """Have the stream end as if too much waited."""
+        """Close the stream in the same way as after an overflow."""
         self.overflowed = True
         self._filled.set()
 
     async def write_to(self, stream: Stream, heartbeat_ms: float) -> None:
-        """Send what comes, and heartbeats, until the stream breaks or too much waits."""
+        """Send queued frames, and a heartbeat when idle, until the stream fails or the queue overflows."""
         while not self.overflowed:
             if not self.frames:
                 with anyio.move_on_after(heartbeat_ms / 1000) as waiting:
@@ -56,15 +62,18 @@
 
 
 class PeerConnection:
-    """A stream to or from another gateway, with what was read of it beyond the last frame."""
+    """A stream to or from another gateway, with a buffer for bytes after the last complete frame."""
 
     def __init__(self, stream: Stream, received: bytes = b"") -> None:
-        """`received` is what was read of it so far, after the four bytes."""
+        """`received` holds the bytes that were already read from the stream after the magic bytes."""
         self.stream = stream
         self._received = bytearray(received)
 
     async def receive(self, timeout_ms: float) -> Message | None:
-        """Return the next message; None at the end, or after silence.  Raises PresenceFrameError."""
+        """Return the next message, or None at end of stream or after `timeout_ms` without data.
+
+        Raises PresenceFrameError.
+        """
         while True:
             message = decode_frame(self._received)
             if message is not None:
@@ -80,17 +89,24 @@
             self._received += data
 
     async def receive_hello(self, cluster: str, timeout_ms: float) -> Hello:
-        """Return who the other side is.  Raises PresenceFrameError if it is none that can be spoken with."""
+        """Return the peer's Hello.
+
+        Raises PresenceFrameError if the first message is not a Hello of this format and cluster.
+        """
         hello = await self.receive(timeout_ms)
         if not isinstance(hello, Hello):
-            raise PresenceFrameError("a stream that does not begin with who it is")
+            raise PresenceFrameError("the first message of a presence stream must be Hello")
         if hello.format != FORMAT:
-            raise PresenceFrameError(f"{hello.gateway} speaks format {hello.format}, this gateway {FORMAT}")
+            raise PresenceFrameError(
+                f"gateway {hello.gateway} uses presence format {hello.format}, this gateway uses {FORMAT}"
+            )
         if hello.cluster != cluster:
-            raise PresenceFrameError(f"{hello.gateway} is of cluster {hello.cluster!r}, not {cluster!r}")
+            raise PresenceFrameError(
+                f"gateway {hello.gateway} belongs to cluster {hello.cluster!r}, expected {cluster!r}"
+            )
         return hello
 
     async def close(self) -> None:
-        """Close the stream, also where the caller is cancelled."""
+        """Close the stream within CLOSE_TIMEOUT_S, even if the calling task is cancelled."""
         with anyio.CancelScope(shield=True), anyio.move_on_after(CLOSE_TIMEOUT_S):
             await self.stream.aclose()
--- a/cressrock/presence/environment.py
+++ b/cressrock/presence/environment.py
@@ -1,4 +1,4 @@
-"""What presence needs of its process, and what the parts of its service share."""
+"""The interfaces that presence needs from its process, and the context that the service's parts share."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 GATEWAY_ROLE = "edge"
 
-# How the admin port names the states of the fleet's membership.
+# Maps the fleet's membership states to those that the admin port reports.
 GATEWAY_STATES: Mapping[MemberState, GatewayState] = {
     MemberState.ALIVE: GatewayState.ALIVE,
     MemberState.SUSPECT: GatewayState.SUSPECT,
@@ -29,36 +29,42 @@
 
 
 class Consensus(Protocol):
-    """The consensus as presence asks it; all raise ConsensusError."""
+    """The part of the consensus client that presence uses; all methods raise ConsensusError."""
 
     async def decide(
         self, topic: str, value: bytes, hold_ms: float, if_number: int | None = None
     ) -> Decision:
-        """Let a value stand, after the decision of this number.  Raises DecisionConflictError."""
+        """Set the topic's value, if its current decision has number `if_number` (None: in any case).
+
+        Raises DecisionConflictError.
+        """
 
     async def drop(self, topic: str, if_number: int | None = None) -> int:
-        """Let nothing stand, after the decision of this number.  Raises DecisionConflictError."""
+        """Remove the topic's value, if its current decision has number `if_number` (None: in any case).
+
+        Raises DecisionConflictError.
+        """
 
     async def read(self, topic: str) -> Decision | None:
-        """Return what stands (linearizable)."""
+        """Return the topic's current decision, or None (linearizable read)."""
 
 
 class Log(Protocol):
-    """Structured log lines, one event each."""
+    """Structured logger; each call writes one event."""
 
     def debug(self, event: str, **fields: str) -> None:
-        """Log what helps in a search."""
+        """Log details for troubleshooting."""
 
     def info(self, event: str, **fields: str) -> None:
-        """Log what is usual."""
+        """Log an event of normal operation."""
 
     def warning(self, event: str, **fields: str) -> None:
-        """Log what an operator may have to act on."""
+        """Log an event that may need an operator's attention."""
 
 
 @dataclass(frozen=True, slots=True)
 class PresenceEnvironment:
-    """What presence needs of its process.  `clock_ms` is monotonic."""
+    """What presence needs from its process.  `clock_ms` returns monotonic milliseconds."""
 
     name: str
     incarnation: int
@@ -76,7 +82,7 @@
     log: Log
 
     def other_gateways(self) -> list[Gateway]:
-        """Return the other gateways as the fleet's membership shows them."""
+        """Return the other gateways in any state, according to the fleet's membership."""
         return [
             Gateway(m.name, m.process_incarnation, m.region, GATEWAY_STATES[m.state], m.state_since_ms)
             for m in self.members()
@@ -84,7 +90,7 @@
         ]
 
     def addresses_of_reachable(self) -> dict[Origin, str]:
-        """Return where those members listen that are not known to be gone."""
+        """Return the addresses of all alive or suspected members, with configured routes applied."""
         return {
             Origin(m.name, m.process_incarnation): self.routes.get(m.name, m.address)
             for m in self.members()
@@ -96,13 +102,13 @@
 class ServiceContext:
     """What the parts of the service share.
 
-    `carry_out` sends and publishes what the rooms want, and has to follow each change of them; `wake` makes
-    the service's loop run again at once.
+    `carry_out` sends the rooms' pending messages and publishes their gossip entries; it must be called after
+    each change to the rooms. `wake` makes the service's loop run again immediately.
     """
 
     settings: ServiceSettings
     environment: PresenceEnvironment
     rooms: Rooms
-    now_ms: Callable[[], float]  # the time that the rooms go by
+    now_ms: Callable[[], float]  # the rooms' clock, see AwakeClock
     carry_out: Callable[[], None]
     wake: Callable[[], None]
--- a/cressrock/presence/local_rooms.py
+++ b/cressrock/presence/local_rooms.py
@@ -1,7 +1,7 @@
-"""This gateway's own members by room, and the log of what changed: the part that no other gateway writes.
+"""This gateway's own members by room, and the log of their changes; no other gateway writes this state.
 
-Changes are numbered over all rooms; a later version is newer without any clock, so that merging at another
-gateway comes to the same whatever arrives late or twice.
+Changes are numbered over all rooms. Versions order changes without a clock, so merging at another gateway
+gives the same result when changes arrive late or more than once.
 """
 
 from __future__ import annotations
@@ -17,26 +17,31 @@
 from cressrock.presence.messages import Change, MemberEntry, Origin, SnapshotPage, VersionStamp
 from cressrock.presence.settings import RoomSettings
 
-ENTRY_OVERHEAD_BYTES = 40  # of an entry in a page, beside its id, data and locks
+ENTRY_OVERHEAD_BYTES = 40  # per entry of a page, in addition to its id, data and locks
 
 
 @dataclass(slots=True)
 class LocalRoom:
-    """A room's own members, the changes that are remembered, and who follows them."""
+    """A room's own members, the log of recent changes, and the subscribed streams."""
 
-    floor: int  # changes after it are in the log
+    floor: int  # all changes after this version are in the log
     members: dict[str, MemberEntry] = field(default_factory=dict)
     log: deque[Change] = field(default_factory=deque)
-    causes: dict[Origin, int] = field(default_factory=dict)  # what all changes so far follow
-    subscribers: dict[int, int] = field(default_factory=dict)  # stream -> sent up to
+    causes: dict[Origin, int] = field(
+        default_factory=dict
+    )  # versions of other gateways that the changes so far depend on
+    subscribers: dict[int, int] = field(default_factory=dict)  # stream number -> last version sent
 
     def changes_after(self, version: int) -> list[Change]:
-        """Return the remembered changes after a version."""
+        """Return the logged changes after a version, oldest first."""
         return [change for change in self.log if change.version > version]
 
 
 class MemberEdit(msgspec.Struct, frozen=True):
-    """What happens to an own member: its new entry, or none, why, and what of other gateways it follows."""
+    """A change to an own member.
+
+    `entry` is None if the member is removed; `causes` are versions of other gateways that it depends on.
+    """
 
     member_id: str
     entry: MemberEntry | None
@@ -45,18 +50,18 @@
 
 
 class LocalRooms:
-    """All rooms with own members or with subscribers."""
+    """This gateway's rooms that have own members or subscribers."""
 
     def __init__(self, settings: RoomSettings, directory: RoomDirectory) -> None:
-        """`directory` takes which rooms have members."""
+        """`directory` is updated with the rooms that have own members."""
         self.settings, self.directory = settings, directory
         self.version = 0
         self.rooms: dict[str, LocalRoom] = {}
-        self.unpublished: set[str] = set()  # rooms whose subscribers have to be sent something
-        self._emptied: dict[str, float] = {}  # rooms without members, still in the directory until then
+        self.unpublished: set[str] = set()  # rooms with changes that are not yet sent to subscribers
+        self._directory_expiry_ms: dict[str, float] = {}  # when empty rooms leave the directory
 
     def open(self, room: str) -> LocalRoom:
-        """Return a room, which begins if there is none.  Raises PresenceLimitError."""
+        """Return a room, creating it if needed.  Raises PresenceLimitError."""
         local = self.rooms.get(room)
         if local is None:
             if len(self.rooms) >= self.settings.max_rooms:
@@ -67,7 +72,10 @@
         return local
 
     def record(self, now_ms: float, room: str, edit: MemberEdit, shown: Mapping[Origin, int]) -> Change:
-        """Number and log an edit of a room's members; `shown` is what was shown of others since the last."""
+        """Number and log an edit of a room's members.
+
+        `shown` holds the versions of other gateways that were shown here since the last own change.
+        """
         local = self.open(room)
         causes = list(edit.causes)
         if shown:
@@ -86,27 +94,27 @@
         while len(local.log) > self.settings.log:
             local.floor = local.log.popleft().version
         if was_empty and local.members:
-            # A room that has been empty for less than the linger is still in the directory.
-            if self._emptied.pop(room, None) is None:
+            # A room that has been empty for less than `linger_ms` is still in the directory.
+            if self._directory_expiry_ms.pop(room, None) is None:
                 self.directory.add_own(room)
         elif not local.members and not was_empty:
-            self._emptied[room] = now_ms + self.settings.linger_ms
+            self._directory_expiry_ms[room] = now_ms + self.settings.linger_ms
         if local.subscribers:
             self.unpublished.add(room)
         return change
 
     def drop_unused(self, room: str) -> None:
-        """Drop a room without members and subscribers, unless it lingers in the directory."""
+        """Delete a room without members and subscribers, unless it is still in the directory."""
         local = self.rooms[room]
-        if not local.members and not local.subscribers and room not in self._emptied:
+        if not local.members and not local.subscribers and room not in self._directory_expiry_ms:
             del self.rooms[room]
 
     def tick(self, now_ms: float) -> None:
-        """Take rooms that have been empty for the linger out of the directory."""
-        for room, expires_at_ms in list(self._emptied.items()):
+        """Remove rooms from the directory that have been empty for `linger_ms`."""
+        for room, expires_at_ms in list(self._directory_expiry_ms.items()):
             if expires_at_ms > now_ms:
                 continue
-            del self._emptied[room]
+            del self._directory_expiry_ms[room]
             local = self.rooms[room]
             if not local.members:
                 self.directory.remove_own(room)
@@ -114,7 +122,7 @@
                     del self.rooms[room]
 
     def snapshot(self, room: str) -> Iterator[SnapshotPage]:
-        """Yield all own members of a room in pages of bounded size."""
+        """Yield a room's own members in pages of about `page_bytes`; one empty page if there are none."""
         local = self.rooms[room]
         pages: list[list[MemberEntry]] = [[]]
         bytes_left = self.settings.page_bytes
@@ -127,5 +135,5 @@
             pages[-1].append(entry)
         causes = [VersionStamp(*origin, version) for origin, version in local.causes.items()]
         for index, entries in enumerate(pages):
-            last = index == len(pages) - 1
-            yield SnapshotPage(room, self.version, index == 0, last, entries, causes if last else [])
+            is_last = index == len(pages) - 1
+            yield SnapshotPage(room, self.version, index == 0, is_last, entries, causes if is_last else [])
--- a/cressrock/presence/recovery.py
+++ b/cressrock/presence/recovery.py
@@ -1,4 +1,4 @@
-"""Brings a session here from another gateway: handed over by that one, or taken over where it is silent."""
+"""Moves a session to this gateway: handed over by its gateway, or taken over if that gateway is silent."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 
 class ResumedBy(enum.StrEnum):
-    """How a session goes on, as the admin port names it."""
+    """How a session was resumed, as the admin port reports it."""
 
     CONTACT = "here"
     HAND_OVER = "handed over"
@@ -33,14 +33,14 @@
 
 
 class ResumedSession(NamedTuple):
-    """A session that goes on here, and how."""
+    """A session that was resumed at this gateway, and how."""
 
     session: Session
     how: ResumedBy
 
 
 class SessionRecovery:
-    """Resumes sessions that are not here."""
+    """Resumes sessions that belong to other gateways."""
 
     def __init__(
         self,
@@ -49,13 +49,13 @@
         replicas: RegionalReplicas,
         watches: Watches,
     ) -> None:
-        """`streams` asks a session's gateway, `replicas` those that may hold its entry."""
+        """`streams` sends requests to a session's gateway, `replicas` to those that may hold its entry."""
         self._environment, self._context = context.environment, context
         self._streams, self._replicas, self._watches = streams, replicas, watches
         self._rooms = context.rooms
 
-    async def bring(self, token: SessionToken, timeout_ms: float) -> ResumedSession:
-        """Bring a session here.
+    async def recover(self, token: SessionToken, timeout_ms: float) -> ResumedSession:
+        """Resume a session at this gateway; each of the two requests may take half of `timeout_ms`.
 
         Raises SessionEndedError, SessionUnavailableError, PresenceLimitError.
         """
@@ -71,7 +71,11 @@
         return ResumedSession(self._adopt(token, known), ResumedBy.ADOPTION)
 
     async def _locate(self, token: SessionToken, timeout_ms: float) -> KnownMember:
-        """Return what is known of the member here, at its room's replicas, or by its id."""
+        """Return the member's newest known entry and gateway.
+
+        Looks in this gateway's view, then asks the room's replicas, then assumes the gateway that is named in
+        the member's id if it is alive. Raises SessionUnavailableError.
+        """
         last_known = self._rooms.last_known(token.room, token.member_id)
         if last_known is not None:
             return last_known
@@ -96,7 +100,7 @@
         self, token: SessionToken, origin: Origin, timeout_ms: float
     ) -> Reply | None:
         def request(number: int) -> HandOverRequest:
-            """Build the request with a number."""
+            """Return the hand-over request with this request number."""
             return HandOverRequest(number, token.room, token.member_id, token.secret)
 
         return await self._streams.request(origin, request, timeout_ms)
@@ -112,7 +116,7 @@
         return session
 
     def _adopt(self, token: SessionToken, known: KnownMember) -> Session:
-        """Go on with a session whose gateway does not answer, by the digest of its secret."""
+        """Take over a session whose gateway does not answer, checking the secret by its digest."""
         entry, member_id = known.entry, token.member_id
         if not entry.secret_digest:
             raise SessionUnavailableError(
--- a/cressrock/presence/regional_replicas.py
+++ b/cressrock/presence/regional_replicas.py
@@ -1,7 +1,7 @@
-"""What the gateways of this one's region are asked: to replicate a room, and what they hold of a member.
+"""Asks the other gateways of this region to replicate a room, or to look up a member.
 
-A join `near` has a majority of the region's gateways replicate the room's members here, so that its session
-can go on at another gateway when this one is lost.
+A join `near` makes a majority of the region's gateways replicate the room's members at this gateway, so that
+the session can continue at another gateway if this one fails.
 """
 
 from __future__ import annotations
@@ -18,12 +18,15 @@
 from cressrock.presence.peer_streams import PeerStreams
 from cressrock.presence.view import KnownMember
 
-# The first few are enough unless one of them is lost: the others are asked after this part of the time.
+# The first gateways suffice unless one has failed; the others are asked after this fraction of the timeout.
 HEDGE_DELAY_FRACTION = 0.25
 
 
 class NearReplicas(msgspec.Struct, frozen=True):
-    """Who has a join, how many are needed, and of how many; the fields are those of the admin port's JSON."""
+    """The gateways that have a join, how many are needed, and the number in the region.
+
+    The field names are those of the admin port's JSON.
+    """
 
     have: list[str]
     need: int
@@ -31,7 +34,7 @@
 
 
 class ReplicaGoal(NamedTuple):
-    """How many others are to have a room up to a version."""
+    """How many other gateways must replicate a room up to a version."""
 
     room: str
     version: int
@@ -39,16 +42,16 @@
 
 
 class RegionalReplicas:
-    """Requests to the gateways of this one's region."""
+    """Sends replication and lookup requests to the other gateways of this gateway's region."""
 
     def __init__(self, context: ServiceContext, streams: PeerStreams) -> None:
-        """`streams` carries the requests."""
+        """`streams` sends the requests and returns the replies."""
         self._environment, self._streams = context.environment, streams
 
     async def replicate(self, room: str, version: int, timeout_ms: float) -> NearReplicas:
-        """Have a majority of the region's live gateways follow the room here up to a version.
+        """Wait until a majority of the region's live gateways have this gateway's members up to a version.
 
-        Raises MajorityNotReachedError.
+        This gateway counts towards the majority. Raises MajorityNotReachedError after `timeout_ms`.
         """
         environment = self._environment
         others = environment.other_gateways()
@@ -66,13 +69,13 @@
     async def _collect_replicas(
         self, goal: ReplicaGoal, others: list[Gateway], timeout_ms: float
     ) -> list[str]:
-        """Return the gateways that have the room, once they are enough or the time is over."""
+        """Return the gateways that have the room, once there are enough or at the timeout."""
         incarnations = {gateway.name: gateway.incarnation for gateway in others}
         have: list[str] = []
         enough = anyio.Event()
 
         async def request_replica(name: str, delay_ms: float) -> None:
-            """Count a gateway in once it has the room."""
+            """Ask a gateway after a delay, and add it to `have` once it confirms."""
             if delay_ms:
                 await anyio.sleep(delay_ms / 1000)
             reply = await self._streams.request(
@@ -95,7 +98,7 @@
         return have
 
     async def find(self, room: str, member_id: str, timeout_ms: float) -> KnownMember | None:
-        """Ask the room's replicas what they hold of a member; the newest counts."""
+        """Return a member's newest entry (highest hop) from the room's replicas; None if they have none."""
         environment = self._environment
         others = environment.other_gateways()
         incarnations = {gateway.name: gateway.incarnation for gateway in others}
@@ -103,7 +106,7 @@
         known: list[KnownMember] = []
 
         async def request_entry(name: str) -> None:
-            """Collect what a gateway holds."""
+            """Ask a gateway for the member, and add its entry to `known`."""
             reply = await self._streams.request(
                 Origin(name, incarnations[name]),
                 lambda number: FindMember(number, room, member_id),
--- a/cressrock/presence/requests.py
+++ b/cressrock/presence/requests.py
@@ -1,4 +1,4 @@
-"""Requests of the admin port under /v1/presence/: their fields, and what they may hold.
+"""Parsing and validation of requests to the admin port under /v1/presence/.
 
 Field names are those of the JSON; `docs/presence.md` lists them.
 """
@@ -24,7 +24,7 @@
 
 
 class Meaning(enum.StrEnum):
-    """What a join promises when it is answered."""
+    """The guarantee that a join gives once it is answered."""
 
     HERE = "here"
     NEAR = "near"
@@ -32,7 +32,7 @@
 
 
 class JoinRequest(msgspec.Struct, forbid_unknown_fields=True):
-    """A client joins a room."""
+    """Body of a join."""
 
     room: str
     meaning: str = Meaning.HERE.value
@@ -44,7 +44,7 @@
 
 
 class SessionRequest(msgspec.Struct, forbid_unknown_fields=True):
-    """A client asks something of its session."""
+    """Body of every request on an existing session."""
 
     token: Annotated[str, msgspec.Meta(max_length=1024)]
     data: bytes | None = None
@@ -58,7 +58,7 @@
 
 
 def decode_request(kind: type[_Request], body: bytes) -> _Request:
-    """Return a request of a body.  Raises PresenceRequestError."""
+    """Decode a JSON body.  Raises PresenceRequestError."""
     try:
         return msgspec.json.decode(body, type=kind)
     except msgspec.MsgspecError as error:
@@ -66,7 +66,7 @@
 
 
 def parse_meaning(text: str) -> Meaning:
-    """Return what a join asks for.  Raises PresenceRequestError."""
+    """Return the guarantee that a join requests.  Raises PresenceRequestError."""
     try:
         return Meaning(text)
     except ValueError:
@@ -74,13 +74,16 @@
 
 
 def check_agreed_name(name: str) -> None:
-    """Raise PresenceRequestError for what is no agreed name."""
+    """Raise PresenceRequestError if the name is empty or too long."""
     if not 1 <= len(name.encode()) <= MAX_AGREED_NAME_BYTES:
         raise PresenceRequestError("name: an agreed name of 1 to 128 bytes is needed")
 
 
 def parse_room(path: str, volumes: Iterable[str]) -> str:
-    """Return a room's name: its path without slashes at the ends.  Raises InvalidRoomError."""
+    """Return a room's name: its path without leading and trailing slashes.
+
+    Raises InvalidRoomError if the path is invalid or its first segment is not a volume.
+    """
     room = path.strip("/")
     segments = room.split("/")
     if (
@@ -97,7 +100,10 @@
 
 
 def parse_number(query: Mapping[str, str], key: str, maximum: float) -> float:
-    """Return a number of a query, 0 where it is not given.  Raises PresenceRequestError."""
+    """Return a query parameter as a number from 0 to `maximum`; 0 if it is missing.
+
+    Raises PresenceRequestError.
+    """
     try:
         value = float(query.get(key) or 0.0)
     except ValueError:
@@ -108,30 +114,30 @@
 
 
 def format_token(secret: bytes, member_id: str, room: str) -> str:
-    """Return a session's token."""
+    """Return a session's token as clients store it: secret in hex, member id and room."""
     return f"{secret.hex()}.{member_id}/{room}"
 
 
 def parse_token(token: str, volumes: Iterable[str]) -> SessionToken:
-    """Return what a token holds.  Raises PresenceRequestError, InvalidRoomError."""
+    """Parse a session's token.  Raises PresenceRequestError, InvalidRoomError."""
     head, _, room = token.partition("/")
     secret_hex, _, member_id = head.partition(".")
     try:
         secret = bytes.fromhex(secret_hex)
     except ValueError:
-        secret = b""  # refused with the others of a wrong length
+        secret = b""  # rejected below by its length
     if len(secret) != SECRET_BYTES or not member_id or len(member_id) > MAX_MEMBER_ID_LENGTH:
         raise PresenceRequestError("token: not one that a join or resume has given")
     return SessionToken(secret, member_id, parse_room(room, volumes))
 
 
 def format_cursor(origin: Origin, cursor: Cursor) -> str:
-    """Return a cursor as clients hold it: it fits this gateway's process alone."""
+    """Return a cursor as clients store it; it is only valid at this gateway's current incarnation."""
     return f"{origin.gateway}.{origin.incarnation:x}.{cursor.epoch:x}.{cursor.seq:x}"
 
 
 def parse_cursor(origin: Origin, text: str) -> Cursor | None:
-    """Return a client's cursor; None if it is not of this gateway's process."""
+    """Parse a client's cursor; None if it is invalid or from another gateway or incarnation."""
     prefix = f"{origin.gateway}.{origin.incarnation:x}."
     if not text.startswith(prefix):
         return None
@@ -139,4 +145,4 @@
     try:
         return Cursor(int(epoch, 16), int(seq, 16))
     except ValueError:
-        return None  # as one of another process: its holder gets a snapshot
+        return None  # handled like another process's cursor: the client gets a snapshot
--- a/cressrock/presence/rooms.py
+++ b/cressrock/presence/rooms.py
@@ -1,11 +1,10 @@
-"""Rooms and their members over all gateways, as one gateway knows them: the state machine behind the
-service.
+"""Rooms and their members across all gateways, as known at one gateway: the service's state machine.
 
-Each gateway's process is the only writer of its own members.  The gossip carries only where members are; a
-room that is watched here is followed by streams to the gateways that have members in it.  Time comes in,
-and messages come in and go out as values; nothing here waits or sends.
+Each gateway process is the only writer of its own members. Gossip carries only which gateways have members in
+a room; members of a watched room arrive by streams from those gateways. Time and messages are passed in as
+values and outgoing messages are returned; nothing here waits or does I/O.
 
-Times are milliseconds of the service's clock, which leaves out how long this process itself stood still.
+Times are milliseconds of the service's clock, which excludes pauses of this process.
 """
 
 from __future__ import annotations
@@ -35,12 +34,12 @@
 
 
 class Rooms:
-    """One gateway's rooms.  Methods raise PresenceLimitError past a bound of the settings."""
+    """One gateway's rooms.  Methods raise PresenceLimitError if a limit of the settings is exceeded."""
 
     def __init__(self, origin: Origin, settings: RoomSettings, key: bytes) -> None:
-        """`key` makes the sessions' secrets; it is this process's own and random."""
+        """`key` derives the sessions' secrets; it is random and specific to this process."""
         self.origin, self.settings = origin, settings
-        numbers = itertools.count(1)  # of members and of feeds' epochs
+        numbers = itertools.count(1)  # for member ids and feed epochs
         self._feed_index = FeedIndex(numbers)
         self._outgoing: Outgoing = []
         self._directory = RoomDirectory()
@@ -59,44 +58,50 @@
     # --- own sessions
 
     def secret(self, member_id: str, hop: int) -> bytes:
-        """Return the secret of a session here."""
+        """Return the secret of a session of this gateway."""
         return self._sessions.secret(member_id, hop)
 
     def join(self, now_ms: float, room: str, data: bytes = b"", locks: Iterable[str] = ()) -> Session:
-        """Let a new session begin.  Raises PresenceLimitError, PresenceRequestError."""
+        """Start a new session.  Raises PresenceLimitError, PresenceRequestError."""
         return self._sessions.join(now_ms, room, data, locks)
 
     def session(self, member_id: str, secret: bytes) -> Session | None:
-        """Return an own session by its id and secret; None if it is not here.  Raises SessionEndedError."""
+        """Return a session by its member id and secret; None if this gateway does not have it.
+
+        Raises SessionEndedError if the secret does not match.
+        """
         return self._sessions.find(member_id, secret)
 
     def touch(
         self, now_ms: float, session: Session, data: bytes | None = None, locks: Iterable[str] | None = None
     ) -> None:
-        """Record that a session's client is there, and what it has now.
+        """Record contact with a session's client, and update its data and locks unless they are None.
 
         Raises SessionUnavailableError, PresenceRequestError.
         """
         self._sessions.touch(now_ms, session, data, locks)
 
     def leave(self, now_ms: float, session: Session, reason: Reason = Reason.LEFT) -> None:
-        """End a session, for its client or by this gateway's decision."""
+        """End a session, on request of its client or by this gateway."""
         self._sessions.leave(now_ms, session, reason)
 
     def close(self, now_ms: float) -> None:
-        """End all sessions here, in an orderly stop."""
+        """End all sessions of this gateway in an orderly shutdown."""
         self._sessions.close_all(now_ms)
 
     def hand_over(self, now_ms: float, request: HandOverRequest) -> MemberEntry | None:
-        """Return a session's entry for another gateway that takes it, and hold it still meanwhile."""
+        """Return a session's entry to the gateway that takes it over, and freeze the session meanwhile.
+
+        None if the session is not here or the secret does not match.
+        """
         return self._sessions.hand_over(now_ms, request)
 
     def record_hand_over(self, now_ms: float, done: HandOverDone, new_origin: Origin) -> None:
-        """Leave the marker that names where a session goes on, after which it is shown there."""
+        """Replace a session by a marker that names its new gateway; views then show it there."""
         self._sessions.record_hand_over(now_ms, done, new_origin)
 
     def adopt(self, now_ms: float, room: str, entry: MemberEntry) -> Session:
-        """Go on here with a session that another gateway had."""
+        """Continue a session of another gateway at this one.  Raises PresenceLimitError."""
         return self._sessions.adopt(now_ms, room, entry)
 
     def drain_released_names(self) -> list[ReleasedName]:
@@ -107,11 +112,11 @@
     # --- the gossip
 
     def drain_directory_updates(self, max_bytes: int = MAX_ENTRY_BYTES) -> list[DirectoryUpdate]:
-        """Return the gossip's entries on own rooms that changed since the last call."""
+        """Return the gossip entries on own rooms that changed since the last call."""
         return self._directory.drain_updates(max_bytes)
 
     def receive_directory_entry(self, now_ms: float, origin: Origin, key: str, value: bytes | None) -> None:
-        """Read an entry of another gateway; None: it was removed."""
+        """Apply another gateway's gossip entry; a value of None means that it was removed."""
         if origin == self.origin:
             return
         bucket = self._directory.receive(origin, key, value)
@@ -119,17 +124,20 @@
             self._table.on_directory_change(now_ms, origin, bucket)
 
     def forget(self, origin: Origin) -> None:
-        """Drop what the gossip no longer holds; the origin's members become unsure by themselves."""
+        """Drop the directory of an origin that the gossip no longer holds.
+
+        Its members are not removed; they become unsure by the usual time-out.
+        """
         self._directory.forget(origin)
 
     # --- watching
 
     def open_view(self, now_ms: float, room: str) -> RoomView:
-        """Follow a room for a while, for whoever asks here."""
+        """Return a view of a room, which is followed for at least `linger_ms` from now."""
         return self._table.open(now_ms, room)
 
     def append_event(self, room: str, event: RoomEvent) -> None:
-        """Put an event of another kind (a name held, fenced) into a room's feed, if it is followed here."""
+        """Append an event that is not about a member (a name held or fenced) to a followed room's feed."""
         view = self.views.get(room)
         if view is not None:
             view.append_event(event)
@@ -145,82 +153,82 @@
         return changed
 
     def last_known(self, room: str, member_id: str) -> KnownMember | None:
-        """Return what is held of another gateway's member: the newest entry, and where its session is."""
+        """Return the newest known entry of a member, and its session's gateway; None if unknown."""
         view = self.views.get(room)
         return view.newest_entry(member_id) if view is not None else None
 
     def unsure_gateways(self, view: RoomView, now_ms: float) -> dict[str, float]:
-        """Return the gateways whose members in a room are unsure, since when."""
+        """Return the gateways whose members in a room are unsure, with the time since when (ms)."""
         return self._suspicion.unsure_gateways(now_ms, view)
 
     def as_of_ms(self, view: RoomView, now_ms: float) -> float:
-        """Return the time up to which all that the confirmed gateways sent is here."""
+        """Return the time (ms) up to which all updates from confirmed gateways were received."""
         return self._suspicion.as_of_ms(now_ms, view)
 
     # --- streams to other gateways
 
     def desired_sources(self) -> Iterator[Origin]:
-        """Yield the origins that a stream is wanted to."""
+        """Yield the origins to which a stream is needed."""
         return self._table.desired_sources()
 
     def source_connected(self, now_ms: float, origin: Origin) -> None:
-        """A stream to an origin stands."""
+        """Handle an established stream to an origin."""
         self._table.connected(now_ms, origin)
 
     def source_disconnected(self, origin: Origin) -> None:
-        """The stream to an origin is over."""
+        """Handle the end of the stream to an origin."""
         self._table.disconnected(origin)
 
     def record_contact(self, now_ms: float, origin: Origin) -> None:
-        """Something came from an origin."""
+        """Record that a message or heartbeat arrived from an origin."""
         self._table.record_contact(now_ms, origin)
 
     def receive_update(self, now_ms: float, origin: Origin, message: Message) -> None:
-        """Apply what an origin sent by the stream to it."""
+        """Apply a message that an origin sent on the stream to it."""
         self._table.record_contact(now_ms, origin)
         if isinstance(message, SnapshotPage | ChangeBatch):
             if self._delivery.receive(now_ms, origin, message):
                 self._subscribers.reply_to_replicated(origin)
 
     def is_reachable(self, origin: Origin) -> bool:
-        """Whether the stream to an origin stands and is not silent."""
+        """Whether the stream to an origin is connected and not silent."""
         return self._table.is_reachable(origin)
 
     def is_idle(self, origin: Origin) -> bool:
-        """Whether nothing is followed at an origin."""
+        """Whether no room is followed at an origin, so that its stream may be closed."""
         return self._table.is_idle(origin)
 
     # --- streams from other gateways
 
     def subscriber_connected(self, stream: int, origin: Origin) -> None:
-        """Another gateway came by a stream."""
+        """Handle a stream that another gateway opened."""
         self._subscribers.connected(stream, origin)
 
     def subscriber_disconnected(self, stream: int) -> None:
-        """A stream from another gateway is over."""
+        """Handle the end of a stream that another gateway opened."""
         self._subscribers.disconnected(stream)
 
     def receive_request(self, now_ms: float, stream: int, message: Message) -> None:
-        """Do what another gateway asks by its stream."""
+        """Process a request that another gateway sent on its stream."""
         self._subscribers.receive_request(now_ms, stream, message)
 
     @property
     def has_unpublished_changes(self) -> bool:
-        """Whether subscribers have to be sent something."""
+        """Whether there are changes to send to subscribers."""
         return bool(self._local.unpublished)
 
     def publish_changes(self) -> None:
-        """Send subscribers what changed since they were sent something last."""
+        """Queue for each subscriber the changes since those it was last sent."""
         self._subscribers.publish_changes()
 
     def subscriber_streams(self) -> list[int]:
-        """Return the numbers of the streams from others."""
+        """Return the numbers of the streams that other gateways opened."""
         return list(self._subscribers.by_stream)
 
     # --- time, output, figures
 
     def tick(self, now_ms: float) -> None:
-        """Let time pass: sessions without contact end, silent gateways become unsure, unused views go."""
+        """Apply time-outs: end sessions without contact, mark silent gateways unsure, close unused views."""
         self._sessions.tick(now_ms)
         self._suspicion.tick(now_ms)
         self._delivery.release_overdue(now_ms)
@@ -233,7 +241,7 @@
         self.publish_changes()
 
     def drain_outgoing(self) -> Outgoing:
-        """Return what is to be sent, in order."""
+        """Return and clear the outgoing messages, in order."""
         outgoing = self._outgoing.copy()
         self._outgoing.clear()
         return outgoing
@@ -245,16 +253,16 @@
 
     @property
     def forced_releases(self) -> int:
-        """How many changes were shown before a cause that could not be had."""
+        """How many changes were shown without a cause that was not received in time."""
         return self._delivery.forced
 
     @property
     def resyncs(self) -> int:
-        """How often watchers were told to take a new snapshot."""
+        """How often a feed was reset, which makes watchers fetch a new snapshot."""
         return self._feed_index.resyncs
 
     def counters(self) -> dict[str, int]:
-        """Return counts by the names of the admin port."""
+        """Return counters by their names in the admin port's status."""
         return {
             "members": len(self.sessions),
             "rooms": len(self.rooms),
--- a/cressrock/presence/service.py
+++ b/cressrock/presence/service.py
@@ -1,7 +1,6 @@
-"""Presence of one gateway at work: its rooms with their streams, gossip, agreed names and admin port.
+"""One gateway's presence service: connects its rooms to streams, gossip, agreed names and the admin port.
 
-It holds no figure of its own; what to send and which gateways are alive is decided by the rooms and by
-`liveness`.
+The rooms and `liveness` decide what to send and which gateways are considered alive.
 """
 
 from __future__ import annotations
@@ -35,17 +34,17 @@
 
 
 class PresenceService:
-    """One gateway's presence.  `serve` takes other gateways' streams, `handle` requests of the admin port."""
+    """One gateway's presence.  `serve` accepts other gateways' streams, `handle` admin requests."""
 
     def __init__(
         self, settings: ServiceSettings, room_settings: RoomSettings, environment: PresenceEnvironment
     ) -> None:
-        """Nothing runs before `run`."""
+        """Create the service's parts; no task is started before `run`."""
         self.settings, self.environment = settings, environment
         origin = Origin(environment.name, environment.incarnation)
         self.rooms = Rooms(origin, room_settings, environment.rng.randbytes(SESSION_KEY_BYTES))
         context = ServiceContext(
-            settings, environment, self.rooms, self.now_ms, self._carry_out, self._wake_up
+            settings, environment, self.rooms, self.now_ms, self._flush_outputs, self._wake_loop
         )
         self.streams = PeerStreams(context)
         self.admin = self._admin_port(context)
@@ -62,11 +61,11 @@
         return AdminPort(context, self._entries, self._names, replicas, recovery, self._watches)
 
     def now_ms(self) -> float:
-        """Return the time that rooms go by."""
+        """Return the rooms' time in ms, which excludes pauses of this process."""
         return self._clock.now_ms(self.environment.clock_ms())
 
     async def run(self, *, task_status: TaskStatus[None] = anyio.TASK_STATUS_IGNORED) -> None:
-        """Take part until cancelled."""
+        """Announce this gateway and run the service until cancelled."""
         self._entries.announce()
         async with anyio.create_task_group() as tasks:
             self._read_directory()
@@ -82,32 +81,32 @@
             self.rooms.tick(now_ms)
             self._names.drop_abandoned()
             self._entries.publish_volumes()
-            self._carry_out()
+            self._flush_outputs()
             self.streams.connect_missing(tasks, now_ms)
             self._wake = anyio.Event()
             with anyio.move_on_after(pause_s * self.environment.rng.uniform(0.9, 1.1)):
                 await self._wake.wait()
 
     async def _run_publishing(self) -> None:
-        """Send subscribers what changed, a little later, so that several changes go in one message."""
+        """Send changes to subscribers, delayed by `tell_ms` so that several changes share one message."""
         while True:
             await self._unpublished.wait()
             await anyio.sleep(self.settings.tell_ms / 1000)
             self._unpublished = anyio.Event()
             self.rooms.publish_changes()
-            self._carry_out()
+            self._flush_outputs()
 
     def end_sessions(self) -> None:
-        """End all sessions; in an orderly stop, before the fleet is left."""
+        """End all sessions; called in an orderly shutdown, before leaving the fleet."""
         self.rooms.close(self.now_ms())
         self.rooms.publish_changes()
-        self._carry_out()
+        self._flush_outputs()
 
-    def _wake_up(self) -> None:
+    def _wake_loop(self) -> None:
         self._wake.set()
 
-    def _carry_out(self) -> None:
-        """Send and publish what the rooms want, and wake watchers."""
+    def _flush_outputs(self) -> None:
+        """Send the rooms' pending messages, publish their gossip entries, and wake watchers."""
         for to, message in self.rooms.drain_outgoing():
             self.streams.send(to, message)
         for key, value in self.rooms.drain_directory_updates():
@@ -121,13 +120,13 @@
     # --- notifications from the process
 
     def on_gossip_change(self, origin: GossipOrigin, key: str) -> None:
-        """Read an entry of the gossip that changed."""
+        """Apply a changed gossip entry; keys that are not of presence's directory are ignored."""
         if (origin, key) == EVERYTHING_CHANGED:
             self._read_directory()
         elif key.startswith(KEY_PREFIX):
             value = self.environment.gossip.value_of(key, origin)
             self.rooms.receive_directory_entry(self.now_ms(), Origin(*origin), key, value)
-            self._carry_out()
+            self._flush_outputs()
 
     def _read_directory(self) -> None:
         for bucket in range(BUCKETS):
@@ -136,36 +135,36 @@
                 self.rooms.receive_directory_entry(self.now_ms(), Origin(*origin), key, value)
 
     def on_decision(self, decision: Decision) -> None:
-        """Apply a decision of the consensus, of any topic."""
+        """Apply a consensus decision; called for decisions on every topic."""
         self._names.on_decision(decision)
 
     def record_served_volume(self, volume: str) -> None:
-        """Note that this gateway serves a volume."""
+        """Record that this gateway has just served a volume, to be listed as its carrier."""
         self._entries.record_served_volume(volume)
 
     def record_lock(self, token: str, lock: str, taken: bool) -> None:
-        """Note that a session took a lock through this gateway, or gave it up."""
+        """Record that a session acquired or released a lock through this gateway."""
         try:
             session = self.admin.own_session(token)
             others = [other for other in session.entry.locks if other != lock]
             self.rooms.touch(self.now_ms(), session, locks=[*others, lock] if taken else others)
         except PresenceError as error:
-            # The lock itself is the node's affair; only its entry in the room is missing.
+            # The storage node manages the lock itself; only its entry in the room is missing.
             self.environment.log.info("presence.lock_not_recorded", lock=lock, **error.fields())
-        self._carry_out()
+        self._flush_outputs()
 
     # --- requests
 
     async def serve(self, stream: Stream, received: bytes) -> None:
-        """Serve another gateway's stream; `received` is what was read of it after the four bytes."""
+        """Serve another gateway's stream; `received` holds bytes already read after the magic bytes."""
         await self.streams.serve(stream, received)
 
     async def handle(self, exchange: Exchange) -> None:
-        """Serve a request of the admin port under /v1/presence/."""
+        """Answer a request to the admin port under /v1/presence/."""
         await self.admin.handle(exchange)
 
     def status(self) -> Answer:
-        """Return plain values for the admin port's status."""
+        """Return the JSON-compatible `presence` section of the admin port's status."""
         carriers = self._entries.carriers()
         return {
             **self.rooms.counters(),
--- a/cressrock/presence/sessions.py
+++ b/cressrock/presence/sessions.py
@@ -1,11 +1,10 @@
-"""Sessions of this gateway's clients: their begin and end, their contact, and how they move between
-gateways.
+"""Sessions of this gateway's clients: start, contact, expiry, end, and moves between gateways.
 
-A session that goes on at another gateway keeps its member's id with a greater hop.  Handing over leaves a
-marker that names the new gateway; ending a session that has moved leaves one that nothing older can
-outlive.
+A session that moves to another gateway keeps its member id and gets a higher hop.  Its old gateway keeps a
+marker that names the new one.  When a session that has moved ends, an end marker remains until no gateway can
+still hold an older entry.
 
-Times are of a clock that leaves out how long this process itself stood still.
+Times are milliseconds of a clock that excludes pauses of this process.
 """
 
 from __future__ import annotations
@@ -47,17 +46,17 @@
 
 @dataclass(slots=True)
 class Session:
-    """An own member: its entry, its client's last contact, and the names it holds by their numbers."""
+    """An own member: its entry, its client's last contact, and the agreed names that it holds by number."""
 
     room: str
     entry: MemberEntry
     last_contact_ms: float
-    frozen_until_ms: float = 0.0  # it is being handed over
-    agreed_names: dict[str, int] | None = None  # None and not empty: most sessions hold none
+    frozen_until_ms: float = 0.0  # while it is being handed over
+    agreed_names: dict[str, int] | None = None  # None instead of an empty dict, since most sessions hold none
 
 
 class SessionToken(NamedTuple):
-    """What a client shows of its session."""
+    """The parsed token by which a client identifies its session."""
 
     secret: bytes
     member_id: str
@@ -65,7 +64,7 @@
 
 
 class ReleasedName(NamedTuple):
-    """An agreed name whose session has ended."""
+    """An agreed name, with its decision's number, whose session has ended."""
 
     room: str
     name: str
@@ -73,7 +72,7 @@
 
 
 class _Expiry(NamedTuple):
-    """When a session is to be looked at, or an own marker has outlived all that it guards against."""
+    """When to check a session for expiry, or to delete a marker that is no longer needed."""
 
     expires_at_ms: float
     member_id: str
@@ -82,7 +81,7 @@
 
 
 class Sessions:
-    """The sessions here, and the markers of those that were here."""
+    """This gateway's sessions, and the markers of its former ones."""
 
     def __init__(
         self,
@@ -93,24 +92,27 @@
         table: ViewTable,
         delivery: CausalDelivery,
     ) -> None:
-        """`key` makes the sessions' secrets; it is this process's own and random."""
+        """`key` derives the sessions' secrets; it is random and specific to this process."""
         self.by_member: dict[str, Session] = {}
         self.released_names: list[ReleasedName] = []
         self._settings, self._key, self._numbers = settings, key, numbers
         self._local, self._table, self._delivery = local, table, delivery
         self._expiries: list[_Expiry] = []
-        self._marker_rooms: dict[str, str] = {}  # room of each own marker
+        self._marker_rooms: dict[str, str] = {}  # member id of each own marker -> room
 
     # --- a client's requests
 
     def secret(self, member_id: str, hop: int) -> bytes:
-        """Return the secret of a session here."""
+        """Return the secret of a session of this gateway: SECRET_BYTES, different for each hop."""
         return hashlib.blake2b(
             f"{member_id}.{hop}".encode(), digest_size=SECRET_BYTES, key=self._key
         ).digest()
 
     def find(self, member_id: str, secret: bytes) -> Session | None:
-        """Return a session by its id and secret; None if it is not here.  Raises SessionEndedError."""
+        """Return a session by its member id and secret; None if this gateway does not have it.
+
+        Raises SessionEndedError if the secret does not match.
+        """
         session = self.by_member.get(member_id)
         if session is None:
             return None
@@ -119,55 +121,55 @@
         return session
 
     def join(self, now_ms: float, room: str, data: bytes, locks: Iterable[str]) -> Session:
-        """Let a new session begin.  Raises PresenceLimitError, PresenceRequestError."""
+        """Start a new session.  Raises PresenceLimitError, PresenceRequestError."""
         local, view = self._local.rooms.get(room), self._table.views.get(room)
         members = max(len(local.members) if local else 0, len(view.holders) if view else 0)
         if members >= self._settings.max_room:
             raise PresenceLimitError(f"room {room!r}: {self._settings.max_room} members (presence.max_room)")
         self._check_capacity()
         new_locks = list(locks)
-        self._check(data, new_locks)
+        self._check_entry_limits(data, new_locks)
         self._local.open(room)
         origin = self._table.origin
         member_id = f"{origin.gateway}.{origin.incarnation:x}.{next(self._numbers):x}"
         digest = digest_of_secret(self.secret(member_id, 0))
-        return self._begin(now_ms, room, MemberEntry(member_id, 0, data, new_locks, digest))
+        return self._start_session(now_ms, room, MemberEntry(member_id, 0, data, new_locks, digest))
 
     def touch(
         self, now_ms: float, session: Session, data: bytes | None = None, locks: Iterable[str] | None = None
     ) -> None:
-        """Record that a session's client is there, and what it has now.
+        """Record contact with a session's client, and update its data and locks unless they are None.
 
-        Raises SessionUnavailableError, PresenceRequestError.
+        Raises SessionUnavailableError during a hand-over, PresenceRequestError.
         """
         if session.frozen_until_ms > now_ms:
             raise SessionUnavailableError(f"session {session.entry.id} is being handed over")
         entry = session.entry
         data = entry.data if data is None else data
         new_locks = entry.locks if locks is None else list(locks)
-        self._check(data, new_locks)
+        self._check_entry_limits(data, new_locks)
         session.last_contact_ms = now_ms
         if data != entry.data or new_locks != entry.locks:
             session.entry = msgspec.structs.replace(entry, data=data, locks=new_locks)
             self._record(now_ms, session.room, MemberEdit(entry.id, session.entry))
 
     def leave(self, now_ms: float, session: Session, reason: Reason = Reason.LEFT) -> None:
-        """End a session, for its client or by this gateway's decision."""
+        """End a session, on request of its client or by this gateway."""
         entry = session.entry
         if self.by_member.pop(entry.id, None) is None:
             return
         for name, number in (session.agreed_names or {}).items():
             self.released_names.append(ReleasedName(session.room, name, number))
         if entry.hop:
-            # A gateway it came from may still hold it: nothing older may come up again.
+            # A previous gateway may still hold an older entry; the marker keeps it from reappearing.
             ended_by = ENDED_BY_CLIENT if reason == Reason.LEFT else ENDED_BY_GATEWAY
             marker = msgspec.structs.replace(entry, data=b"", locks=[], moved=VersionStamp("", 0, ended_by))
-            self._leave_marker(now_ms, session.room, marker, reason)
+            self._record_marker(now_ms, session.room, marker, reason)
         else:
             self._record(now_ms, session.room, MemberEdit(entry.id, None, reason))
 
     def close_all(self, now_ms: float) -> None:
-        """End all sessions, in an orderly stop."""
+        """End all sessions in an orderly shutdown."""
         for session in list(self.by_member.values()):
             self.leave(now_ms, session, Reason.CLOSED)
 
@@ -177,7 +179,7 @@
                 f"{self._settings.max_members} members at this gateway (presence.max_members)"
             )
 
-    def _check(self, data: bytes, locks: list[str]) -> None:
+    def _check_entry_limits(self, data: bytes, locks: list[str]) -> None:
         if len(data) > self._settings.max_data:
             raise PresenceRequestError(
                 f"data of {len(data)} bytes; at most {self._settings.max_data} (presence.max_data)"
@@ -190,11 +192,14 @@
     # --- moving between gateways
 
     def hand_over(self, now_ms: float, request: HandOverRequest) -> MemberEntry | None:
-        """Return a session's entry for another gateway that takes it, and hold it still meanwhile."""
+        """Return a session's entry to the gateway that takes it over, and freeze the session for `silent_ms`.
+
+        None if the session is not here or the secret does not match.
+        """
         try:
             session = self.find(request.member_id, request.secret)
         except SessionEndedError:
-            return None  # the token is an older one: to the other gateway there is no such session
+            return None  # the token is outdated: reported to the other gateway as an unknown session
         if session is None or session.room != request.room:
             return None
         session.frozen_until_ms = now_ms + self._settings.silent_ms
@@ -202,26 +207,29 @@
         return session.entry
 
     def record_hand_over(self, now_ms: float, done: HandOverDone, new_origin: Origin) -> None:
-        """Leave the marker that names where a session goes on, after which it is shown there."""
+        """Replace a session by a marker that names its new gateway; views then show it there.
+
+        Ignored if the session is not here or already has the new hop.
+        """
         session = self.by_member.get(done.member_id)
         if session is None or session.room != done.room or session.entry.hop >= done.hop:
             return
         del self.by_member[done.member_id]
         stamp = VersionStamp(*new_origin, done.version)
         marker = msgspec.structs.replace(session.entry, moved=stamp)
-        self._leave_marker(now_ms, done.room, marker, Reason.MOVED, (stamp,))
+        self._record_marker(now_ms, done.room, marker, Reason.MOVED, (stamp,))
 
     def adopt(self, now_ms: float, room: str, entry: MemberEntry) -> Session:
-        """Go on here with a session that another gateway had.  Raises PresenceLimitError."""
+        """Continue another gateway's session at this one, with the next hop.  Raises PresenceLimitError."""
         self._check_capacity()
         self._local.open(room)
         hop = entry.hop + 1
         digest = digest_of_secret(self.secret(entry.id, hop))
-        return self._begin(now_ms, room, MemberEntry(entry.id, hop, entry.data, entry.locks, digest))
+        return self._start_session(now_ms, room, MemberEntry(entry.id, hop, entry.data, entry.locks, digest))
 
     # --- recording and expiry
 
-    def _begin(self, now_ms: float, room: str, entry: MemberEntry) -> Session:
+    def _start_session(self, now_ms: float, room: str, entry: MemberEntry) -> Session:
         session = Session(room, entry, now_ms)
         self.by_member[entry.id] = session
         self._record(now_ms, room, MemberEdit(entry.id, entry))
@@ -237,7 +245,7 @@
         view.shown_since_own_change.clear()
         self._delivery.apply_own(now_ms, view, change)
 
-    def _leave_marker(
+    def _record_marker(
         self,
         now_ms: float,
         room: str,
@@ -246,7 +254,7 @@
         causes: tuple[VersionStamp, ...] = (),
     ) -> None:
         self._record(now_ms, room, MemberEdit(marker.id, marker, reason, causes))
-        # No gateway holds an older entry for longer than the grace and two stated times.
+        # No gateway holds an older entry for longer than `grace_ms` plus twice `gone_ms`.
         expires_at_ms = now_ms + self._settings.grace_ms + 2 * self._settings.gone_ms
         heapq.heappush(self._expiries, _Expiry(expires_at_ms, marker.id, marker.hop, True))
         self._marker_rooms[marker.id] = room
@@ -256,7 +264,7 @@
         heapq.heappush(self._expiries, expiry)
 
     def tick(self, now_ms: float) -> None:
-        """End sessions without contact for the grace, and drop markers that have outlived their use."""
+        """End sessions without contact for `grace_ms`, and delete expired markers."""
         while self._expiries and self._expiries[0].expires_at_ms <= now_ms:
             expiry = heapq.heappop(self._expiries)
             if expiry.is_marker:
