--- a/cressrock/presence/connection.py
+++ b/cressrock/presence/connection.py
@@ -12,9 +12,8 @@
 from cressrock.http.channel import Stream
 from cressrock.presence.messages import FORMAT, Heartbeat, Hello, Message, decode_frame, encode_frame
 
-MAGIC = (
-    b"CRP1"  # read as a frame length it exceeds the fleet's maximum: processes without presence disconnect
-)
+# Read as a frame length it exceeds the fleet's maximum, so a process without presence closes the stream.
+MAGIC = b"CRP1"
 RECEIVE_BYTES = 65536
 CLOSE_TIMEOUT_S = 1
 
--- a/cressrock/presence/environment.py
+++ b/cressrock/presence/environment.py
@@ -109,6 +109,6 @@
     settings: ServiceSettings
     environment: PresenceEnvironment
     rooms: Rooms
-    now_ms: Callable[[], float]  # the rooms' clock, see AwakeClock
+    now_ms: Callable[[], float]  # the rooms' clock, which excludes pauses of this process
     carry_out: Callable[[], None]
     wake: Callable[[], None]
--- a/cressrock/presence/local_rooms.py
+++ b/cressrock/presence/local_rooms.py
@@ -27,9 +27,8 @@
     floor: int  # all changes after this version are in the log
     members: dict[str, MemberEntry] = field(default_factory=dict)
     log: deque[Change] = field(default_factory=deque)
-    causes: dict[Origin, int] = field(
-        default_factory=dict
-    )  # versions of other gateways that the changes so far depend on
+    # Versions of other gateways that the changes so far depend on.
+    causes: dict[Origin, int] = field(default_factory=dict)
     subscribers: dict[int, int] = field(default_factory=dict)  # stream number -> last version sent
 
     def changes_after(self, version: int) -> list[Change]:
--- a/cressrock/presence/regional_replicas.py
+++ b/cressrock/presence/regional_replicas.py
@@ -1,6 +1,6 @@
 """Asks the other gateways of this region to replicate a room, or to look up a member.
 
-A join `near` makes a majority of the region's gateways replicate the room's members at this gateway, so that
+A join `near` makes a majority of the region's gateways replicate this gateway's members of the room, so that
 the session can continue at another gateway if this one fails.
 """
 
