--- a/cressrock/presence/recovery.py
+++ b/cressrock/presence/recovery.py
@@ -1,4 +1,4 @@
-"""Brings a session here from another gateway: handed over by that one, or taken over where it is silent."""
+"""Moves a session to this gateway: handed over by its gateway, or taken over if that gateway is silent."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 
 class ResumedBy(enum.StrEnum):
-    """How a session goes on, as the admin port names it."""
+    """How a session was resumed, as the admin port reports it."""
 
     CONTACT = "here"
     HAND_OVER = "handed over"
@@ -33,14 +33,14 @@
 
 
 class ResumedSession(NamedTuple):
-    """A session that goes on here, and how."""
+    """A session that was resumed at this gateway, and how."""
 
     session: Session
-    how: ResumedBy
+    resumed_by: ResumedBy
 
 
 class SessionRecovery:
-    """Resumes sessions that are not here."""
+    """Resumes sessions that belong to other gateways."""
 
     def __init__(
         self,
@@ -49,13 +49,13 @@
         replicas: RegionalReplicas,
         watches: Watches,
     ) -> None:
-        """`streams` asks a session's gateway, `replicas` those that may hold its entry."""
+        """`streams` sends requests to a session's gateway, `replicas` to those that may hold its entry."""
         self._environment, self._context = context.environment, context
         self._streams, self._replicas, self._watches = streams, replicas, watches
         self._rooms = context.rooms
 
-    async def bring(self, token: SessionToken, timeout_ms: float) -> ResumedSession:
-        """Bring a session here.
+    async def recover(self, token: SessionToken, timeout_ms: float) -> ResumedSession:
+        """Resume a session at this gateway; each of the two requests may take half of `timeout_ms`.
 
         Raises SessionEndedError, SessionUnavailableError, PresenceLimitError.
         """
@@ -63,15 +63,19 @@
         known = await self._locate(token, timeout_ms / 2)
         if known.origin == self._rooms.origin:
             raise SessionEndedError(f"session {token.member_id} has ended")
-        if self._may_answer(known.origin):
+        if self._may_be_reachable(known.origin):
             reply = await self._request_hand_over(token, known.origin, timeout_ms / 2)
             if reply is not None:
                 session = self._accept_handed_over(token, known.origin, reply)
                 return ResumedSession(session, ResumedBy.HAND_OVER)
-        return ResumedSession(self._adopt(token, known), ResumedBy.ADOPTION)
+        return ResumedSession(self._take_over(token, known), ResumedBy.ADOPTION)
 
     async def _locate(self, token: SessionToken, timeout_ms: float) -> KnownMember:
-        """Return what is known of the member here, at its room's replicas, or by its id."""
+        """Return the member's newest known entry and gateway.
+
+        Looks in this gateway's view, then asks the room's replicas, then assumes the gateway that is named in
+        the member's id if it is alive. Raises SessionUnavailableError.
+        """
         last_known = self._rooms.last_known(token.room, token.member_id)
         if last_known is not None:
             return last_known
@@ -84,7 +88,7 @@
                 return KnownMember(MemberEntry(token.member_id), Origin(gateway.name, gateway.incarnation))
         raise SessionUnavailableError(f"session {token.member_id}: nobody who answers holds it")
 
-    def _may_answer(self, origin: Origin) -> bool:
+    def _may_be_reachable(self, origin: Origin) -> bool:
         if self._rooms.is_reachable(origin):
             return True
         return any(
@@ -96,7 +100,7 @@
         self, token: SessionToken, origin: Origin, timeout_ms: float
     ) -> Reply | None:
         def request(number: int) -> HandOverRequest:
-            """Build the request with a number."""
+            """Return the hand-over request with this request number."""
             return HandOverRequest(number, token.room, token.member_id, token.secret)
 
         return await self._streams.request(origin, request, timeout_ms)
@@ -111,8 +115,8 @@
         self._streams.send(origin, done)
         return session
 
-    def _adopt(self, token: SessionToken, known: KnownMember) -> Session:
-        """Go on with a session whose gateway does not answer, by the digest of its secret."""
+    def _take_over(self, token: SessionToken, known: KnownMember) -> Session:
+        """Take over a session whose gateway does not answer, checking the secret by its digest."""
         entry, member_id = known.entry, token.member_id
         if not entry.secret_digest:
             raise SessionUnavailableError(
