--- a/cressrock/replication/__init__.py
+++ b/cressrock/replication/__init__.py
@@ -1,1 +1,1 @@
-"""Copies of a volume's shards by zone, kept so that a zone's loss loses nothing acknowledged."""
+"""Replicates a volume's shards across zones, so that losing a zone loses no acknowledged write."""
--- a/cressrock/replication/admin.py
+++ b/cressrock/replication/admin.py
@@ -1,4 +1,4 @@
-"""The planner's admin port, /v1/copies: tells the sets, and lets an operator accept a loss."""
+"""The planner's admin port, /v1/copies: reports the in-sync sets and lets an operator force a primary."""
 
 from __future__ import annotations
 
@@ -25,11 +25,11 @@
 from cressrock.replication.paced_client import PacedNodeClient
 from cressrock.replication.runtime import SetDecisions
 
-MAX_BODY_BYTES = 4096  # of a POST
+MAX_BODY_BYTES = 4096  # of a POST request
 
 
 class ForcePrimaryOrder(msgspec.Struct, forbid_unknown_fields=True):
-    """What an operator asks for on /v1/copies."""
+    """Body of a POST to /v1/copies: which replica to make the primary, and that data loss is accepted."""
 
     volume: str
     shard: Annotated[int, msgspec.Meta(ge=0)]
@@ -38,7 +38,7 @@
 
 
 class AdminEndpoint:
-    """Serves operators; see docs/copies.md for what an order may lose."""
+    """Serves /v1/copies; docs/copies.md describes which writes a forced primary may lose."""
 
     def __init__(
         self,
@@ -47,11 +47,15 @@
         client: PacedNodeClient,
         log: Any,
     ) -> None:
-        """`client` asks the replica that is to be the primary for its store."""
+        """`client` asks the replica that is to become the primary for its store id."""
         self._placements, self._decisions, self._client, self._log = placements, decisions, client, log
 
     async def handle(self, exchange: Exchange) -> None:
-        """Serve GET: the sets; and POST: let an evicted replica be the primary and only one."""
+        """Serve GET (report the sets) and POST (make a replica that is not in sync the primary).
+
+        After a POST the new primary is the set's only in-sync replica.  Answers 400 to a body that cannot be
+        decoded, and 409 with the error's fields to an order that is not allowed or could not be decided.
+        """
         headers: Headers = [(b"content-type", b"application/json")]
         if exchange.head.method == b"GET":
             sets = report_sets(self._decisions.cache, dict(sorted(self._placements.items())))
@@ -73,25 +77,25 @@
         await exchange.respond(status, headers, msgspec.json.encode(answer or {}))
 
     async def _force_primary(self, order: ForcePrimaryOrder) -> SetReport | None:
-        """Make an evicted replica the primary.  Raises TransitionNotAllowedError, ConsensusError."""
+        """Make an out-of-sync replica the primary.  Raises TransitionNotAllowedError, ConsensusError."""
         placement = self._placements.get(order.volume)
         if placement is None or order.shard >= len(placement.shards) or order.zone not in placement.zones:
             raise TransitionNotAllowedError(
-                f"there is no copy of {order.volume}/{order.shard} in {order.zone!r}"
+                f"volume and shard {order.volume}/{order.shard} have no replica in zone {order.zone!r}"
             )
         if not order.accept_loss:
             raise TransitionNotAllowedError(
-                "accept_loss is not true: what was acknowledged since may be lost"
+                "accept_loss must be true: writes acknowledged since the replica was last in sync may be lost"
             )
         shard = ReplicatedShard(order.volume, order.shard, placement)
         current = await self._decisions.read(shard.topic)
         if current is None:
-            raise TransitionNotAllowedError(f"no set stands for {shard.topic}")
+            raise TransitionNotAllowedError(f"no in-sync set has been decided for {shard.topic}")
         old = decode_set(current.value)
         role = operation_at(old, order.zone, OperationKind.INSPECT).role
         store_id = await self._client.store_id(shard, order.zone, role)
         if store_id is None:
-            raise TransitionNotAllowedError(f"the copy in {order.zone!r} cannot be reached")
+            raise TransitionNotAllowedError(f"the replica in zone {order.zone!r} did not report its store id")
         new = transitions.force_primary(old, order.zone, store_id)
         decision = await self._decisions.decide(shard.topic, new, current.version)
         self._log.warning(
--- a/cressrock/replication/headers.py
+++ b/cressrock/replication/headers.py
@@ -1,4 +1,4 @@
-"""The header fields between processes and storage nodes that keep replicas; `docs/copies.md` lists them."""
+"""HTTP header fields exchanged with storage nodes that hold replicas; `docs/copies.md` lists them."""
 
 from __future__ import annotations
 
@@ -17,12 +17,12 @@
 MISSING_SINCE_HEADER = b"x-cressrock-owed"
 AFTER_HEADER = b"x-cressrock-after"
 
-PRIMARY_ROLE = "first"  # in REPLICA_HEADER; other replicas have their state's value as their role
+PRIMARY_ROLE = "first"  # in REPLICA_HEADER; the role of any other replica is its ReplicaState value
 
 
 class Rejection(StrEnum):
-    """Why a node rejected what it was asked under a set; the value of REJECTED_HEADER.  Nothing ran."""
+    """Why a node rejected an operation without executing it; the value of REJECTED_HEADER."""
 
-    OLDER_EPOCH = "older-epoch"  # the node knows a newer set
-    OTHER_STORE = "other-store"  # its disk is not the one that the set names: it may have lost something
-    NOT_IN_SYNC = "not-in-sync"  # it knows itself as out of the set, and was asked to read
+    OLDER_EPOCH = "older-epoch"  # the node has seen a newer set
+    OTHER_STORE = "other-store"  # the node's store is not the one named in the set: it may lack data
+    NOT_IN_SYNC = "not-in-sync"  # a read at a replica that is not in sync
--- a/cressrock/replication/in_sync_set.py
+++ b/cressrock/replication/in_sync_set.py
@@ -1,9 +1,10 @@
-"""The set of one shard's replicas, as a replicated decision holds it.  Pure.
+"""The in-sync set of one shard's replicas, stored as the value of a consensus decision.  No I/O.
 
 The model is PacificA's (Lin, Yang, Zhang, Zhou, *PacificA: Replication in Log-Based Distributed Storage
-Systems*, MSR-TR-2008-25): a set of replicas under a number that grows with each change, decided apart from
-the data's way; one replica, the primary, orders writes.  What differs: edges carry the writes to the replicas
-(nodes do not speak with each other), and order is kept by version for each path instead of by a log.
+Systems*, MSR-TR-2008-25): a replica set is numbered by an epoch that grows with each change and is decided
+outside the data path; one replica, the primary, orders writes.  Two things differ: edges send the writes to
+the replicas (nodes do not communicate with each other), and writes are ordered by a version for each path
+instead of by a log.
 """
 
 from __future__ import annotations
@@ -16,9 +17,9 @@
 
 from cressrock.errors.replication import InvalidSetError, UnknownSetVersionError
 
-FORMAT_VERSION = 1  # of a decision's value, its first byte
-MAX_REPLICAS = 8  # of one shard; each one more is one more write for every write
-MAX_ACCEPTED_LOSSES = 8  # that a set remembers
+FORMAT_VERSION = 1  # first byte of a decision's value
+MAX_REPLICAS = 8  # of one shard; each additional replica adds one node write to every client write
+MAX_ACCEPTED_LOSSES = 8  # kept in a set, newest last
 
 Counter = Annotated[int, msgspec.Meta(ge=0, le=2**63 - 1)]
 Zone = Annotated[str, msgspec.Meta(min_length=1, max_length=64)]
@@ -26,25 +27,29 @@
 
 
 class ReplicaState(StrEnum):
-    """What a replica is in its set."""
+    """State of a replica within its set."""
 
     IN_SYNC = "in"  # has every acknowledged write; may be read
-    JOINING = "joining"  # takes part in every write, still lacks older ones; is not read
-    OUT_OF_SYNC = "owed"  # evicted: lacks what was written since
+    JOINING = "joining"  # receives every new write but still lacks older ones; must not be read
+    OUT_OF_SYNC = "owed"  # evicted, or never in sync: lacks newer writes
 
 
 class Replica(msgspec.Struct, frozen=True, array_like=True):
-    """One replica: `complete_epoch` is the last epoch of which it had all (0: none)."""
+    """One replica.  `complete_epoch` is the last epoch of which it had every write (0: none)."""
 
     zone: Zone
     state: ReplicaState
     store_id: StoreId = ""
     complete_epoch: Counter = 0
-    evictions: Counter = 0  # how often it was evicted, for the delay of joining again
+    evictions: Counter = 0  # number of evictions; determines the delay before it joins again
 
 
 class AcceptedLoss(msgspec.Struct, frozen=True, array_like=True):
-    """What an operator accepted: acknowledged writes after `complete_epoch` only at `zone` may be lost."""
+    """A data loss that an operator accepted by forcing a primary in place of the one in `zone`.
+
+    Writes acknowledged after `complete_epoch`, up to and including `epoch` (that of the replaced set), may be
+    lost if the forced primary lacks them.
+    """
 
     zone: Zone
     complete_epoch: Counter
@@ -52,7 +57,7 @@
 
 
 class InSyncSet(msgspec.Struct, frozen=True, array_like=True):
-    """The replicas of one shard: the decision `sync/VOLUME/SHARD`.  `epoch` grows with each change."""
+    """The replicas of one shard: value of the decision `sync/VOLUME/SHARD`.  Each change raises `epoch`."""
 
     epoch: Annotated[int, msgspec.Meta(ge=1, le=2**62)]
     primary: Zone
@@ -61,27 +66,27 @@
     primary_since_epoch: Counter = 1
 
     def replica(self, zone: str) -> Replica | None:
-        """Return a zone's replica."""
+        """Return a zone's replica, None if the set has none there."""
         return next((replica for replica in self.replicas if replica.zone == zone), None)
 
     def zones_in(self, *states: ReplicaState) -> tuple[str, ...]:
-        """Return the zones whose replicas are in one of these states, in the set's order."""
+        """Return the zones whose replicas are in one of these states, in the order of `replicas`."""
         return tuple(replica.zone for replica in self.replicas if replica.state in states)
 
     @property
     def write_zones(self) -> tuple[str, ...]:
-        """The zones that must have a write before it is acknowledged, the primary's first."""
+        """The zones that must store a write before it is acknowledged, the primary's first."""
         taking_writes = self.zones_in(ReplicaState.IN_SYNC, ReplicaState.JOINING)
         return (self.primary, *(zone for zone in taking_writes if zone != self.primary))
 
     @property
     def read_zones(self) -> tuple[str, ...]:
-        """The zones that may be read."""
+        """The zones whose replicas may serve reads."""
         return self.zones_in(ReplicaState.IN_SYNC)
 
 
 def set_topic(volume: str, shard: int) -> str:
-    """Return the topic under which the set of a shard (its index in the volume) is decided."""
+    """Return the decision topic of a shard's set; `shard` is its index in the volume."""
     return f"sync/{volume}/{shard}"
 
 
@@ -90,33 +95,35 @@
 
 
 def encode_set(in_sync_set: InSyncSet) -> bytes:
-    """Return a set as a decision's value: the format's version, then MessagePack."""
+    """Encode a set as a decision's value: the format version byte, then MessagePack."""
     return bytes((FORMAT_VERSION,)) + _encoder.encode(in_sync_set)
 
 
 def decode_set(data: bytes) -> InSyncSet:
-    """Read a decision's value; fields that a newer program appended are ignored.
+    """Decode a decision's value; fields appended by a newer release are ignored.
 
     Raises InvalidSetError, UnknownSetVersionError.
     """
     if data and data[0] > FORMAT_VERSION:
-        raise UnknownSetVersionError(f"a set of copies of version {data[0]}")
+        raise UnknownSetVersionError(
+            f"in-sync set has format version {data[0]}, which this release does not support"
+        )
     if not data or data[0] != FORMAT_VERSION:
-        raise InvalidSetError("no set of copies")
+        raise InvalidSetError("not an encoded in-sync set: empty, or wrong format version")
     try:
         in_sync_set = _decoder.decode(data[1:])
     except (msgspec.DecodeError, RecursionError) as error:
-        raise InvalidSetError(f"no set of copies: {error}") from None
+        raise InvalidSetError(f"in-sync set cannot be decoded: {error}") from None
     zones = [replica.zone for replica in in_sync_set.replicas]
     if len(set(zones)) != len(zones) or in_sync_set.primary not in in_sync_set.read_zones:
         raise InvalidSetError(
-            f"a set whose first copy {in_sync_set.primary!r} is not in it, or with a zone twice"
+            f"in-sync set names a zone twice, or its primary {in_sync_set.primary!r} is not in sync"
         )
     return in_sync_set
 
 
 def by_distance(zones: Iterable[str], own: str, regions: Mapping[str, str]) -> tuple[str, ...]:
-    """Order zones from one of them: itself, its region's, the others; among equals by name."""
+    """Sort zones by distance from `own`: itself, others of its region, the rest; ties by name."""
     region = regions.get(own, "")
 
     def distance(zone: str) -> tuple[bool, bool, str]:
--- a/cressrock/replication/known_set.py
+++ b/cressrock/replication/known_set.py
@@ -1,4 +1,4 @@
-"""What a process knows of a shard's set, by the decisions that it has cached."""
+"""A shard's in-sync set as known from this process's cache of decisions."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ReplicaPlacement:
-    """Where a volume's replicas lie: node shards by zone, parallel to `shards`."""
+    """Where a volume's replicas are: for each zone its node shards, parallel to `shards`."""
 
     shards: tuple[int, ...]
     zones: Mapping[str, tuple[int, ...]]
@@ -23,7 +23,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ReplicatedShard:
-    """One shard of a volume, by its index there."""
+    """One shard of a volume; `index` is its position in the volume's list of shards."""
 
     volume: str
     index: int
@@ -31,7 +31,7 @@
 
     @property
     def topic(self) -> str:
-        """The topic under which its set is decided."""
+        """The topic of the decisions on its set."""
         return set_topic(self.volume, self.index)
 
     def node_shard(self, zone: str) -> int:
@@ -41,7 +41,7 @@
 
 @dataclass(frozen=True, slots=True)
 class KnownSet:
-    """A shard's set, None where none is known; `version` is its decision's, `is_current` if that counts."""
+    """A shard's set (None if unknown), its decision's version, and whether that decision is unexpired."""
 
     in_sync_set: InSyncSet | None
     version: int = 0
@@ -49,7 +49,7 @@
 
 
 class SetReport(Struct):
-    """A set as the admin ports report it."""
+    """A set as reported by the admin ports."""
 
     epoch: int
     primary: str = field(name="first")
@@ -59,7 +59,7 @@
 
 
 def known_set(cache: DecisionCache, topic: str) -> KnownSet:
-    """Return what this process knows of a topic's set."""
+    """Return a topic's set from the cache of decisions; it is not current if the decision has expired."""
     cached = cache.get(topic)
     decision = cached.decision if isinstance(cached, Expired) else cached
     if decision is None:
@@ -67,12 +67,12 @@
     try:
         return KnownSet(decode_set(decision.value), decision.version, not isinstance(cached, Expired))
     except (InvalidSetError, UnknownSetVersionError):
-        # Of another release, or broken: as if none were known, so that nothing is written under it.
+        # Written by another release, or corrupt: treated as unknown, so that nothing is written under it.
         return KnownSet(None)
 
 
 def report_set(known: KnownSet) -> SetReport | None:
-    """Return a set as plain values."""
+    """Return a set as plain values for an admin port, None where the set is unknown."""
     in_sync_set = known.in_sync_set
     if in_sync_set is None:
         return None
@@ -88,7 +88,7 @@
 def report_sets(
     cache: DecisionCache, placements: Mapping[str, ReplicaPlacement]
 ) -> dict[str, SetReport | None]:
-    """Return all volumes' sets by topic."""
+    """Return the reports of all volumes' sets by topic."""
     topics = [
         set_topic(volume, index)
         for volume, placement in placements.items()
--- a/cressrock/replication/manager.py
+++ b/cressrock/replication/manager.py
@@ -1,8 +1,8 @@
-"""A planner's side of replication: while it leads, it founds sets, replaces primaries, brings replicas back.
+"""A planner's side of replication: while leading, it creates sets, replaces primaries and repairs replicas.
 
-Proposals only: each change is proposed against the decision that it was made from, so what a former leader
-proposes does not come to stand beside another change.  Operations of repair go to the nodes directly, paced
-by `repair_pacer`; they take no place in the scheduler's queues.
+Each change is proposed by compare-and-set against the decision that it was derived from, so a former leader's
+proposal fails if another change was decided first.  Repair operations go to the nodes directly, paced by
+`repair_pacer`; they do not enter the scheduler's queues.
 """
 
 from __future__ import annotations
@@ -30,14 +30,14 @@
 from cressrock.replication.repair_runner import UNDECIDED_ERRORS, RepairRunner
 from cressrock.replication.runtime import PlannerRuntime, SetDecisions
 
-MAX_LOGGED_PROBLEMS = 1000  # each is logged once
+MAX_LOGGED_PROBLEMS = 1000  # each distinct problem is logged once
 
 StateKey = tuple[str, ReplicaState, int]  # a replica's zone, state and evictions
 
 
 @dataclass(frozen=True, slots=True)
 class ManagerSettings:
-    """The settings' values; times in ms."""
+    """Values from the settings; times in ms."""
 
     poll_interval_ms: float
     min_witnesses: int
@@ -52,22 +52,24 @@
 
 
 @dataclass(slots=True)
-class _ShardMemory:
-    """What this planner remembers of one shard's set, while it leads."""
+class _ShardObservations:
+    """What this planner has observed of one shard's set since it began to lead."""
 
-    seen_since_ms: dict[StateKey, float] = field(default_factory=dict)  # since when a replica is in a state
+    in_state_since_ms: dict[StateKey, float] = field(
+        default_factory=dict
+    )  # when a replica was first seen in its state
 
 
 @dataclass(frozen=True, slots=True)
-class _Current:
-    """The set that stands, and its decision's version."""
+class _DecidedSet:
+    """The currently decided set, and its decision's version."""
 
     in_sync_set: InSyncSet
     version: int
 
 
 class ReplicaManager:
-    """Manages the sets of all replicated volumes; `run` it in a task group."""
+    """Manages the in-sync sets of all replicated volumes; start `run` in a task group."""
 
     def __init__(
         self,
@@ -81,53 +83,53 @@
         log: Any,
         incarnation: str,
     ) -> None:
-        """`client` carries operations to nodes; `on_node_list` has to be called with each node list.
+        """`client` sends operations to nodes; call `on_node_list` with each node list.
 
-        `incarnation` names this run of the planner, in what names its operations to the nodes.
+        `incarnation` identifies this run of the planner in the request ids sent to nodes.
         """
         self._placements, self._runtime, self._settings = placements, runtime, settings
         self._regions, self._clock, self._log = regions, clock, log
         pacer = RepairPacer(
-            share=settings.repair_share,
-            rate=settings.repair_rate,
-            busy=settings.repair_busy_load,
+            max_time_share=settings.repair_share,
+            max_operations_per_s=settings.repair_rate,
+            busy_load=settings.repair_busy_load,
             pause_ms=settings.repair_pause_ms,
         )
         self._client = PacedNodeClient(client, pacer, clock, incarnation)
         self._decisions = SetDecisions(runtime, settings.lease_ms)
         self._admin = AdminEndpoint(placements, self._decisions, self._client, log)
-        self._memory: dict[str, _ShardMemory] = {}  # by topic
+        self._observations: dict[str, _ShardObservations] = {}  # by topic
         self._counts: dict[str, int] = {}
         self._logged_problems: set[str] = set()
 
     def on_node_list(self, report: NodeList) -> None:
-        """Receive news of the node list."""
+        """Update the known nodes from a node list."""
         self._client.on_node_list(report)
 
     async def handle(self, exchange: Exchange) -> None:
-        """Serve /v1/copies."""
+        """Serve a request to /v1/copies."""
         await self._admin.handle(exchange)
 
     def status(self) -> dict[str, object]:
-        """Return plain values for the admin port."""
+        """Return event counts and the number of ready nodes, for the admin port."""
         return {"counts": dict(self._counts), "nodes": len(self._client.nodes)}
 
     async def run(self) -> None:
-        """Manage the sets until cancelled."""
+        """Check every shard each poll interval until cancelled; does nothing while another planner leads."""
         while True:
             await anyio.sleep(self._settings.poll_interval_ms / 1000)
             if not self._runtime.is_leader:
-                self._memory.clear()
+                self._observations.clear()
                 continue
             for volume, placement in sorted(self._placements.items()):
                 for index in range(len(placement.shards)):
-                    await self._check_reporting(ReplicatedShard(volume, index, placement))
+                    await self._check_and_log(ReplicatedShard(volume, index, placement))
 
-    async def _check_reporting(self, shard: ReplicatedShard) -> None:
+    async def _check_and_log(self, shard: ReplicatedShard) -> None:
         try:
             await self._check(shard)
         except UNDECIDED_ERRORS:
-            pass  # another set stands, or none can be decided now: the next look sees what stands
+            pass  # another change was decided first, or there is no quorum: the next check tries again
         except CressrockError as error:
             problem = f"{shard.volume}/{shard.index} {error.code}"
             if problem not in self._logged_problems and len(self._logged_problems) < MAX_LOGGED_PROBLEMS:
@@ -139,24 +141,30 @@
     # --- one shard
 
     async def _check(self, shard: ReplicatedShard) -> None:
-        """Look at a shard's set, and do the one thing that is most needed."""
+        """Check a shard's set and make at most one change, the most urgent.
+
+        In order of urgency: create the set, replace a lost primary, then go through the replicas by zone to
+        reset eviction counts or repair.
+        """
         current = await self._current_set(shard)
         if current is None:
             await self._decide_initial_set(shard)
             return
         replicas = current.in_sync_set.replicas
-        memory = self._memory.setdefault(shard.topic, _ShardMemory())
+        observations = self._observations.setdefault(shard.topic, _ShardObservations())
         now_ms = self._clock()
         by_key = {(replica.zone, replica.state, replica.evictions): replica for replica in replicas}
-        memory.seen_since_ms = {key: memory.seen_since_ms.get(key, now_ms) for key in by_key}
+        observations.in_state_since_ms = {
+            key: observations.in_state_since_ms.get(key, now_ms) for key in by_key
+        }
         if await self._replace_lost_primary(shard, current):
             return
         settings = self._settings
         for key, replica in sorted(by_key.items()):
-            seen_ms = now_ms - memory.seen_since_ms[key]
+            in_state_ms = now_ms - observations.in_state_since_ms[key]
             if replica.state is ReplicaState.IN_SYNC:
-                if replica.evictions and seen_ms >= settings.forget_evictions_ms:
-                    new = transitions.forget_evictions(current.in_sync_set, replica.zone)
+                if replica.evictions and in_state_ms >= settings.forget_evictions_ms:
+                    new = transitions.reset_evictions(current.in_sync_set, replica.zone)
                     await self._decisions.decide(shard.topic, new, current.version)
                     return
                 continue
@@ -164,22 +172,22 @@
                 replica.evictions, settings.min_rejoin_delay_ms, settings.max_rejoin_delay_ms
             )
             is_joining = replica.state is ReplicaState.JOINING
-            if is_joining or not replica.evictions or seen_ms >= delay_ms:
+            if is_joining or not replica.evictions or in_state_ms >= delay_ms:
                 if await self._repair(shard, current, replica.zone):
                     return
 
-    async def _current_set(self, shard: ReplicatedShard) -> _Current | None:
+    async def _current_set(self, shard: ReplicatedShard) -> _DecidedSet | None:
         known = known_set(self._runtime.decision_cache, shard.topic)
         if known.in_sync_set is not None and known.is_current:
-            return _Current(known.in_sync_set, known.version)
+            return _DecidedSet(known.in_sync_set, known.version)
         decision = await self._decisions.read(shard.topic)
-        return _Current(decode_set(decision.value), decision.version) if decision is not None else None
+        return _DecidedSet(decode_set(decision.value), decision.version) if decision is not None else None
 
     def _count(self, event: str, count: int = 1) -> None:
         self._counts[event] = self._counts.get(event, 0) + count
 
-    async def _repair(self, shard: ReplicatedShard, current: _Current, zone: str) -> bool:
-        """Bring a replica back, as far as it goes; return whether anything was done."""
+    async def _repair(self, shard: ReplicatedShard, current: _DecidedSet, zone: str) -> bool:
+        """Repair a replica as far as possible; return whether it rejoined or records were copied."""
         runner = RepairRunner(self._client, self._decisions.decide, shard)
         report = await runner.run(current.in_sync_set, current.version, zone)
         if not report.rejoined and not report.records_copied:
@@ -196,8 +204,8 @@
         )
         return True
 
-    def _reports(self, node_shard: int) -> dict[str, bytes]:
-        """Return what the processes that are alive report of a node shard."""
+    def _reports_from_alive(self, node_shard: int) -> dict[str, bytes]:
+        """Return the reachability reports on a node shard from processes that are alive, by process name."""
         alive = {
             (member.name, member.process_incarnation)
             for member in self._runtime.members()
@@ -206,18 +214,21 @@
         reports = self._runtime.gossip.values(f"{reachability.REACHABILITY_KEY_PREFIX}{node_shard}")
         return {origin[0]: report for origin, report in reports.items() if tuple(origin[:2]) in alive}
 
-    async def _replace_lost_primary(self, shard: ReplicatedShard, current: _Current) -> bool:
-        """Replace the primary where it is lost; return whether something was decided."""
+    async def _replace_lost_primary(self, shard: ReplicatedShard, current: _DecidedSet) -> bool:
+        """Replace the primary if it is lost; return whether a new set was decided."""
         in_sync_set = current.in_sync_set
         primary = in_sync_set.primary
         if not await self._is_primary_lost(shard, in_sync_set):
             return False
         order = [z for z in by_distance(in_sync_set.read_zones, primary, self._regions) if z != primary]
-        # Where the others are missed as well (all nodes drain, say), moving would only shrink the set.
-        reached = [z for z in order if not reachability.is_lost(self._reports(shard.node_shard(z)), 1)]
-        if order and not reached:
+        # If all other replicas are reported unreachable as well (all nodes drain, for example), replacing the
+        # primary would only shrink the set.
+        reachable = [
+            z for z in order if not reachability.is_lost(self._reports_from_alive(shard.node_shard(z)), 1)
+        ]
+        if order and not reachable:
             return False
-        new = transitions.replace_primary(in_sync_set, primary, reached)
+        new = transitions.replace_primary(in_sync_set, primary, reachable)
         await self._decisions.decide(shard.topic, new, current.version)
         self._count("first moved")
         self._log.warning(
@@ -231,7 +242,7 @@
 
     async def _is_primary_lost(self, shard: ReplicatedShard, in_sync_set: InSyncSet) -> bool:
         primary = in_sync_set.primary
-        reports = self._reports(shard.node_shard(primary))
+        reports = self._reports_from_alive(shard.node_shard(primary))
         if reachability.is_lost(reports, self._settings.min_witnesses):
             return True
         if reachability.OTHER_STORE not in reports.values():
@@ -242,7 +253,10 @@
         return replica is not None and store_id is not None and store_id != replica.store_id
 
     async def _decide_initial_set(self, shard: ReplicatedShard) -> None:
-        """Found the set once every replica has told which store it is, and that it knows no set."""
+        """Create the set once every replica has reported its store id and that it knows no set.
+
+        Raises TransitionNotAllowedError where a replica already knows a set.
+        """
         store_ids, epochs = {}, []
         zones = shard.placement.zones
         primary = next(zone for zone, shards in zones.items() if tuple(shards) == shard.placement.shards)
--- a/cressrock/replication/node_protocol.py
+++ b/cressrock/replication/node_protocol.py
@@ -1,4 +1,4 @@
-"""How operations at replicas look on the wire: headers out, answers in (`docs/copies.md`).  Pure."""
+"""Encodes replica operations as HTTP headers and decodes nodes' responses (`docs/copies.md`).  No I/O."""
 
 from __future__ import annotations
 
@@ -24,26 +24,26 @@
 from cressrock.replication.operations import OperationKind, ReplicaOperation, ReplicaResult
 from cressrock.replication.records import Record, Version, parse_version
 
-MAX_COMMITTED_VERSIONS = 16  # told along with one operation
-_METHODS = {"file": b"PUT", "collection": b"MKCOL"}  # by a record's kind; others: DELETE
+MAX_COMMITTED_VERSIONS = 16  # sent with one operation
+_METHODS = {"file": b"PUT", "collection": b"MKCOL"}  # by record kind; any other kind: DELETE
 
 
 @dataclass(frozen=True, slots=True)
 class Payload:
-    """What a record holds: its body (`dispatch.operation.Body`), and the media type."""
+    """A record's body (`dispatch.operation.Body`) and media type."""
 
     body: Any
     media: bytes = b""
 
 
 def set_headers(operation: ReplicaOperation) -> Headers:
-    """Return the fields by which a node judges under which set it is asked."""
+    """Return the header fields by which a node checks the epoch, role and store of an operation."""
     replica = f"{operation.role};{operation.store_id}"
     return [(EPOCH_HEADER, str(operation.epoch).encode()), (REPLICA_HEADER, replica.encode())]
 
 
 def operation_headers(operation: ReplicaOperation, committed: Iterable[Version] = ()) -> Headers:
-    """Return an operation's fields; `committed` are versions known to be on every replica."""
+    """Return an operation's header fields; `committed` lists versions stored on every replica."""
     headers = set_headers(operation)
     committed = list(committed)
     record = operation.record
@@ -62,14 +62,17 @@
 
 
 def operation_method(operation: ReplicaOperation) -> bytes:
-    """Return the method by which a replica applies a record, or returns it."""
+    """Return the HTTP method that inspects a path, applies a record, or reads one."""
     if operation.kind is OperationKind.INSPECT:
         return b"HEAD"
     return _METHODS.get(operation.record.kind, b"DELETE") if operation.record is not None else b"GET"
 
 
 def parse_record(headers: Headers, key: str) -> Record | None:
-    """Return the record that an answer rests on; None where there is none.  Raises InvalidSetError."""
+    """Return the record that a response is based on, None if it names none.  Raises InvalidSetError.
+
+    `key` is the record's path if the response does not give one.
+    """
     version = header(headers, VERSION_HEADER)
     if version is None:
         return None
@@ -77,7 +80,7 @@
     try:
         record_path = bytes.fromhex(path.decode()).decode() if path is not None else key
     except ValueError:
-        raise InvalidSetError("a path that cannot be read") from None
+        raise InvalidSetError("the path header of a node's response cannot be decoded") from None
     return Record(
         record_path,
         parse_version(version.decode("latin-1")),
@@ -89,7 +92,7 @@
 
 
 def parse_result(reply: Any, status: int, headers: Headers, key: str) -> ReplicaResult:
-    """Read a node's answer.  One that cannot be read counts as a failure of that replica."""
+    """Decode a node's response.  One that cannot be decoded counts as a failure of that replica."""
     rejected = header(headers, REJECTED_HEADER)
     epoch_field = header(headers, EPOCH_HEADER)
     try:
@@ -98,12 +101,12 @@
         epoch = int(epoch_field or b"0")
     except (InvalidSetError, ValueError):
         return ReplicaResult(reply, may_have_run=True, failed=True)
-    # A node that heeds no epochs keeps no replicas: nothing it says may count as stored.
+    # A node that sends no epoch does not support replicas: its success must not count as stored.
     failed = status >= 500 or (epoch_field is None and status < 400)
     return ReplicaResult(reply, failed=failed, rejection=rejection, epoch=epoch, record=record)
 
 
 def parse_store_id(headers: Headers) -> str | None:
-    """Return the id of the store that answered; None where the node told none."""
+    """Return the store id from a response's headers, None if there is none."""
     store_id = header(headers, STORE_HEADER)
     return store_id.decode("latin-1") if store_id is not None else None
--- a/cressrock/replication/operations.py
+++ b/cressrock/replication/operations.py
@@ -1,7 +1,7 @@
-"""What the replication's state machines ask for, and what comes of it.  Pure.
+"""Actions and results of replication's state machines.  No I/O.
 
-Each machine is a generator: it yields an action, is sent what came of it, and returns the outcome.  It reads
-no clock; times in which something is to be done are for whoever runs it.
+Each state machine is a generator: it yields an action, receives the action's result through `send`, and
+returns the outcome.  It reads no clock; its driver enforces time limits.
 """
 
 from __future__ import annotations
@@ -17,16 +17,16 @@
 
 
 class OperationKind(Enum):
-    """What to do at a replica."""
+    """Kind of operation at a replica."""
 
-    CLIENT = "client"  # what the client asked for, conditions and all
-    APPLY = "apply"  # apply a record: payload or none, under its version
+    CLIENT = "client"  # the client's own request, including its conditional headers
+    APPLY = "apply"  # apply a record under its version, with its payload if it has one
     INSPECT = "look"  # return the record of a path
 
 
 @dataclass(frozen=True, slots=True)
 class ReplicaOperation:
-    """One operation at one replica, under a set's epoch.  `payload` is a handle of whoever runs it."""
+    """One operation at one replica, under a set's epoch.  `payload` is opaque to the state machines."""
 
     zone: str
     role: str
@@ -39,10 +39,11 @@
 
 @dataclass(frozen=True, slots=True)
 class ReplicaResult:
-    """What came of an operation.  `reply` is the node's answer, in the runner's own form; None: denied.
+    """Result of an operation.  `reply` is the node's response as the driver represents it; None: denied.
 
-    `unreachable`: there is reason to think that the replica cannot be reached, beyond a turn that did not
-    come in time.  `failed`: the node answered that it could not (5xx).
+    `unreachable`: attempts indicate that the replica cannot be reached, as opposed to an operation that was
+    not scheduled in time.  `failed`: the node responded with an error (5xx), or its response could not be
+    decoded or does not support replicas.
     """
 
     reply: Any = None
@@ -50,28 +51,28 @@
     unreachable: bool = False
     failed: bool = False
     rejection: Rejection | None = None
-    epoch: int = 0  # the node's
+    epoch: int = 0  # newest that the node knows
     record: Record | None = None
-    denial: Any = None  # the runner's own answer to the client, if nothing came of the attempts
+    denial: Any = None  # the driver's own answer to the client, if no attempt got a response
 
 
 @dataclass(frozen=True, slots=True)
 class PerformOperations:
-    """Have operations done side by side; answered by as many `ReplicaResult`."""
+    """Perform operations concurrently; the result is a list of `ReplicaResult` in the same order."""
 
     operations: tuple[ReplicaOperation, ...]
 
 
 @dataclass(frozen=True, slots=True)
 class FetchRecord:
-    """Have a record's payload read from a replica; answered by (Record, payload) or None."""
+    """Read a record and its payload from a replica; the result is (Record, payload), or None on failure."""
 
     operation: ReplicaOperation
 
 
 @dataclass(frozen=True, slots=True)
 class EvictReplicas:
-    """Have replicas evicted from the set by decision; answered by the set that then stands, or None."""
+    """Evict replicas by a consensus decision; the result is the set decided then, or None on failure."""
 
     zones: tuple[str, ...]
     in_sync_set: InSyncSet
@@ -79,14 +80,14 @@
 
 @dataclass(frozen=True, slots=True)
 class RefreshSet:
-    """Get a set of at least this epoch; answered by it, or None if none came in time."""
+    """Obtain a set of at least this epoch; the result is the set, or None on timeout."""
 
     min_epoch: int
 
 
 @dataclass(frozen=True, slots=True)
 class MarkCommitted:
-    """Note that all replicas have a version: they are told with what goes to them anyway.  No answer."""
+    """Record that all replicas have a version; nodes are notified with later operations.  No result."""
 
     in_sync_set: InSyncSet
     version: Version
@@ -96,16 +97,16 @@
 
 
 class Disposition(Enum):
-    """How a request ended."""
+    """How a client's request ended."""
 
-    ANSWER = "answer"  # the node's answer, in `result`
-    REJECTED = "refused"  # nothing ran: a retry is harmless
-    FAILED = "failed"  # may have run
+    ANSWER = "answer"  # the node's response, in `result`
+    REJECTED = "refused"  # nothing was executed: safe to retry
+    FAILED = "failed"  # may have been executed
 
 
 @dataclass(frozen=True, slots=True)
 class OperationOutcome:
-    """What to answer.  `reason` is for logs: a word or two."""
+    """Outcome of a client's request.  `reason` is a word or two for logs."""
 
     disposition: Disposition
     result: ReplicaResult | None = None
@@ -113,31 +114,31 @@
 
 
 def answer(result: ReplicaResult) -> OperationOutcome:
-    """Return that the node's answer is the client's."""
+    """Return the outcome that passes the node's response on to the client."""
     return OperationOutcome(Disposition.ANSWER, result)
 
 
 def reject(reason: str, result: ReplicaResult | None = None) -> OperationOutcome:
-    """Return that nothing ran."""
+    """Return the outcome of a request of which nothing was executed."""
     return OperationOutcome(Disposition.REJECTED, result, reason)
 
 
 def fail(reason: str, result: ReplicaResult) -> OperationOutcome:
-    """Return that something may have run."""
+    """Return the outcome of a request that may have been executed."""
     return OperationOutcome(Disposition.FAILED, result, reason)
 
 
-def unanswered(reason: str, result: ReplicaResult) -> OperationOutcome:
-    """Return what a replica's missing answer means: rejected only if nothing can have run."""
+def reject_or_fail(reason: str, result: ReplicaResult) -> OperationOutcome:
+    """Return the outcome when a replica did not respond: rejected only if nothing can have been executed."""
     return fail(reason, result) if result.may_have_run else reject(reason, result)
 
 
 @dataclass(frozen=True, slots=True)
 class SafetyRules:
-    """What the machines heed; a test switches one off to see that it is needed."""
+    """Safety rules of the state machines; tests disable one at a time to show that it is needed."""
 
     evict_before_ack: bool = True  # acknowledge without a replica only after the decision that evicts it
-    settle_reads: bool = True  # an uncommitted record is brought to all replicas before it is answered
+    settle_reads: bool = True  # bring an uncommitted record to all replicas before a read returns it
 
 
 RequestSteps = Generator[Action, Any, OperationOutcome]
@@ -147,7 +148,7 @@
 def operation_at(
     in_sync_set: InSyncSet, zone: str, kind: OperationKind, record: Record | None = None, payload: Any = None
 ) -> ReplicaOperation:
-    """Return an operation at a replica, as a set says of it."""
+    """Return an operation at a zone's replica, with the role, epoch and store id given by the set."""
     replica = in_sync_set.replica(zone)
     state = replica.state if replica is not None else ReplicaState.OUT_OF_SYNC
     role = PRIMARY_ROLE if zone == in_sync_set.primary else str(state)
--- a/cressrock/replication/paced_client.py
+++ b/cressrock/replication/paced_client.py
@@ -1,4 +1,4 @@
-"""Sends repair's operations to storage nodes directly, paced, outside the scheduler's queues."""
+"""Sends repair operations directly to storage nodes at a limited pace, outside the scheduler's queues."""
 
 from __future__ import annotations
 
@@ -21,9 +21,9 @@
 from cressrock.replication.operations import OperationKind, ReplicaOperation
 from cressrock.replication.repair_pacer import RepairPacer
 
-OPERATION_TIMEOUT_MS = 3000.0  # an operation of repair without an answer for so long has failed
+OPERATION_TIMEOUT_MS = 3000.0  # a repair operation without a response by then has failed
 BUSY_STATUS = 503
-# What may come of an exchange without an answer.
+# Raised by an exchange that ends without a usable response.
 EXCHANGE_ERRORS = (
     NoConnectionError, SendNotPermittedError, ConnectionLostError, MessageTooLargeError,
     h11.RemoteProtocolError, PayloadTruncatedError, OSError,
@@ -36,24 +36,24 @@
     async def exchange(
         self, node: str, op: Operation, extra: Headers, progress: AttemptProgress, *, may_stream: bool
     ) -> tuple[Reply, object]:
-        """Send an operation and return the answer."""
+        """Send an operation; return the response and an object that this module ignores."""
 
 
 class PacedNodeClient:
-    """Knows the newest ready node of each shard, and sends it one operation after another."""
+    """Tracks the newest ready node of each shard and sends it repair operations, one at a time."""
 
     def __init__(
         self, client: NodeExchange, pacer: RepairPacer, clock: Callable[[], float], incarnation: str
     ) -> None:
-        """`incarnation` is part of the operations' names to the nodes."""
+        """`clock` returns ms; `incarnation` becomes part of the request ids sent to nodes."""
         self._client, self._pacer, self._clock, self._incarnation = client, pacer, clock, incarnation
-        self._sent = 0
+        self._sent_count = 0
         self.nodes: dict[int, str] = {}  # by node shard
 
     def on_node_list(self, report: NodeList) -> None:
-        """Receive news of the node list.
+        """Update the ready nodes from a node list.
 
-        A list that is complete names all there are: who is missing on it is gone.
+        A complete list names every node: one missing from it is gone.  A failed lookup changes nothing.
         """
         if report.kind is ListKind.FAILED:
             return
@@ -72,7 +72,11 @@
         extra: Iterable[tuple[bytes, bytes]] = (),
         method: bytes | None = None,
     ) -> Reply | None:
-        """Do one operation at a replica, paced; None where it did not answer, or is too busy."""
+        """Send one operation to a replica when the pacer permits it.
+
+        `extra` are further header fields; `method` replaces the one that the operation implies.  Returns None
+        if the shard has no ready node, the node did not respond in time, or it is too busy (503).
+        """
         node_shard = shard.node_shard(operation.zone)
         node = self.nodes.get(node_shard)
         if node is None:
@@ -87,64 +91,66 @@
         request = Operation(
             method, _target(key), shard.volume, key, node_shard, 0, 1.0, headers=headers, body=body
         )
-        self._sent += 1
-        trace: Headers = [(b"x-request-id", f"repair-{self._incarnation}-{self._sent};0;0".encode())]
-        began_ms = self._clock()
+        self._sent_count += 1
+        request_id_headers: Headers = [
+            (b"x-request-id", f"repair-{self._incarnation}-{self._sent_count};0;0".encode())
+        ]
+        sent_at_ms = self._clock()
         reply: Reply | None = None
         with anyio.move_on_after(OPERATION_TIMEOUT_MS / 1000):
             try:
                 reply, _ = await self._client.exchange(
-                    node, request, trace, AttemptProgress(), may_stream=False
+                    node, request, request_id_headers, AttemptProgress(), may_stream=False
                 )
             except EXCHANGE_ERRORS:
-                reply = None  # the plan breaks off, and a later one begins from the set as it then stands
+                reply = None  # the repair plan ends; a later one starts from the set decided by then
         now_ms = self._clock()
         is_busy = reply is not None and reply.status == BUSY_STATUS
-        self._pacer.record_operation(now_ms, now_ms - began_ms, rejected=is_busy, load=_load(reply))
+        self._pacer.record_operation(now_ms, now_ms - sent_at_ms, rejected=is_busy, load=_load(reply))
         return None if is_busy else reply
 
     async def inspect(self, shard: ReplicatedShard, zone: str, role: str = "") -> Reply | None:
-        """Ask a replica which store it is and which set it knows, whatever the set says of it."""
+        """Ask a replica for its store id and newest epoch, whatever the set says; None as in `send`."""
         return await self.send(shard, ReplicaOperation(zone, role, 0, "", OperationKind.INSPECT))
 
     async def store_id(self, shard: ReplicatedShard, zone: str, role: str = "") -> str | None:
-        """Return the id of the store at a replica, whichever the set names; None where it is not told."""
+        """Return the store id that a replica reports, whichever the set names; None if it reports none."""
         reply = await self.inspect(shard, zone, role)
         return node_protocol.parse_store_id(reply.headers) if reply is not None else None
 
 
 class BytesBody:
-    """A payload of bytes that are here as a whole."""
+    """A payload held completely in memory."""
 
     is_complete = True
 
     def __init__(self, data: bytes) -> None:
-        """Keep the bytes."""
+        """`data` is the whole payload."""
         self._data = data
 
     @property
     def length(self) -> int:
-        """Bytes in all."""
+        """Total size in bytes."""
         return len(self._data)
 
     async def read_chunk(self, offset: int) -> bytes:
-        """Return the bytes from an offset."""
+        """Return all bytes from an offset to the end."""
         return self._data[offset:]
 
 
-def body_of(reply: Reply) -> Body:
-    """Return an answer's payload, to be sent on."""
+def reply_body(reply: Reply) -> Body:
+    """Return a response's payload as a body for another operation."""
     return BytesBody(reply.body)
 
 
 def _target(key: str) -> bytes:
-    """Return a path's form in a request; a volume's root ends with a slash."""
+    """Return a path as a request target, percent-encoded; a volume's root ends with a slash."""
     path = quote(key, safe="/!$&'()*+,;=:@-._~")
     return (path + "/" if path.count("/") == 1 else path).encode()
 
 
 def _load(reply: Reply | None) -> float:
-    """Read how busy a node says it is, 0 where it says nothing."""
+    """Return the CPU utilization (0 to 1) that a response reports, 0 if it reports none."""
     value = header(reply.headers, LOAD_HEADER) if reply is not None else None
     if value is None:
         return 0.0
@@ -152,4 +158,4 @@
         report = json.loads(value.removeprefix(b"JSON").strip())
         return float(report.get("cpu_utilization", 0.0))
     except (ValueError, AttributeError, TypeError):
-        return 0.0  # a report that cannot be read says nothing
+        return 0.0  # an unreadable load report is ignored
--- a/cressrock/replication/propagation.py
+++ b/cressrock/replication/propagation.py
@@ -1,6 +1,6 @@
-"""Brings one record to all replicas that take writes: the second half of a write, and of some reads.  Pure.
+"""Brings one record to all replicas that take writes: the second phase of a write and of some reads.  No I/O.
 
-A replica that fails is evicted by decision first.
+A replica that fails is first evicted by a consensus decision.
 """
 
 from __future__ import annotations
@@ -25,23 +25,26 @@
 )
 from cressrock.replication.records import FILE_KIND, Record
 
-MAX_SETS_PER_REQUEST = 12  # that one request may live through; more change only in a storm
+MAX_SETS_PER_REQUEST = 12  # tried by one request; more changes than this mean that the set is not stable
 
 SetSteps = Generator[Action, Any, InSyncSet | None]
 
 
 @dataclass(slots=True)
 class Holders:
-    """Which replicas have a version, by the store that said so: another store may have lost it."""
+    """Which replicas have a version, by the id of the store that confirmed it.
+
+    A replica whose store was replaced since may have lost the version and counts as missing it.
+    """
 
     _stores: dict[str, str] = field(default_factory=dict)
 
     def missing(self, in_sync_set: InSyncSet) -> list[str]:
-        """Return the zones of the replicas that must still get it."""
+        """Return the zones of replicas that take writes and have not confirmed the version."""
         return [z for z in in_sync_set.write_zones if self._stores.get(z) != _store_id(in_sync_set, z)]
 
     def add(self, in_sync_set: InSyncSet, zone: str) -> None:
-        """Enter a replica that has it."""
+        """Add a replica that has the version, under the store id that the set names."""
         self._stores[zone] = _store_id(in_sync_set, zone)
 
 
@@ -53,10 +56,10 @@
 
 @dataclass(slots=True)
 class Propagation:
-    """One record on its way from the replica `source` to the others.
+    """Propagates one record from the replica in zone `source` to the others.
 
-    `is_write`: the client's own write, whose payload is at hand; else a read met the record, which is most
-    often under way to all replicas by itself.
+    `is_write`: the record is this client's own write and its payload is available.  Otherwise a read returned
+    the record; most often its writer is still propagating it, so replicas are inspected before it is applied.
     """
 
     record: Record
@@ -67,7 +70,7 @@
     holders: Holders = field(default_factory=Holders)
 
     def run(self, in_sync_set: InSyncSet) -> SetSteps:
-        """Return the set whose replicas all have the record, or None."""
+        """Return a set of which every replica that takes writes has the record, or None on failure."""
         self.holders.add(in_sync_set, self.source)
         current = in_sync_set
         for _ in range(MAX_SETS_PER_REQUEST):
@@ -78,7 +81,8 @@
             if not self.is_write:
                 newer_epoch = yield from self._inspect(current, missing)
                 if newer_epoch:
-                    # Danger: a replica that was readmitted meanwhile would not be asked, and may have less.
+                    # Without the newer set, a replica readmitted in the meantime would not be checked,
+                    # although it may lack the record.
                     following = yield RefreshSet(newer_epoch)
                     if following is None:
                         return None
@@ -96,16 +100,16 @@
             if following is None:
                 return None
             if self.is_write and self.record.version.epoch < following.primary_since_epoch:
-                # Danger: a primary that had been replaced gave this version.  By it the write would lie
-                # before others that were acknowledged before it began.
+                # A replaced primary assigned this version.  Acknowledged under it, the write would be
+                # ordered before writes that had been acknowledged before it began.
                 return None
             current = following
         return None
 
     def _inspect(self, in_sync_set: InSyncSet, missing: Sequence[str]) -> Generator[Action, Any, int]:
-        """Ask the replicas that may lack the record whether they have it.
+        """Inspect the replicas that may lack the record, and note those that have it.
 
-        Return the epoch of a newer set that one of them knows, else 0.
+        Returns the newest epoch that one of them knows if it exceeds the set's, else 0.
         """
         results = yield PerformOperations(
             tuple(operation_at(in_sync_set, z, OperationKind.INSPECT, self.record) for z in missing)
@@ -127,8 +131,8 @@
 
     def _apply(
         self, in_sync_set: InSyncSet, missing: Sequence[str]
-    ) -> Generator[Action, Any, _Applied | None]:
-        """Apply the record at replicas that lack it; return what came of it, or None where it broke off."""
+    ) -> Generator[Action, Any, _ApplyResult | None]:
+        """Apply the record at replicas that lack it; None if propagation cannot continue."""
         if self.record.kind == FILE_KIND and self.payload is None:
             fetched = yield FetchRecord(
                 operation_at(in_sync_set, self.source, OperationKind.CLIENT, self.record)
@@ -137,13 +141,13 @@
                 return None
             newest, self.payload = fetched
             if newest.version != self.record.version:
-                return None  # overwritten meanwhile: whoever asked looks again
+                return None  # overwritten in the meantime: the caller reads again
         results: list[ReplicaResult] = yield PerformOperations(
             tuple(
                 operation_at(in_sync_set, z, OperationKind.APPLY, self.record, self.payload) for z in missing
             )
         )
-        applied = _Applied()
+        applied = _ApplyResult()
         for zone, result in zip(missing, results, strict=True):
             if result.rejection is Rejection.OLDER_EPOCH:
                 applied.newer_epoch = max(applied.newer_epoch, result.epoch)
@@ -154,25 +158,25 @@
             elif result.reply is not None or result.may_have_run or result.unreachable:
                 applied.failed.append(zone)
             else:
-                return None  # no turn in time: a busy replica is not evicted for that
+                return None  # not scheduled in time: a busy replica is not evicted for that
         return applied
 
 
 @dataclass(slots=True)
-class _Applied:
-    """What came of applying a record: zones that failed, and the epoch of a newer set that a node knows."""
+class _ApplyResult:
+    """Result of applying a record: zones that failed, and the epoch of a newer set at a node (0: none)."""
 
     failed: list[str] = field(default_factory=list)
     newer_epoch: int = 0
 
 
-def _following_set(in_sync_set: InSyncSet, applied: _Applied) -> SetSteps:
-    """Return the set to go on with, without the replicas that failed."""
+def _following_set(in_sync_set: InSyncSet, applied: _ApplyResult) -> SetSteps:
+    """Return the set to continue with, without the replicas that failed; None if none was decided in time."""
     following: InSyncSet | None = in_sync_set
     if applied.newer_epoch:
         following = yield RefreshSet(applied.newer_epoch)
     elif in_sync_set.primary in applied.failed:
-        # The primary cannot be evicted by an edge; the council's own witnesses move it.
+        # An edge cannot evict the primary; the leading planner replaces it, by the edges' reports.
         following = yield RefreshSet(in_sync_set.epoch + 1)
     elif applied.failed:
         following = yield EvictReplicas(tuple(applied.failed), in_sync_set)
--- a/cressrock/replication/read.py
+++ b/cressrock/replication/read.py
@@ -1,9 +1,9 @@
 """A client's read at one of a shard's replicas, as a pure state machine.
 
-What stands at a replica may be a write that not all replicas have yet (*uncommitted*); told to a client, it
-could be gone again with that replica.  So the other replicas get it first (*settling*); this is the
-write-back of Attiya, Bar-Noy and Dolev (*Sharing Memory Robustly in Message-Passing Systems*, 1995), paid for
-by those reads alone that meet a write under way.
+A replica may hold a write that not all replicas have yet (*uncommitted*).  If a read returned it and that
+replica was then lost, a later read would not see it.  Such a write is therefore brought to the other replicas
+first (*settling*).  This is the write-back of Attiya, Bar-Noy and Dolev (*Sharing Memory Robustly in
+Message-Passing Systems*, 1995); only reads that meet a write in progress pay for it.
 """
 
 from __future__ import annotations
@@ -23,14 +23,14 @@
     fail,
     operation_at,
     reject,
-    unanswered,
+    reject_or_fail,
 )
 from cressrock.replication.propagation import Propagation
 from cressrock.replication.records import NO_VERSION, Version
 
-MAX_REPLICAS_READ = 2  # by one request
-MAX_REFRESHES = 2  # of one read's set
-MAX_SETTLED_RECORDS = 8  # that one read may have to settle, one above the other
+MAX_REPLICAS_READ = 2  # tried by one request
+MAX_REFRESHES = 2  # of the set, by one read
+MAX_SETTLED_RECORDS = 8  # settled one after another by one read
 
 
 def read_replicated(
@@ -40,10 +40,11 @@
     lease_valid: bool = True,
     rules: SafetyRules = DEFAULT_SAFETY_RULES,
 ) -> RequestSteps:
-    """Read from the first of `order` (zones that are in sync) that can be asked.
+    """Read from the first zone of `order` whose replica is in sync and can be sent the request.
 
-    Only where nothing was sent is another replica asked, once.  `lease_valid`: the decision counts; without
-    that nothing can be settled, and what is uncommitted is rejected.
+    Another replica is tried once, and only if nothing was executed at the first.  `lease_valid`: the set's
+    decision has not expired.  If it has, nothing can be settled, and a read that meets an uncommitted record
+    is rejected.
     """
     zones = _readable(in_sync_set, order)
     refreshed = 0
@@ -77,7 +78,7 @@
 
 
 def _is_settled(result: ReplicaResult) -> bool:
-    """Whether an answer rests on nothing that could be gone again with its replica."""
+    """Whether a response does not depend on an uncommitted record, which could be lost with its replica."""
     return result.failed or result.record is None or result.record.committed
 
 
@@ -88,8 +89,8 @@
 def _settled_read(
     in_sync_set: InSyncSet, zone: str, result: ReplicaResult, rules: SafetyRules
 ) -> RequestSteps:
-    """Bring the uncommitted record to all replicas, and read again until the answer rests on none."""
-    committed: dict[str, Version] = {}  # by path, by this read's own settling
+    """Bring the uncommitted record to all replicas and read again, until the response depends on none."""
+    committed: dict[str, Version] = {}  # settled by this read, by path
     for _ in range(MAX_SETTLED_RECORDS):
         if result.rejection is not None or result.epoch > in_sync_set.epoch:
             newer = yield RefreshSet(max(result.epoch, in_sync_set.epoch + 1))
@@ -97,7 +98,7 @@
                 break
             in_sync_set = newer
         elif result.reply is None:
-            return unanswered("copy", result)
+            return reject_or_fail("copy", result)
         elif _is_settled(result) or result.record is None:
             return answer(result)
         elif committed.get(result.record.path, NO_VERSION) >= result.record.version:
--- a/cressrock/replication/repair.py
+++ b/cressrock/replication/repair.py
@@ -1,17 +1,18 @@
-"""How a replica that was evicted comes back: a pure plan, carried out by the planner that leads.
+"""Repair of a replica that is not in sync: a plan without I/O, executed by the leading planner.
 
-1. Inspect the replica's store.  2. While it is out: copy what the primary lists as missing.  3. A decision
-lets it join: from this epoch on every write needs it too.  4. Under that epoch the primary's list is read
-once more, from its beginning.  The node heeds the epoch from the first page on, so no write of an older set
-can be ordered after it: what is not on the list goes to the joining replica by itself.  5. A decision
-readmits it, with the proof that the list was read under the epoch that stands.
+1. Inspect the replica's store.  2. While it is out of sync, copy the records that the primary lists as
+missing.  3. A decision lets it join: from this epoch on every write must reach it too.  4. Read the primary's
+list once more under that epoch, from its beginning, and copy.  The primary enforces the epoch from the first
+page on, so it orders no write of an older set after that; writes of this set, which the list may not show,
+are sent to the joining replica anyway.  5. A decision readmits it, with the proof that the list was read
+under the current epoch.
 
-What is missing is kept by the primary, with its data: each record knows the newest epoch under which it was
-written or committed.  A replica that had everything of an epoch lacks the records touched in it or later, and
-all that are not committed.  A store that is not the one that was evicted lacks everything.
+The primary stores with each record the newest epoch under which it was written or committed, and uses it to
+list missing records.  A replica that had every write of an epoch lacks the records touched in that epoch or
+later, and all uncommitted ones.  A store other than the one that was evicted lacks everything.
 
-Any step that fails ends the plan; a later one begins from the set as it then stands, so a new leader goes on
-where the former one died.
+Any step that fails ends the plan; a later plan starts from the set decided by then, so a new leader continues
+where the former one stopped.
 """
 
 from __future__ import annotations
@@ -33,14 +34,14 @@
 )
 from cressrock.replication.records import FILE_KIND, Record, RecordEntry, RecordPage
 
-MAX_LAST_PASS_RECORDS = 64  # so few are left to the last pass, under the epoch of joining
-MAX_PASSES = 16
-MAX_REMEMBERED_RECORDS = 100_000  # that a plan remembers as copied; further ones are inspected
+MAX_LAST_PASS_RECORDS = 64  # the replica joins once a pass copies no more; the last pass copies the rest
+MAX_PASSES = 16  # before joining
+MAX_REMEMBERED_RECORDS = 100_000  # that a plan remembers as copied; records beyond that are inspected first
 
 
 @dataclass(frozen=True, slots=True)
 class ListMissing:
-    """Have the next page of a primary's list read; answered by a RecordPage, or None."""
+    """Read the next page of a primary's list of missing records; the result is a RecordPage, or None."""
 
     operation: ReplicaOperation
     complete_epoch: int
@@ -49,14 +50,14 @@
 
 @dataclass(frozen=True, slots=True)
 class InspectStore:
-    """Have the id of a replica's store read; answered by it, or None."""
+    """Read the id of a replica's store; the result is the id, or None."""
 
     operation: ReplicaOperation
 
 
 @dataclass(frozen=True, slots=True)
 class ProposeSet:
-    """Have a set decided in place of the one it was made from; answered by whether it stands now."""
+    """Propose `new` in place of `old`; the result is whether it was decided."""
 
     old: InSyncSet
     new: InSyncSet
@@ -64,7 +65,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RepairReport:
-    """What a plan came to."""
+    """Result of a repair plan; `reason` says for logs why the replica did not rejoin."""
 
     rejoined: bool
     records_copied: int
@@ -76,13 +77,13 @@
 
 
 def repair_replica(in_sync_set: InSyncSet, zone: str, *, skip_last_pass: bool = False) -> RepairPlan:
-    """Bring one replica back.  `skip_last_pass` is for a test that shows what that pass is for."""
+    """Repair one replica.  `skip_last_pass` lets a test show that the last pass is needed."""
     replica = in_sync_set.replica(zone)
     if replica is None or replica.state is ReplicaState.IN_SYNC:
-        return RepairReport(False, 0, "nothing owed")
+        return RepairReport(False, 0, "replica is in sync or not in the set")
     store_id = yield InspectStore(operation_at(in_sync_set, zone, OperationKind.INSPECT))
     if not store_id:
-        return RepairReport(False, 0, "not reached")
+        return RepairReport(False, 0, "replica did not report its store id")
     catch_up = _CatchUp(zone, store_id)
     if replica.state is ReplicaState.OUT_OF_SYNC:
         complete_epoch = replica.complete_epoch if replica.store_id == store_id else 0
@@ -94,10 +95,10 @@
                 break
         joining = transitions.begin_joining(in_sync_set, zone, store_id)
         if not (yield ProposeSet(in_sync_set, joining)):
-            return RepairReport(False, catch_up.records_copied, "another set stands")
+            return RepairReport(False, catch_up.records_copied, "set was not decided")
         in_sync_set = joining
     elif replica.store_id != store_id:
-        return RepairReport(False, 0, "its store changed while it joined")
+        return RepairReport(False, 0, "store of the joining replica changed")
     if not skip_last_pass:
         replica = in_sync_set.replica(zone)
         assert replica is not None
@@ -109,7 +110,7 @@
     except TransitionNotAllowedError as error:
         return RepairReport(False, catch_up.records_copied, error.text)
     decided = yield ProposeSet(in_sync_set, readmitted)
-    return RepairReport(bool(decided), catch_up.records_copied, "" if decided else "another set stands")
+    return RepairReport(bool(decided), catch_up.records_copied, "" if decided else "set was not decided")
 
 
 @dataclass(slots=True)
@@ -119,12 +120,12 @@
     zone: str
     store_id: str
     records_copied: int = 0
-    _copied: dict[str, Record] = field(default_factory=dict)  # by path, of earlier passes too
+    _copied: dict[str, Record] = field(default_factory=dict)  # by path, over all passes
 
     def run_pass(
         self, in_sync_set: InSyncSet, complete_epoch: int
     ) -> Generator[RepairAction, Any, int | None]:
-        """Go over the list once; return the number of records copied, or None where it broke off."""
+        """Go through the list once; return the number of records copied, or None if that failed."""
         count, after = 0, ""
         while True:
             listing = operation_at(in_sync_set, in_sync_set.primary, OperationKind.INSPECT)
@@ -144,17 +145,18 @@
     def _copy_entry(
         self, in_sync_set: InSyncSet, complete_epoch: int, entry: RecordEntry
     ) -> Generator[RepairAction, Any, bool | None]:
-        """Copy a record unless an earlier pass did; return whether it was copied, None where that failed."""
+        """Copy a record unless an earlier pass did; return whether it was copied, None if that failed."""
         try:
             record = entry.record()
         except InvalidSetError:
-            return None  # a list that cannot be read breaks the plan off; a later one begins anew
+            return None  # an invalid entry ends the plan; a later one starts anew
         known = self._copied.get(entry.key)
         if known is not None and _covers(known, record):
             return False
-        # What it lacks since an epoch it mostly lacks; of everything it may have most.
-        is_full = len(self._copied) >= MAX_REMEMBERED_RECORDS
-        copied = yield from self._copy(in_sync_set, record, inspect=not complete_epoch or is_full)
+        # Records listed since a complete epoch are mostly missing, so they are copied unseen.  A list of all
+        # records (epoch 0) may name many that the replica has, so each is inspected first.
+        is_memory_full = len(self._copied) >= MAX_REMEMBERED_RECORDS
+        copied = yield from self._copy(in_sync_set, record, inspect=not complete_epoch or is_memory_full)
         if copied is None:
             return None
         if len(self._copied) < MAX_REMEMBERED_RECORDS:
@@ -170,7 +172,7 @@
     def _copy(
         self, in_sync_set: InSyncSet, record: Record, *, inspect: bool
     ) -> Generator[RepairAction, Any, Record | None]:
-        """Copy one record; return what the replica has then, or None where that failed."""
+        """Copy one record; return the record that the replica has afterwards, or None on failure."""
         result: ReplicaResult
         if inspect:
             inspection = self._operation(in_sync_set, OperationKind.INSPECT, record)
--- a/cressrock/replication/repair_runner.py
+++ b/cressrock/replication/repair_runner.py
@@ -1,4 +1,4 @@
-"""Carries out the plans of `repair` by paced operations and decisions."""
+"""Executes the plans of `repair` by paced operations at nodes and consensus decisions."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
     ReplicaOperation,
     ReplicaResult,
 )
-from cressrock.replication.paced_client import PacedNodeClient, body_of
+from cressrock.replication.paced_client import PacedNodeClient, reply_body
 from cressrock.replication.records import FILE_KIND, Record, RecordPage, decode_page
 from cressrock.replication.repair import (
     InspectStore,
@@ -36,26 +36,31 @@
     repair_replica,
 )
 
-# A set that was not decided: another stands, or none can be decided now.
+# Raised when a proposed set was not decided: it conflicts with another, is invalid, or there is no quorum.
 UNDECIDED_ERRORS = (
     DecisionConflictError, NoQuorumError, RequestForgottenError, DecisionTooLargeError, InvalidDecisionError,
 )  # fmt: skip
 
-Decide = Callable[[str, InSyncSet, int], Awaitable[Decision]]  # topic, set, version that it follows
+Decide = Callable[
+    [str, InSyncSet, int], Awaitable[Decision]
+]  # topic, set, version of the decision it replaces
 FetchedRecord = tuple[Record, node_protocol.Payload | None]
 
 
 class RepairRunner:
-    """Brings back one replica of one shard."""
+    """Repairs one replica of one shard."""
 
     def __init__(self, client: PacedNodeClient, decide: Decide, shard: ReplicatedShard) -> None:
-        """`decide` proposes a set in place of the decision of a version."""
+        """`decide` proposes a set in place of the decision with a given version."""
         self._client, self._decide, self._shard = client, decide, shard
 
     async def run(self, in_sync_set: InSyncSet, version: int, zone: str) -> RepairReport:
-        """Run a plan from this set, decided with this version."""
+        """Repair the replica in `zone`, given the current set and its decision's version.
+
+        Decision errors other than UNDECIDED_ERRORS are raised.
+        """
         if self._shard.node_shard(zone) not in self._client.nodes:
-            return RepairReport(False, 0, "no node")
+            return RepairReport(False, 0, "no ready node")
         plan = repair_replica(in_sync_set, zone)
         value: Any = None
         while True:
@@ -96,7 +101,7 @@
         try:
             return decode_page(reply.body)
         except InvalidSetError:
-            return None  # the plan breaks off
+            return None  # ends the plan
 
     async def _perform(self, operations: Sequence[ReplicaOperation]) -> list[ReplicaResult]:
         results = []
@@ -121,4 +126,4 @@
         if record.kind != FILE_KIND:
             return record, None
         media = header(reply.headers, b"content-type") or b""
-        return (record, node_protocol.Payload(body_of(reply), media)) if reply.status == 200 else None
+        return (record, node_protocol.Payload(reply_body(reply), media)) if reply.status == 200 else None
--- a/cressrock/replication/runtime.py
+++ b/cressrock/replication/runtime.py
@@ -1,4 +1,4 @@
-"""What replication needs of a planner's runtime, and the decisions on sets by its consensus client."""
+"""Interface to a planner's runtime, and access to the decisions on in-sync sets."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
     """Replicated key-value state (`cressrock.gossip.store.GossipStore`)."""
 
     def values(self, key: str) -> Mapping[Origin, bytes]:
-        """Return a key's values of all processes."""
+        """Return a key's values from all processes, by origin."""
 
 
 class PlannerRuntime(Protocol):
@@ -26,15 +26,15 @@
 
     @property
     def decision_cache(self) -> DecisionCache:
-        """What this process has cached of decisions."""
+        """This process's cache of decisions."""
 
     @property
     def consensus(self) -> ConsensusClient | None:
-        """The council as any process asks it."""
+        """Client of the council, None if this process has none."""
 
     @property
     def gossip(self) -> GossipValues:
-        """What all processes report."""
+        """Entries of all processes in the gossip store."""
 
     @property
     def is_leader(self) -> bool:
@@ -48,23 +48,23 @@
     """Reads and proposes the decisions on in-sync sets."""
 
     def __init__(self, runtime: PlannerRuntime, lease_ms: float) -> None:
-        """`lease_ms` is that of the decisions."""
+        """`lease_ms` is the lease of the decisions made here."""
         self._runtime, self._lease_ms = runtime, lease_ms
 
     @property
     def cache(self) -> DecisionCache:
-        """What this process has cached of decisions."""
+        """This process's cache of decisions."""
         return self._runtime.decision_cache
 
     def _consensus(self) -> ConsensusClient:
         if self._runtime.consensus is None:
-            raise NoQuorumError("this process has no way to the council")
+            raise NoQuorumError("this process has no connection to the council")
         return self._runtime.consensus
 
     async def read(self, topic: str) -> Decision | None:
-        """Return what is decided.  Raises ConsensusError."""
+        """Return a topic's decision from the council, None if there is none.  Raises ConsensusError."""
         return await self._consensus().read(topic)
 
     async def decide(self, topic: str, in_sync_set: InSyncSet, version: int) -> Decision:
-        """Propose a set in place of the decision of this version (0: none).  Raises ConsensusError."""
+        """Propose a set in place of the decision with this version (0: none).  Raises ConsensusError."""
         return await self._consensus().decide(topic, encode_set(in_sync_set), self._lease_ms, version)
--- a/cressrock/replication/service.py
+++ b/cressrock/replication/service.py
@@ -1,4 +1,4 @@
-"""A gateway's side of replication: serves the operations of volumes that have replicas."""
+"""A gateway's side of replication: serves clients' operations on replicated volumes."""
 
 from __future__ import annotations
 
@@ -35,18 +35,18 @@
 )
 from cressrock.replication.write import write_replicated
 
-Choose = Callable[[Sequence[str], float, float], Sequence[str]]
+OrderZones = Callable[[Sequence[str], float, float], Sequence[str]]
 
 
 class ReplicationReport(Struct):
-    """What the gateway's admin port reports."""
+    """Replication's state as reported by the gateway's admin port."""
 
     sets: dict[str, SetReport | None]  # by topic
-    counts: dict[str, int]
+    counts: dict[str, int]  # by event
 
 
 class ReplicatedVolumes:
-    """Serves the operations of volumes that have replicas."""
+    """Serves clients' operations on replicated volumes."""
 
     def __init__(
         self,
@@ -60,28 +60,28 @@
         clock: Callable[[], float],
         log: Any,
         retry_after_ms: float,
-        choose: Choose | None = None,
+        choose: OrderZones | None = None,
     ) -> None:
-        """`zone` is this process's own.
+        """`zone` is this process's own; `clock` returns ms.
 
-        `choose(zones, units, now_ms)` orders zones that are in sync for a read; without it the nearest come
-        first, those that this process cannot reach last.
+        `choose(zones, units, now_ms)` orders the in-sync zones for a read; the default orders them by
+        distance.  In either case zones that this process cannot reach come last.
         """
         self._placements, self._reachability, self._clock = placements, reachability, clock
         self._zone, self._regions = zone, regions
         self._retry_after_ms = retry_after_ms
-        self._choose = choose or self._nearest
+        self._order_zones = choose or self._nearest
         self._environment = RequestEnvironment(runtime, shares, reachability, clock, log)
-        self._latest_sets: dict[str, InSyncSet] = {}  # by topic: the newest that a request worked under
+        self._latest_sets: dict[str, InSyncSet] = {}  # by topic: the newest set used by a request
 
     def is_replicated(self, volume: str) -> bool:
-        """Whether a volume has replicas."""
+        """Whether a volume is replicated."""
         return volume in self._placements
 
     def _nearest(self, zones: Sequence[str], units: float, now_ms: float) -> Sequence[str]:
         return by_distance(zones, self._zone, self._regions)
 
-    # --- one operation of a client
+    # --- a client's operation
 
     async def perform(
         self,
@@ -95,7 +95,10 @@
         send: Send,
         deadline: float,
     ) -> Result:
-        """Do an operation at a shard's replicas and return its one result."""
+        """Perform a client's operation at a shard's replicas and return its result.
+
+        `send` performs one storage operation; `deadline` is in ms on this object's clock.
+        """
         placement = self._placements[volume]
         replicated = ReplicatedShard(volume, placement.shards.index(shard), placement)
         request = ShardRequest(self._environment, replicated, key, method, send, deadline)
@@ -106,7 +109,7 @@
             if known.in_sync_set is None:
                 return self._rejection()
             order = self._read_order(replicated, known.in_sync_set, units)
-            request.is_first_step = len(order) > 1  # a share of the time is left for another replica
+            request.is_first_step = len(order) > 1  # reserves a share of the time for another replica
             steps = read_replicated(known.in_sync_set, order, lease_valid=known.is_current)
         else:
             payload = node_protocol.Payload(body, media) if body is not None else None
@@ -114,19 +117,21 @@
         outcome = await request.run(steps)
         access = "read" if method in READ_METHODS else "write"
         self._environment.count(f"{access} {outcome.disposition.value}")
-        return self._answer(request, outcome)
+        return self._client_result(request, outcome)
 
     def _known_set(self, shard: ReplicatedShard) -> KnownSet:
         known = known_set(self._environment.runtime.decision_cache, shard.topic)
         if known.in_sync_set is not None:
             zones = set(known.in_sync_set.zones_in(*ReplicaState))
             if not zones <= set(shard.placement.zones):
-                return KnownSet(None)  # decided under other settings; a restart with these is still to come
+                return KnownSet(
+                    None
+                )  # decided under newer settings, with which this process has yet to restart
         return known
 
     def _read_order(self, shard: ReplicatedShard, in_sync_set: InSyncSet, units: float) -> list[str]:
         now_ms = self._clock()
-        order = list(self._choose(in_sync_set.read_zones, units, now_ms))
+        order = list(self._order_zones(in_sync_set.read_zones, units, now_ms))
         order.sort(key=lambda zone: self._reachability.is_unreachable(shard.node_shard(zone), now_ms))
         return order
 
@@ -139,8 +144,8 @@
         in_sync_set = known.in_sync_set if known.is_current else None
         return write_replicated(in_sync_set, payload, unreachable=unreachable)
 
-    def _answer(self, request: ShardRequest, outcome: OperationOutcome) -> Result:
-        """Return the client's result; streams that are not answered are abandoned."""
+    def _client_result(self, request: ShardRequest, outcome: OperationOutcome) -> Result:
+        """Return the client's result; abandon the streams of other responses."""
         result = outcome.result
         is_answer = outcome.disposition is Disposition.ANSWER and result is not None
         answered = result.reply if is_answer and result is not None else None
@@ -157,24 +162,24 @@
         return self._rejection() if is_rejected else Denial(verdict, Reason.COPIES_RUN)
 
     def _reset_readmitted(self, shard: ReplicatedShard, in_sync_set: InSyncSet) -> None:
-        """Try replicas again that a newer set lets join."""
-        former = self._latest_sets.get(shard.topic)
-        if former is not None and former.epoch >= in_sync_set.epoch:
+        """Clear the failures of replicas that a newer set has let join again."""
+        previous = self._latest_sets.get(shard.topic)
+        if previous is not None and previous.epoch >= in_sync_set.epoch:
             return
         self._latest_sets[shard.topic] = in_sync_set
         for replica in in_sync_set.replicas:
-            before = former.replica(replica.zone) if former is not None else None
-            was_out = before is not None and before.state is ReplicaState.OUT_OF_SYNC
+            previous_replica = previous.replica(replica.zone) if previous is not None else None
+            was_out = previous_replica is not None and previous_replica.state is ReplicaState.OUT_OF_SYNC
             if was_out and replica.state is not ReplicaState.OUT_OF_SYNC:
                 self._reachability.reset(shard.node_shard(replica.zone))
 
     def _rejection(self) -> Denial:
         return Denial(Verdict.REJECTED, Reason.COPIES, self._retry_after_ms)
 
-    # --- what others learn
+    # --- node list, reports and status
 
     def on_node_list(self, nodes: Iterable[Node]) -> None:
-        """Receive the nodes that the list names now."""
+        """Update reachability from the nodes that are listed now."""
         ready = {node.shard for node in nodes if node.state is NodeState.READY}
         self._reachability.record_node_list(ready, set(self._node_shards()), self._clock())
 
@@ -186,16 +191,19 @@
             for shard in shards
         ]
 
-    def reachability_reports(self, is_doubted: Callable[[int], bool]) -> dict[int, bytes]:
-        """Return what to report of each shard; `is_doubted`: somebody reports it as unreachable."""
+    def reachability_reports(self, has_reports: Callable[[int], bool]) -> dict[int, bytes]:
+        """Return this process's report on each shard, where it has one.
+
+        `has_reports` tells whether any process has a report on a shard.
+        """
         now_ms = self._clock()
         reports = {
-            shard: self._reachability.report(shard, now_ms, is_doubted(shard))
+            shard: self._reachability.report(shard, now_ms, has_reports(shard))
             for shard in self._node_shards()
         }
         return {shard: report for shard, report in reports.items() if report is not None}
 
     def status(self) -> ReplicationReport:
-        """Return what stands of each shard, and what was counted, for the admin port."""
+        """Return each shard's set and the event counts, for the admin port."""
         sets = report_sets(self._environment.runtime.decision_cache, self._placements)
         return ReplicationReport(sets, dict(self._environment.counts))
--- a/cressrock/replication/shard_request.py
+++ b/cressrock/replication/shard_request.py
@@ -1,7 +1,7 @@
-"""Carries out what one client's request asks for at replicas, by storage operations and decisions.
+"""Drives the state machine of one client's request: executes its actions as storage operations and decisions.
 
-It takes no decision: what is sent where comes from the machines, what stands from the council, how long a
-step may take from the settings.
+The state machine determines what is sent where, the council which set is current, and the settings how long a
+step may take.
 """
 
 from __future__ import annotations
@@ -49,10 +49,8 @@
 
 READ_METHODS = frozenset({"GET", "HEAD", "PROPFIND"})
 WRITE_METHODS = frozenset({"PUT", "DELETE", "MKCOL"})
-MAX_PENDING_COMMITS = (
-    64  # of one replica: committed versions that wait for an operation to be told along with
-)
-MAX_REFRESH_PAUSE_MS = 50.0  # between two reads of a decision that another process makes just now
+MAX_PENDING_COMMITS = 64  # for one replica: committed versions waiting to be sent with its next operations
+MAX_REFRESH_PAUSE_MS = 50.0  # between reads of a decision that another process is making
 
 FetchedRecord = tuple[Record, node_protocol.Payload]
 
@@ -62,16 +60,16 @@
 
     @property
     def decision_cache(self) -> DecisionCache:
-        """What a process has cached of decisions."""
+        """The process's cache of decisions."""
 
     @property
     def consensus(self) -> ConsensusClient | None:
-        """The council as any process asks it."""
+        """Client of the council, None if the process has none."""
 
 
 @dataclass(frozen=True, slots=True)
 class DeadlineShares:
-    """How a request's time is divided; see the settings.  Times in ms."""
+    """How a request's remaining time is divided, as fractions; other times in ms.  See the settings."""
 
     first_step: float
     following_steps: float
@@ -81,7 +79,7 @@
 
 
 class Send(Protocol):
-    """Has one storage operation performed: an ordinary one, with its own attempts and budget."""
+    """Performs one ordinary storage operation, with its own attempts and retry budget."""
 
     async def __call__(
         self,
@@ -94,33 +92,37 @@
         *,
         collect: bool = False,
     ) -> Result:
-        """`method`, `key` None: the client's own, with its fields.  `deadline` on the driver's clock."""
+        """Send to a node shard and return the result.
+
+        `method` and `key` None stand for the client's own, with its header fields.  `deadline` is in ms on
+        the clock of `RequestEnvironment`.  With `collect` the response's payload is not streamed.
+        """
 
 
 @dataclass(slots=True)
 class RequestEnvironment:
-    """What all requests of one process share."""
+    """State shared by all requests of one process."""
 
     runtime: ClusterRuntime
     shares: DeadlineShares
     reachability: ReachabilityTracker
     clock: Callable[[], float]
     log: Any
-    counts: dict[str, int] = field(default_factory=dict)  # by what happened, for the admin port
-    # By topic and zone: versions that all replicas have, which they are not told yet.
+    counts: dict[str, int] = field(default_factory=dict)  # by event, for the admin port
+    # By topic and zone: versions that all replicas have, of which the zone's node is still to be notified.
     pending_commits: dict[tuple[str, str], deque[Version]] = field(default_factory=dict)
 
     def count(self, event: str) -> None:
-        """Count something that happened."""
+        """Increment an event's count."""
         self.counts[event] = self.counts.get(event, 0) + 1
 
     def add_commit(self, topic: str, zone: str, version: Version) -> None:
-        """Enter a version that a replica is to be told of; past the bound the oldest are forgotten."""
+        """Queue a committed version for a replica; beyond MAX_PENDING_COMMITS the oldest is dropped."""
         pending = self.pending_commits.setdefault((topic, zone), deque(maxlen=MAX_PENDING_COMMITS))
         pending.append(version)
 
     def drain_commits(self, topic: str, zone: str) -> list[Version]:
-        """Return some versions that a replica is to be told of, each once."""
+        """Remove and return the next committed versions for a replica, as many as one operation carries."""
         pending = self.pending_commits.get((topic, zone))
         if not pending:
             return []
@@ -139,10 +141,12 @@
     send: Send
     deadline_ms: float
     is_first_step: bool = True
-    replies: list[Reply] = field(default_factory=list)  # with streams, of which one is answered
+    replies: list[Reply] = field(
+        default_factory=list
+    )  # that have streams; at most one is passed to the client
 
     async def run(self, steps: RequestSteps) -> OperationOutcome:
-        """Run a machine to its end."""
+        """Run a state machine to its end and return its outcome."""
         value: Any = None
         while True:
             try:
@@ -170,7 +174,7 @@
     # --- operations
 
     def _step_deadline_ms(self, operations: Sequence[ReplicaOperation]) -> float:
-        """Return until when operations may take: the time left is divided among the steps to come."""
+        """Return the deadline of the next step: the time left is divided among the steps to come."""
         now_ms = self.environment.clock()
         is_read = self.method in READ_METHODS and operations[0].kind is OperationKind.CLIENT
         if is_read and not self.is_first_step:
@@ -206,7 +210,8 @@
         headers = node_protocol.operation_headers(operation, commits)
         reply = await self.send(shard, method, key, headers, body, deadline_ms)
         if isinstance(reply, Denial):
-            # A busy replica gives no turn in time; only one that attempts do not reach is unreachable.
+            # A denial may only mean that a busy replica was not scheduled in time; whether the replica is
+            # unreachable is judged by attempts.
             return ReplicaResult(
                 may_have_run=reply.verdict is not Verdict.REJECTED,
                 unreachable=environment.reachability.is_unreachable(shard, environment.clock()),
@@ -221,7 +226,7 @@
         return result
 
     async def _fetch(self, operation: ReplicaOperation) -> FetchedRecord | None:
-        """Read a record's payload as a whole."""
+        """Read a record and its complete payload; None on failure."""
         assert operation.record is not None
         path = operation.record.path
         deadline_ms = self._step_deadline_ms((operation,))
@@ -251,25 +256,25 @@
         return min(environment.shares.consensus_timeout_ms, self.deadline_ms - environment.clock())
 
     async def _refresh(self, min_epoch: int) -> InSyncSet | None:
-        """Return a set of at least this epoch, by asking where it is not known yet."""
+        """Return a set of at least this epoch, from the cache or the council; None if not in time."""
         environment = self.environment
         expires_at_ms = environment.clock() + self._consensus_timeout_ms()
         while (in_sync_set := self._cached_set(min_epoch)) is None:
-            left_ms = expires_at_ms - environment.clock()
-            if left_ms <= 0 or environment.runtime.consensus is None:
+            remaining_ms = expires_at_ms - environment.clock()
+            if remaining_ms <= 0 or environment.runtime.consensus is None:
                 return None
             try:
-                await environment.runtime.consensus.read(self.shard.topic, timeout_ms=left_ms)
+                await environment.runtime.consensus.read(self.shard.topic, timeout_ms=remaining_ms)
             except (NoQuorumError, InvalidDecisionError):
-                # Without the council the set cannot be had in time; the machine says what that means.
+                # The set cannot be obtained in time; the state machine decides what that means.
                 return None
             if (in_sync_set := self._cached_set(min_epoch)) is not None:
                 return in_sync_set
-            await anyio.sleep(min(MAX_REFRESH_PAUSE_MS, max(1.0, left_ms)) / 1000)
+            await anyio.sleep(min(MAX_REFRESH_PAUSE_MS, max(1.0, remaining_ms)) / 1000)
         return in_sync_set
 
     async def _evict(self, zones: tuple[str, ...], in_sync_set: InSyncSet) -> InSyncSet | None:
-        """Have replicas evicted; return the set that stands then, or None if none came to stand in time."""
+        """Evict replicas by a decision; return the set decided then, or None if none was in time."""
         environment, topic = self.environment, self.shard.topic
         known = known_set(environment.runtime.decision_cache, topic)
         if known.in_sync_set is None or known.in_sync_set.epoch != in_sync_set.epoch:
@@ -279,9 +284,9 @@
             for zone in zones:
                 new = transitions.evict(new, zone)
         except TransitionNotAllowedError:
-            # Another process has changed the set meanwhile.
+            # Another process has changed the set in the meantime.
             return await self._refresh(in_sync_set.epoch + 1)
-        began_ms = environment.clock()
+        started_at_ms = environment.clock()
         try:
             await self._decide(new, known.version)
         except DecisionConflictError:
@@ -292,20 +297,21 @@
             )
             return None
         environment.count("put out")
-        duration_ms = round(environment.clock() - began_ms, 1)
+        duration_ms = round(environment.clock() - started_at_ms, 1)
         environment.log.warning(
             "replication.replica_evicted", topic=topic, zones=zones, epoch=new.epoch, duration_ms=duration_ms
         )
-        # Others may still read there: what they are told after this acknowledgement should be it.
+        # Other processes may still read from the evicted replicas.  The pause lets them receive the new set,
+        # so that reads after this write's acknowledgement return it.
         pause_ms = min(environment.shares.eviction_pause_ms, self.deadline_ms - environment.clock())
         await anyio.sleep(max(0.0, pause_ms) / 1000)
         return new
 
     async def _decide(self, new: InSyncSet, version: int) -> None:
-        """Propose a set in place of the decision of this version.  Raises ConsensusError."""
+        """Propose a set in place of the decision with this version.  Raises ConsensusError."""
         consensus = self.environment.runtime.consensus
         if consensus is None:
-            raise NoQuorumError("this process has no way to the council")
+            raise NoQuorumError("this process has no connection to the council")
         await consensus.decide(
             self.shard.topic,
             encode_set(new),
--- a/cressrock/replication/transitions.py
+++ b/cressrock/replication/transitions.py
@@ -1,14 +1,14 @@
-"""How the set of a shard's replicas may change: pure functions from the set that stands to the next.
+"""The permitted changes of a shard's in-sync set: pure functions from the current set to the next.
 
-Each raises its epoch by one, and is proposed to the council against the very decision that it was made from
-(compare and set), so that of two changes made from one set only one comes to stand.
+Each change raises the epoch by one and is proposed to the council by compare-and-set against the decision it
+was derived from, so that of two changes derived from one set at most one is decided.
 
-Why nothing acknowledged is lost.  A write is acknowledged once every replica that takes writes
-(`InSyncSet.write_zones`) of one set has it.  The next set's replicas that are *in sync* were so before, or
-were *joining*: and a joining replica is readmitted only with a proof that, under this very epoch, the primary
-rejected all writes of older sets and all that it then held was taken over.  So a replica that is *in sync*
+Why no acknowledged write is lost: a write is acknowledged once every replica of one set that takes writes
+(`InSyncSet.write_zones`) has it.  A replica that is *in sync* in the next set was in sync before, or was
+*joining*; and a joining replica is readmitted only with a proof that, under the current epoch, the primary
+rejected all writes of older sets and everything it then held was copied.  So every replica that is *in sync*
 has every acknowledged write, and any of them may be the next primary (PacificA's argument; Kafka's rule for
-its in-sync replicas is the same).
+in-sync replicas is the same).  The exception is `force_primary`, by which an operator accepts a loss.
 """
 
 from __future__ import annotations
@@ -30,7 +30,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CatchUpProof:
-    """That a joining replica has everything: `epoch` is the one under which the primary's list was read."""
+    """Proof that a joining replica is complete: the primary's list was copied to it under `epoch`."""
 
     zone: str
     epoch: int
@@ -38,14 +38,16 @@
 
 
 def initial_set(primary: str, store_ids: Mapping[str, str], known_epochs: Sequence[int] = ()) -> InSyncSet:
-    """Return the first set: the primary alone is in sync, the others lack everything.
+    """Return the first set: only the primary is in sync, the others lack everything.
 
-    `store_ids` names the store of each zone's replica; `known_epochs` those that the nodes know.  Raises
-    TransitionNotAllowedError where a node has known a set before: which replica has all then only an operator
-    may say.
+    `store_ids` gives the store id of each zone's replica, `known_epochs` the epochs that the nodes know.
+    Raises TransitionNotAllowedError if a node knows an earlier set: then only an operator can tell which
+    replica is complete.
     """
     if any(known_epochs):
-        raise TransitionNotAllowedError(f"a copy knows the set {max(known_epochs)}, though none stands")
+        raise TransitionNotAllowedError(
+            f"a replica already knows epoch {max(known_epochs)}, but no set is decided; ask an operator"
+        )
     replicas = [
         Replica(zone, ReplicaState.IN_SYNC if zone == primary else ReplicaState.OUT_OF_SYNC, store_id)
         for zone, store_id in store_ids.items()
@@ -54,7 +56,7 @@
 
 
 def _changed(old: InSyncSet, new: Replica, primary: str | None = None) -> InSyncSet:
-    """Return the next set, with a replica in place of its zone's former one."""
+    """Return the next set, with `new` in place of its zone's replica, and the primary if one is given."""
     replicas = tuple(new if replica.zone == new.zone else replica for replica in old.replicas)
     epoch = old.epoch + 1
     since = epoch if primary is not None else old.primary_since_epoch
@@ -64,12 +66,14 @@
 def _replica(old: InSyncSet, zone: str) -> Replica:
     replica = old.replica(zone)
     if replica is None:
-        raise TransitionNotAllowedError(f"the set {old.epoch} has no copy in {zone!r}")
+        raise TransitionNotAllowedError(
+            f"the in-sync set of epoch {old.epoch} has no replica in zone {zone!r}"
+        )
     return replica
 
 
 def _evicted(old: InSyncSet, replica: Replica) -> Replica:
-    # What it had all of: the epoch in which it was last in sync; a joining one still lacks what it lacked.
+    # An in-sync replica has every write up to this epoch; a joining one is complete only as far as before.
     complete = old.epoch if replica.state is ReplicaState.IN_SYNC else replica.complete_epoch
     return msgspec.structs.replace(
         replica, state=ReplicaState.OUT_OF_SYNC, complete_epoch=complete, evictions=replica.evictions + 1
@@ -77,42 +81,50 @@
 
 
 def evict(old: InSyncSet, zone: str) -> InSyncSet:
-    """Evict a replica that cannot follow; only then may a write be acknowledged without it.
+    """Evict a replica that misses writes; only then may a write be acknowledged without it.
 
-    Raises TransitionNotAllowedError for the primary (see `replace_primary`) and for one that is out already.
+    Raises TransitionNotAllowedError for the primary (see `replace_primary`) and replicas already out of sync.
     """
     replica = _replica(old, zone)
     if zone == old.primary or replica.state is ReplicaState.OUT_OF_SYNC:
-        raise TransitionNotAllowedError(f"{zone!r} cannot be put out of the set {old.epoch}")
+        raise TransitionNotAllowedError(
+            f"zone {zone!r} cannot be evicted in epoch {old.epoch}: it is the primary's or out of sync"
+        )
     return _changed(old, _evicted(old, replica))
 
 
 def replace_primary(old: InSyncSet, zone: str, order: Sequence[str] = ()) -> InSyncSet:
-    """Let the next replica that is in sync become the primary, and evict the lost one.
+    """Make another in-sync replica the primary, and evict the lost one in `zone`.
 
-    `order` names zones in order of preference.  Raises OnlyReplicaError where no other is in sync, and
-    TransitionNotAllowedError where `zone` is not the primary's.
+    `order` lists zones in order of preference.  Raises OnlyReplicaError if no other replica is in sync, and
+    TransitionNotAllowedError if `zone` is not the primary's.
     """
     replica = _replica(old, zone)
     if zone != old.primary:
-        raise TransitionNotAllowedError(f"{zone!r} is not the first copy of the set {old.epoch}")
+        raise TransitionNotAllowedError(
+            f"zone {zone!r} does not have the primary of the in-sync set of epoch {old.epoch}"
+        )
     others = [other for other in old.read_zones if other != zone]
     if not others:
-        raise OnlyReplicaError(f"{zone!r} has the only copy with every acknowledged write (set {old.epoch})")
+        raise OnlyReplicaError(
+            f"zone {zone!r} has the only in-sync replica (epoch {old.epoch}); it cannot be replaced"
+        )
     rank = {name: index for index, name in enumerate(order)}
     primary = min(others, key=lambda other: (rank.get(other, len(rank)), other))
     return _changed(old, _evicted(old, replica), primary)
 
 
 def begin_joining(old: InSyncSet, zone: str, store_id: str) -> InSyncSet:
-    """Let an evicted replica take part in every write from now on; it is not read.
+    """Let a replica that is out of sync receive every write from now on; it is not read yet.
 
-    A store other than the one that was evicted may lack anything: it lacks everything from the beginning.
-    Raises TransitionNotAllowedError for a replica that is not evicted.
+    If its store is not the one that was evicted, it may lack any record and counts as empty.  Raises
+    TransitionNotAllowedError for a replica that is not out of sync.
     """
     replica = _replica(old, zone)
     if replica.state is not ReplicaState.OUT_OF_SYNC:
-        raise TransitionNotAllowedError(f"{zone!r} is not owed in the set {old.epoch}")
+        raise TransitionNotAllowedError(
+            f"the replica in zone {zone!r} is not out of sync in epoch {old.epoch}, so it cannot join"
+        )
     complete = replica.complete_epoch if replica.store_id == store_id else 0
     joining = msgspec.structs.replace(
         replica, state=ReplicaState.JOINING, store_id=store_id, complete_epoch=complete
@@ -121,34 +133,35 @@
 
 
 def readmit(old: InSyncSet, proof: CatchUpProof) -> InSyncSet:
-    """Take a joining replica in.
+    """Make a joining replica in sync.
 
-    Raises TransitionNotAllowedError unless the proof was made under this very epoch.
+    Raises TransitionNotAllowedError unless it is joining and the proof is for this epoch and its store.
     """
     replica = _replica(old, proof.zone)
     is_joining = replica.state is ReplicaState.JOINING
     if not is_joining or proof.epoch != old.epoch or proof.store_id != replica.store_id:
         raise TransitionNotAllowedError(
-            f"{proof.zone!r} has no proof under the set {old.epoch} that it has everything"
+            f"the replica in zone {proof.zone!r} has no proof for epoch {old.epoch} that it is complete"
         )
     return _changed(old, msgspec.structs.replace(replica, state=ReplicaState.IN_SYNC, complete_epoch=0))
 
 
-def forget_evictions(old: InSyncSet, zone: str) -> InSyncSet:
-    """Forget how often a replica was evicted.  Raises TransitionNotAllowedError where there is none."""
+def reset_evictions(old: InSyncSet, zone: str) -> InSyncSet:
+    """Reset a replica's number of evictions.  Raises TransitionNotAllowedError if `zone` has no replica."""
     return _changed(old, msgspec.structs.replace(_replica(old, zone), evictions=0))
 
 
 def force_primary(old: InSyncSet, zone: str, store_id: str) -> InSyncSet:
-    """Let an operator make an evicted replica the primary and only one, with the loss named in the set.
+    """Make a replica that is not in sync the primary on an operator's order, and record the loss in the set.
 
-    What was acknowledged since it was evicted and lies only with the others may be lost; they lack, from now
-    on, everything.  Raises TransitionNotAllowedError for a replica that is in sync: no loss is needed then.
+    Writes acknowledged since it was last in sync, which only other replicas have, may be lost.  It becomes
+    the only in-sync replica; the others count as empty.  Raises TransitionNotAllowedError for a replica that
+    is in sync: it can become the primary without a loss.
     """
     replica = _replica(old, zone)
     if replica.state is ReplicaState.IN_SYNC:
         raise TransitionNotAllowedError(
-            f"{zone!r} is in the set {old.epoch}: its first copy can move without a loss"
+            f"zone {zone!r} is in sync in epoch {old.epoch}: it can become the primary without a loss"
         )
     complete = replica.complete_epoch if replica.store_id == store_id else 0
     replicas = tuple(
@@ -162,5 +175,5 @@
 
 
 def rejoin_delay_ms(evictions: int, min_ms: float, max_ms: float) -> float:
-    """Return how long a replica stays out after being evicted so often: doubled each time, bounded."""
+    """Return the delay before an evicted replica joins again: doubles with each eviction, up to `max_ms`."""
     return min(max_ms, min_ms * 2.0 ** min(30, max(0, evictions - 1)))
--- a/cressrock/replication/write.py
+++ b/cressrock/replication/write.py
@@ -1,8 +1,8 @@
 """A client's write at a shard's replicas, as a pure state machine.
 
-A write goes to the primary under the set's epoch, which orders it by a version, then to the other replicas
-with that version.  It is acknowledged when all replicas that take writes have it.  Once something may have
-run, a write is acknowledged or failed, never rejected.
+A write goes under the set's epoch to the primary, which assigns it a version, then with that version to the
+other replicas.  It is acknowledged once all replicas that take writes have it.  A write that may have been
+executed anywhere is acknowledged or failed, never rejected.
 """
 
 from __future__ import annotations
@@ -27,12 +27,12 @@
     fail,
     operation_at,
     reject,
-    unanswered,
+    reject_or_fail,
 )
 from cressrock.replication.propagation import MAX_SETS_PER_REQUEST, Propagation
 from cressrock.replication.records import Record
 
-CHANGED_STATUS = (201, 204)  # of an answer to a request that changed something
+CHANGED_STATUS = (201, 204)  # statuses of a response to a request that changed something
 
 
 def write_replicated(
@@ -41,15 +41,15 @@
     rules: SafetyRules = DEFAULT_SAFETY_RULES,
     unreachable: Sequence[str] = (),
 ) -> RequestSteps:
-    """Write under the set that stands; None: no decision counts here, so nothing may be written.
+    """Write under the current set; None: no unexpired decision is known, so nothing may be written.
 
-    Replicas in zones that are known as `unreachable` are evicted before anything is sent: without a decision
-    the write is then rejected, and leaves nothing half-done that reads would have to wait for.
+    Replicas in `unreachable` zones are evicted before anything is sent: if that decision fails, the write is
+    rejected and leaves no partial write that reads would have to settle.
     """
     if in_sync_set is None:
         return reject("no-decree")
     if in_sync_set.primary in unreachable:
-        # Danger: an edge that reaches nobody would evict all but the primary, for everybody.
+        # Otherwise an edge that reaches no node would evict all replicas but the primary, for every edge.
         return reject("first-copy")
     lost = tuple(zone for zone in in_sync_set.write_zones if zone in unreachable)
     current: InSyncSet | None = in_sync_set
@@ -65,14 +65,14 @@
 
 
 class _Ordered(NamedTuple):
-    """The primary's answer, and the set it was done under."""
+    """The primary's result, and the set under which it was performed."""
 
     in_sync_set: InSyncSet
     result: ReplicaResult
 
 
 def _finish(ordered: _Ordered, payload: Any, rules: SafetyRules) -> RequestSteps:
-    """Bring what the primary ordered, or what its answer rests on, to all replicas, and answer."""
+    """Bring the record that the primary wrote, or its response depends on, to all replicas; then answer."""
     in_sync_set, result = ordered
     record: Record | None = result.record
     if record is None:
@@ -85,7 +85,7 @@
     )
     done = yield from propagation.run(in_sync_set)
     if done is None:
-        # What was answered rests on a write that others lack: telling it would promise what may be gone.
+        # The response depends on a write that other replicas lack and that could still be lost.
         return fail("copies", result) if changed else reject("unsettled", result)
     return answer(result)
 
@@ -93,14 +93,14 @@
 def _order_at_primary(
     in_sync_set: InSyncSet, payload: Any
 ) -> Generator[Action, Any, OperationOutcome | _Ordered]:
-    """Have the primary do the client's operation; return its answer with the set it was done under."""
+    """Perform the client's operation at the primary; return its result and the set that applied then."""
     for _ in range(MAX_SETS_PER_REQUEST):
         (result,) = yield PerformOperations(
             (operation_at(in_sync_set, in_sync_set.primary, OperationKind.CLIENT, payload=payload),)
         )
         if result.rejection is None:
             break
-        # The fence: this edge's set is an older one, or the node's store is not the one that it names.
+        # Fenced: this edge's set is outdated, or the node's store is not the one that the set names.
         other_store = result.rejection is Rejection.OTHER_STORE
         newer = yield RefreshSet(max(result.epoch, in_sync_set.epoch + other_store))
         if newer is None:
@@ -109,7 +109,7 @@
     else:
         return reject("sets-change")
     if result.reply is None:
-        return unanswered("first-copy", result)
+        return reject_or_fail("first-copy", result)
     if result.failed:
         return fail("first-copy", result)
     return _Ordered(in_sync_set, result)
--- a/tests/compatibility/copies_cases.py
+++ b/tests/compatibility/copies_cases.py
@@ -343,7 +343,7 @@
                 ("first lost", transitions.replace_primary, (sync, sync.primary)),
                 ("joined", transitions.begin_joining, (sync, zone, life)),
                 ("came back", transitions.readmit, (sync, proof)),
-                ("faded", transitions.forget_evictions, (sync, zone)),
+                ("faded", transitions.reset_evictions, (sync, zone)),
                 ("taken over", transitions.force_primary, (sync, zone, life)),
                 (
                     "founded",
@@ -541,7 +541,9 @@
 def repair_digest(seed: int) -> str:
     """Drive plans that bring a copy back, and their pace."""
     draw, digest = random.Random(f"repair/{seed}"), Digest()
-    pace = repair_pacer.RepairPacer(share=draw.choice((0.1, 0.5, 1.0)), rate=draw.choice((10.0, 200.0)))
+    pace = repair_pacer.RepairPacer(
+        max_time_share=draw.choice((0.1, 0.5, 1.0)), max_operations_per_s=draw.choice((10.0, 200.0))
+    )
     now = 0.0
     for _ in range(25):
         sync, zone = draw_set(draw), draw.choice("abcd")
@@ -563,7 +565,7 @@
     found, now = reachability.ReachabilityTracker(), 0.0
     if seed % 2:
         found = reachability.ReachabilityTracker(
-            min_failures=1, min_failing_ms=0.0, fresh_ms=300.0, absent_ms=50.0
+            min_failures=1, min_failing_ms=0.0, evidence_ttl_ms=300.0, max_absence_ms=50.0
         )
     for _ in range(400):
         now += draw.choice((0.0, 20.0, 60.0, 400.0))
--- a/tests/replication/test_repair_pacer.py
+++ b/tests/replication/test_repair_pacer.py
@@ -4,7 +4,7 @@
 
 
 def test_repair_stays_below_live_work():
-    pace = RepairPacer(share=0.25, rate=1000.0, busy=0.8, pause_ms=250.0)
+    pace = RepairPacer(max_time_share=0.25, max_operations_per_s=1000.0, busy_load=0.8, pause_ms=250.0)
     pace.record_operation(100.0, 10.0, rejected=False, load=0.5)
     assert pace.wait_ms(100.0) == 30.0
     pace.record_operation(200.0, 10.0, rejected=False, load=0.9)
