--- a/cressrock/replication/transitions.py
+++ b/cressrock/replication/transitions.py
@@ -46,7 +46,7 @@
     """
     if any(known_epochs):
         raise TransitionNotAllowedError(
-            f"a replica already knows epoch {max(known_epochs)}, but no set is decided; ask an operator"
+            f"a replica already knows epoch {max(known_epochs)}, but no set is decided: not creating one"
         )
     replicas = [
         Replica(zone, ReplicaState.IN_SYNC if zone == primary else ReplicaState.OUT_OF_SYNC, store_id)
--- a/tests/compatibility/copies_cases.py
+++ b/tests/compatibility/copies_cases.py
@@ -1,4 +1,4 @@
-"""Examples and seeded streams of copies: what goes over the wire, what nodes keep, what is decided."""
+"""Examples and seeded runs of replication: wire formats, records kept by nodes, and decisions."""
 
 from __future__ import annotations
 
@@ -60,7 +60,7 @@
 
 @dataclass(frozen=True)
 class WireCase:
-    """A value, and how it is written and read."""
+    """A value with its encoder and decoder."""
 
     name: str
     value: Any
@@ -70,7 +70,7 @@
 
 @dataclass(frozen=True)
 class ReadCase:
-    """Bytes that only other versions write, or nothing that can be read."""
+    """Bytes that only other releases write, or that are invalid."""
 
     name: str
     data: bytes
@@ -78,7 +78,7 @@
 
 
 def outcome(call: Callable[..., Any], *args: Any) -> Any:
-    """Return what a call returned in canonical form, or the code of its error."""
+    """Return a call's result in canonical form, or the code of the CressrockError that it raised."""
     try:
         return canonical(call(*args))
     except CressrockError as error:
@@ -86,28 +86,30 @@
 
 
 def wire_cases() -> list[WireCase]:
-    """Return sets and pages, some with their optional fields unset."""
-    copy, state = in_sync_set.Replica, in_sync_set.ReplicaState
-    three = (
-        copy("a", state.IN_SYNC, "a0"),
-        copy("b", state.JOINING, "b0", 2, 1),
-        copy("c", state.OUT_OF_SYNC, "", 0, 9),
+    """Return sets and pages, some of them with optional fields left at their defaults."""
+    new_replica, state = in_sync_set.Replica, in_sync_set.ReplicaState
+    three_replicas = (
+        new_replica("a", state.IN_SYNC, "a0"),
+        new_replica("b", state.JOINING, "b0", 2, 1),
+        new_replica("c", state.OUT_OF_SYNC, "", 0, 9),
     )
-    lost = (in_sync_set.AcceptedLoss("a", 0, 4), in_sync_set.AcceptedLoss("b", 7, 2**62))
+    losses = (in_sync_set.AcceptedLoss("a", 0, 4), in_sync_set.AcceptedLoss("b", 7, 2**62))
     entry = records.RecordEntry
     entries = (
         entry("/v/x", "1.2", "file", "1.2", True),
         entry("/v/größe/z", "3.1", "collection", "0.0", False),
         entry("/v/y", "9223372036854775807.1", "gone", "9.9", True),
     )
-    sync = [
-        ("one copy", in_sync_set.InSyncSet(1, "a", (copy("a", state.IN_SYNC),))),
-        ("three copies", in_sync_set.InSyncSet(3, "a", three)),
-        ("three copies, one loss", in_sync_set.InSyncSet(2**62, "a", three, lost[:1], 2**40)),
-        ("eight losses", in_sync_set.InSyncSet(9, "a", three, lost * 4, 9)),
+    sets = [
+        ("one copy", in_sync_set.InSyncSet(1, "a", (new_replica("a", state.IN_SYNC),))),
+        ("three copies", in_sync_set.InSyncSet(3, "a", three_replicas)),
+        ("three copies, one loss", in_sync_set.InSyncSet(2**62, "a", three_replicas, losses[:1], 2**40)),
+        ("eight losses", in_sync_set.InSyncSet(9, "a", three_replicas, losses * 4, 9)),
         (
             "eight copies",
-            in_sync_set.InSyncSet(7, "z3", tuple(copy(f"z{n}", state.IN_SYNC, f"s{n}") for n in range(8))),
+            in_sync_set.InSyncSet(
+                7, "z3", tuple(new_replica(f"z{n}", state.IN_SYNC, f"s{n}") for n in range(8))
+            ),
         ),
     ]
     pages = [
@@ -116,28 +118,28 @@
         ("last page", records.RecordPage(entries[:1], False)),
     ]
     return [
-        *(WireCase(name, value, in_sync_set.encode_set, in_sync_set.decode_set) for name, value in sync),
+        *(WireCase(name, value, in_sync_set.encode_set, in_sync_set.decode_set) for name, value in sets),
         *(WireCase(name, value, records.encode_page, records.decode_page) for name, value in pages),
     ]
 
 
 def read_cases() -> list[ReadCase]:
-    """Return bytes of older, newer and broken sets and pages."""
+    """Return the bytes of sets and pages that are older, newer or invalid."""
     pack = msgspec.msgpack.encode
-    one = [["a", "in"]]
-    values: list[tuple[str, Any]] = [
-        ("shortest", [1, "a", one]),
-        ("with losses alone", [1, "a", one, [["b", 1, 2]]]),
+    one_replica = [["a", "in"]]
+    sets: list[tuple[str, Any]] = [
+        ("shortest", [1, "a", one_replica]),
+        ("with losses alone", [1, "a", one_replica, [["b", 1, 2]]]),
         ("further fields", [2, "a", [["a", "in", "a0", 0, 0, "new"]], [], 2, "new"]),
-        ("epoch 0", [0, "a", one]),
+        ("epoch 0", [0, "a", one_replica]),
         ("no copies", [1, "a", []]),
         ("nine copies", [1, "a", [[c, "in"] for c in "abcdefghi"]]),
-        ("a zone twice", [1, "a", one * 2]),
+        ("a zone twice", [1, "a", one_replica * 2]),
         ("a first copy that is owed", [1, "a", [["a", "owed"], ["b", "in"]]]),
-        ("a first copy that is not there", [1, "b", one]),
+        ("a first copy that is not there", [1, "b", one_replica]),
         ("unknown state", [1, "a", [["a", "out"]]]),
         ("zone without a name", [1, "", [["", "in"]]]),
-        ("nine losses", [1, "a", one, [["b", 1, 2]] * 9]),
+        ("nine losses", [1, "a", one_replica, [["b", 1, 2]] * 9]),
         ("negative count", [1, "a", [["a", "in", "", -1]]]),
     ]
     entry = ["/v/x", "1.2", "file", "1.2", True]
@@ -150,7 +152,7 @@
         ("no page", "x"),
     ]
     return [
-        *(ReadCase(f"set: {name}", b"\x01" + pack(value), in_sync_set.decode_set) for name, value in values),
+        *(ReadCase(f"set: {name}", b"\x01" + pack(value), in_sync_set.decode_set) for name, value in sets),
         *(ReadCase(f"page: {name}", b"\x01" + pack(value), records.decode_page) for name, value in pages),
         *(
             ReadCase(f"broken {index} for reader {n}", data, reader)
@@ -161,31 +163,31 @@
 
 
 def sample_operations() -> list[operations.ReplicaOperation]:
-    """Return operations of every kind, with and without what they may carry."""
+    """Return operations of every kind, with and without record, payload and media type."""
     operation = operations.ReplicaOperation
     kind, version = operations.OperationKind, records.Version
     record = records.Record("/v/x", version(3, 4))
-    full = records.Record("/v/x", version(3, 4), "file", version(2, 1), True, "1000 2000")
-    folder = records.Record("/v/d", version(5, 1), "collection", records.NO_VERSION, False)
-    gone = records.Record("/v/g", version(5, 2), "gone", version(5, 2))
-    other = records.Record("/v/o", version(5, 2), "unknown")
+    full_record = records.Record("/v/x", version(3, 4), "file", version(2, 1), True, "1000 2000")
+    collection = records.Record("/v/d", version(5, 1), "collection", records.NO_VERSION, False)
+    tombstone = records.Record("/v/g", version(5, 2), "gone", version(5, 2))
+    unknown_kind = records.Record("/v/o", version(5, 2), "unknown")
     payload = node_protocol.Payload(Text("abc"), b"text/plain")
     return [
         operation("a", "first", 7, "a0", kind.CLIENT),
         operation("a", "in", 7, "", kind.CLIENT, record),
         operation("b", "joining", 2**60, "life", kind.APPLY, record),
-        operation("b", "joining", 8, "life", kind.APPLY, full, payload),
-        operation("b", "in", 8, "life", kind.APPLY, full, node_protocol.Payload(Text(""), b"")),
-        operation("b", "in", 8, "life", kind.APPLY, folder),
-        operation("b", "in", 8, "life", kind.APPLY, gone),
-        operation("b", "in", 8, "life", kind.APPLY, other),
+        operation("b", "joining", 8, "life", kind.APPLY, full_record, payload),
+        operation("b", "in", 8, "life", kind.APPLY, full_record, node_protocol.Payload(Text(""), b"")),
+        operation("b", "in", 8, "life", kind.APPLY, collection),
+        operation("b", "in", 8, "life", kind.APPLY, tombstone),
+        operation("b", "in", 8, "life", kind.APPLY, unknown_kind),
         operation("c", "owed", 0, "", kind.INSPECT),
-        operation("c", "owed", 1, "x", kind.INSPECT, full),
+        operation("c", "owed", 1, "x", kind.INSPECT, full_record),
     ]
 
 
 def answers() -> list[tuple[int, list[tuple[bytes, bytes]], str]]:
-    """Return nodes' answers: status, headers, and the key that was asked for."""
+    """Return nodes' responses: status, headers, and the requested key."""
     epoch = (b"x-cressrock-epoch", b"7")
     record = [
         (b"x-cressrock-path", b"/v/\xc3\xb6".hex().encode()),
@@ -220,7 +222,7 @@
 
 
 def answer_values(got: operations.ReplicaResult) -> Any:
-    """Return what was read of an answer."""
+    """Return the decoded fields of a response in canonical form."""
     return [
         got.may_have_run,
         got.unreachable,
@@ -232,7 +234,7 @@
 
 
 def names() -> dict[str, Any]:
-    """Return the names under which sets and words are found by others."""
+    """Return topics, report values, headers and decoded responses, as other processes and nodes see them."""
     regions = {"a": "r0", "b": "r0", "c": "r1", "d": ""}
     return {
         "topics": [in_sync_set.set_topic("v", 0), in_sync_set.set_topic("a volume", 17)],
@@ -271,10 +273,10 @@
 
 
 def stored() -> list[Any]:
-    """Have a stand-in node keep some records; return what it answers, and its list of what it keeps."""
-    rack, found = Rack(0, window_ms=0.0, life="s0"), []
-    op, kind = operations.ReplicaOperation, operations.OperationKind
-    first = [
+    """Send operations to a simulated node; return its responses and its lists of records."""
+    rack, responses = Rack(0, window_ms=0.0, life="s0"), []
+    new_operation, kind = operations.ReplicaOperation, operations.OperationKind
+    client_requests = [
         ("MKCOL", "/v/d", None),
         ("PUT", "/v/d/x", "1"),
         ("PUT", "/v/y", "2"),
@@ -283,95 +285,110 @@
         ("GET", "/v/y", None),
         ("GET", "/v/none", None),
     ]
-    for number, (method, key, text) in enumerate(first):
-        fields = node_protocol.operation_headers(op("a", "first", 1 + number // 3, "s0", kind.CLIENT))
-        found.append(_executed(rack, method, key, fields, text))
-    for asked in sample_operations():
-        key = asked.record.path if asked.record is not None else "/v"
-        text = "abc" if asked.record is not None and asked.record.kind == "file" else None
-        fields = node_protocol.operation_headers(asked, [records.Version(1, 1)])
-        found.append(_executed(rack, node_protocol.operation_method(asked).decode(), key, fields, text))
+    for number, (method, key, text) in enumerate(client_requests):
+        fields = node_protocol.operation_headers(
+            new_operation("a", "first", 1 + number // 3, "s0", kind.CLIENT)
+        )
+        responses.append(_executed(rack, method, key, fields, text))
+    for operation in sample_operations():
+        key = operation.record.path if operation.record is not None else "/v"
+        text = "abc" if operation.record is not None and operation.record.kind == "file" else None
+        fields = node_protocol.operation_headers(operation, [records.Version(1, 1)])
+        responses.append(
+            _executed(rack, node_protocol.operation_method(operation).decode(), key, fields, text)
+        )
     for since, after in (("0", ""), ("2", ""), ("0", "/v/d")):
-        fields = node_protocol.operation_headers(op("a", "first", 2**60, "", kind.INSPECT))
+        fields = node_protocol.operation_headers(new_operation("a", "first", 2**60, "", kind.INSPECT))
         fields += [
             (headers.MISSING_SINCE_HEADER, since.encode()),
             (headers.AFTER_HEADER, after.encode().hex().encode()),
         ]
-        found.append(_executed(rack, "GET", "/v", fields, None))
-    return found
+        responses.append(_executed(rack, "GET", "/v", fields, None))
+    return responses
 
 
 def _executed(rack: Rack, method: str, key: str, headers: Headers, text: str | None) -> Any:
     fields = {name.decode(): value.decode() for name, value in headers}
     body = Text(text) if text is not None else None
-    done = rack.execute(Task(method, parse(key), fields, body, b"", 1000.0))
-    return [method, key, canonical(headers), done.status, canonical(done.headers), done.content.hex()]
+    response = rack.execute(Task(method, parse(key), fields, body, b"", 1000.0))
+    return [
+        method,
+        key,
+        canonical(headers),
+        response.status,
+        canonical(response.headers),
+        response.content.hex(),
+    ]
 
 
 # --- decisions: the pure modules
 
 
 def draw_set(draw: random.Random) -> in_sync_set.InSyncSet:
-    """Draw a set of two to four copies, of which one at least is in."""
+    """Draw a set of two to four replicas, at least one of them in sync."""
     zones = "abcd"[: draw.randrange(2, 5)]
-    copies = []
+    replicas = []
     for index, zone in enumerate(zones):
         state = in_sync_set.ReplicaState.IN_SYNC if not index else draw.choice((STATES[0], *STATES))
-        since = 0 if state is in_sync_set.ReplicaState.IN_SYNC else draw.randrange(4)
-        copies.append(
-            in_sync_set.Replica(zone, state, f"{zone}{draw.randrange(2)}", since, draw.randrange(3))
+        complete_epoch = 0 if state is in_sync_set.ReplicaState.IN_SYNC else draw.randrange(4)
+        replicas.append(
+            in_sync_set.Replica(zone, state, f"{zone}{draw.randrange(2)}", complete_epoch, draw.randrange(3))
         )
-    inside = [copy.zone for copy in copies if copy.state is in_sync_set.ReplicaState.IN_SYNC]
-    draw.shuffle(copies)
+    in_sync_zones = [
+        replica.zone for replica in replicas if replica.state is in_sync_set.ReplicaState.IN_SYNC
+    ]
+    draw.shuffle(replicas)
     epoch = draw.randrange(4, 9)
-    return in_sync_set.InSyncSet(epoch, draw.choice(inside), tuple(copies), (), draw.randrange(1, epoch + 1))
+    return in_sync_set.InSyncSet(
+        epoch, draw.choice(in_sync_zones), tuple(replicas), (), draw.randrange(1, epoch + 1)
+    )
 
 
 def sets_digest(seed: int) -> str:
-    """Drive a set through changes, lawful and not."""
+    """Apply permitted and forbidden transitions to a set; return the digest of the results."""
     draw, digest = random.Random(f"sets/{seed}"), Digest()
-    sync = draw_set(draw)
+    current = draw_set(draw)
     for _ in range(150):
         zone = draw.choice("abcde")
-        life = f"{zone}{draw.randrange(2)}"
+        store_id = f"{zone}{draw.randrange(2)}"
         order = draw.sample("abcd", draw.randrange(5))
-        proof = transitions.CatchUpProof(zone, sync.epoch - draw.choice((0, 0, 0, 1)), life)
+        proof = transitions.CatchUpProof(zone, current.epoch - draw.choice((0, 0, 0, 1)), store_id)
         name, change, args = draw.choice(
             (
-                ("put out", transitions.evict, (sync, zone)),
-                ("first lost", transitions.replace_primary, (sync, zone, order)),
-                ("first lost", transitions.replace_primary, (sync, sync.primary)),
-                ("joined", transitions.begin_joining, (sync, zone, life)),
-                ("came back", transitions.readmit, (sync, proof)),
-                ("faded", transitions.reset_evictions, (sync, zone)),
-                ("taken over", transitions.force_primary, (sync, zone, life)),
+                ("put out", transitions.evict, (current, zone)),
+                ("first lost", transitions.replace_primary, (current, zone, order)),
+                ("first lost", transitions.replace_primary, (current, current.primary)),
+                ("joined", transitions.begin_joining, (current, zone, store_id)),
+                ("came back", transitions.readmit, (current, proof)),
+                ("faded", transitions.reset_evictions, (current, zone)),
+                ("taken over", transitions.force_primary, (current, zone, store_id)),
                 (
                     "founded",
                     transitions.initial_set,
-                    (zone, {"b": "b0", "a": life}, [draw.choice((0, 0, 3))]),
+                    (zone, {"b": "b0", "a": store_id}, [draw.choice((0, 0, 3))]),
                 ),
             )
         )
         digest.add([name, outcome(change, *args)])
         try:
-            found = change(*args)
+            changed = change(*args)
         except CressrockError:
             continue
         if name not in ("founded", "taken over") or draw.random() < 0.05:
-            sync = found if found.primary in found.read_zones else sync
-        shown = [
-            sync.write_zones,
-            sync.read_zones,
-            sync.zones_in(*STATES[1:]),
-            sync.replica(zone),
-            sync.replica("a") is None,
+            current = changed if changed.primary in changed.read_zones else current
+        properties = [
+            current.write_zones,
+            current.read_zones,
+            current.zones_in(*STATES[1:]),
+            current.replica(zone),
+            current.replica("a") is None,
         ]
-        digest.add([canonical(shown), in_sync_set.encode_set(sync)])
+        digest.add([canonical(properties), in_sync_set.encode_set(current)])
     return digest.hex()
 
 
-def _asked(value: Any) -> Any:
-    """Return what a machine asks for as plain values, behind the name under which it was recorded."""
+def _describe_action(value: Any) -> Any:
+    """Return a state machine's action as plain values, after the name under which it was recorded."""
     match value:
         case operations.PerformOperations(ops):
             return ["do", [canonical(op) for op in ops]]
@@ -393,7 +410,7 @@
 
 
 class _Status:
-    """A node's answer, as far as machines look into it."""
+    """A node's response, with the only field that the state machines read."""
 
     def __init__(self, status: int) -> None:
         self.status = status
@@ -407,30 +424,37 @@
     if op.record is not None and draw.random() < 0.7:
         if draw.random() < 0.8:
             return op.record
-        return _beside(op.record, draw)
-    at = records.Version(draw.randrange(1, sync.epoch + 2), draw.randrange(5))
+        return _draw_neighbour(op.record, draw)
+    version = records.Version(draw.randrange(1, sync.epoch + 2), draw.randrange(5))
     cleared = records.Version(draw.randrange(2), draw.randrange(3))
     path, kind = draw.choice(("/v/x", "/v/x", "/v")), draw.choice(("file", "file", "collection", "gone"))
-    return records.Record(path, at, kind, cleared, draw.random() < 0.3, draw.choice(("", "1 2")))
+    return records.Record(path, version, kind, cleared, draw.random() < 0.3, draw.choice(("", "1 2")))
 
 
-def _beside(record: records.Record, draw: random.Random) -> records.Record:
-    """Return a record that stands a little before or after another."""
-    at = records.Version(record.version.epoch, max(0, record.version.number + draw.choice((-1, 1))))
+def _draw_neighbour(record: records.Record, draw: random.Random) -> records.Record:
+    """Draw a record whose version is one before or after another's."""
+    neighbour_version = records.Version(
+        record.version.epoch, max(0, record.version.number + draw.choice((-1, 1)))
+    )
     return records.Record(
-        record.path, at, record.kind, record.cleared_version, draw.random() < 0.5, record.timestamps
+        record.path,
+        neighbour_version,
+        record.kind,
+        record.cleared_version,
+        draw.random() < 0.5,
+        record.timestamps,
     )
 
 
-def _draw_got(
-    draw: random.Random, op: operations.ReplicaOperation, sync: in_sync_set.InSyncSet, trouble: float
+def _draw_operation_result(
+    draw: random.Random, op: operations.ReplicaOperation, sync: in_sync_set.InSyncSet, failure_rate: float
 ) -> operations.ReplicaResult:
-    if draw.random() < trouble:
+    if draw.random() < failure_rate:
         chance = draw.random()
         if chance < 0.3:
-            refusal = draw.choice(tuple(headers.Rejection))
+            drawn_rejection = draw.choice(tuple(headers.Rejection))
             return operations.ReplicaResult(
-                _Status(409), rejection=refusal, epoch=sync.epoch + draw.randrange(3)
+                _Status(409), rejection=drawn_rejection, epoch=sync.epoch + draw.randrange(3)
             )
         if chance < 0.6:
             return operations.ReplicaResult(may_have_run=draw.random() < 0.5, unreachable=draw.random() < 0.5)
@@ -442,81 +466,83 @@
     return operations.ReplicaResult(_Status(status), epoch=epoch, record=_draw_record(draw, op, sync))
 
 
-def _later(draw: random.Random, sync: in_sync_set.InSyncSet) -> in_sync_set.InSyncSet:
-    """Return a set as it may stand some changes later."""
+def _draw_later_set(draw: random.Random, later: in_sync_set.InSyncSet) -> in_sync_set.InSyncSet:
+    """Draw a set one or two transitions later than the given one."""
     for _ in range(draw.randrange(1, 3)):
         zone = draw.choice("abcd")
         options: list[tuple[Callable[..., in_sync_set.InSyncSet], Any]] = [
-            (transitions.evict, (sync, zone)),
-            (transitions.replace_primary, (sync, sync.primary)),
-            (transitions.begin_joining, (sync, zone, f"{zone}{draw.randrange(2)}")),
+            (transitions.evict, (later, zone)),
+            (transitions.replace_primary, (later, later.primary)),
+            (transitions.begin_joining, (later, zone, f"{zone}{draw.randrange(2)}")),
         ]
         change, args = draw.choice(options)
         try:
-            sync = change(*args)
+            later = change(*args)
         except CressrockError:
             continue
-    return sync
+    return later
 
 
-def _reply(
-    draw: random.Random, asked: Any, sync: in_sync_set.InSyncSet, trouble: float
+def _draw_action_result(
+    draw: random.Random, action: Any, sync: in_sync_set.InSyncSet, failure_rate: float
 ) -> tuple[Any, in_sync_set.InSyncSet]:
-    """Return an answer to what a machine asked, and the set that stands then."""
-    match asked:
+    """Draw an action's result; return it with the set that is current afterwards."""
+    match action:
         case operations.PerformOperations(ops):
-            return [_draw_got(draw, op, sync, trouble) for op in ops], sync
+            return [_draw_operation_result(draw, op, sync, failure_rate) for op in ops], sync
         case operations.FetchRecord(op):
             record = op.record if draw.random() < 0.8 else _draw_record(draw, op, sync)
-            return (None if record is None or draw.random() < trouble else (record, "payload")), sync
+            return (None if record is None or draw.random() < failure_rate else (record, "payload")), sync
         case operations.EvictReplicas(zones, _):
             try:
                 for zone in zones:
                     sync = transitions.evict(sync, zone)
             except TransitionNotAllowedError:
                 return None, sync
-            return (None if draw.random() < trouble else sync), sync
+            return (None if draw.random() < failure_rate else sync), sync
         case operations.RefreshSet():
-            sync = _later(draw, sync)
-            return (None if draw.random() < trouble else sync), sync
+            sync = _draw_later_set(draw, sync)
+            return (None if draw.random() < failure_rate else sync), sync
         case repair.ListMissing():
-            if draw.random() < trouble / 4:
+            if draw.random() < failure_rate / 4:
                 return None, sync
-            count, first = draw.choice((0, 1, 3, 70)), draw.randrange(4)
-            entries = tuple(_entry(draw, first + n) for n in range(count))
+            count, first_number = draw.choice((0, 1, 3, 70)), draw.randrange(4)
+            entries = tuple(_draw_entry(draw, first_number + n) for n in range(count))
             return records.RecordPage(entries, draw.random() < 0.3), sync
         case repair.InspectStore():
-            return (None if draw.random() < trouble else f"{asked.operation.zone}{draw.randrange(2)}"), sync
+            return (
+                None if draw.random() < failure_rate else f"{action.operation.zone}{draw.randrange(2)}"
+            ), sync
         case repair.ProposeSet():
-            return draw.random() >= trouble, sync
+            return draw.random() >= failure_rate, sync
     return None, sync
 
 
-def _entry(draw: random.Random, number: int) -> records.RecordEntry:
-    at = draw.choice(("1.1", "2.3", "5.1", "5.1", "5.1")) if draw.random() < 0.995 else "broken"
+def _draw_entry(draw: random.Random, number: int) -> records.RecordEntry:
+    version = draw.choice(("1.1", "2.3", "5.1", "5.1", "5.1")) if draw.random() < 0.995 else "broken"
     kind, cleared = draw.choice(("file", "collection", "gone")), draw.choice(("0.0", "0.0", "1.1"))
-    return records.RecordEntry(f"/v/{number:03}", at, kind, cleared, draw.random() < 0.5)
+    return records.RecordEntry(f"/v/{number:03}", version, kind, cleared, draw.random() < 0.5)
 
 
 def _drive(
-    draw: random.Random, digest: Digest, steps: Any, sync: in_sync_set.InSyncSet, trouble: float
+    draw: random.Random, digest: Digest, steps: Any, sync: in_sync_set.InSyncSet, failure_rate: float
 ) -> Any:
-    """Answer a machine to its end; returns what it returned."""
+    """Run a state machine to its end with drawn results; return what it returned."""
     value: Any = None
     while True:
         try:
-            asked = steps.send(value)
+            action = steps.send(value)
         except StopIteration as stop:
             return stop.value
-        digest.add(_asked(asked))
-        value, sync = _reply(draw, asked, sync, trouble)
+        digest.add(_describe_action(action))
+        value, sync = _draw_action_result(draw, action, sync, failure_rate)
 
 
 def requests_digest(seed: int) -> str:
-    """Drive writes and reads with any answers that nodes and council may give."""
+    """Run writes and reads with drawn results from nodes and council; return the digest of their actions."""
     draw, digest = random.Random(f"requests/{seed}"), Digest()
     for _ in range(120):
-        sync, trouble = draw_set(draw), draw.choice((0.0, 0.1, 0.3, 0.6))
+        sync, failure_rate = draw_set(draw), draw.choice((0.0, 0.1, 0.3, 0.6))
         rules = (
             operations.DEFAULT_SAFETY_RULES
             if draw.random() < 0.9
@@ -524,75 +550,82 @@
         )
         if draw.random() < 0.5:
             payload = draw.choice((None, "payload"))
-            gone = [zone for zone in "abcd" if draw.random() < 0.1]
-            stands = None if draw.random() < 0.03 else sync
-            steps = write.write_replicated(stands, payload, rules, gone)
+            unreachable = [zone for zone in "abcd" if draw.random() < 0.1]
+            set_if_current = None if draw.random() < 0.03 else sync
+            steps = write.write_replicated(set_if_current, payload, rules, unreachable)
         else:
             order = draw.sample("abcd", draw.randrange(5))
             steps = read.read_replicated(sync, order, lease_valid=draw.random() < 0.9, rules=rules)
-        result: operations.OperationOutcome = _drive(draw, digest, steps, sync, trouble)
-        got = None
+        result: operations.OperationOutcome = _drive(draw, digest, steps, sync, failure_rate)
+        fields = None
         if result.result is not None:
-            got = [getattr(result.result.reply, "status", None), *answer_values(result.result)]
-        digest.add([result.disposition.value, got])
+            fields = [getattr(result.result.reply, "status", None), *answer_values(result.result)]
+        digest.add([result.disposition.value, fields])
     return digest.hex()
 
 
 def repair_digest(seed: int) -> str:
-    """Drive plans that bring a copy back, and their pace."""
+    """Run repair plans with drawn results, and a pacer; return the digest."""
     draw, digest = random.Random(f"repair/{seed}"), Digest()
-    pace = repair_pacer.RepairPacer(
+    pacer = repair_pacer.RepairPacer(
         max_time_share=draw.choice((0.1, 0.5, 1.0)), max_operations_per_s=draw.choice((10.0, 200.0))
     )
-    now = 0.0
+    now_ms = 0.0
     for _ in range(25):
         sync, zone = draw_set(draw), draw.choice("abcd")
         plan = repair.repair_replica(sync, zone, skip_last_pass=draw.random() < 0.1)
         report = _drive(draw, digest, plan, sync, draw.choice((0.0, 0.01, 0.1, 0.5)))
         digest.add([report.rejoined, report.records_copied])
-        now += draw.choice((0.0, 3.0, 100.0))
-        digest.add(pace.wait_ms(now))
-        pace.record_operation(
-            now, draw.choice((0.0, 2.0, 30.0)), rejected=draw.random() < 0.2, load=draw.random()
+        now_ms += draw.choice((0.0, 3.0, 100.0))
+        digest.add(pacer.wait_ms(now_ms))
+        pacer.record_operation(
+            now_ms, draw.choice((0.0, 2.0, 30.0)), rejected=draw.random() < 0.2, load=draw.random()
         )
-        digest.add(pace.wait_ms(now + draw.choice((0.0, 1.0, 300.0))))
+        digest.add(pacer.wait_ms(now_ms + draw.choice((0.0, 1.0, 300.0))))
     return digest.hex()
 
 
-def reach_digest(seed: int) -> str:
-    """Drive what attempts say of copies, and what many say together."""
+def reachability_digest(seed: int) -> str:
+    """Feed trackers drawn outcomes and combine drawn reports; return the digest of the verdicts."""
     draw, digest = random.Random(f"reach/{seed}"), Digest()
-    found, now = reachability.ReachabilityTracker(), 0.0
+    tracker, now_ms = reachability.ReachabilityTracker(), 0.0
     if seed % 2:
-        found = reachability.ReachabilityTracker(
+        tracker = reachability.ReachabilityTracker(
             min_failures=1, min_failing_ms=0.0, evidence_ttl_ms=300.0, max_absence_ms=50.0
         )
     for _ in range(400):
-        now += draw.choice((0.0, 20.0, 60.0, 400.0))
-        shard, act = draw.randrange(4), draw.random()
-        if act < 0.6:
-            bad = draw.random() < 0.6
-            ended = draw.choice((Outcome.TIMEOUT, Outcome.RESET, Outcome.NO_CONNECTION)) if bad else None
-            found.record_outcome(shard, ended or draw.choice(tuple(Outcome)), now)
-        elif act < 0.75:
-            found.record_node_list({n for n in range(4) if draw.random() < 0.9}, range(3), now)
-        elif act < 0.8:
-            found.reset(shard)
+        now_ms += draw.choice((0.0, 20.0, 60.0, 400.0))
+        shard, event = draw.randrange(4), draw.random()
+        if event < 0.6:
+            is_failure = draw.random() < 0.6
+            failure = (
+                draw.choice((Outcome.TIMEOUT, Outcome.RESET, Outcome.NO_CONNECTION)) if is_failure else None
+            )
+            tracker.record_outcome(shard, failure or draw.choice(tuple(Outcome)), now_ms)
+        elif event < 0.75:
+            tracker.record_node_list({n for n in range(4) if draw.random() < 0.9}, range(3), now_ms)
+        elif event < 0.8:
+            tracker.reset(shard)
         else:
-            found.record_store(shard, other=draw.random() < 0.2)
-        asked = draw.random() < 0.5
-        digest.add([[found.is_unreachable(n, now), canonical(found.report(n, now, asked))] for n in range(5)])
-        words = {
+            tracker.record_store(shard, other=draw.random() < 0.2)
+        has_reports = draw.random() < 0.5
+        digest.add(
+            [
+                [tracker.is_unreachable(n, now_ms), canonical(tracker.report(n, now_ms, has_reports))]
+                for n in range(5)
+            ]
+        )
+        reports = {
             f"p{n}": draw.choice(
                 (reachability.UNREACHABLE, reachability.OTHER_STORE, reachability.REACHABLE, b"?")
             )
             for n in range(4)
         }
-        digest.add([reachability.is_lost(words, least) for least in (0, 1, 2, 3)])
+        digest.add([reachability.is_lost(reports, witnesses) for witnesses in (0, 1, 2, 3)])
     return digest.hex()
 
 
-# --- decisions: gateways and the planner over nodes
+# --- decisions: gateways, planner and nodes together
 
 
 class _Log:
@@ -600,7 +633,7 @@
         return lambda *_, **__: None
 
 
-PLACED = {
+PLACEMENTS = {
     "v": known_set.ReplicaPlacement((0, 1), {"a": (0, 1), "b": (2, 3), "c": (4, 5)}),
     "w": known_set.ReplicaPlacement((3,), {"a": (1,), "b": (3,)}),
 }
@@ -608,21 +641,21 @@
 
 
 class _Council:
-    """A register with compare-and-set; processes are told of its decrees some time later."""
+    """A compare-and-set register; its decisions reach the processes with a delay."""
 
     def __init__(self, cluster: Cluster) -> None:
-        self.cluster, self.number, self.failing = cluster, 100, False
-        self.stands: dict[str, d.Decision] = {}
+        self.cluster, self.last_version, self.failing = cluster, 100, False
+        self.decided: dict[str, d.Decision] = {}
 
-    def asked_by(self, kept: DecisionCache) -> _Asked:
-        return _Asked(self, kept)
+    def client_for(self, cache: DecisionCache) -> _CouncilClient:
+        return _CouncilClient(self, cache)
 
 
-class _Asked:
-    """The council as one process asks it."""
+class _CouncilClient:
+    """One process's client of the council."""
 
-    def __init__(self, council: _Council, kept: DecisionCache) -> None:
-        self.council, self.kept = council, kept
+    def __init__(self, council: _Council, cache: DecisionCache) -> None:
+        self.council, self.cache = council, cache
 
     async def decide(
         self, topic: str, value: bytes, hold_ms: float, if_number: int | None = None, **_: Any
@@ -632,48 +665,50 @@
         council.cluster.digest.add(["decide", topic, canonical(value), hold_ms, if_number])
         if council.failing:
             raise NoQuorumError("none")
-        stands = council.stands.get(topic)
-        if if_number is not None and if_number != (stands.version if stands is not None else 0):
+        decided = council.decided.get(topic)
+        if if_number is not None and if_number != (decided.version if decided is not None else 0):
             raise DecisionConflictError("another stands")
-        council.number += 1
-        decree = council.stands[topic] = d.Decision(topic, council.number, value, hold_ms, "", council.number)
-        self.kept.receive(decree)
-        council.cluster.spread_decree(decree)
-        return decree
+        council.last_version += 1
+        decision = council.decided[topic] = d.Decision(
+            topic, council.last_version, value, hold_ms, "", council.last_version
+        )
+        self.cache.receive(decision)
+        council.cluster.deliver_later(decision)
+        return decision
 
     async def read(self, topic: str, *_: Any, **__: Any) -> d.Decision | None:
         await anyio.sleep(0.002)
         if self.council.failing:
             raise NoQuorumError("none")
-        decree = self.council.stands.get(topic)
-        if decree is not None:
-            self.kept.receive(decree)
-        return decree
+        decision = self.council.decided.get(topic)
+        if decision is not None:
+            self.cache.receive(decision)
+        return decision
 
 
-class _Words:
-    """What processes tell each other, as one of them writes it."""
+class _Gossip:
+    """One process's view of the gossip store, whose entries are shared without delay."""
 
-    def __init__(self, all_words: dict[str, dict[Any, bytes]], name: str) -> None:
-        self.all_words, self.me = all_words, (name, 1)
+    def __init__(self, all_entries: dict[str, dict[Any, bytes]], name: str) -> None:
+        self.all_entries, self.origin = all_entries, (name, 1)
 
     def values(self, key: str) -> dict[Any, bytes]:
-        return dict(self.all_words.get(key, {}))
+        return dict(self.all_entries.get(key, {}))
 
     def put(self, key: str, value: bytes) -> None:
-        self.all_words.setdefault(key, {})[self.me] = value
+        self.all_entries.setdefault(key, {})[self.origin] = value
 
     def remove(self, key: str) -> None:
-        self.all_words.get(key, {}).pop(self.me, None)
+        self.all_entries.get(key, {}).pop(self.origin, None)
 
 
-class _Ground:
-    """A process's surroundings."""
+class _Process:
+    """A process's runtime: decisions, consensus client, gossip and members."""
 
     def __init__(self, cluster: Cluster, name: str) -> None:
         self.decision_cache = DecisionCache(None, cluster.clock)
-        self.consensus = cluster.council.asked_by(self.decision_cache)
-        self.gossip = _Words(cluster.words, name)
+        self.consensus = cluster.council.client_for(self.decision_cache)
+        self.gossip = _Gossip(cluster.gossip_entries, name)
         self.cluster, self.is_leader = cluster, True
 
     def members(self) -> tuple[Member, ...]:
@@ -694,12 +729,12 @@
 
     async def respond(self, status: int, headers: list[tuple[bytes, bytes]], body: bytes = b"") -> None:
         value = msgspec.json.decode(body)
-        # Texts of errors are for people; what stands must stay as it is.
+        # Error texts may change, so only the error's code is kept; the sets must stay as recorded.
         self.answer = [status, canonical(headers), value.get("error") or canonical(body)]
 
 
 class _Stream:
-    """A payload that still comes in."""
+    """A response payload that is still being received."""
 
     def __init__(self, cluster: Cluster) -> None:
         self.cluster = cluster
@@ -709,7 +744,7 @@
 
 
 class _Client:
-    """Connections from the planner to nodes."""
+    """The planner's connections to nodes; now and then a node is busy or reports a high load."""
 
     def __init__(self, cluster: Cluster) -> None:
         self.cluster = cluster
@@ -735,18 +770,18 @@
     """Six nodes in three zones, two gateways and a planner, under simulated time."""
 
     def __init__(self, seed: int) -> None:
-        """Begin with empty stores; no set is founded yet."""
+        """Start with empty stores and no decided sets."""
         self.draw = random.Random(f"cluster/{seed}")
         self.digest = Digest()
         self.racks = {shard: Rack(shard, window_ms=0.0, life=f"s{shard}") for shard in range(6)}
         self.down: set[int] = set()
-        self.cut: set[tuple[int, int]] = set()  # (gateway, shard)
-        self.words: dict[str, dict[Any, bytes]] = {}
+        self.cut_links: set[tuple[int, int]] = set()  # (gateway, shard)
+        self.gossip_entries: dict[str, dict[Any, bytes]] = {}
         self.abandoned = 0
-        self.late: list[tuple[float, DecisionCache, d.Decision]] = []
+        self.pending_deliveries: list[tuple[float, DecisionCache, d.Decision]] = []
         self.council = _Council(self)
-        self.grounds = [_Ground(self, name) for name in ("e0", "e1", "planner")]
-        self.reach = [reachability.ReachabilityTracker(), reachability.ReachabilityTracker()]
+        self.processes = [_Process(self, name) for name in ("e0", "e1", "planner")]
+        self.trackers = [reachability.ReachabilityTracker(), reachability.ReachabilityTracker()]
         shares = shard_request.DeadlineShares(
             first_step=0.5,
             following_steps=0.6,
@@ -756,10 +791,10 @@
         )
         self.gateways = [
             service.ReplicatedVolumes(
-                PLACED,
-                self.grounds[n],
+                PLACEMENTS,
+                self.processes[n],
                 shares,
-                self.reach[n],
+                self.trackers[n],
                 zone=zone,
                 regions=REGIONS,
                 clock=self.clock,
@@ -768,7 +803,7 @@
             )
             for n, zone in enumerate(("a", "c"))
         ]
-        figures = manager.ManagerSettings(
+        manager_settings = manager.ManagerSettings(
             poll_interval_ms=20.0,
             min_witnesses=2,
             min_rejoin_delay_ms=50.0,
@@ -780,11 +815,11 @@
             repair_busy_load=0.8,
             repair_pause_ms=20.0,
         )
-        self.keeper = manager.ReplicaManager(
-            PLACED,
-            self.grounds[2],
+        self.replica_manager = manager.ReplicaManager(
+            PLACEMENTS,
+            self.processes[2],
             _Client(self),
-            figures,
+            manager_settings,
             regions=REGIONS,
             clock=self.clock,
             log=_Log(),
@@ -792,17 +827,19 @@
         )
 
     def clock(self) -> float:
-        """Return simulated milliseconds."""
+        """Return the simulated time in ms."""
         return trio.current_time() * 1000
 
-    def spread_decree(self, decree: d.Decision) -> None:
-        """Have processes hear of a decree, each some time later; now and then one does not."""
-        for ground in self.grounds:
+    def deliver_later(self, decision: d.Decision) -> None:
+        """Schedule a decision's delivery to each process after a drawn delay; some deliveries are lost."""
+        for process in self.processes:
             if self.draw.random() < 0.9:
-                self.late.append((self.clock() + self.draw.uniform(1, 60), ground.decision_cache, decree))
+                self.pending_deliveries.append(
+                    (self.clock() + self.draw.uniform(1, 60), process.decision_cache, decision)
+                )
 
     async def execute(self, shard: int, method: str, key: str, headers: Headers, body: Any) -> Reply | None:
-        """Have a node do an operation; None where it cannot be reached."""
+        """Perform an operation at a node; None if the node cannot be reached."""
         await anyio.sleep(0.001 + 0.0001 * shard)
         if shard in self.down:
             await anyio.sleep(0.01)
@@ -811,15 +848,15 @@
         done: Done = self.racks[shard].execute(Task(method, parse(key), fields, body, b"", 1000.0))
         content = done.content
         if done.payload is not None:
-            held, first, end = done.payload
-            content = (await held.read_chunk(0))[first:end]
+            stored_body, first, end = done.payload
+            content = (await stored_body.read_chunk(0))[first:end]
         self.digest.add(
             [shard, method, key, canonical(headers), done.status, canonical(done.headers), content]
         )
         return Reply(done.status, done.headers, content)
 
     def _send(self, gateway: int, method: str, key: str) -> shard_request.Send:
-        """Return what performs one client's storage operations."""
+        """Return a function that performs the storage operations of one client's request."""
 
         async def send(
             shard: int,
@@ -834,16 +871,16 @@
             asked = own_method.decode() if own_method is not None else method
             body = Text(body.decode()) if isinstance(body, bytes) else body
             reply = None
-            if (gateway, shard) not in self.cut:
+            if (gateway, shard) not in self.cut_links:
                 reply = await self.execute(shard, asked, own_key or key, headers, body)
             if reply is not None:
-                self.reach[gateway].record_outcome(shard, Outcome.OK, self.clock())
+                self.trackers[gateway].record_outcome(shard, Outcome.OK, self.clock())
                 if asked == "GET" and not collect and self.draw.random() < 0.5:
                     return Reply(reply.status, reply.headers, stream=_Stream(self))
                 if self.draw.random() < 0.03:
                     return Denial(Verdict.FAILED, Reason.DEADLINE)
                 return reply
-            self.reach[gateway].record_outcome(shard, Outcome.NO_CONNECTION, self.clock())
+            self.trackers[gateway].record_outcome(shard, Outcome.NO_CONNECTION, self.clock())
             await anyio.sleep(max(0.0, min(0.02, (deadline - self.clock()) / 1000)))
             if self.draw.random() < 0.6:
                 return Denial(Verdict.REJECTED, Reason.SCHEDULER, 50.0)
@@ -852,18 +889,18 @@
         return send
 
     async def client(self, count: int) -> None:
-        """One client: operations one after another at drawn gateways."""
+        """Run one client: sequential operations at drawn gateways."""
         draw = self.draw
         for number in range(count):
             gateway = draw.randrange(2)
             volume = draw.choice(("v", "v", "v", "w"))
-            shard = draw.choice(PLACED[volume].shards)
+            shard = draw.choice(PLACEMENTS[volume].shards)
             methods = ("GET", "GET", "HEAD", "PUT", "PUT", "PUT", "DELETE", "MKCOL")
             method, key = draw.choice(methods), f"/{volume}/{draw.choice('xyz')}"
             body = Text(f"{number}") if method == "PUT" else None
-            copies = self.gateways[gateway]
-            assert copies.is_replicated(volume) and not copies.is_replicated("u")
-            result = await copies.perform(
+            volumes = self.gateways[gateway]
+            assert volumes.is_replicated(volume) and not volumes.is_replicated("u")
+            result = await volumes.perform(
                 volume,
                 shard,
                 key,
@@ -881,71 +918,73 @@
             self.digest.add([gateway, volume, shard, method, key, answer])
             await anyio.sleep(draw.uniform(0.0, 0.03))
 
-    async def trouble(self) -> None:
-        """Let nodes, ways, decrees and the council fail for a while."""
+    async def inject_faults(self) -> None:
+        """Inject faults at nodes, links, council and leadership, and send admin orders."""
         draw = self.draw
         while True:
             await anyio.sleep(draw.uniform(0.02, 0.3))
             shard, kind = draw.choice((0, 0, 1, 2, 3, 4, 5)), draw.random()
-            length = draw.uniform(0.05, 0.8)
+            duration_s = draw.uniform(0.05, 0.8)
             if kind < 0.1:
                 self.racks[shard] = self.racks[shard].snapshot(f"s{shard}-{draw.randrange(1000)}")
             elif kind < 0.4:
                 self.down.add(shard)
-                await anyio.sleep(length)
+                await anyio.sleep(duration_s)
                 if draw.random() < 0.2:
                     self.racks[shard] = self.racks[shard].snapshot(f"s{shard}-{draw.randrange(1000)}")
                 self.down.discard(shard)
             elif kind < 0.55:
-                self.cut.add((draw.randrange(2), shard))
-                await anyio.sleep(length)
-                self.cut.clear()
+                self.cut_links.add((draw.randrange(2), shard))
+                await anyio.sleep(duration_s)
+                self.cut_links.clear()
             elif kind < 0.65:
                 self.council.failing = True
-                await anyio.sleep(length / 2)
+                await anyio.sleep(duration_s / 2)
                 self.council.failing = False
             elif kind < 0.75:
-                self.grounds[2].is_leader = False
-                await anyio.sleep(length / 2)
-                self.grounds[2].is_leader = True
+                self.processes[2].is_leader = False
+                await anyio.sleep(duration_s / 2)
+                self.processes[2].is_leader = True
             else:
                 for _ in range(3):
-                    await self.order()
+                    await self.send_admin_order()
 
-    async def order(self) -> None:
+    async def send_admin_order(self) -> None:
         """Send a request to the planner's admin port."""
         draw = self.draw
-        wish = {
+        request = {
             "volume": draw.choice("vwu"),
             "shard": draw.choice((0, 0, 1)),
             "zone": draw.choice("abbccd"),
             "accept_loss": draw.random() < 0.8,
         }
-        body = draw.choice((msgspec.json.encode(wish), msgspec.json.encode(wish), b"broken", b"x" * 9000))
+        body = draw.choice(
+            (msgspec.json.encode(request), msgspec.json.encode(request), b"broken", b"x" * 9000)
+        )
         exchange = _Exchange(draw.choice((b"GET", b"POST", b"POST", b"POST")), body)
-        await self.keeper.handle(exchange)
+        await self.replica_manager.handle(exchange)
         self.digest.add(exchange.answer)
 
-    async def news(self) -> None:
-        """Let decrees come and be renewed, and the node list be told."""
+    async def deliver_updates(self) -> None:
+        """Deliver and renew decisions, and publish the node list."""
         while True:
             await anyio.sleep(0.01)
             now = self.clock()
-            for at_ms, kept, decree in [one for one in self.late if one[0] <= now]:
-                kept.receive(decree)
-                self.late.remove((at_ms, kept, decree))
+            for at_ms, cache, decision in [one for one in self.pending_deliveries if one[0] <= now]:
+                cache.receive(decision)
+                self.pending_deliveries.remove((at_ms, cache, decision))
             if self.draw.random() < 0.2 and not self.council.failing:
-                self.council.number += 1
-                for decree in list(self.council.stands.values()):
-                    for ground in self.grounds:
+                self.council.last_version += 1
+                for decision in list(self.council.decided.values()):
+                    for process in self.processes:
                         if self.draw.random() < 0.7:
-                            ground.decision_cache.receive(
-                                msgspec.structs.replace(decree, renewal=self.council.number)
+                            process.decision_cache.receive(
+                                msgspec.structs.replace(decision, renewal=self.council.last_version)
                             )
-            self.list_nodes()
+            self.publish_node_list()
 
-    def list_nodes(self) -> None:
-        """Tell the node list: a node that is down may be missing, draining, or named still."""
+    def publish_node_list(self) -> None:
+        """Publish a node list, in which a node that is down may be ready, draining or left out."""
         draw = self.draw
         states = {shard: NodeState.READY for shard in range(6)}
         for shard in self.down:
@@ -953,57 +992,57 @@
         listed = [Node(f"n{shard}", shard, 0, float(shard), state) for shard, state in states.items()]
         complete = draw.random() < 0.9
         kind = ListKind.COMPLETE if complete else draw.choice((ListKind.CHANGES, ListKind.FAILED))
-        some = [node for node in listed if complete or draw.random() < 0.5]
-        self.keeper.on_node_list(NodeList(kind, tuple(some)))
+        nodes = [node for node in listed if complete or draw.random() < 0.5]
+        self.replica_manager.on_node_list(NodeList(kind, tuple(nodes)))
         for gateway in self.gateways:
             gateway.on_node_list(listed)
 
-    async def play(self) -> str:
-        """Run for some seconds; return the digest of all that was sent, decided and answered."""
+    async def run_scenario(self) -> str:
+        """Run the scenario; return the digest of everything that was sent, decided and answered."""
         async with anyio.create_task_group() as tasks:
-            tasks.start_soon(self.keeper.run)
-            tasks.start_soon(self.news)
-            tasks.start_soon(self.trouble)
-            for gateway, ground in zip(self.gateways, self.grounds, strict=False):
-                tasks.start_soon(publisher.ReachabilityPublisher(gateway, ground.gossip, 20.0).run)
+            tasks.start_soon(self.replica_manager.run)
+            tasks.start_soon(self.deliver_updates)
+            tasks.start_soon(self.inject_faults)
+            for gateway, process in zip(self.gateways, self.processes, strict=False):
+                tasks.start_soon(publisher.ReachabilityPublisher(gateway, process.gossip, 20.0).run)
             await anyio.sleep(0.1)
             async with anyio.create_task_group() as clients:
                 for _ in range(3):
                     clients.start_soon(self.client, 60)
-            await self.settle()
+            await self.wait_for_repair()
             tasks.cancel_scope.cancel()
-        for copies in self.gateways:
-            self.digest.add(msgspec.json.encode(copies.status()))
-        self.digest.add([self.abandoned, canonical(self.keeper.status()), canonical(self._stored())])
+        for volumes in self.gateways:
+            self.digest.add(msgspec.json.encode(volumes.status()))
+        self.digest.add([self.abandoned, canonical(self.replica_manager.status()), canonical(self._stored())])
         return self.digest.hex()
 
-    async def settle(self) -> None:
-        """Let the planner bring back what it can."""
+    async def wait_for_repair(self) -> None:
+        """End all faults and give the planner 1 s to repair replicas."""
         for _ in range(50):
             self.down.clear()
-            self.cut.clear()
-            self.council.failing, self.grounds[2].is_leader = False, True
+            self.cut_links.clear()
+            self.council.failing, self.processes[2].is_leader = False, True
             await anyio.sleep(0.02)
 
     def _stored(self) -> Mapping[int, Any]:
-        """Return what the nodes' stores hold of copies, as their lists tell it."""
+        """Return the lists of records that the nodes' stores hold."""
         fields = {"x-cressrock-epoch": "99", "x-cressrock-copy": "in;", "x-cressrock-owed": "0"}
         return {
             shard: [
                 rack.execute(Task("GET", parse(f"/{volume}"), fields, None, b"", 0.0)).content
-                for volume in PLACED
+                for volume in PLACEMENTS
             ]
             for shard, rack in self.racks.items()
         }
 
 
 def cluster_digest(seed: int) -> str:
-    """Drive two gateways and a planner over nodes, with faults."""
-    return run_simulated(seed, lambda: Cluster(seed).play())
+    """Run two gateways, a planner and nodes with faults; return the digest."""
+    return run_simulated(seed, lambda: Cluster(seed).run_scenario())
 
 
 def run_simulated(seed: int, main: Callable[[], Awaitable[str]]) -> str:
-    """Run under simulated time; the order of tasks that are runnable at once is drawn from the seed."""
+    """Run under simulated time; the seed determines the order of tasks that are runnable together."""
     from trio._core import _run
 
     _run._ALLOW_DETERMINISTIC_SCHEDULING = True
@@ -1012,9 +1051,9 @@
 
 
 def stream_seeds() -> Iterator[tuple[str, Callable[[int], str], Iterable[int]]]:
-    """Return every stream by name, with its seeds."""
+    """Yield the name, digest function and seeds of every stream."""
     yield "sets", sets_digest, range(20)
     yield "requests", requests_digest, range(30)
     yield "repair", repair_digest, range(20)
-    yield "reach", reach_digest, range(10)
+    yield "reach", reachability_digest, range(10)
     yield "cluster", cluster_digest, range(10)
--- a/tests/compatibility/record_copies.py
+++ b/tests/compatibility/record_copies.py
@@ -1,4 +1,4 @@
-"""Record what copies write and decide; run once, on the version whose behaviour is to be kept."""
+"""Record replication's encodings and decisions; run once, on the version whose behaviour is to be kept."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 def main() -> None:
-    """Write the fixtures of copies; refuses to overwrite any."""
+    """Write the fixtures `copies_wire` and `copies_decisions`; existing ones are not overwritten."""
     save(
         "copies_wire",
         {
--- a/tests/compatibility/test_copies.py
+++ b/tests/compatibility/test_copies.py
@@ -1,4 +1,4 @@
-"""Copies keep their bytes on the wire and at the nodes, and decide as when the fixtures were recorded."""
+"""Replication's encodings, stored records and decisions match the recorded fixtures."""
 
 import pytest
 
@@ -22,27 +22,27 @@
 
 
 @pytest.mark.parametrize("case", cases.wire_cases(), ids=lambda case: case.name)
-def test_values_are_written_as_recorded_and_read_back(case):
+def test_values_are_encoded_as_recorded_and_decoded_again(case):
     recorded = bytes.fromhex(WIRE["written"][case.name])
     assert case.encode(case.value) == recorded
     assert case.decode(recorded) == case.value
 
 
 @pytest.mark.parametrize("case", cases.read_cases(), ids=lambda case: case.name)
-def test_bytes_of_other_versions_are_read_or_refused_as_recorded(case):
+def test_bytes_of_other_releases_are_decoded_or_rejected_as_recorded(case):
     data, result = WIRE["read"][case.name]
     assert case.data.hex() == data
     assert cases.outcome(case.decode, bytes.fromhex(data)) == result
 
 
-def test_topics_words_headers_and_answers_are_those_recorded():
+def test_topics_reports_headers_and_responses_match_the_recording():
     assert cases.names() == WIRE["names"]
 
 
-def test_a_node_keeps_and_lists_records_as_recorded():
+def test_node_stores_and_lists_records_as_recorded():
     assert cases.stored() == WIRE["stored"]
 
 
 @pytest.mark.parametrize(("stream", "digest", "seed"), STREAMS)
-def test_streams_are_decided_as_recorded(stream, digest, seed):
+def test_seeded_runs_make_the_recorded_decisions(stream, digest, seed):
     assert digest(seed) == DECISIONS[stream][str(seed)]
--- a/tests/replication/support.py
+++ b/tests/replication/support.py
@@ -1,4 +1,4 @@
-"""A set of replicas, and operations at a stand-in node, for tests of replication."""
+"""An example in-sync set, and operations at a simulated node, for tests of replication."""
 
 from cressrock.lab.copysim import Text, got_of
 from cressrock.lab.rack import Task
@@ -20,9 +20,9 @@
 )
 
 
-def execute(rack, method, path, epoch, role="in", *, at="", life="", value=None, **more):
-    headers = {"x-cressrock-epoch": str(epoch), "x-cressrock-copy": f"{role};{life}"}
-    headers |= {"x-cressrock-version": at} if at else {}
-    headers |= {f"x-cressrock-{k}": v for k, v in more.items()}
+def execute(rack, method, path, epoch, role="in", *, version="", store_id="", value=None, **extra_headers):
+    headers = {"x-cressrock-epoch": str(epoch), "x-cressrock-copy": f"{role};{store_id}"}
+    headers |= {"x-cressrock-version": version} if version else {}
+    headers |= {f"x-cressrock-{name}": field for name, field in extra_headers.items()}
     body = Text(value) if value is not None else None
     return got_of(rack.execute(Task(method, parse(path), headers, body, b"", 1000.0)), path)
--- a/tests/replication/test_in_sync_set.py
+++ b/tests/replication/test_in_sync_set.py
@@ -1,4 +1,4 @@
-"""In-sync sets: their encoding, and the changes that lose nothing acknowledged."""
+"""Encoding of in-sync sets, and the transitions that lose no acknowledged write."""
 
 import random
 
@@ -25,12 +25,12 @@
 GOLDEN = "019503a1619395a161a2696ea26130000095a162a2696ea26230000095a163a46f776564a2633002019001"
 
 
-def test_a_set_has_a_golden_form_and_foreign_ones_are_told_apart():
+def test_set_encoding_is_stable_and_invalid_data_is_rejected():
     assert encode_set(IN_SYNC_SET).hex() == GOLDEN and decode_set(bytes.fromhex(GOLDEN)) == IN_SYNC_SET
-    later = bytes((1,)) + msgspec.msgpack.encode(
+    with_extra_field = bytes((1,)) + msgspec.msgpack.encode(
         [*msgspec.msgpack.decode(encode_set(IN_SYNC_SET)[1:]), "new"]
     )
-    assert decode_set(later) == IN_SYNC_SET
+    assert decode_set(with_extra_field) == IN_SYNC_SET
     with pytest.raises(UnknownSetVersionError):
         decode_set(b"\x02" + encode_set(IN_SYNC_SET)[1:])
     draw = random.Random(1)
@@ -47,40 +47,40 @@
     assert decode_page(encode_page(page)) == page
 
 
-def test_sets_change_only_where_nothing_acknowledged_is_lost():
-    out = transitions.evict(IN_SYNC_SET, "b")
+def test_transitions_that_could_lose_acknowledged_writes_are_rejected():
+    without_b = transitions.evict(IN_SYNC_SET, "b")
     assert (
-        out.epoch == 4
-        and out.replica("b") == Replica("b", ReplicaState.OUT_OF_SYNC, "b0", 3, 1)
-        and out.write_zones == ("a",)
+        without_b.epoch == 4
+        and without_b.replica("b") == Replica("b", ReplicaState.OUT_OF_SYNC, "b0", 3, 1)
+        and without_b.write_zones == ("a",)
     )
     with pytest.raises(TransitionNotAllowedError):
-        transitions.evict(IN_SYNC_SET, "a")  # the first one moves, it is not put out
+        transitions.evict(IN_SYNC_SET, "a")  # the primary is replaced, not evicted
     with pytest.raises(TransitionNotAllowedError):
         transitions.evict(IN_SYNC_SET, "c")
     assert transitions.replace_primary(IN_SYNC_SET, "a").primary == "b"
     with pytest.raises(OnlyReplicaError):
-        transitions.replace_primary(out, "a")
-    joining = transitions.begin_joining(out, "b", "b0")
+        transitions.replace_primary(without_b, "a")
+    joining = transitions.begin_joining(without_b, "b", "b0")
     assert joining.write_zones == ("a", "b") and joining.read_zones == ("a",)
     with pytest.raises(TransitionNotAllowedError):
         transitions.readmit(
             joining, transitions.CatchUpProof("b", joining.epoch - 1, "b0")
-        )  # the list of an older epoch
+        )  # the list was read under an older epoch
     with pytest.raises(TransitionNotAllowedError):
         transitions.readmit(joining, transitions.CatchUpProof("b", joining.epoch, "b1"))  # another store
     assert transitions.readmit(joining, transitions.CatchUpProof("b", joining.epoch, "b0")).read_zones == (
         "a",
         "b",
     )
-    # A store that is not the one that was put out owes everything; one put out while joining as before.
-    assert transitions.begin_joining(out, "b", "b1").replica("b").complete_epoch == 0
+    # A store other than the evicted one lacks everything; a replica evicted while joining keeps its epoch.
+    assert transitions.begin_joining(without_b, "b", "b1").replica("b").complete_epoch == 0
     assert transitions.evict(joining, "b").replica("b").complete_epoch == 3
-    taken = transitions.force_primary(out, "b", "b0")
-    assert taken.read_zones == ("b",) and taken.accepted_losses == (AcceptedLoss("a", 3, 4),)
+    forced = transitions.force_primary(without_b, "b", "b0")
+    assert forced.read_zones == ("b",) and forced.accepted_losses == (AcceptedLoss("a", 3, 4),)
     with pytest.raises(TransitionNotAllowedError):
         transitions.initial_set("a", {"a": "a0", "b": "b0"}, [0, 7])
-    assert [transitions.rejoin_delay_ms(n, 1000, 5000) for n in (0, 1, 2, 3, 9)] == [
+    assert [transitions.rejoin_delay_ms(evictions, 1000, 5000) for evictions in (0, 1, 2, 3, 9)] == [
         1000,
         1000,
         2000,
--- a/tests/replication/test_settings.py
+++ b/tests/replication/test_settings.py
@@ -1,4 +1,4 @@
-"""Settings of volumes with replicas."""
+"""Validation of the settings of replicated volumes."""
 
 import pytest
 
@@ -40,7 +40,7 @@
 
 
 @pytest.mark.parametrize(
-    ("volume", "said"),
+    ("volume", "message"),
     [
         ({"copies": {"za": [0], "zx": [1]}}, "volumes.v.copies: 'zx' is no zone"),
         ({"copies": {"za": [0], "zb": [1, 2]}}, "volumes.v.copies.zb: 2 shards"),
@@ -49,14 +49,14 @@
         ({"copies": {"za": [2], "zb": [1]}}, "volumes.v.copies: no zone's list is `shards`"),
     ],
 )
-def test_wrong_copies_name_file_and_place(volume, said):
+def test_error_of_invalid_copies_settings_names_file_and_field(volume, message):
     settings()
-    with pytest.raises(SettingsError) as wrong:
+    with pytest.raises(SettingsError) as raised:
         settings(volume=volume)
-    assert str(wrong.value).startswith("file") and said in str(wrong.value)
+    assert str(raised.value).startswith("file") and message in str(raised.value)
 
 
 def test_copies_need_a_council():
-    with pytest.raises(SettingsError) as wrong:
+    with pytest.raises(SettingsError) as raised:
         settings(council=None)
-    assert "copies need `fleet` and `council`" in str(wrong.value)
+    assert "copies need `fleet` and `council`" in str(raised.value)
