--- a/cressrock/replication/manager.py
+++ b/cressrock/replication/manager.py
@@ -55,9 +55,8 @@
 class _ShardObservations:
     """What this planner has observed of one shard's set since it began to lead."""
 
-    in_state_since_ms: dict[StateKey, float] = field(
-        default_factory=dict
-    )  # when a replica was first seen in its state
+    # When a replica was first seen in its state.
+    in_state_since_ms: dict[StateKey, float] = field(default_factory=dict)
 
 
 @dataclass(frozen=True, slots=True)
@@ -127,7 +126,7 @@
 
     async def _check_and_log(self, shard: ReplicatedShard) -> None:
         try:
-            await self._check(shard)
+            await self._check_shard(shard)
         except UNDECIDED_ERRORS:
             pass  # another change was decided first, or there is no quorum: the next check tries again
         except CressrockError as error:
@@ -140,7 +139,7 @@
 
     # --- one shard
 
-    async def _check(self, shard: ReplicatedShard) -> None:
+    async def _check_shard(self, shard: ReplicatedShard) -> None:
         """Check a shard's set and make at most one change, the most urgent.
 
         In order of urgency: create the set, replace a lost primary, then go through the replicas by zone to
--- a/cressrock/replication/reachability.py
+++ b/cressrock/replication/reachability.py
@@ -46,9 +46,8 @@
         """
         self._min_failures, self._min_failing_ms = min_failures, min_failing_ms
         self._evidence_ttl_ms, self._max_absence_ms = evidence_ttl_ms, max_absence_ms
-        self._absent_since_ms: dict[
-            int, float
-        ] = {}  # when the node list first lacked a ready node of a shard
+        # By shard: when the node list first lacked a ready node of it.
+        self._absent_since_ms: dict[int, float] = {}
         self._shards: dict[int, _ShardReachability] = {}
 
     def record_outcome(self, shard: int, outcome: Outcome, now_ms: float) -> None:
@@ -73,7 +72,7 @@
             else:
                 self._absent_since_ms.setdefault(shard, now_ms)
 
-    def reset(self, shard: int) -> None:
+    def clear_failures(self, shard: int) -> None:
         """Clear a shard's failures when its replica joins its set again: the planner has reached it."""
         state = self._shards.get(shard)
         if state is not None:
--- a/cressrock/replication/repair_runner.py
+++ b/cressrock/replication/repair_runner.py
@@ -83,14 +83,16 @@
             case InspectStore(operation):
                 return await self._client.store_id(self._shard, operation.zone, operation.role)
             case ListMissing(operation, complete_epoch, after):
-                return await self._list(operation, complete_epoch, after)
+                return await self._list_missing(operation, complete_epoch, after)
             case PerformOperations(operations):
                 return await self._perform(operations)
             case FetchRecord(operation):
                 return await self._fetch(operation)
         return None
 
-    async def _list(self, operation: ReplicaOperation, complete_epoch: int, after: str) -> RecordPage | None:
+    async def _list_missing(
+        self, operation: ReplicaOperation, complete_epoch: int, after: str
+    ) -> RecordPage | None:
         extra = [
             (MISSING_SINCE_HEADER, str(complete_epoch).encode()),
             (AFTER_HEADER, after.encode().hex().encode()),
--- a/cressrock/replication/service.py
+++ b/cressrock/replication/service.py
@@ -104,7 +104,7 @@
         request = ShardRequest(self._environment, replicated, key, method, send, deadline)
         known = self._known_set(replicated)
         if known.in_sync_set is not None:
-            self._reset_readmitted(replicated, known.in_sync_set)
+            self._clear_failures_of_readmitted(replicated, known.in_sync_set)
         if method in READ_METHODS:
             if known.in_sync_set is None:
                 return self._rejection()
@@ -124,9 +124,8 @@
         if known.in_sync_set is not None:
             zones = set(known.in_sync_set.zones_in(*ReplicaState))
             if not zones <= set(shard.placement.zones):
-                return KnownSet(
-                    None
-                )  # decided under newer settings, with which this process has yet to restart
+                # Decided under other settings, with which this process has yet to restart.
+                return KnownSet(None)
         return known
 
     def _read_order(self, shard: ReplicatedShard, in_sync_set: InSyncSet, units: float) -> list[str]:
@@ -161,7 +160,7 @@
             return denial
         return self._rejection() if is_rejected else Denial(verdict, Reason.COPIES_RUN)
 
-    def _reset_readmitted(self, shard: ReplicatedShard, in_sync_set: InSyncSet) -> None:
+    def _clear_failures_of_readmitted(self, shard: ReplicatedShard, in_sync_set: InSyncSet) -> None:
         """Clear the failures of replicas that a newer set has let join again."""
         previous = self._latest_sets.get(shard.topic)
         if previous is not None and previous.epoch >= in_sync_set.epoch:
@@ -171,7 +170,7 @@
             previous_replica = previous.replica(replica.zone) if previous is not None else None
             was_out = previous_replica is not None and previous_replica.state is ReplicaState.OUT_OF_SYNC
             if was_out and replica.state is not ReplicaState.OUT_OF_SYNC:
-                self._reachability.reset(shard.node_shard(replica.zone))
+                self._reachability.clear_failures(shard.node_shard(replica.zone))
 
     def _rejection(self) -> Denial:
         return Denial(Verdict.REJECTED, Reason.COPIES, self._retry_after_ms)
--- a/cressrock/replication/shard_request.py
+++ b/cressrock/replication/shard_request.py
@@ -141,9 +141,8 @@
     send: Send
     deadline_ms: float
     is_first_step: bool = True
-    replies: list[Reply] = field(
-        default_factory=list
-    )  # that have streams; at most one is passed to the client
+    # Replies that have streams; at most one is passed to the client.
+    replies: list[Reply] = field(default_factory=list)
 
     async def run(self, steps: RequestSteps) -> OperationOutcome:
         """Run a state machine to its end and return its outcome."""
--- a/cressrock/replication/transitions.py
+++ b/cressrock/replication/transitions.py
@@ -55,7 +55,7 @@
     return InSyncSet(1, primary, tuple(sorted(replicas, key=lambda replica: replica.zone)))
 
 
-def _changed(old: InSyncSet, new: Replica, primary: str | None = None) -> InSyncSet:
+def _with_replica(old: InSyncSet, new: Replica, primary: str | None = None) -> InSyncSet:
     """Return the next set, with `new` in place of its zone's replica, and the primary if one is given."""
     replicas = tuple(new if replica.zone == new.zone else replica for replica in old.replicas)
     epoch = old.epoch + 1
@@ -63,7 +63,7 @@
     return InSyncSet(epoch, primary or old.primary, replicas, old.accepted_losses, since)
 
 
-def _replica(old: InSyncSet, zone: str) -> Replica:
+def _require_replica(old: InSyncSet, zone: str) -> Replica:
     replica = old.replica(zone)
     if replica is None:
         raise TransitionNotAllowedError(
@@ -72,7 +72,7 @@
     return replica
 
 
-def _evicted(old: InSyncSet, replica: Replica) -> Replica:
+def _as_evicted(old: InSyncSet, replica: Replica) -> Replica:
     # An in-sync replica has every write up to this epoch; a joining one is complete only as far as before.
     complete = old.epoch if replica.state is ReplicaState.IN_SYNC else replica.complete_epoch
     return msgspec.structs.replace(
@@ -85,12 +85,12 @@
 
     Raises TransitionNotAllowedError for the primary (see `replace_primary`) and replicas already out of sync.
     """
-    replica = _replica(old, zone)
+    replica = _require_replica(old, zone)
     if zone == old.primary or replica.state is ReplicaState.OUT_OF_SYNC:
         raise TransitionNotAllowedError(
             f"zone {zone!r} cannot be evicted in epoch {old.epoch}: it is the primary's or out of sync"
         )
-    return _changed(old, _evicted(old, replica))
+    return _with_replica(old, _as_evicted(old, replica))
 
 
 def replace_primary(old: InSyncSet, zone: str, order: Sequence[str] = ()) -> InSyncSet:
@@ -99,7 +99,7 @@
     `order` lists zones in order of preference.  Raises OnlyReplicaError if no other replica is in sync, and
     TransitionNotAllowedError if `zone` is not the primary's.
     """
-    replica = _replica(old, zone)
+    replica = _require_replica(old, zone)
     if zone != old.primary:
         raise TransitionNotAllowedError(
             f"zone {zone!r} does not have the primary of the in-sync set of epoch {old.epoch}"
@@ -111,7 +111,7 @@
         )
     rank = {name: index for index, name in enumerate(order)}
     primary = min(others, key=lambda other: (rank.get(other, len(rank)), other))
-    return _changed(old, _evicted(old, replica), primary)
+    return _with_replica(old, _as_evicted(old, replica), primary)
 
 
 def begin_joining(old: InSyncSet, zone: str, store_id: str) -> InSyncSet:
@@ -120,7 +120,7 @@
     If its store is not the one that was evicted, it may lack any record and counts as empty.  Raises
     TransitionNotAllowedError for a replica that is not out of sync.
     """
-    replica = _replica(old, zone)
+    replica = _require_replica(old, zone)
     if replica.state is not ReplicaState.OUT_OF_SYNC:
         raise TransitionNotAllowedError(
             f"the replica in zone {zone!r} is not out of sync in epoch {old.epoch}, so it cannot join"
@@ -129,7 +129,7 @@
     joining = msgspec.structs.replace(
         replica, state=ReplicaState.JOINING, store_id=store_id, complete_epoch=complete
     )
-    return _changed(old, joining)
+    return _with_replica(old, joining)
 
 
 def readmit(old: InSyncSet, proof: CatchUpProof) -> InSyncSet:
@@ -137,18 +137,18 @@
 
     Raises TransitionNotAllowedError unless it is joining and the proof is for this epoch and its store.
     """
-    replica = _replica(old, proof.zone)
+    replica = _require_replica(old, proof.zone)
     is_joining = replica.state is ReplicaState.JOINING
     if not is_joining or proof.epoch != old.epoch or proof.store_id != replica.store_id:
         raise TransitionNotAllowedError(
             f"the replica in zone {proof.zone!r} has no proof for epoch {old.epoch} that it is complete"
         )
-    return _changed(old, msgspec.structs.replace(replica, state=ReplicaState.IN_SYNC, complete_epoch=0))
+    return _with_replica(old, msgspec.structs.replace(replica, state=ReplicaState.IN_SYNC, complete_epoch=0))
 
 
 def reset_evictions(old: InSyncSet, zone: str) -> InSyncSet:
     """Reset a replica's number of evictions.  Raises TransitionNotAllowedError if `zone` has no replica."""
-    return _changed(old, msgspec.structs.replace(_replica(old, zone), evictions=0))
+    return _with_replica(old, msgspec.structs.replace(_require_replica(old, zone), evictions=0))
 
 
 def force_primary(old: InSyncSet, zone: str, store_id: str) -> InSyncSet:
@@ -158,7 +158,7 @@
     the only in-sync replica; the others count as empty.  Raises TransitionNotAllowedError for a replica that
     is in sync: it can become the primary without a loss.
     """
-    replica = _replica(old, zone)
+    replica = _require_replica(old, zone)
     if replica.state is ReplicaState.IN_SYNC:
         raise TransitionNotAllowedError(
             f"zone {zone!r} is in sync in epoch {old.epoch}: it can become the primary without a loss"
--- a/cressrock/replication/write.py
+++ b/cressrock/replication/write.py
@@ -58,22 +58,22 @@
         if current is None:
             return reject("no-decree")
     assert current is not None
-    ordered = yield from _order_at_primary(current, payload)
-    if isinstance(ordered, OperationOutcome):
-        return ordered
-    return (yield from _finish(ordered, payload, rules))
+    primary_result = yield from _perform_at_primary(current, payload)
+    if isinstance(primary_result, OperationOutcome):
+        return primary_result
+    return (yield from _propagate_and_answer(primary_result, payload, rules))
 
 
-class _Ordered(NamedTuple):
+class _PrimaryResult(NamedTuple):
     """The primary's result, and the set under which it was performed."""
 
     in_sync_set: InSyncSet
     result: ReplicaResult
 
 
-def _finish(ordered: _Ordered, payload: Any, rules: SafetyRules) -> RequestSteps:
+def _propagate_and_answer(primary_result: _PrimaryResult, payload: Any, rules: SafetyRules) -> RequestSteps:
     """Bring the record that the primary wrote, or its response depends on, to all replicas; then answer."""
-    in_sync_set, result = ordered
+    in_sync_set, result = primary_result
     record: Record | None = result.record
     if record is None:
         return answer(result)
@@ -90,9 +90,9 @@
     return answer(result)
 
 
-def _order_at_primary(
+def _perform_at_primary(
     in_sync_set: InSyncSet, payload: Any
-) -> Generator[Action, Any, OperationOutcome | _Ordered]:
+) -> Generator[Action, Any, OperationOutcome | _PrimaryResult]:
     """Perform the client's operation at the primary; return its result and the set that applied then."""
     for _ in range(MAX_SETS_PER_REQUEST):
         (result,) = yield PerformOperations(
@@ -112,4 +112,4 @@
         return reject_or_fail("first-copy", result)
     if result.failed:
         return fail("first-copy", result)
-    return _Ordered(in_sync_set, result)
+    return _PrimaryResult(in_sync_set, result)
--- a/tests/compatibility/copies_cases.py
+++ b/tests/compatibility/copies_cases.py
@@ -605,7 +605,7 @@
         elif event < 0.75:
             tracker.record_node_list({n for n in range(4) if draw.random() < 0.9}, range(3), now_ms)
         elif event < 0.8:
-            tracker.reset(shard)
+            tracker.clear_failures(shard)
         else:
             tracker.record_store(shard, other=draw.random() < 0.2)
         has_reports = draw.random() < 0.5
--- a/tests/replication/test_in_sync_set.py
+++ b/tests/replication/test_in_sync_set.py
@@ -63,10 +63,9 @@
         transitions.replace_primary(without_b, "a")
     joining = transitions.begin_joining(without_b, "b", "b0")
     assert joining.write_zones == ("a", "b") and joining.read_zones == ("a",)
+    # The list was read under an older epoch.
     with pytest.raises(TransitionNotAllowedError):
-        transitions.readmit(
-            joining, transitions.CatchUpProof("b", joining.epoch - 1, "b0")
-        )  # the list was read under an older epoch
+        transitions.readmit(joining, transitions.CatchUpProof("b", joining.epoch - 1, "b0"))
     with pytest.raises(TransitionNotAllowedError):
         transitions.readmit(joining, transitions.CatchUpProof("b", joining.epoch, "b1"))  # another store
     assert transitions.readmit(joining, transitions.CatchUpProof("b", joining.epoch, "b0")).read_zones == (
