--- a/cressrock/cli/main.py
+++ b/cressrock/cli/main.py
@@ -1,7 +1,7 @@
-"""`cressrock`: the commands.
+"""The commands of `cressrock`.
 
-Exit codes: 0 done; 1 a check did not hold (rules broken, settings refused); 2 wrong use of the command
-line; 3 an address, file or other resource could not be had.
+Exit codes: 0 success; 1 a check failed (a rule was broken, or settings are invalid); 2 command line usage
+error; 3 an address, file or other resource is unavailable.
 """
 
 from __future__ import annotations
@@ -27,7 +27,7 @@
 from cressrock.settings import SettingsError, evaluate, load
 from cressrock.settings.load import convert
 
-OK, BROKEN, USAGE, UNAVAILABLE = 0, 1, 2, 3
+OK, CHECK_FAILED, USAGE, UNAVAILABLE = 0, 1, 2, 3
 LAB_LIBRARIES = ("pyarrow", "trio", "scipy")
 
 
@@ -45,25 +45,29 @@
     version_flags=["--version"],
 )
 app.register_install_completion_command()
-lab = App(name="lab", help="The laboratory: stand-ins, troubled days, the judge of the rules.")
+lab = App(
+    name="lab",
+    help="The laboratory: simulated nodes, fault scenarios, and a checker of the scheduling rules.",
+)
 app.command(lab)
 
 Define = Annotated[
-    list[str] | None, Parameter(name=["--define", "-D"], help="NAME=TEXT, read in the file by std.extVar.")
+    list[str] | None,
+    Parameter(name=["--define", "-D"], help="NAME=TEXT, which the file reads with std.extVar."),
 ]
 
 
 def _variables(define: list[str] | None) -> dict[str, str]:
-    found = {}
+    variables = {}
     for item in define or []:
         name, equals, text = item.partition("=")
         if not equals:
-            _stop(USAGE, f"--define {item}: NAME=TEXT was expected")
-        found[name] = text
-    return found
+            _exit_with_message(USAGE, f"--define {item}: expected NAME=TEXT")
+        variables[name] = text
+    return variables
 
 
-def _stop(code: int, text: str) -> None:
+def _exit_with_message(code: int, text: str) -> None:
     print(f"cressrock: {text}", file=sys.stderr)
     raise SystemExit(code)
 
@@ -78,16 +82,16 @@
         A Jsonnet file.
     """
     try:
-        found = load(str(settings), _variables(define))
-    except SettingsError as wrong:
-        _stop(BROKEN, str(wrong))
+        loaded = load(str(settings), _variables(define))
+    except SettingsError as error:
+        _exit_with_message(CHECK_FAILED, str(error))
         return
-    print(json.dumps(msgspec.to_builtins(found), indent=2, sort_keys=True))
+    print(json.dumps(msgspec.to_builtins(loaded), indent=2, sort_keys=True))
 
 
 @app.command
 def serve(settings: Path, *, define: Define = None) -> None:
-    """Run a dispatcher until SIGTERM; SIGHUP reads the settings again.
+    """Run a dispatcher until SIGTERM or SIGINT; SIGHUP reloads the settings.
 
     Parameters
     ----------
@@ -96,17 +100,17 @@
     """
     variables = _variables(define)
     try:
-        found = load(str(settings), variables)
-    except SettingsError as wrong:
-        _stop(BROKEN, str(wrong))
+        loaded = load(str(settings), variables)
+    except SettingsError as error:
+        _exit_with_message(CHECK_FAILED, str(error))
         return
-    logs.configure(found.observe.level)
-    _run(process.serve_gateway, str(settings), variables, found, _version())
+    logs.configure(loaded.observe.level)
+    _run(process.serve_gateway, str(settings), variables, loaded, _version())
 
 
 @app.command
 def edge(settings: Path, *, define: Define = None) -> None:
-    """Run an edge: it answers requests, and a planner decides where and when work goes.
+    """Run an edge: it serves clients, and a planner decides when and where their operations run.
 
     Parameters
     ----------
@@ -115,36 +119,36 @@
     """
     variables = _variables(define)
     try:
-        found = load(str(settings), variables)
-    except SettingsError as wrong:
-        _stop(BROKEN, str(wrong))
+        loaded = load(str(settings), variables)
+    except SettingsError as error:
+        _exit_with_message(CHECK_FAILED, str(error))
         return
-    if not found.pair.planners:
-        _stop(BROKEN, f"{settings}: pair.planners: an edge needs at least one")
-    logs.configure(found.observe.level)
-    _run(process.serve_gateway, str(settings), variables, found, _version())
+    if not loaded.pair.planners:
+        _exit_with_message(CHECK_FAILED, f"{settings}: pair.planners: an edge needs at least one planner")
+    logs.configure(loaded.observe.level)
+    _run(process.serve_gateway, str(settings), variables, loaded, _version())
 
 
 @app.command
 def plan(settings: Path, *, define: Define = None) -> None:
-    """Run a planner until SIGTERM; edges join it at `pair.listen`.
+    """Run a planner until SIGTERM or SIGINT; edges connect to it at `pair.listen`.
 
     Parameters
     ----------
     settings
-        A Jsonnet file; classes, plans and scheduler have to be those of the edges.
+        A Jsonnet file; classes, plans and scheduler have to match those of the edges.
     """
     try:
-        found = load(str(settings), _variables(define))
-    except SettingsError as wrong:
-        _stop(BROKEN, str(wrong))
+        loaded = load(str(settings), _variables(define))
+    except SettingsError as error:
+        _exit_with_message(CHECK_FAILED, str(error))
         return
-    logs.configure(found.observe.level)
-    _run(process.serve_planner, found, _version())
+    logs.configure(loaded.observe.level)
+    _run(process.serve_planner, loaded, _version())
 
 
 def _run(program: Any, *args: Any) -> None:
-    """Run an anyio program on uvloop; an error of the operating system ends it with one line."""
+    """Run an anyio program on uvloop; exit with code 3 and one line on an OSError or CressrockError."""
     try:
         anyio.run(program, *args, backend="asyncio", backend_options={"use_uvloop": True})
     except* OSError as group:
@@ -153,12 +157,12 @@
             error = error.exceptions[0]
         if isinstance(error, net.BindError):
             error = AddressUnavailableError(str(error))
-        _stop(UNAVAILABLE, str(error))
+        _exit_with_message(UNAVAILABLE, str(error))
     except* CressrockError as group:
         error = group
         while isinstance(error, BaseExceptionGroup):
             error = error.exceptions[0]
-        _stop(UNAVAILABLE, str(error))
+        _exit_with_message(UNAVAILABLE, str(error))
     except* KeyboardInterrupt:
         pass
 
@@ -174,44 +178,44 @@
     settings: Path | None = None,
     level: str = "warning",
 ) -> None:
-    """Run a dispatcher and its stand-ins on loopback until interrupted.
+    """Run a dispatcher with simulated nodes on loopback until interrupted.
 
     Prints one JSON line with the addresses when ready.  The volume `demo` has no limit.
 
     Parameters
     ----------
     listen
-        Where WebDAV is served.
+        Address of the WebDAV server.
     admin
-        Where health and metrics are served.
+        Address of the admin port, with health and metrics.
     seed
-        Seed of all that is drawn.
+        Seed of all random numbers.
     shards
-        How many storage nodes, each with a shard of its own.
+        Number of storage nodes, each with its own shard.
     modelled
-        Give the nodes cores, speed and a queue; else they answer at once.
+        Simulate cores, speed and a queue at each node; otherwise nodes answer at once.
     settings
         A Jsonnet file to use instead of the laboratory's own settings; its node list is replaced.
     level
-        Of the log on standard error: debug, info, warning or error.
+        Log level on standard error: debug, info, warning or error.
     """
-    _needs_lab()
+    _require_lab_libraries()
     from cressrock.lab.serve import serve_lab
 
     if level not in logs.LEVELS:
-        _stop(USAGE, f"--level {level}: none of {', '.join(logs.LEVELS)}")
+        _exit_with_message(USAGE, f"--level {level}: expected one of {', '.join(logs.LEVELS)}")
     logs.configure(level)
     value = None
     if settings is not None:
         try:
             value = evaluate(str(settings))
             convert(str(settings), value)
-        except SettingsError as wrong:
-            _stop(BROKEN, str(wrong))
+        except SettingsError as error:
+            _exit_with_message(CHECK_FAILED, str(error))
 
     async def program() -> None:
         async with anyio.create_task_group() as tasks:
-            tasks.start_soon(_interrupted, tasks)
+            tasks.start_soon(_cancel_on_signal, tasks)
             await serve_lab(
                 listen=listen,
                 seed=seed,
@@ -219,7 +223,7 @@
                 modelled=modelled,
                 admin=admin,
                 log=logs.logger(dispatcher="lab"),
-                ready=lambda found: print(json.dumps(found), flush=True),
+                ready=lambda addresses: print(json.dumps(addresses), flush=True),
                 settings=value,
             )
 
@@ -240,50 +244,50 @@
     site: Path | None = None,
     real: bool = False,
     fail_on_idle: bool = False,
-    only: Annotated[list[str] | None, Parameter(help="Play only these troubles.")] = None,
+    only: Annotated[list[str] | None, Parameter(help="Inject only these faults.")] = None,
     trace: Path | None = None,
     json_output: Annotated[bool, Parameter(name="--json")] = False,
 ) -> None:
-    """Play a troubled day through real dispatchers and judge it by the seven rules.
+    """Run a fault scenario against real dispatchers and check it against the seven rules.
 
-    Exit code 1 if a rule was broken or a fence tripped.  Beside the rules stand what was served, its share
-    of the best possible, how far the nodes were used, and what stood in the way of what was denied.
+    Exit code 1 if a rule was broken or a fence tripped.  The report also shows what was served, its share of
+    the best possible, the nodes' utilisation, and why requests were denied.
 
     Parameters
     ----------
     day
-        `bad` has every trouble; `calm` has none.
+        `bad` has every fault; `calm` has none.
     seed
-        One seed gives one day; in simulated time also one trace.
+        The same seed gives the same scenario; in simulated time also the same trace.
     planners
-        Make the dispatchers edges of so many planners, which are killed again and again; 0 for none.
+        Run the dispatchers as edges of this many planners, which are killed repeatedly; 0 for none.
     rate
-        Requests a second of all clients together, before surges.
+        Requests per second of all clients together, without surges.
     load
-        Instead of a rate: the part of the busiest shard's capacity that is asked for.
+        Instead of a rate: the demand as a fraction of the busiest shard's capacity.
     site
-        A Jsonnet file that says what the place is like (see examples/sites).
+        A Jsonnet file that describes the site (see examples/sites).
     fail_on_idle
-        Exit code 1 also if a request was refused though its node stood idle.
+        Exit code 1 also if a request was refused while its node was idle.
     real
-        Play over loopback sockets in real time; else in simulated time.
+        Run over loopback sockets in real time; otherwise in simulated time.
     trace
-        Where to write what went over the sockets, as Parquet.
+        Parquet file to write the socket traffic to.
     """
-    _needs_lab()
+    _require_lab_libraries()
     from cressrock.lab.bound import bound
     from cressrock.lab.day import TROUBLES, Script, play
     from cressrock.lab.judge import judge
     from cressrock.lab.report import as_json, as_text, service_text
-    from cressrock.lab.service import serve as reckon
+    from cressrock.lab.service import serve as evaluate_service
     from cressrock.lab.site import load_site, usual
 
     names = [name for name, _ in TROUBLES]
     if day not in ("bad", "calm"):
-        _stop(USAGE, f"day {day!r}: bad or calm")
+        _exit_with_message(USAGE, f"day {day!r}: expected bad or calm")
     for name in only or []:
         if name not in names:
-            _stop(USAGE, f"--only {name}: none of {', '.join(names)}")
+            _exit_with_message(USAGE, f"--only {name}: expected one of {', '.join(names)}")
     if (
         not 1 <= dispatchers <= 1000
         or not 1 <= nodes <= 1000
@@ -291,20 +295,21 @@
         or not 0 <= load <= 100
         or not 1 <= seconds <= 86400
     ):
-        _stop(
+        _exit_with_message(
             USAGE,
-            "a day has 1 to 1000 dispatchers and nodes, a rate up to 100000, a load up to 100, 1 to 86400 s",
+            "out of range: a day takes 1 to 1000 dispatchers and nodes, a rate above 0 and up to 100000, "
+            "a load of 0 to 100, and 1 to 86400 s",
         )
     if not 0 <= planners <= dispatchers:
-        _stop(USAGE, "--planners: from 0 to the number of dispatchers")
+        _exit_with_message(USAGE, "--planners: expected 0 to the number of dispatchers")
     logs.configure("error")
     try:
-        place = usual() if site is None else load_site(str(site))
-    except SettingsError as wrong:
-        _stop(BROKEN, str(wrong))
+        site_settings = usual() if site is None else load_site(str(site))
+    except SettingsError as error:
+        _exit_with_message(CHECK_FAILED, str(error))
         return
     script = Script(
-        site=place,
+        site=site_settings,
         load=load,
         name=day,
         seed=seed,
@@ -321,62 +326,62 @@
     if trace is not None:
         try:
             result.trace.write(str(trace))
-        except OSError as wrong:
-            _stop(UNAVAILABLE, f"{trace}: cannot be written: {wrong}")
-    found, service, best = judge(result.trace), reckon(result.trace), bound(result.trace)
+        except OSError as error:
+            _exit_with_message(UNAVAILABLE, f"{trace}: cannot be written: {error}")
+    verdict, service, best = judge(result.trace), evaluate_service(result.trace), bound(result.trace)
     if json_output:
-        print(as_json(found, result, service, best))
+        print(as_json(verdict, result, service, best))
     else:
-        print(as_text(found, result.trace, result))
+        print(as_text(verdict, result.trace, result))
         print(service_text(service, best))
-    if found.breaches or result.fences or (fail_on_idle and service.idle):
-        raise SystemExit(BROKEN)
+    if verdict.breaches or result.fences or (fail_on_idle and service.idle):
+        raise SystemExit(CHECK_FAILED)
 
 
 @lab.command(name="judge")
 def lab_judge(trace: Path, *, json_output: Annotated[bool, Parameter(name="--json")] = False) -> None:
-    """Judge a trace by the seven rules, from what went over the sockets alone.
+    """Check a trace against the seven rules, from the recorded socket traffic alone.
 
     Parameters
     ----------
     trace
-        A Parquet file that `lab day --trace` wrote.
+        A Parquet file written by `lab day --trace`.
     """
-    found_trace = _trace(trace)
+    loaded_trace = _load_trace(trace)
     from cressrock.lab.judge import judge
     from cressrock.lab.report import as_json, as_text, service_text
-    from cressrock.lab.service import serve as reckon
+    from cressrock.lab.service import serve as evaluate_service
 
-    found, service = judge(found_trace), reckon(found_trace)
+    verdict, service = judge(loaded_trace), evaluate_service(loaded_trace)
     if json_output:
-        print(as_json(found, None, service))
+        print(as_json(verdict, None, service))
     else:
-        print(as_text(found, found_trace, None))
+        print(as_text(verdict, loaded_trace, None))
         print(service_text(service, None))
-    if found.breaches:
-        raise SystemExit(BROKEN)
+    if verdict.breaches:
+        raise SystemExit(CHECK_FAILED)
 
 
 @lab.command(name="bound")
 def lab_bound(trace: Path, *, json_output: Annotated[bool, Parameter(name="--json")] = False) -> None:
-    """Reckon what the best possible schedule of a trace's day could have earned, and the share reached.
+    """Compute the value of the best possible schedule for a trace, and the share of it that was reached.
 
     Parameters
     ----------
     trace
-        A Parquet file that `lab day --trace` wrote.
+        A Parquet file written by `lab day --trace`.
     """
-    found_trace = _trace(trace)
+    loaded_trace = _load_trace(trace)
     from cressrock.lab.bound import bound
     from cressrock.lab.report import service_json, service_text
-    from cressrock.lab.service import serve as reckon
+    from cressrock.lab.service import serve as evaluate_service
 
     try:
-        best = bound(found_trace)
-    except ValueError as wrong:
-        _stop(UNAVAILABLE, f"{trace}: {wrong}")
+        best = bound(loaded_trace)
+    except ValueError as error:
+        _exit_with_message(UNAVAILABLE, f"{trace}: {error}")
         return
-    service = reckon(found_trace)
+    service = evaluate_service(loaded_trace)
     if json_output:
         print(json.dumps(service_json(service, best), indent=2, sort_keys=True))
     else:
@@ -387,76 +392,81 @@
         print(service_text(service, best))
 
 
-def _trace(path: Path) -> Any:
-    """Read a trace, or stop with one line."""
-    _needs_lab()
+def _load_trace(path: Path) -> Any:
+    """Return the trace in a file; exit with code 3 if it cannot be read or lacks the site's description."""
+    _require_lab_libraries()
     from cressrock.lab.trace import load as load_trace
 
     try:
-        found = load_trace(str(path))
-    except ValueError as wrong:
-        _stop(UNAVAILABLE, str(wrong))
+        trace = load_trace(str(path))
+    except ValueError as error:
+        _exit_with_message(UNAVAILABLE, str(error))
         raise
-    if "machines" not in found.facts:
-        _stop(UNAVAILABLE, f"{path}: written by an older laboratory, which did not say what its site is like")
-    return found
+    if "machines" not in trace.facts:
+        _exit_with_message(
+            UNAVAILABLE,
+            f"{path}: written by an older version, whose traces do not describe the site; record it again",
+        )
+    return trace
 
 
-def _needs_lab() -> None:
-    """Stop with one line where the laboratory's libraries are not installed."""
+def _require_lab_libraries() -> None:
+    """Exit with code 3 if the laboratory's libraries are not installed."""
     from importlib.util import find_spec
 
     missing = [name for name in LAB_LIBRARIES if find_spec(name) is None]
     if missing:
-        _stop(UNAVAILABLE, f"this command needs {', '.join(missing)}: pip install 'cressrock[lab]'")
+        _exit_with_message(
+            UNAVAILABLE, f"this command needs {', '.join(missing)}: pip install 'cressrock[lab]'"
+        )
 
 
 @lab.command(name="fuzz")
 def lab_fuzz(*, seed: int = 1, seconds: float = 60.0) -> None:
-    """Throw drawn bytes at the front and at every parser of untrusted bytes, for a time.
+    """Send random bytes to the front end and to every parser of untrusted input, for a number of seconds.
 
-    Exit code 1 if a defect was found; each names the seed that shows it again.
+    Exit code 1 if a defect was found; each is printed with the seed that reproduces it.
     """
     import time
 
-    _needs_lab()
+    _require_lab_libraries()
     from cressrock.lab.fuzz import fuzz_front, fuzz_parsers
 
     end, inputs, defects = time.monotonic() + seconds, 0, 0
     while time.monotonic() < end and not defects:
         for name, run, count in (("front", fuzz_front, 200), ("parsers", fuzz_parsers, 5000)):
-            found = run(seed, count)
-            inputs += found.inputs
-            defects += len(found.defects)
-            for defect in found.defects[:10]:
+            result = run(seed, count)
+            inputs += result.inputs
+            defects += len(result.defects)
+            for defect in result.defects[:10]:
                 print(f"{name}, seed {seed}: {defect}")
         seed += 1
     print(f"{inputs} inputs, {defects} defects")
     if defects:
-        raise SystemExit(BROKEN)
+        raise SystemExit(CHECK_FAILED)
 
 
 @lab.command(name="nodes")
 def lab_nodes(
     *, listen: str = "127.0.0.1:9900", seed: int = 1, shards: int = 3, modelled: bool = False
 ) -> None:
-    """Run stand-ins for storage nodes and their list alone, for a dispatcher that `serve` runs.
+    """Run only simulated storage nodes and their node list, for a dispatcher started with `serve`.
 
     Prints one JSON line with the addresses when ready.
 
     Parameters
     ----------
     listen
-        Where the node list is served.
+        Address of the node list.
     """
-    _needs_lab()
+    _require_lab_libraries()
     from cressrock.lab.serve import open_hall
 
     logs.configure("warning")
 
     async def program() -> None:
         async with anyio.create_task_group() as tasks:
-            tasks.start_soon(_interrupted, tasks)
+            tasks.start_soon(_cancel_on_signal, tasks)
             hall, address = await open_hall(tasks, seed=seed, shards=shards, modelled=modelled, listen=listen)
             print(json.dumps({"list": address, "nodes": sorted(hall.places)}), flush=True)
             await anyio.sleep_forever()
@@ -464,7 +474,7 @@
     _run(program)
 
 
-async def _interrupted(tasks: TaskGroup) -> None:
+async def _cancel_on_signal(tasks: TaskGroup) -> None:
     with anyio.open_signal_receiver(signal.SIGTERM, signal.SIGINT) as signals:
         async for _ in signals:
             tasks.cancel_scope.cancel()
@@ -472,10 +482,11 @@
 
 
 def main() -> None:
-    """Run the command line."""
+    """Run the command line; a closed standard output ends it without a traceback."""
     try:
         app()
         sys.stdout.flush()
     except BrokenPipeError:
-        # Whoever read the output has enough of it (`| head`): no trace, and nothing more at the exit.
+        # The reader closed the pipe (`| head`).  Redirecting stdout to /dev/null also keeps the flush at exit
+        # from raising.
         os.dup2(os.open(os.devnull, os.O_WRONLY), sys.stdout.fileno())
--- a/cressrock/observe/__init__.py
+++ b/cressrock/observe/__init__.py
@@ -1,1 +1,1 @@
-"""What operators see: JSON log lines, metrics, the admin port."""
+"""Observability for operators: JSON logs, Prometheus metrics and the admin port."""
--- a/cressrock/observe/admin.py
+++ b/cressrock/observe/admin.py
@@ -1,4 +1,4 @@
-"""What an admin port answers: routes of cluster features first, then the program's own read-only pages."""
+"""The admin port: routes of cluster features take precedence over the program's read-only pages."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class Response(NamedTuple):
-    """A page as it is sent."""
+    """HTTP status, content type and body of a page."""
 
     status: int
     content_type: bytes
@@ -28,38 +28,38 @@
 
 
 def health_page() -> Response:
-    """Return that the process runs: it answered."""
+    """Return 200: that the process answers shows that it is running."""
     return Response(200, TEXT, b"ok\n")
 
 
 def readiness_page(not_ready_reasons: list[str]) -> Response:
-    """Return that work may be sent here, or why not."""
+    """Return 200 if there are no reasons, otherwise 503 with the reasons."""
     body = ("; ".join(not_ready_reasons) or "ready") + "\n"
     return Response(503 if not_ready_reasons else 200, TEXT, body.encode())
 
 
 def metrics_page(exposition: bytes) -> Response:
-    """Return metrics in Prometheus's text form."""
+    """Return a page of metrics that are already in Prometheus text format."""
     return Response(200, METRICS, exposition)
 
 
 def status_page(status: Mapping[str, object]) -> Response:
-    """Return plain values as JSON."""
+    """Return a page with `status` encoded as JSON."""
     return Response(200, JSON, msgspec.json.encode(status))
 
 
 class AdminServer:
-    """The admin port of one program; both the gateway and the planner have one."""
+    """HTTP handler of the admin port of a gateway or planner."""
 
     def __init__(self, pages: Mapping[bytes, Page]) -> None:
-        """`pages` are the program's own, by path; features add their `routes`, by the path's prefix."""
+        """`pages` maps exact paths to pages; features add handlers to `routes` by path prefix."""
         self.pages = pages
         self.routes: dict[bytes, Route] = {}
 
     async def handle(self, exchange: Exchange) -> None:
-        """Answer one request: by the route that its path begins with, whatever the method; else by a page.
+        """Answer one request: by the route whose prefix matches its path, with any method; else by a page.
 
-        A page is made only for GET and HEAD; a path that has none is answered with those that there are.
+        Pages answer only GET and HEAD (405 otherwise); an unknown path gets 404 and the list of pages.
         """
         path = exchange.head.target.split(b"?")[0]
         for prefix, handler in self.routes.items():
--- a/cressrock/observe/logs.py
+++ b/cressrock/observe/logs.py
@@ -1,4 +1,4 @@
-"""Structured logs: one JSON object a line, on standard error."""
+"""Structured logs: one JSON object per line, on standard error."""
 
 from __future__ import annotations
 
@@ -12,7 +12,10 @@
 
 
 def configure(level: str, *, stream: Any = None) -> None:
-    """Set up logging for a program.  `level` is one of LEVELS."""
+    """Set up structured logging for the process.
+
+    `level` is a key of LEVELS; `stream` defaults to standard error.
+    """
     structlog.configure(
         processors=[
             structlog.contextvars.merge_contextvars,
@@ -29,5 +32,5 @@
 
 
 def logger(**fields: Any) -> Any:
-    """Return a logger that adds these fields to each line."""
+    """Return a logger that adds `fields` to each line."""
     return structlog.get_logger(**fields)
--- a/cressrock/programs/__init__.py
+++ b/cressrock/programs/__init__.py
@@ -1,1 +1,1 @@
-"""The programs: composition of the parts and signals only."""
+"""The gateway and planner programs: they compose the other packages and handle signals."""
--- a/cressrock/programs/composition.py
+++ b/cressrock/programs/composition.py
@@ -1,7 +1,7 @@
-"""What both programs are composed of, built from the settings in one place.
+"""Factory functions that build the components of the gateway and the planner from the settings.
 
-Streams, clock, wall time and randomness come from outside, so that the very same programs run over loopback
-sockets and in simulated time.
+Streams, clock, wall time and random seed are passed in, so that the same programs run over real sockets and
+in simulated time.
 """
 
 from __future__ import annotations
@@ -33,7 +33,7 @@
 from cressrock.replication.shard_request import DeadlineShares
 from cressrock.rollout.service import ProcessSettings as RolloutProcessSettings
 from cressrock.rollout.service import RolloutService
-from cressrock.runtime.cluster import ClusterRuntime, NodeIdentity
+from cressrock.runtime.cluster import ClusterRuntime, ProcessIdentity
 from cressrock.runtime.sockets import Sockets, SystemSockets
 from cressrock.scheduler.scheduler import Scheduler
 from cressrock.settings.rules import Tables, Version
@@ -45,24 +45,24 @@
 
 @dataclass(frozen=True, slots=True)
 class Environment:
-    """What a program needs from outside.  Times in milliseconds."""
+    """The external dependencies of a program.  Times in milliseconds."""
 
     connect: Connect
     wall_ms: Callable[[], float]
     seed: int
     log: Any
     sockets: Sockets = field(default_factory=SystemSockets)
-    allow_threads: bool = True  # what blocks may leave the event loop; not in simulated time
+    allow_threads: bool = True  # blocking calls may run in worker threads; False in simulated time
 
 
 def create_scheduler(settings: Settings, seed: int, now_ms: float) -> DecisionModule:
-    """Return the decision module, started."""
+    """Return the default decision module, initialised at `now_ms`."""
     return Scheduler(interface_settings(settings), seed, now_ms)
 
 
 @dataclass(frozen=True, slots=True)
 class Components:
-    """What a dispatcher is made of; the laboratory puts in components that are broken on purpose."""
+    """The replaceable components of a dispatcher; tests substitute deliberately broken ones."""
 
     decisions: Callable[[Settings, int, float], DecisionModule] = create_scheduler
     ledger: type[Ledger] = Ledger
@@ -72,7 +72,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RolloutHooks:
-    """How a program takes part in rollouts."""
+    """A program's callbacks for rollouts, and whether it may lead them."""
 
     on_versions_changed: Callable[[tuple[str, ...]], None]
     planner_has_version: Callable[[str], bool] = lambda digest: True
@@ -80,12 +80,15 @@
 
 
 def child_rng(rng: random.Random) -> random.Random:
-    """Return a random source of its own; the order of these calls is part of what one seed gives."""
+    """Return an independent generator seeded from `rng`.
+
+    The order of these calls determines the result of a seed.
+    """
     return random.Random(rng.getrandbits(SEED_BITS))
 
 
 def create_node_client(settings: Settings, environment: Environment) -> NodeClient:
-    """Return the connections to the storage nodes."""
+    """Return the client that connects to the storage nodes."""
     return NodeClient(environment.connect, settings.nodes, user_agent=f"cressrock/{settings.name}")
 
 
@@ -95,7 +98,7 @@
     node_client: NodeClient,
     on_report: Callable[[NodeList], None],
 ) -> NodeListPoller:
-    """Return what follows the node list by a program's settings."""
+    """Return the poller of the node list; it passes each new list to `on_report`."""
     node_list = settings.node_list
     return NodeListPoller(
         NodeListState(node_list.cluster, max_nodes=node_list.max_nodes),
@@ -112,7 +115,10 @@
 def create_runtime(
     settings: Settings, environment: Environment, role: str, rng: random.Random
 ) -> ClusterRuntime | None:
-    """Return a process's part in the cluster; None where its settings have none.  Raises OSError."""
+    """Return the process's cluster runtime under a new incarnation; None if `fleet` is not set.
+
+    Raises OSError if the incarnation cannot be stored.
+    """
     if settings.fleet is None:
         return None
     store = EpochStore(settings.fleet.life_file)
@@ -120,7 +126,7 @@
     store.write(incarnation)
     reads_evidence = settings.zones is not None or settings.rollout is not None
     return ClusterRuntime(
-        NodeIdentity(settings.name, incarnation, role, settings.fleet, settings.council),
+        ProcessIdentity(settings.name, incarnation, role, settings.fleet, settings.council),
         environment.sockets,
         clock=net.clock(),
         wall_ms=environment.wall_ms,
@@ -134,7 +140,7 @@
 def create_presence(
     settings: Settings, runtime: ClusterRuntime, volumes: Callable[[], Iterable[str]]
 ) -> PresenceService:
-    """Return a gateway's presence service, connected to its process's runtime."""
+    """Return a gateway's presence service, registered with its cluster runtime."""
     values = msgspec.structs.asdict(settings.presence) if settings.presence is not None else {}
 
     def values_of(kind: type[msgspec.Struct]) -> dict[str, Any]:
@@ -175,7 +181,7 @@
     rng: random.Random,
     hooks: RolloutHooks,
 ) -> RolloutService[Version]:
-    """Return a process's part in rollouts."""
+    """Return the process's rollout service."""
     own, council = settings.rollout, settings.council
     assert own is not None and council is not None and settings.fleet is not None
     process = RolloutProcessSettings(
@@ -189,8 +195,8 @@
         own.starts,
         own.starts_within_ms,
     )
-    # Danger: with one seed in all settings every process would draw the same numbers, and a burst that all
-    # see would go to one version as a whole.
+    # Name and incarnation make the seed unique.  Without them, processes that share a configured seed would
+    # draw the same numbers, and a burst that reaches all of them would go to a single version.
     seed = f"{rng.getrandbits(SEED_BITS)}/{settings.name}/{runtime.identity.incarnation}"
     return RolloutService(
         runtime,
@@ -208,13 +214,13 @@
 
 
 def set_rule_versions(decisions: DecisionModule | None, tables: Tables) -> None:
-    """Have a decision module know all versions of the rules that the tables have."""
+    """Extend a scheduler's tables with all rule versions in `tables`; other modules are left unchanged."""
     if isinstance(decisions, Scheduler):
         decisions.extend_tables(tables.rows(decisions.settings))
 
 
 def replica_placements(settings: Settings) -> dict[str, ReplicaPlacement]:
-    """Return where the replicas of the volumes lie that have some."""
+    """Return the replica placement of each replicated volume, by volume name."""
     return {
         name: ReplicaPlacement(
             tuple(volume.shards), {zone: tuple(shards) for zone, shards in volume.copies.items()}
@@ -231,7 +237,7 @@
     clock: Callable[[], float],
     log: Any,
 ) -> ReplicatedVolumes | None:
-    """Return what serves the volumes that have replicas; None where there are none."""
+    """Return the service for replicated volumes; None if there are none or consensus is not configured."""
     placements, replication = replica_placements(settings), settings.copies
     fleet, council = settings.fleet, settings.council
     if not placements or council is None:
--- a/cressrock/programs/edge.py
+++ b/cressrock/programs/edge.py
@@ -1,4 +1,4 @@
-"""The part of a gateway that an edge has more: its decisions between planners, and the link to a planner."""
+"""Factories of the components that only an edge has: its decision module and its planner link."""
 
 from __future__ import annotations
 
@@ -31,22 +31,24 @@
     rng: random.Random,
     edges_of: Callable[[str], int],
 ) -> EdgeDecisions:
-    """Return an edge's decisions; where the settings say how many edges there are, it also decides alone.
+    """Return an edge's decision module.
 
-    `edges_of(volume)` is the number of edges that have a share of its limit, which a reload may change.
+    With `pair.edges` set, it also has a local scheduler and quota for the time without a planner.
+    `edges_of(volume)` is the number of edges that share the volume's limit; a reload may change it.
     """
     pair, scheduler = settings.pair, settings.scheduler
     policy = DisconnectedPolicy(pair.answer_margin_ms, pair.retry_least_ms, pair.retry_most_ms)
     jitter, now_ms = child_rng(rng), anyio.current_time() * 1000
     local, quota = None, None
     if pair.edges:
-        # As one of so many hosts, without anything that a planner may already have spent: edge/decisions.py.
-        careful = msgspec.structs.replace(
+        # Schedules as one of `edges` hosts, without the free retry budget and slow-start capacity that a
+        # planner may already have spent (see edge/decisions.py).
+        scheduler_settings = msgspec.structs.replace(
             scheduler, hosts=pair.edges, budget_free=0.0, cold_bears=0.0, limits_lent=True
         )
-        own_settings = msgspec.structs.replace(settings, scheduler=careful)
-        local = components.decisions(own_settings, rng.getrandbits(SEED_BITS), now_ms)
-        quota = EdgeQuota(interface_settings(own_settings).plans, edges_of, pair.lend_ms, now_ms)
+        local_settings = msgspec.structs.replace(settings, scheduler=scheduler_settings)
+        local = components.decisions(local_settings, rng.getrandbits(SEED_BITS), now_ms)
+        quota = EdgeQuota(interface_settings(local_settings).plans, edges_of, pair.lend_ms, now_ms)
     return components.edge(
         ledger,
         policy,
@@ -66,7 +68,7 @@
     driver: TaskDriver,
     rng: random.Random,
 ) -> PlannerLink:
-    """Return an edge's link to the first planner in order of preference that answers."""
+    """Return an edge's link, which connects to the first planner in order of preference that answers."""
     pair = settings.pair
     jitter = child_rng(rng)
     return PlannerLink(
--- a/cressrock/programs/gateway.py
+++ b/cressrock/programs/gateway.py
@@ -1,6 +1,6 @@
-"""The gateway program in one process: WebDAV in, the scheduler's decisions, storage nodes out.
+"""The gateway program: serves WebDAV clients and schedules their operations on the storage nodes.
 
-With planners in its settings it is an edge: a planner decides, and this process carries that out.
+With planners in its settings it runs as an edge: a planner decides, and this process executes the decisions.
 """
 
 from __future__ import annotations
@@ -56,21 +56,21 @@
 from cressrock.settings.types import interface_settings
 from cressrock.webdav.front import Front
 
-OPERATIONS_PER_REQUEST = 4  # open at most, on average: bounds the ledger by the front end's requests
+OPERATIONS_PER_REQUEST = 4  # most open operations per request, on average; bounds the ledger
 STOP_POLL_S = 0.02
-NEEDS_RESTART = (
+SETTINGS_THAT_NEED_RESTART = (
     "name", "seed", "classes", "plans", "scheduler", "node_list", "fleet", "council", "presence", "rollout",
     "zones", "copies", "nodes", "payloads", "units",
 )  # fmt: skip
 
 
 class Gateway:
-    """One dispatcher.  `run` serves until cancelled; `serve` and `admin.handle` take connected streams."""
+    """One dispatcher.  `run` serves until cancelled; `serve` handles one client connection."""
 
     def __init__(
         self, settings: Settings, environment: Environment, *, components: Components | None = None
     ) -> None:
-        """Build what needs no event loop; nothing runs before `run`."""
+        """Create the components that need no event loop; `run` starts them and creates the others."""
         self.settings = settings
         self.environment = environment
         self.components = components or Components()
@@ -95,7 +95,7 @@
                 b"/v1/status": lambda: admin.status_page(self.status()),
             }
         )
-        # Made by `run`; the cluster features only where the settings have them.
+        # Created by `run`; the cluster features only if the settings configure them.
         self.server: Server | None = None
         self.front: Front | None = None
         self.driver: TaskDriver | None = None
@@ -108,9 +108,9 @@
         self._zone_names: dict[int, str] = {}
 
     async def run(self, *, task_status: TaskStatus[None] = anyio.TASK_STATUS_IGNORED) -> None:
-        """Serve until cancelled; reports started once connections can be taken."""
+        """Serve until cancelled; calls `task_status.started` once connections can be accepted."""
         settings, environment = self.settings, self.environment
-        # The order in which parts draw from this source is part of what one seed gives.
+        # The order in which components draw from this generator determines the result of a seed.
         rng = random.Random(environment.seed)
         async with AsyncExitStack() as stack:
             node_client = await stack.enter_async_context(self.node_client)
@@ -123,7 +123,8 @@
             front, self.server = self._create_front(driver, rng)
             poller.load_cache()
             poller.subscribe()
-            # Drawn last, and only where there is one: without it every seed gives what it gave before.
+            # Created after the components above, and draws only if a cluster is configured, so that a gateway
+            # without a cluster gives the same result for a seed.
             self.runtime = create_runtime(settings, environment, "edge", rng)
             if self.runtime is not None:
                 await self._start_cluster_features(self.runtime, front, edge, rng, tasks)
@@ -213,7 +214,8 @@
         tables, names = Tables(self.settings), list(self.metrics.classes)
 
         def on_versions_changed(live: tuple[str, ...]) -> None:
-            # Whatever looks a class or a plan up by its number: all of it, or a version would not be one.
+            # Every table indexed by class or plan number has to change together: a partial update would mix
+            # rule versions.
             rows = tables.rows(interface_settings(self.settings))
             driver.classes, self.metrics.classes = rows.classes, names * tables.used
             if edge is None:
@@ -247,7 +249,7 @@
     def _start_replication(
         self, runtime: ClusterRuntime, front: Front, driver: TaskDriver, tasks: TaskGroup
     ) -> None:
-        """Serve the volumes that have replicas, if there are any."""
+        """Start serving replicated volumes and publishing shard reachability, if any volume has replicas."""
         reachability = ReachabilityTracker()
         volumes = self.replicated_volumes = front.copies = create_replicated_volumes(
             self.settings, runtime, reachability, driver.clock, self.environment.log
@@ -261,7 +263,7 @@
         tasks.start_soon(publisher.run)
 
     def _zone_of(self, node: Node) -> str:
-        """Return the name of a listed node's zone."""
+        """Return the zone name of a listed node; empty if the node list does not name its zone."""
         name = self._zone_names.get(node.zone)
         if name is None and self.node_list_poller is not None:
             self._zone_names = {number: name for name, number in self.node_list_poller.state.zones.items()}
@@ -269,11 +271,11 @@
         return name or ""
 
     def _edges_of(self, volume: str) -> int:
-        """Return how many edges have a share of a volume's limit, by the present settings."""
-        own = self.settings.volumes.get(volume)
-        return (own.edges if own is not None else 0) or self.settings.pair.edges
+        """Return how many edges share a volume's limit, by the current settings."""
+        volume_settings = self.settings.volumes.get(volume)
+        return (volume_settings.edges if volume_settings is not None else 0) or self.settings.pair.edges
 
-    # --- what happens while it runs
+    # --- events
 
     def _on_node_list(self, report: NodeList) -> None:
         assert self.driver is not None
@@ -288,12 +290,15 @@
         self.environment.log.error("defect", error=repr(error), exc_info=error)
 
     async def serve(self, stream: Stream) -> None:
-        """Serve one client's connection."""
+        """Serve one client connection until it closes."""
         assert self.server is not None
         await self.server.serve(stream)
 
-    async def stop(self, after_ms: float) -> bool:
-        """Take nothing more, finish what is owed.  True if all was answered in time."""
+    async def stop(self, timeout_ms: float) -> bool:
+        """Stop accepting requests, leave the cluster, and drain open ones for at most `timeout_ms`.
+
+        Returns True if all requests were answered in time.
+        """
         self.stopping = True
         assert self.server is not None and self.driver is not None
         self.server.stop()
@@ -301,15 +306,22 @@
             self.presence.end_sessions()
         if self.runtime is not None:
             await self.runtime.leave()
-        with anyio.move_on_after(after_ms / 1000):
+        with anyio.move_on_after(timeout_ms / 1000):
             while self.server.connections or self.driver.ledger.entries:
                 await anyio.sleep(STOP_POLL_S)
             return True
         return False
 
     def reload(self, settings: Settings) -> list[str]:
-        """Take over what can change while running; returns the parts that need a restart."""
-        fixed = [name for name in NEEDS_RESTART if getattr(settings, name) != getattr(self.settings, name)]
+        """Apply new settings; returns the names of changed settings that need a restart.
+
+        If there are any, nothing is applied.
+        """
+        fixed = [
+            name
+            for name in SETTINGS_THAT_NEED_RESTART
+            if getattr(settings, name) != getattr(self.settings, name)
+        ]
         if replica_placements(settings) != replica_placements(self.settings):
             fixed.append("volumes.*.copies")
         if not fixed and self.front is not None:
@@ -317,10 +329,10 @@
             self.front.reload(settings)
         return fixed
 
-    # --- what the admin port shows
+    # --- admin port
 
     def status(self) -> dict[str, Any]:
-        """Return what this process knows of itself and of the others, as plain values."""
+        """Return the status of this process and of its cluster features, as JSON-encodable values."""
         reasons = self.not_ready_reasons()
         status: dict[str, Any] = {
             "name": self.settings.name,
@@ -335,7 +347,7 @@
         return status
 
     def not_ready_reasons(self) -> list[str]:
-        """Return why no work should be sent here; empty: ready."""
+        """Return the reasons why this gateway is not ready; empty if it is."""
         reasons = []
         if not self.started:
             reasons.append("starting")
@@ -348,14 +360,14 @@
         return reasons
 
     def render_metrics(self) -> bytes:
-        """Bring the gauges up to date and return the exposition."""
+        """Update the gauges and return the metrics in Prometheus text format."""
         metrics, poller = self.metrics, self.node_list_poller
         if self.driver is not None:
             set_ledger_gauges(metrics, self.driver.ledger)
             set_scheduler_gauges(metrics, self.driver.decisions)
         if poller is not None and poller.last_response_ms is not None:
-            metrics.list_age.set(anyio.current_time() - poller.last_response_ms / 1000)
+            metrics.node_list_age.set(anyio.current_time() - poller.last_response_ms / 1000)
         metrics.connections.labels("clients").set(self.server.connections if self.server else 0)
         metrics.connections.labels("nodes").set(self.node_client.connection_count())
-        metrics.stored.set(self.payload_store.memory_used_bytes)
+        metrics.payload_bytes.set(self.payload_store.memory_used_bytes)
         return metrics.text()
--- a/cressrock/programs/gauges.py
+++ b/cressrock/programs/gauges.py
@@ -1,4 +1,4 @@
-"""Gauges of a gateway, read where its metrics are asked for."""
+"""Gauges of a gateway, updated when its metrics are scraped."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 def set_ledger_gauges(metrics: Metrics, ledger: Ledger) -> None:
-    """Show the open operations, and the nodes by state."""
+    """Set the gauges of open operations and of nodes by state."""
     metrics.open_requests.set(len(ledger.entries))
     for state in NodeState:
         count = sum(node.state is state for node in ledger.nodes.values())
@@ -18,9 +18,9 @@
 
 
 def set_scheduler_gauges(metrics: Metrics, decisions: DecisionModule) -> None:
-    """Show the scheduler's queues and concurrency limits, where the module is the one that has them."""
+    """Set the gauges of queue lengths and concurrency limits, if `decisions` is a Scheduler."""
     if isinstance(decisions, Scheduler):
         for name, endpoint in decisions.endpoints.by_name.items():
-            metrics.depth.labels(name).set(endpoint.limit.window)
+            metrics.concurrency_limit.labels(name).set(endpoint.limit.window)
         for shard, queue in decisions.queues.items():
-            metrics.waiting.labels(str(shard)).set(queue.waiting_count)
+            metrics.waiting_operations.labels(str(shard)).set(queue.waiting_count)
--- a/cressrock/programs/planner.py
+++ b/cressrock/programs/planner.py
@@ -1,4 +1,4 @@
-"""The planner program: edges' links in, the decision module's orders out, the node list followed."""
+"""The planner program: serves edges' links, sends them the decision module's orders, polls the node list."""
 
 from __future__ import annotations
 
@@ -41,13 +41,13 @@
 
 
 class PlannerProgram:
-    """One planner.  `run` serves until cancelled; `serve` takes edges' connections."""
+    """One planner.  `run` serves until cancelled; `serve` handles one edge's connection."""
 
     def __init__(
         self, settings: Settings, environment: Environment, *, components: Components | None = None
     ) -> None:
-        """Take an epoch and keep it before anything is done under it.  Raises OSError."""
-        # Nobody can prove what an earlier epoch's planner retried: its retry budget counts as spent.
+        """Choose the next epoch and store it before it is used.  Raises OSError if it cannot be stored."""
+        # The retries of an earlier epoch's planner are unknown, so the retry budget starts out spent.
         scheduler = msgspec.structs.replace(
             settings.scheduler, budget_begins_spent=True, limits_lent=settings.pair.edges > 0
         )
@@ -61,7 +61,7 @@
         self.admin = admin.AdminServer(
             {b"/healthz": admin.health_page, b"/v1/status": lambda: admin.status_page(self.status())}
         )
-        # Made by `run`; the cluster features only where the settings have them.
+        # Created by `run`; the cluster features only if the settings configure them.
         self.server: PlannerServer | None = None
         self.runtime: ClusterRuntime | None = None
         self.rollout: RolloutService[Version] | None = None
@@ -69,7 +69,7 @@
         self.replica_manager: ReplicaManager | None = None
 
     async def run(self, *, task_status: TaskStatus[None] = anyio.TASK_STATUS_IGNORED) -> None:
-        """Serve until cancelled; reports started once edges can join."""
+        """Serve until cancelled; calls `task_status.started` once edges can connect."""
         settings, environment = self.settings, self.environment
         planner = self._create_planner()
         async with AsyncExitStack() as stack:
@@ -140,9 +140,9 @@
             rows = tables.rows(interface_settings(self.settings))
             planner.set_rule_versions(rows.classes, rows.plans, tables.places())
             set_rule_versions(planner.decisions, tables)
-            server.announce_rule_versions(live)  # only now: what edges offer under a version is decided by it
+            server.announce_rule_versions(live)  # last: edges then offer requests that these versions decide
 
-        # Beside the runtime's source, which is drawn from the seed itself.
+        # Seeded apart from the runtime's generator, which uses the seed itself.
         rng = random.Random(self.environment.seed + 1)
         hooks = RolloutHooks(on_versions_changed, may_lead=True)
         return create_rollout(self.settings, self.environment, runtime, tables, rng, hooks)
@@ -150,7 +150,10 @@
     def _create_replica_manager(
         self, runtime: ClusterRuntime, node_client: NodeClient
     ) -> ReplicaManager | None:
-        """Return what keeps the replicas in sync; None where no volume has any, or this process no vote."""
+        """Return the replica manager.
+
+        None if no volume is replicated or if this process has no consensus replica.
+        """
         placements, settings = replica_placements(self.settings), self.settings.copies
         council = self.settings.council
         if not placements or council is None or council.store is None:
@@ -177,7 +180,7 @@
             incarnation=f"{self.settings.name}-{self.epoch}",
         )
 
-    # --- what happens while it runs
+    # --- events
 
     def _on_node_list(self, report: NodeList) -> None:
         assert self.server is not None
@@ -186,12 +189,12 @@
             self.replica_manager.on_node_list(report)
 
     async def serve(self, stream: Stream) -> None:
-        """Serve one edge's connection."""
+        """Serve one edge's connection until it closes."""
         assert self.server is not None
         await self.server.serve(stream)
 
     def status(self) -> dict[str, Any]:
-        """Return what this process knows of itself and of the others, as plain values."""
+        """Return the status of this process, its edges and its cluster features, as JSON-encodable values."""
         status: dict[str, Any] = {
             "name": self.settings.name,
             "epoch": self.epoch,
--- a/cressrock/programs/process.py
+++ b/cressrock/programs/process.py
@@ -1,4 +1,4 @@
-"""A program as a process: its listeners, its signals, its orderly end."""
+"""Runs a gateway or a planner as a process: listeners, signal handling and graceful shutdown."""
 
 from __future__ import annotations
 
@@ -22,7 +22,10 @@
 
 
 async def serve_gateway(path: str, variables: dict[str, str], settings: Settings, version: str) -> None:
-    """Run a gateway until SIGTERM or SIGINT; SIGHUP reads the settings at `path` again."""
+    """Run a gateway until SIGTERM or SIGINT; SIGHUP reloads the settings from `path`.
+
+    An exception group with a BindError is raised if an address cannot be bound.
+    """
     log = logs.logger(dispatcher=settings.name)
     gateway = Gateway(settings, _environment(settings, log))
     async with anyio.create_task_group() as tasks:
@@ -30,7 +33,7 @@
         address, close = await net.listen(
             settings.front.listen, gateway.serve, tasks, setting="front.listen", log=log
         )
-        admin = await _listen_for_admin(settings, gateway.admin, tasks, log)
+        admin = await _serve_admin_port(settings, gateway.admin, tasks, log)
         bound = gateway.runtime.addresses if gateway.runtime is not None else {}
         log.info("serving", address=address, admin=admin, version=version, **bound)
         await _reload_until_stopped(gateway, path, variables, log)
@@ -42,8 +45,11 @@
 
 
 async def serve_planner(settings: Settings, version: str) -> None:
-    """Run a planner until SIGTERM or SIGINT."""
-    # Here, so that a gateway's process does not load the planner's packages.
+    """Run a planner until SIGTERM or SIGINT.
+
+    An exception group with a BindError is raised if an address cannot be bound.
+    """
+    # Imported here so that a gateway process does not load the planner's packages.
     from cressrock.programs.planner import PlannerProgram
 
     log = logs.logger(planner=settings.name)
@@ -53,7 +59,7 @@
         address, close = await net.listen(
             settings.pair.listen, planner.serve, tasks, setting="pair.listen", log=log
         )
-        admin = await _listen_for_admin(settings, planner.admin, tasks, log)
+        admin = await _serve_admin_port(settings, planner.admin, tasks, log)
         bound = planner.runtime.addresses if planner.runtime is not None else {}
         log.info("planning", address=address, admin=admin, epoch=planner.epoch, version=version, **bound)
         with anyio.open_signal_receiver(signal.SIGTERM, signal.SIGINT) as signals:
@@ -67,14 +73,14 @@
 
 
 def _environment(settings: Settings, log: Any) -> Environment:
-    # Without a seed in the settings each process draws one: idempotency keys and lock tokens must differ from
-    # those of every other process.
+    # Without a configured seed each process draws a random one, because idempotency keys and lock tokens must
+    # be unique across processes.
     seed = settings.seed or secrets.randbits(SEED_BITS)
     return Environment(net.connect, net.wall_ms, seed, log)
 
 
-async def _listen_for_admin(settings: Settings, admin: AdminServer, tasks: TaskGroup, log: Any) -> str | None:
-    """Serve the admin port, if the settings name one; returns its address."""
+async def _serve_admin_port(settings: Settings, admin: AdminServer, tasks: TaskGroup, log: Any) -> str | None:
+    """Serve the admin port; returns its bound address, or None if the settings name no admin address."""
     if settings.observe.admin is None:
         return None
     server = Server(
@@ -91,7 +97,7 @@
 
 
 async def _reload_until_stopped(gateway: Gateway, path: str, variables: dict[str, str], log: Any) -> None:
-    """Reload on SIGHUP; return on SIGTERM or SIGINT."""
+    """Reload the settings on each SIGHUP; return on SIGTERM or SIGINT."""
     with anyio.open_signal_receiver(signal.SIGTERM, signal.SIGINT, signal.SIGHUP) as signals:
         async for number in signals:
             if number != signal.SIGHUP:
--- a/cressrock/runtime/__init__.py
+++ b/cressrock/runtime/__init__.py
@@ -1,1 +1,1 @@
-"""One process's part in the cluster: membership, gossip, consensus, and the sockets they use."""
+"""The cluster runtime of one process: membership, gossip, consensus, and the sockets they use."""
--- a/cressrock/runtime/cluster.py
+++ b/cressrock/runtime/cluster.py
@@ -1,6 +1,6 @@
-"""One process's membership, gossip, and consensus replica or client, composed for both programs.
+"""Composes one process's membership, gossip, and consensus replica or client, for gateways and planners.
 
-Nothing here decides anything; every rule is kept without it (`docs/fleet.md`).
+This module makes no scheduling decisions, and the rules hold without it (`docs/fleet.md`).
 """
 
 from __future__ import annotations
@@ -43,13 +43,13 @@
 from cressrock.runtime.sockets import Sockets
 from cressrock.runtime.streams import StreamHandler, serve_by_magic
 from cressrock.settings.types import CouncilSettings
-from cressrock.settings.types import Fleet as FleetPart
+from cressrock.settings.types import Fleet as FleetSettings
 
-GOSSIP_ROUNDS_PER_PERIOD = 5  # of the membership protocol
+GOSSIP_ROUNDS_PER_PERIOD = 5  # per period of the membership protocol
 
 
 class _NotifyingGossip:
-    """The gossip state as the cluster's transport sees it, which reports each merge."""
+    """Wraps the gossip store for the cluster transport and calls `on_merged` after each merge."""
 
     def __init__(self, gossip: GossipStore, on_merged: Callable[[], None]) -> None:
         self.recent_changes, self.digest, self.deltas = gossip.recent_changes, gossip.digest, gossip.deltas
@@ -57,28 +57,31 @@
         self._merge, self._on_merged = gossip.merge, on_merged
 
     def merge(self, data: bytes) -> None:
-        """Merge, and report it.  Raises GossipError."""
+        """Merge received state, then call `on_merged`.  Raises GossipError."""
         self._merge(data)
         self._on_merged()
 
 
 @dataclass(frozen=True, slots=True)
-class NodeIdentity:
-    """Who a process is: name, incarnation (grows with every start of the name), role, and its settings."""
+class ProcessIdentity:
+    """Identity of a process in the cluster, and its settings.
+
+    The incarnation increases with every start under the same name; `role` is "edge" or "planner".
+    """
 
     name: str
     incarnation: int
     role: str
-    fleet: FleetPart
+    fleet: FleetSettings
     council: CouncilSettings | None
 
 
 class ClusterRuntime:
-    """`run` it in a task group; then membership, gossip, decisions and consensus are there for features."""
+    """Membership, gossip, cached decisions and consensus for the cluster features; `run` keeps them going."""
 
     def __init__(
         self,
-        identity: NodeIdentity,
+        identity: ProcessIdentity,
         sockets: Sockets,
         *,
         clock: Callable[[], float],
@@ -88,11 +91,11 @@
         allow_threads: bool = True,
         is_collector: bool = False,
     ) -> None:
-        """`clock` gives monotonic ms.
+        """`clock` returns monotonic ms.
 
-        `allow_threads`: a replica's writes leave the loop free (not in simulated time).  `is_collector`: it
-        reads evidence, so where it has a replica it is a collector.  Raises StoreTooNewError for a
-        `seen_file` of a newer program.
+        `allow_threads`: a replica's writes run in worker threads (False in simulated time).  `is_collector`:
+        this process evaluates evidence; it collects evidence only if it also has a consensus replica.  Raises
+        StoreTooNewError if `seen_file` was written by a newer version.
         """
         self.identity, self.sockets, self.clock, self.wall_ms = identity, sockets, clock, wall_ms
         self.rng, self.log, self.allow_threads = rng, log, allow_threads
@@ -117,18 +120,20 @@
         self.membership: ClusterTransport | None = None
         self.replica: ConsensusReplica | None = None
         self.consensus: ConsensusClient | None = None
-        seen = identity.council.seen_file if identity.council is not None else None
-        self.decision_cache = DecisionCache(seen, clock)
-        self.addresses: dict[str, str] = {}  # what was bound: fleet, council
-        self.on_gossip_change: list[Callable[[Origin, str], None]] = []  # called with each changed entry
-        self.stream_handlers: dict[bytes, StreamHandler] = {}  # of features, by their protocols' first bytes
-        self.on_leaving: list[Callable[[], None]] = []  # called as an orderly end begins
+        seen_file = identity.council.seen_file if identity.council is not None else None
+        self.decision_cache = DecisionCache(seen_file, clock)
+        self.addresses: dict[str, str] = {}  # bound addresses, by "fleet" and "council"
+        self.on_gossip_change: list[
+            Callable[[Origin, str], None]
+        ] = []  # called with origin and key of each changed entry
+        self.stream_handlers: dict[bytes, StreamHandler] = {}  # by the magic bytes of a feature's protocol
+        self.on_leaving: list[Callable[[], None]] = []  # called when a graceful shutdown begins
         self._decisions = DecisionExchange(self.gossip, self.decision_cache, log)
 
     async def run(self, *, task_status: TaskStatus[None] = anyio.TASK_STATUS_IGNORED) -> None:
-        """Take part until cancelled; started once bound.
+        """Run the cluster protocols until cancelled; calls `task_status.started` once the sockets are bound.
 
-        Raises BindError; FencedError once a newer incarnation of this name is heard of.
+        Raises BindError; FencedError if a newer incarnation of this name appears in the cluster.
         """
         settings = self.identity.fleet
         async with anyio.create_task_group() as tasks:
@@ -136,11 +141,11 @@
                 settings.listen, self._serve, tasks, setting="fleet.listen"
             )
             self.addresses["fleet"] = bound
-            transport = self.membership = self._cluster_transport(bound, datagrams)
+            transport = self.membership = self._create_transport(bound, datagrams)
             evidence = self.evidence
             evidence.send, evidence.members = transport.send_collector_message, self.members
             transport.on_collector_message = evidence.receive
-            transport.event_listeners.append(lambda _event: self._members_changed())
+            transport.event_listeners.append(lambda _event: self._on_members_changed())
             try:
                 if self.identity.council is not None:
                     await self._join_consensus(self.identity.council, tasks)
@@ -152,8 +157,8 @@
                 with anyio.CancelScope(shield=True):
                     await close()
 
-    def _cluster_transport(self, bound: str, datagrams: DatagramSocket) -> ClusterTransport:
-        """Compose membership and gossip over the bound sockets."""
+    def _create_transport(self, bound: str, datagrams: DatagramSocket) -> ClusterTransport:
+        """Return the transport of membership and gossip over the bound sockets."""
         identity, settings = self.identity, self.identity.fleet
         member = Identity(
             identity.name,
@@ -184,7 +189,7 @@
         )
 
     async def leave(self) -> None:
-        """Say to the others that this process ends; returns when they had time to hear it."""
+        """Announce that this process leaves; returns once the announcement has had time to spread."""
         for listener in self.on_leaving:
             listener()
         if self.membership is not None:
@@ -245,28 +250,32 @@
         self._decisions.publish(self.replica.decisions.all_decisions(), changed)
 
     def _on_gossip_merged(self) -> None:
-        """Look at what a merge changed; called by the transport after each."""
+        """Process the entries that a merge changed: cache decisions, notify the listeners."""
         for origin, key in self.gossip.drain_changes():
-            if self._decisions.concerns(key):
+            if self._decisions.is_decision_key(key):
                 value = self.gossip.value_of(key, origin)
                 if value is not None:
                     self._decisions.receive_entry(key, value)
             for listener in self.on_gossip_change:
                 listener(origin, key)
 
-    # --- what others may look at
+    # --- state for features and the admin port
 
     @property
     def is_leader(self) -> bool:
-        """Whether this process's replica leads, as far as it knows.
+        """Whether this process's replica believes that it is the leader.
 
-        It may be wrong: what a former leader decides does not stand, and `if_number` guards the rest.
+        It may be out of date: decisions of a former leader are not committed, and callers guard against lost
+        updates with `if_number`.
         """
-        core = self.replica.raft if self.replica is not None else None
-        return core is not None and core.role is Role.LEADER
+        raft = self.replica.raft if self.replica is not None else None
+        return raft is not None and raft.role is Role.LEADER
 
     def members(self) -> tuple[Member, ...]:
-        """Return the view of all members, this process among them; of thousands it may be a second old."""
+        """Return all known members, including this process.
+
+        The view is cached: with thousands of members it may be a second old.
+        """
         if self.membership is None:
             return ()
         now = self.clock()
@@ -274,12 +283,12 @@
             self._view_cache.store(self.membership.membership.view(now), now, self.clock())
         return self._view_cache.view
 
-    def _members_changed(self) -> None:
+    def _on_members_changed(self) -> None:
         self._view_cache.invalidate()
         self.evidence.on_members_changed()
 
     def status(self) -> dict[str, Any]:
-        """Return plain values for an admin port: who is there, what stands, what could not be read."""
+        """Return members, decisions, evidence and drop counts, as JSON-encodable values."""
         now = self.clock()
         decisions = {}
         for topic in self.decision_cache.reader.topics():
--- a/cressrock/runtime/decision_exchange.py
+++ b/cressrock/runtime/decision_exchange.py
@@ -1,7 +1,7 @@
-"""Decisions between consensus, gossip and one process's cache.
+"""Carries decisions between consensus, gossip and the process's decision cache.
 
-A replica publishes what was decided as gossip entries; every process caches what it receives.  A decision
-that is too large for an entry goes by reference, and is read from a replica.
+A replica publishes committed decisions as gossip entries; every process caches those it receives.  A decision
+that is too large for an entry is published as a reference and read from a replica.
 """
 
 from __future__ import annotations
@@ -23,31 +23,34 @@
 from cressrock.errors.consensus import InvalidDecisionError, NoQuorumError
 from cressrock.gossip.store import GossipStore
 
-GOSSIP_ENTRY_OVERHEAD_BYTES = 32  # of an entry in the gossip state, beside its value
+GOSSIP_ENTRY_OVERHEAD_BYTES = 32  # of a gossip entry, besides its value
 
 
 class DecisionReader(Protocol):
-    """The way to the replicas."""
+    """Reads decisions from the consensus replicas."""
 
     async def read(self, topic: str) -> Decision | None:
-        """Return the present decision of a topic.  Raises NoQuorumError, InvalidDecisionError."""
+        """Return a topic's current decision, None if it has none.
+
+        Raises NoQuorumError, InvalidDecisionError.
+        """
 
 
 class DecisionExchange:
-    """Publishes a replica's decisions, caches received ones, fetches those that went by reference."""
+    """Publishes a replica's decisions, caches received ones, fetches those published by reference."""
 
     def __init__(self, gossip: GossipStore, cache: DecisionCache, log: Any) -> None:
-        """Begin with nothing published."""
+        """`gossip` carries the decisions; received ones are put into `cache`."""
         self._gossip, self._cache, self._log = gossip, cache, log
         self._subscriber = DecisionSubscriber()
         self._publisher = DecisionPublisher(gossip.settings.max_value_bytes - GOSSIP_ENTRY_OVERHEAD_BYTES)
         self._topics_to_fetch: set[str] = set()
         self._fetch_requested = anyio.Event()
-        self.rejected = 0  # decisions in the gossip that could not be read
+        self.rejected = 0  # gossip entries that could not be decoded
 
-    def publish(self, present: Iterable[Decision], changed: tuple[Decision, ...]) -> None:
-        """Put a replica's decisions into the gossip, and cache the changed ones in this process too."""
-        by_topic = {decision.topic: decision for decision in present}
+    def publish(self, current: Iterable[Decision], changed: tuple[Decision, ...]) -> None:
+        """Publish a replica's decisions as gossip entries, and cache the changed ones in this process."""
+        by_topic = {decision.topic: decision for decision in current}
         by_topic |= {decision.topic: decision for decision in changed if decision.topic in by_topic}
         renewal = max((decision.renewal for decision in changed), default=0)
         for decision in changed:
@@ -59,12 +62,15 @@
                 self._gossip.put(change.key, change.value)
 
     @staticmethod
-    def concerns(key: str) -> bool:
-        """Whether an entry of the gossip is about decisions."""
+    def is_decision_key(key: str) -> bool:
+        """Whether a gossip key is that of a decision or of a renewal."""
         return key.startswith((DECISION_PREFIX, RENEWAL_PREFIX))
 
     def receive_entry(self, key: str, value: bytes) -> None:
-        """Cache what an entry of the gossip says; one that cannot be read is counted, and logged once."""
+        """Cache the decisions in a gossip entry.
+
+        Entries that cannot be decoded are counted, and the first one is logged.
+        """
         try:
             decisions, topics = self._subscriber.receive_entry(key, value)
         except CressrockError as error:
@@ -79,7 +85,7 @@
             self._fetch_requested.set()
 
     async def fetch_referenced(self, reader: DecisionReader | None) -> None:
-        """Read decisions that went by reference from a replica, one after another, until cancelled."""
+        """Read decisions published by reference from a replica, one at a time, until cancelled."""
         while True:
             await self._fetch_requested.wait()
             self._fetch_requested = anyio.Event()
@@ -89,7 +95,7 @@
                 try:
                     decision = await reader.read(topic)
                 except (NoQuorumError, InvalidDecisionError):
-                    continue  # the next reference from any replica asks again
+                    continue  # retried at the next reference that any replica publishes
                 if decision is not None:
                     self._cache_decision(decision)
 
--- a/tests/programs/test_admin.py
+++ b/tests/programs/test_admin.py
@@ -1,4 +1,4 @@
-"""The admin port of both programs: one way to answer, each with its own pages."""
+"""The admin ports of the gateway and the planner: common request handling, separate pages."""
 
 import json
 from types import SimpleNamespace
@@ -14,8 +14,8 @@
 from cressrock.settings.load import convert
 
 
-class Asked:
-    """An exchange that remembers its answer."""
+class RecordingExchange:
+    """An exchange that records its answer."""
 
     def __init__(self, method, target):
         self.head = SimpleNamespace(method=method, target=target)
@@ -26,26 +26,26 @@
         self.answer = status, dict(headers), body
 
 
-def program(kind, routes=None, reasons=()):
-    """Return the handler of a program's admin port; the program does not run."""
+def admin_handler(kind, routes=None, reasons=()):
+    """Return the admin port's handler of a program of class `kind`, which is not run."""
     settings = convert("admin", lab_settings("127.0.0.1:1", "127.0.0.1:0", 1))
-    made = kind(settings, Environment(connect=None, wall_ms=lambda: 0.0, seed=1, log=None))
-    made.not_ready_reasons = lambda: list(reasons)
-    made.render_metrics = lambda: b"metrics"
-    made.status = lambda: {"name": "x"}
-    made.admin.routes |= routes or {}
-    return made.admin.handle
+    program = kind(settings, Environment(connect=None, wall_ms=lambda: 0.0, seed=1, log=None))
+    program.not_ready_reasons = lambda: list(reasons)
+    program.render_metrics = lambda: b"metrics"
+    program.status = lambda: {"name": "x"}
+    program.admin.routes |= routes or {}
+    return program.admin.handle
 
 
 def ask(serve, target, method=b"GET"):
-    exchange = Asked(method, target)
+    exchange = RecordingExchange(method, target)
     anyio.run(serve, exchange)
     return exchange.answer
 
 
 @pytest.mark.parametrize("kind", [Gateway, PlannerProgram])
-def test_health_and_status_are_alike_at_both(kind):
-    serve = program(kind)
+def test_health_and_status_pages_are_the_same_for_gateway_and_planner(kind):
+    serve = admin_handler(kind)
     assert ask(serve, b"/healthz") == (200, {b"content-type": admin.TEXT}, b"ok\n")
     assert ask(serve, b"/healthz?x=1", b"HEAD")[0] == 200
     code, headers, body = ask(serve, b"/v1/status")
@@ -61,23 +61,23 @@
         (PlannerProgram, b"/healthz or /v1/status\n"),
     ],
 )
-def test_a_path_that_is_none_is_told_which_there_are(kind, names):
-    assert ask(program(kind), b"/other") == (404, {b"content-type": admin.TEXT}, names)
-    assert ask(program(kind), b"/healthz/")[0] == 404
+def test_unknown_path_gets_404_with_the_list_of_pages(kind, names):
+    assert ask(admin_handler(kind), b"/other") == (404, {b"content-type": admin.TEXT}, names)
+    assert ask(admin_handler(kind), b"/healthz/")[0] == 404
 
 
-def test_pages_that_a_gateway_alone_has():
-    assert ask(program(Gateway), b"/readyz") == (200, {b"content-type": admin.TEXT}, b"ready\n")
-    assert ask(program(Gateway, reasons=("a", "b")), b"/readyz")[::2] == (503, b"a; b\n")
-    assert ask(program(Gateway), b"/metrics") == (200, {b"content-type": admin.METRICS}, b"metrics")
-    assert ask(program(PlannerProgram), b"/metrics")[0] == 404
+def test_readiness_and_metrics_pages_of_the_gateway():
+    assert ask(admin_handler(Gateway), b"/readyz") == (200, {b"content-type": admin.TEXT}, b"ready\n")
+    assert ask(admin_handler(Gateway, reasons=("a", "b")), b"/readyz")[::2] == (503, b"a; b\n")
+    assert ask(admin_handler(Gateway), b"/metrics") == (200, {b"content-type": admin.METRICS}, b"metrics")
+    assert ask(admin_handler(PlannerProgram), b"/metrics")[0] == 404
 
 
 @pytest.mark.parametrize("kind", [Gateway, PlannerProgram])
-def test_a_rooms_route_comes_first_and_takes_any_method(kind):
-    async def room(exchange):
+def test_feature_route_takes_precedence_and_accepts_any_method(kind):
+    async def feature(exchange):
         await exchange.respond(202, [], exchange.head.method)
 
-    serve = program(kind, {b"/v1/rollout": room})
+    serve = admin_handler(kind, {b"/v1/rollout": feature})
     assert ask(serve, b"/v1/rollout/x?y", b"POST") == (202, {}, b"POST")
     assert ask(serve, b"/v1/roll", b"POST")[0] == 405
--- a/tests/programs/test_command_line.py
+++ b/tests/programs/test_command_line.py
@@ -1,4 +1,4 @@
-"""The program as its users meet it: command line, ordinary clients on loopback, signals."""
+"""End-to-end tests of the program: command line, third-party WebDAV clients on loopback, signals."""
 
 import json
 import re
@@ -42,7 +42,7 @@
     assert process.returncode == 0 and not errors, errors
 
 
-def test_a_python_client_works_on_a_volume(lab, tmp_path):
+def test_webdav4_client_reads_and_writes_a_volume(lab, tmp_path):
     client = Client(lab["url"])
     client.mkdir("glossary")
     with pytest.raises(ResourceAlreadyExists):
@@ -61,7 +61,7 @@
     assert not client.exists("glossary")
 
 
-def test_the_public_conformance_suite_passes_completely(lab):
+def test_litmus_conformance_suite_passes(lab):
     if shutil.which("litmus") is None:
         pytest.skip("litmus is not installed")
     run = subprocess.run(
@@ -72,7 +72,7 @@
     assert all(failed == "0" and ran == passed for ran, passed, failed in summaries)
 
 
-def test_a_command_line_client_works_on_a_volume(lab, tmp_path):
+def test_cadaver_client_reads_and_writes_a_volume(lab, tmp_path):
     if shutil.which("cadaver") is None:
         pytest.skip("cadaver is not installed")
     (tmp_path / "f.txt").write_text("seven")
@@ -90,7 +90,7 @@
     assert "failed" not in run.stdout and "green" in run.stdout and "g.txt" in run.stdout
 
 
-def test_many_clients_idle_connections_and_the_admin_port(lab):
+def test_http_client_requests_and_admin_port_pages(lab):
     with httpx.Client(base_url=f"http://{lab['address']}") as one:
         assert one.request("OPTIONS", "/demo/").headers["dav"] == "1, 2, 3"
         for index in range(50):
@@ -110,16 +110,16 @@
     assert httpx.post(f"{admin}/metrics").status_code == 405
 
 
-def test_settings_are_checked_on_the_command_line(tmp_path):
+def test_check_prints_settings_and_reports_invalid_ones(tmp_path):
     good = tmp_path / "s.jsonnet"
     good.write_text((ROOT / "examples" / "gateway.jsonnet").read_text())
     shown = cressrock("check", str(good))
     assert shown.returncode == 0 and json.loads(shown.stdout)["front"]["listen"] == "127.0.0.1:8080"
     good.write_text(good.read_text().replace("poll_ms: 500", "poll_ms: -500"))
-    wrong = cressrock("check", str(good))
-    assert wrong.returncode == 1
-    assert "s.jsonnet: node_list.poll_ms" in wrong.stderr and "found -500" in wrong.stderr
-    assert "Traceback" not in wrong.stderr
+    invalid = cressrock("check", str(good))
+    assert invalid.returncode == 1
+    assert "s.jsonnet: node_list.poll_ms" in invalid.stderr and "found -500" in invalid.stderr
+    assert "Traceback" not in invalid.stderr
 
 
 def test_serve_reloads_on_sighup_and_stops_on_sigterm(tmp_path):
@@ -130,28 +130,28 @@
         [sys.executable, "-m", "cressrock", "serve", str(path)], stderr=subprocess.PIPE, text=True, cwd=ROOT
     )
 
-    def line(event):
+    def next_line(event):
         for _ in range(40):
             found = json.loads(process.stderr.readline())
             if found["event"] == event:
                 return found
-        raise AssertionError(f"no {event}")
+        raise AssertionError(f"log event not found within 40 lines: {event}")
 
     try:
-        address = line("serving")["address"]
+        address = next_line("serving")["address"]
         assert httpx.get(f"http://{address}/nowhere/x").status_code == 404
         path.write_text("{ broken")
         process.send_signal(signal.SIGHUP)
-        assert "s.jsonnet" in line("settings not reloaded")["error"]
+        assert "s.jsonnet" in next_line("settings not reloaded")["error"]
         path.write_text(text.replace("glossaries:", "nowhere: c.volume([0], plan='pro'), glossaries:"))
         process.send_signal(signal.SIGHUP)
-        line("settings reloaded")
+        next_line("settings reloaded")
         assert (
             httpx.put(f"http://{address}/nowhere/x", content=b"x", headers={"prefer": "wait=0"}).status_code
             == 503
         )
         process.send_signal(signal.SIGTERM)
-        assert line("stopped")["all_answered"] is True
+        assert next_line("stopped")["all_answered"] is True
         assert process.wait(timeout=30) == 0
     finally:
         process.kill()
@@ -161,14 +161,14 @@
     ("args", "code", "text"),
     [
         (("lab", "day", "sunny"), 2, "bad or calm"),
-        (("lab", "day", "--only", "rain"), 2, "none of restarts"),
+        (("lab", "day", "--only", "rain"), 2, "expected one of restarts"),
         (("lab", "judge", "README.md"), 3, "not a readable trace"),
         (("check", "none.jsonnet"), 1, "cannot be read"),
-        (("lab", "serve", "--level", "loud"), 2, "none of debug"),
+        (("lab", "serve", "--level", "loud"), 2, "expected one of debug"),
         (("lab", "serve", "--listen", "127.0.0.1:1", "--shards", "1"), 3, ""),
     ],
 )
-def test_wrong_use_ends_in_one_line_and_a_documented_code(args, code, text):
+def test_usage_errors_print_one_line_and_exit_with_documented_code(args, code, text):
     if "127.0.0.1:1" in args:
         import socket
 
@@ -189,15 +189,15 @@
     assert re.match(r"\d", cressrock("--version").stdout)
 
 
-def test_a_day_over_real_sockets_is_played_and_judged():
-    """Real time may be late on a busy machine: no verdict of a rule is asked for here."""
+def test_fault_scenario_over_real_sockets_is_run_and_checked():
+    """Does not require the rules to hold: on a busy machine real time may run late."""
     run = cressrock("lab", "day", "bad", "--real", "--seconds", "6", "--seed", "2", "--json")
     found = json.loads(run.stdout)
     assert len(found["rules"]) == 7 and not found["fences"]
     assert found["figures"]["answered"] > 50 and found["looked_at"]["1"] == found["figures"]["requests"]
 
 
-def test_descriptors_used_up_and_given_back():
+def test_serves_again_after_file_descriptors_were_exhausted():
     code = (
         "import resource, sys; resource.setrlimit(resource.RLIMIT_NOFILE, (80, 80)); "
         "sys.argv = ['cressrock', 'lab', 'serve', '--listen', '127.0.0.1:0', '--level', 'error']; "
@@ -211,21 +211,21 @@
         taken = [socket.create_connection((host, int(port)), timeout=10) for _ in range(120)]
         for one in taken:
             one.close()
-        for _ in range(50):  # what was queued behind the limit is served once descriptors are free
+        for _ in range(50):  # connections queued at the limit are accepted once descriptors are free
             try:
                 assert httpx.get(f"http://{host}:{port}/", timeout=5).status_code == 200
                 break
             except httpx.TransportError:
                 continue
         else:
-            raise AssertionError("never served again")
+            raise AssertionError("no request was served after the descriptors were freed")
         assert process.poll() is None
     finally:
         process.kill()
         process.communicate()
 
 
-def test_a_reader_that_has_enough_ends_a_command_without_a_trace():
+def test_closed_output_pipe_ends_a_command_without_traceback():
     command = [sys.executable, "-m", "cressrock", "check", "examples/gateway.jsonnet"]
     with subprocess.Popen(command, stdout=subprocess.PIPE, stderr=subprocess.PIPE) as run:
         run.stdout.close()
--- a/tests/programs/test_gateway.py
+++ b/tests/programs/test_gateway.py
@@ -1,4 +1,4 @@
-"""The whole path in simulated time: real bytes, real decisions, stand-in nodes, and what goes wrong."""
+"""End-to-end tests of a gateway in simulated time, with real decisions, simulated nodes and faults."""
 
 import anyio
 import pytest
@@ -12,7 +12,7 @@
 LOCK = b'<lockinfo xmlns="DAV:"><lockscope><exclusive/></lockscope><locktype><write/></locktype></lockinfo>'
 
 
-def test_a_payload_there_and_back_with_its_conditions_and_ranges():
+def test_put_and_get_with_conditions_and_ranges():
     async def program(rig):
         made = await rig.ask("PUT", "/demo/a", b"0123456789", content_type="text/x")
         assert made.status == 201
@@ -34,7 +34,7 @@
     run(program)
 
 
-def test_collections_over_three_shards():
+def test_collection_operations_across_three_shards():
     async def program(rig):
         assert (await rig.ask("MKCOL", "/demo/c")).status == 201
         assert (await rig.ask("MKCOL", "/demo/c")).status == 405
@@ -54,11 +54,11 @@
     run(program)
 
 
-def test_a_collections_lock_holds_at_every_shard():
+def test_collection_lock_applies_on_every_shard():
     async def program(rig):
         await rig.ask("MKCOL", "/demo/c")
-        told = []
-        rig.gateway.front.locked = lambda *what: told.append(what)
+        lock_events = []
+        rig.gateway.front.locked = lambda *what: lock_events.append(what)
         lock = await rig.ask(
             "LOCK", "/demo/c", LOCK, depth="infinity", timeout="Second-100", presence_session="s"
         )
@@ -71,13 +71,13 @@
             assert with_token.status == 201
         unlocked = await rig.ask("UNLOCK", "/demo/c", lock_token=token, presence_session="s")
         assert unlocked.status == 204
-        assert told == [("s", token.strip("<>"), True), ("s", token.strip("<>"), False)]
+        assert lock_events == [("s", token.strip("<>"), True), ("s", token.strip("<>"), False)]
         assert (await rig.ask("PUT", "/demo/c/0", b"y")).status == 204
 
     run(program)
 
 
-def test_a_large_payload_streams_both_ways_in_bounded_memory():
+def test_large_payload_is_uploaded_and_downloaded_in_bounded_memory():
     async def program(rig):
         body = bytes(range(256)) * 4096 * 8  # 8 MiB
         assert (await rig.ask("PUT", "/demo/big", body)).status == 201
@@ -91,7 +91,7 @@
     run(program, changes={"payloads": {"memory_bytes": 2 << 20, "spill_bytes": 1 << 20}})
 
 
-def test_a_client_that_leaves_gets_nothing_more_sent():
+def test_no_attempts_are_sent_after_the_client_disconnects():
     async def program(rig):
         for leave in (5, 60, 200):
             seen = await rig.ask("PUT", f"/demo/l{leave}", b"x", leave_after_ms=leave)
@@ -106,7 +106,7 @@
     run(program, machine=SLOW)
 
 
-def test_a_client_that_leaves_in_mid_upload_and_in_mid_download():
+def test_client_disconnects_during_upload_and_during_download():
     async def program(rig):
         stream = await rig.net.connect("gw", 80)
         await stream.send(
@@ -128,13 +128,13 @@
     run(program)
 
 
-def test_an_answer_cut_in_the_middle_is_never_a_short_success():
+def test_truncated_node_response_is_never_a_complete_success():
     async def program(rig):
         await rig.ask("PUT", "/demo/a", b"a" * 500000)
         rig.node("/demo/a").faults.truncated = 1.0
         seen = await rig.ask("GET", "/demo/a")
         assert seen.how == "cut" and 0 < len(seen.body) < 500000
-        # A small answer is taken in whole first, so that its loss can be made good by a further attempt.
+        # A small response is buffered completely before it is forwarded, so a truncated one can be retried.
         rig.node("/demo/a").faults.truncated = 0.0
         await rig.ask("PUT", "/demo/s", b"s")
         rig.node("/demo/s").faults.truncated = 0.5
@@ -145,7 +145,7 @@
     run(program)
 
 
-def test_a_lost_answer_to_a_keyed_write_is_made_good_without_a_second_effect():
+def test_keyed_write_with_a_lost_response_is_retried_without_a_second_effect():
     async def program(rig):
         for index in range(20):
             rig.node(f"/demo/{index}").faults.reset = 0.5
@@ -158,7 +158,7 @@
     run(program)
 
 
-def test_a_write_that_hangs_is_never_resent_outside_window_or_rack_and_ends_in_failure():
+def test_hung_write_is_retried_only_on_its_shard_within_the_key_window_and_fails():
     async def program(rig):
         rig.node("/demo/a").faults.hung = True
         began = rig.clock()
@@ -173,7 +173,7 @@
     run(program)
 
 
-def test_a_kept_connection_that_the_node_closed_is_not_written_to():
+def test_pooled_connection_closed_by_the_node_is_not_reused():
     async def program(rig):
         await rig.ask("PUT", "/demo/a", b"x")
         for stream in list(rig.net.streams[f"n{rig.home('/demo/a')}:7000"]):
@@ -185,7 +185,7 @@
     run(program)
 
 
-def test_pipelined_requests_are_answered_in_order_though_the_first_one_waits():
+def test_pipelined_requests_are_answered_in_order():
     async def program(rig):
         await rig.ask("PUT", "/demo/a", b"first")
         await rig.ask("PUT", "/demo/b", b"second")
@@ -197,7 +197,7 @@
     run(program)
 
 
-def test_expect_continue_chunked_bodies_and_an_answer_before_the_bodys_end():
+def test_expect_continue_chunked_body_and_response_before_the_body_ends():
     async def program(rig):
         stream = await rig.net.connect("gw", 80)
         head = (
@@ -232,7 +232,7 @@
         b"BREW /demo/x HTTP/1.1\r\nhost: gw\r\n\r\n",
     ],
 )
-def test_smuggling_and_nonsense_end_in_one_refusal_without_a_storage_operation(text):
+def test_smuggled_or_malformed_request_is_rejected_without_a_storage_operation(text):
     async def program(rig):
         got = await rig.raw(text + b"GET /demo/next HTTP/1.1\r\nhost: gw\r\n\r\n" * 2, wait=30)
         assert got.startswith((b"HTTP/1.1 4", b"HTTP/1.1 501"))
@@ -242,31 +242,31 @@
     run(program)
 
 
-def test_a_drain_in_the_same_batch_as_waiting_work_and_its_cold_replacement():
+def test_request_waits_for_the_cold_replacement_of_a_draining_node():
     async def program(rig):
         path = next(f"/demo/{i}" for i in range(99) if rig.home(f"/demo/{i}") == 0)
         await rig.ask("PUT", path, b"x")
         rig.listing.publish([Listed("n0:7000", 0, draining=True), Listed("n1:7000", 1), Listed("n2:7000", 2)])
         await anyio.sleep(0.6)
-        told = rig.clock()
+        drain_listed_ms = rig.clock()
 
-        async def later():
+        async def replace_node():
             await anyio.sleep(1)
             await rig.hall.start(0, "n0:8000", cold=True)
             rig.hall.places.pop("n0:7000")
             rig.hall.publish()
 
         async with anyio.create_task_group() as tasks:
-            tasks.start_soon(later)
+            tasks.start_soon(replace_node)
             seen = await rig.ask("GET", path, patience_ms=9000)
         assert seen.body == b"x"
-        came = [r for r in rig.at_nodes() if r.t_ms > told and r.shard == 0]
+        came = [r for r in rig.at_nodes() if r.t_ms > drain_listed_ms and r.shard == 0]
         assert {r.node for r in came} == {"n0:8000"}
 
     run(program)
 
 
-def test_a_slow_reader_does_not_hold_its_nodes_slot():
+def test_slow_reader_does_not_occupy_a_node_slot():
     async def program(rig):
         await rig.ask("PUT", "/demo/a", b"a" * 4000000)
         stream = await rig.net.connect("gw", 80)
@@ -274,14 +274,14 @@
         await anyio.sleep(5)
         decisions = rig.gateway.driver.decisions
         assert not any(endpoint.in_flight for endpoint in decisions.endpoints.by_name.values())
-        await anyio.sleep(40)  # the front gives up on a reader that reads nothing
+        await anyio.sleep(40)  # the front end disconnects a client that reads nothing
         assert not rig.gateway.driver.ledger.entries and rig.gateway.node_client.connection_count() < 4
         await stream.aclose()
 
     run(program)
 
 
-def test_stopping_finishes_what_is_owed_and_takes_nothing_new():
+def test_stop_drains_open_requests_and_accepts_no_new_ones():
     async def program(rig):
         found = []
 
@@ -298,7 +298,7 @@
     run(program, machine=SLOW)
 
 
-def test_what_stood_still_is_handed_over_with_the_time_that_is_left():
+def test_remaining_time_accounts_for_a_pause_of_the_process():
     async def program(rig):
         driver = rig.gateway.driver
         acts = []
@@ -314,7 +314,7 @@
                 tasks.start_soon(rig.ask, "GET", f"/demo/{index}")
             await anyio.sleep(0.0005)
             rig.net.low_s = rig.net.high_s = 0.0
-            # 1.1 s in which this process does nothing: the clock alone goes on.
+            # The process pauses for 1.1 s while the clock advances.
             import trio
 
             trio.lowlevel.current_clock().jump(1.1)
@@ -326,7 +326,7 @@
     run(program)
 
 
-def test_the_admin_port_tells_health_readiness_and_metrics():
+def test_metrics_and_readiness_after_a_request():
     async def program(rig):
         await rig.ask("PUT", "/demo/a", b"x")
         text = rig.gateway.render_metrics().decode()
@@ -338,7 +338,7 @@
     run(program)
 
 
-def test_five_thousand_idle_connections_and_a_bound_on_them():
+def test_five_thousand_idle_connections_and_the_connection_limit():
     async def program(rig):
         streams = [await rig.net.connect("gw", 80) for _ in range(5000)]
         await anyio.sleep(1)
@@ -347,7 +347,7 @@
         more = [await rig.net.connect("gw", 80) for _ in range(20)]
         await anyio.sleep(1)
         assert rig.gateway.server.connections == 5010 and rig.gateway.server.turned_away > 0
-        await anyio.sleep(140)  # past the idle time all are closed
+        await anyio.sleep(140)  # after the idle timeout all are closed
         assert rig.gateway.server.connections == 0
         for stream in streams + more:
             await stream.aclose()
@@ -355,14 +355,14 @@
     run(program, changes={"front": {"listen": "127.0.0.1:8080", "max_connections": 5010}})
 
 
-def test_a_head_that_drips_in_is_cut_and_a_body_that_stands_still_gives_its_place_back():
+def test_slow_request_head_and_stalled_body_time_out_and_free_their_slots():
     async def program(rig):
-        drip = await rig.net.connect("gw", 80)
-        still = await rig.net.connect("gw", 80)
-        await still.send(b"PUT /demo/a HTTP/1.1\r\nhost: gw\r\ncontent-length: 9\r\n\r\n123")
+        slow_head = await rig.net.connect("gw", 80)
+        stalled_body = await rig.net.connect("gw", 80)
+        await stalled_body.send(b"PUT /demo/a HTTP/1.1\r\nhost: gw\r\ncontent-length: 9\r\n\r\n123")
         for _ in range(30):
             try:
-                await drip.send(b"G")
+                await slow_head.send(b"G")
             except anyio.BrokenResourceError:
                 break
             await anyio.sleep(1)
@@ -373,7 +373,7 @@
     run(program)
 
 
-def test_a_dispatcher_starts_again_with_its_last_list_while_old_attempts_still_run(tmp_path):
+def test_restarted_dispatcher_uses_the_cached_node_list_while_old_attempts_run(tmp_path):
     cache = str(tmp_path / "list.json")
 
     async def program(rig):
@@ -387,7 +387,7 @@
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(write)
             await anyio.sleep(0.1)
-            rig.listing.failing = 1.0  # the list is away: only the file is left
+            rig.listing.failing = 1.0  # the node list is unavailable: only the cache file remains
             again = Gateway(rig.settings, Environment(rig.net.connect, rig.wall, 99, _Silent()))
             await rig.tasks.start(again.run)
             rig.net.listen("gw:80", again.serve)
@@ -402,11 +402,11 @@
     run(program, machine=SLOW, changes={"node_list": node_list})
 
 
-def test_a_client_that_repeats_its_key_after_the_window_is_not_given_a_second_effect():
+def test_repeating_an_idempotency_key_after_its_window_has_no_second_effect():
     async def program(rig):
         first = await rig.ask("PUT", "/demo/a", b"x", idempotency_key="k1")
         again = await rig.ask("PUT", "/demo/a", b"x", idempotency_key="k1")
-        assert (first.status, again.status) == (201, 201)  # the rack gives the first one's answer
+        assert (first.status, again.status) == (201, 201)  # the shard returns the first request's response
         await anyio.sleep(11)
         late = await rig.ask("PUT", "/demo/a", b"x", idempotency_key="k1")
         assert late.status == 502 and dict(late.headers)[b"cressrock-reason"] == b"key-window-over"
@@ -415,7 +415,7 @@
     run(program)
 
 
-def test_a_client_that_leaves_between_taken_and_sent_is_never_sent():
+def test_request_of_a_disconnected_client_is_not_sent_to_a_node():
     async def program(rig):
         path = next(f"/demo/{i}" for i in range(99) if rig.home(f"/demo/{i}") == 0)
         rig.listing.publish([Listed("n1:7000", 1), Listed("n2:7000", 2)])  # shard 0 has no node
@@ -430,9 +430,9 @@
     run(program)
 
 
-def test_an_answer_in_the_same_batch_as_the_deadline_is_given_once_and_never_contradicted():
+def test_response_in_the_same_batch_as_the_deadline_is_delivered_once():
     async def program(rig):
-        """The work ends within a millisecond or so of the client's deadline, on either side of it."""
+        """The operations end about a millisecond before or after the client's deadline."""
         for index in range(30):
             rig.hall.node_of(rig.home(f"/demo/{index}")).faults.slow = 0.9 + index * 0.006
             await rig.ask("PUT", f"/demo/{index}", b"x", patience_ms=1000, prefer="wait=1")
--- a/tests/rig.py
+++ b/tests/rig.py
@@ -1,4 +1,4 @@
-"""One dispatcher and its stand-ins in simulated time, for tests that speak to its socket."""
+"""One dispatcher and simulated storage nodes in simulated time, for tests that connect to its socket."""
 
 import anyio
 
@@ -17,7 +17,10 @@
 
 
 class Rig:
-    """`net`, `hall`, `gateway`, and `rows` of what nodes and clients saw."""
+    """A gateway on a simulated network (`net`) with simulated nodes (`hall`).
+
+    `rows` records the events at nodes and clients.
+    """
 
     def __init__(self, seed=1, shards=3, machine=None, changes=None):
         self.seed, self.shards, self.machine, self.changes = seed, shards, machine, changes or {}
@@ -95,7 +98,7 @@
         )
 
     async def raw(self, data, wait=1.0, close=False):
-        """Send bytes as they are and return all that comes back within a time."""
+        """Send bytes unchanged and return everything received within `wait` seconds."""
         stream = await self.net.connect("gw", 80)
         await stream.send(data)
         got = b""
@@ -121,7 +124,7 @@
 
 
 def run(program, **options):
-    """Run an async test against a rig in simulated time."""
+    """Run an async test function with a Rig in simulated time."""
 
     async def main():
         async with Rig(**options) as rig:
--- a/tests/runtime/test_cluster.py
+++ b/tests/runtime/test_cluster.py
@@ -1,4 +1,4 @@
-"""The cluster runtime by processes: members and decisions under cuts, and rules that need neither."""
+"""The cluster runtime under network partitions; the rules hold without membership and consensus."""
 
 import subprocess
 import sys
@@ -33,33 +33,33 @@
     return rehearse(drill)
 
 
-def test_cut_and_killed_processes_are_told_apart_from_those_that_live_and_the_rules_hold():
+def test_membership_detects_partitioned_and_killed_processes_and_the_rules_hold():
     async def story(drill):
         names = drill.names()
         everybody = dict.fromkeys(names, "alive")
-        await drill.until("one view", lambda: drill.sees(everybody, by=names))
+        await drill.until("all members alive", lambda: drill.sees(everybody, by=names))
         await drill.until("a leader", drill.leader)
         first = await drill.leader()
-        # A cut in two: each side knows the other as gone in time, and neither its own.
+        # In a partition the majority sees the minority as gone and its own side as alive.
         minority = {first, "d0"}
         drill.relays.partition([minority, set(names) - minority])
         rest = sorted(set(names) - minority)
         gone = dict.fromkeys(minority, "gone") | dict.fromkeys(rest, "alive")
-        await drill.until("the cut is seen", lambda: drill.sees(gone, by=rest))
-        await drill.until("another leader", lambda: other(drill, first))
+        await drill.until("partition detected", lambda: drill.sees(gone, by=rest))
+        await drill.until("new leader", lambda: other_leader(drill, first))
         drill.relays.heal()
-        await drill.until("healed", lambda: drill.sees(everybody, by=names))
-        # A death, and a new life under the old name.
-        victim = rest[-1]  # a planner: an edge's own death costs the answers it owes
+        await drill.until("partition healed", lambda: drill.sees(everybody, by=names))
+        # A process is killed and restarted under the same name.
+        victim = rest[-1]  # a planner: killing an edge would lose the responses to its open requests
         await drill._do(st.Kill(victim))
         left = [n for n in names if n != victim]
-        await drill.until("a death is known", lambda: drill.sees({victim: "gone"}, by=left))
+        await drill.until("kill detected", lambda: drill.sees({victim: "gone"}, by=left))
         await drill._do(st.Restart(victim))
-        await drill.until("a new life is known", lambda: drill.sees(everybody, by=names))
+        await drill.until("restart detected", lambda: drill.sees(everybody, by=names))
 
-    async def other(drill, first):
-        found = await drill.leader()
-        return found and found != first
+    async def other_leader(drill, first):
+        leader = await drill.leader()
+        return leader and leader != first
 
     report = play(story)
     assert report.well, (report.findings, report.found.breaches[:3], report.marks)
@@ -67,11 +67,11 @@
     assert report.found.figures["answered"] == report.found.figures["requests"]
 
 
-def test_with_all_between_the_processes_cut_no_rule_breaks():
+def test_rules_hold_when_every_process_is_isolated():
     async def story(drill):
         names = drill.names()
         everybody = dict.fromkeys(names, "alive")
-        await drill.until("one view", lambda: drill.sees(everybody, by=names))
+        await drill.until("all members alive", lambda: drill.sees(everybody, by=names))
         for _ in range(3):
             drill.relays.partition([{name} for name in names])
             await drill.answered(30)
@@ -84,10 +84,10 @@
     assert report.found.figures["served"] > 0.5 * report.found.figures["requests"]
 
 
-def test_the_platforms_process_loads_nothing_of_the_cluster():
-    """Its brief forbids dispatchers to talk."""
+def test_platform_process_loads_no_cluster_package():
+    """The platform's specification forbids communication between dispatchers."""
     for package in CLUSTER_PACKAGES:
-        assert find_spec(f"cressrock.{package}"), f"{package} was renamed: this test would look for nothing"
+        assert find_spec(f"cressrock.{package}"), f"{package} does not exist: the check below would be void"
     code = (
         "import sys, cressrock.cli.start, cressrock.platform.program\n"
         f"packages = {CLUSTER_PACKAGES}\n"
@@ -98,7 +98,7 @@
     assert found.stdout.strip() == "[] False False"
 
 
-def test_in_simulated_time_one_seed_gives_one_bad_day_of_a_cluster_and_the_rules_hold():
+def test_simulated_fault_scenario_of_a_cluster_is_reproducible_and_the_rules_hold():
     def day():
         script = Script(seed=3, dispatchers=4, planners=3, length_ms=12000, ground=True, rate=20.0)
         day = Day(script)
