--- a/cressrock/settings/__init__.py
+++ b/cressrock/settings/__init__.py
@@ -1,4 +1,4 @@
-"""Jsonnet templates evaluated into frozen, checked settings."""
+"""Settings files: Jsonnet, evaluated and validated into immutable types."""
 
 from cressrock.settings.load import SettingsError, evaluate, load
 from cressrock.settings.types import Gateway
--- a/cressrock/settings/reference.py
+++ b/cressrock/settings/reference.py
@@ -1,4 +1,7 @@
-"""The settings reference, made from the types: `python -m cressrock.settings.reference`."""
+"""Generates the settings reference (docs/settings.md) from the settings types.
+
+Run with `python -m cressrock.settings.reference`.
+"""
 
 from __future__ import annotations
 
@@ -7,24 +10,24 @@
 from typing import Any
 
 import msgspec
-from msgspec import inspect as shapes
+from msgspec import inspect as type_infos
 
 from cressrock.dispatch.node_client import PoolBounds
 from cressrock.failover.settings import FailoverSettings, ZoneSettings
 from cressrock.http.server import ServerBounds
 from cressrock.settings import types
 
-HEAD = """# Settings
+PAGE_HEADER = """# Settings
 
-A settings file is Jsonnet. `local c = import "cressrock.libsonnet"` gives defaults to build on: `c.classes`,
+A settings file is Jsonnet. `local c = import "cressrock.libsonnet"` provides defaults: `c.classes`,
 `c.plans`, `c.read()`, `c.write()`, `c.bulk()` and `c.volume(shards, plan, writers)`. `cressrock check FILE`
-prints the effective settings or says what is wrong and where. Times end in `_ms` or `_s`, sizes in `_bytes`;
-a unit of work is what `units` says. On SIGHUP the file is read again: volumes, front and observe take effect
-at once; for the rest a restart is asked for, and a file with an error changes nothing.
+prints the effective settings, or an error with its place in the file. Times end in `_ms` or `_s`, sizes in
+`_bytes`; `units` defines a unit of work. On SIGHUP the file is read again: changes of volumes, front and
+observe take effect at once, other changes need a restart, and a file with an error changes nothing.
 
-This page is made from the types (`python -m cressrock.settings.reference`) and checked against them.
+This page is generated from the types (`python -m cressrock.settings.reference`); a test compares the two.
 """
-PARTS: tuple[tuple[str, type], ...] = (
+SECTIONS: tuple[tuple[str, type], ...] = (
     ("", types.Gateway),
     ("classes[]", types.Class),
     ("plans.NAME", types.Plan),
@@ -46,68 +49,72 @@
 
 
 def reference() -> str:
-    """Return the page."""
-    lines = [HEAD]
-    for place, kind in PARTS:
+    """Return the page as Markdown, with one section for each entry of `SECTIONS`."""
+    lines = [PAGE_HEADER]
+    for place, kind in SECTIONS:
         lines.append(f"## {place or 'The file'}\n")
         lines.append(f"{inspect.cleandoc(kind.__doc__ or '')}\n")
         lines.append("| setting | type | default | |\n| --- | --- | --- | --- |")
-        notes = _notes(kind)
-        for name, shape, default in _fields(kind):
-            lines.append(f"| `{name}` | {shape} | {default} | {notes.get(name, '')} |")
+        notes = _field_comments(kind)
+        for name, type_text, default in _field_rows(kind):
+            lines.append(f"| `{name}` | {type_text} | {default} | {notes.get(name, '')} |")
         lines.append("")
     return "\n".join(lines)
 
 
-def _notes(kind: type) -> dict[str, str]:
-    """Read what stands behind a field in the source."""
+def _field_comments(kind: type) -> dict[str, str]:
+    """Return the comment at the end of each field's source line, by field name."""
     source = inspect.getsource(kind)
-    found = re.findall(r"^    (\w+): [^#\n]*?(?:  # ([^\n]*))?$", source, re.M)
-    return {name: text.replace("|", "or") for name, text in found if text}
+    comments = re.findall(r"^    (\w+): [^#\n]*?(?:  # ([^\n]*))?$", source, re.M)
+    return {name: text.replace("|", "or") for name, text in comments if text}
 
 
-def _fields(kind: type) -> list[tuple[str, str, str]]:
-    shape: Any = shapes.type_info(kind)
-    found = []
-    for field in shape.fields:
+def _field_rows(kind: type) -> list[tuple[str, str, str]]:
+    """Return name, type and default of each field, as texts."""
+    info: Any = type_infos.type_info(kind)
+    rows = []
+    for field in info.fields:
         if field.required:
             default = "required"
         elif field.default is not msgspec.NODEFAULT:
-            default = f"`{_value(field.default)}`"
+            default = f"`{_format_default(field.default)}`"
         else:
             default = "see below"
-        found.append((field.encode_name, _shape(field.type), default))
-    return found
+        rows.append((field.encode_name, _describe_type(field.type), default))
+    return rows
 
 
-def _value(value: Any) -> str:
+def _format_default(value: Any) -> str:
     if isinstance(value, msgspec.Struct):
         return "see below"
     return "null" if value is None else str(value).lower() if isinstance(value, bool) else str(value)
 
 
-def _shape(shape: Any) -> str:
-    match shape:
-        case shapes.FloatType() | shapes.IntType():
-            kind = "number" if isinstance(shape, shapes.FloatType) else "whole number"
-            low = shape.ge if shape.ge is not None else shape.gt
-            sign = "over " if shape.gt is not None else ""
-            if low is None and shape.le is None:
+def _describe_type(info: Any) -> str:
+    match info:
+        case type_infos.FloatType() | type_infos.IntType():
+            kind = "number" if isinstance(info, type_infos.FloatType) else "whole number"
+            minimum = info.ge if info.ge is not None else info.gt
+            prefix = "over " if info.gt is not None else ""
+            if minimum is None and info.le is None:
                 return kind
-            return f"{kind}, {sign}{low:g} to {shape.le:g}"
-        case shapes.StrType():
-            return "text" if shape.pattern is None else f"text like `{shape.pattern}`"
-        case shapes.BoolType():
+            return f"{kind}, {prefix}{minimum:g} to {info.le:g}"
+        case type_infos.StrType():
+            return "text" if info.pattern is None else f"text like `{info.pattern}`"
+        case type_infos.BoolType():
             return "true or false"
-        case shapes.LiteralType():
-            return " or ".join(f"`{v}`" for v in shape.values)
-        case shapes.ListType():
-            return f"list of {_shape(shape.item_type)}"
-        case shapes.DictType():
-            return f"object of {_shape(shape.value_type)}"
-        case shapes.UnionType():
-            return " or ".join("null" if isinstance(t, shapes.NoneType) else _shape(t) for t in shape.types)
-        case shapes.StructType():
+        case type_infos.LiteralType():
+            return " or ".join(f"`{v}`" for v in info.values)
+        case type_infos.ListType():
+            return f"list of {_describe_type(info.item_type)}"
+        case type_infos.DictType():
+            return f"object of {_describe_type(info.value_type)}"
+        case type_infos.UnionType():
+            return " or ".join(
+                "null" if isinstance(member, type_infos.NoneType) else _describe_type(member)
+                for member in info.types
+            )
+        case type_infos.StructType():
             return "object"
     return "any"
 
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -1,4 +1,4 @@
-"""Settings: errors name file, place and value; what is unknown is refused; the lab's own hold."""
+"""Settings: defaults, validation errors, the reference page and reload."""
 
 import json
 
@@ -7,7 +7,7 @@
 from cressrock.settings.load import SettingsError, convert, evaluate_text
 from cressrock.settings.types import interface_settings
 
-GOOD = """
+VALID_SETTINGS = """
 local c = import 'cressrock.libsonnet';
 {
   classes: c.classes, plans: c.plans, volumes: { demo: c.volume([0, 1]) },
@@ -16,20 +16,22 @@
 """
 
 
-def check(changes="{}", text=GOOD):
+def convert_changed(changes="{}", text=VALID_SETTINGS):
     return convert("site.jsonnet", evaluate_text("site.jsonnet", f"({text}) + {changes}"))
 
 
-def test_the_defaults_hold_and_become_the_decision_modules_settings():
-    found = check()
-    told = interface_settings(found)
-    assert len(told.classes) == 4 and told.must_ask and told.max_attempts == 3
-    assert found.class_of("PUT", 100) != found.class_of("PUT", 1 << 30) == found.class_of("PUT", None)
-    assert (found.units_of(0), found.units_of(65537), found.units_of(None)) == (1, 2, 8)
+def test_the_defaults_are_valid_and_convert_to_decision_module_settings():
+    settings = convert_changed()
+    converted = interface_settings(settings)
+    assert len(converted.classes) == 4 and converted.must_ask and converted.max_attempts == 3
+    assert (
+        settings.class_of("PUT", 100) != settings.class_of("PUT", 1 << 30) == settings.class_of("PUT", None)
+    )
+    assert (settings.units_of(0), settings.units_of(65537), settings.units_of(None)) == (1, 2, 8)
 
 
 @pytest.mark.parametrize(
-    ("changes", "place"),
+    ("changes", "message"),
     [
         ("{ colour: 1 }", "colour"),
         ("{ front: { listen: 'nowhere' } }", r"front.listen.*found .nowhere"),
@@ -57,19 +59,19 @@
         ),
         (
             "{ fleet: {}, council: { seats: { a: 'a:1', b: 'a:1', c: 'c:1' } } }",
-            "council.seats: two seats have one address",
+            "council.seats: two seats have the same address",
         ),
         (
             "{ fleet: {}, council: { seats: { a: 'a:1', b: 'b:1', c: 'c:1' }, store: 's' } }",
-            "council.store: 'cressrock' is none of the seats",
+            "council.store: 'cressrock' is not among the seats",
         ),
         (
             "{ fleet: {}, council: { seats: { a: 'a:1', b: 'b:1', c: 'c:1' }, hold_ms: 900 } }",
-            "council.hold_ms: 900 is shorter than a leader's death takes.*at least 5000",
+            "council.hold_ms: 900 is too short to replace a failed leader.*at least 5000",
         ),
         (
             "{ fleet: {}, council: { seats: { a: 'a:1', b: 'b:1', c: 'c:1' }, heartbeat_ms: 900 } }",
-            "council.heartbeat_ms: over a third of election_ms",
+            "council.heartbeat_ms: above a third of election_ms",
         ),
         ("{ presence: {} }", "presence: needs `fleet`"),
         ("{ presence: {}, fleet: {} }", "presence: needs `observe.admin`"),
@@ -78,21 +80,21 @@
         ("{ presence: { max_data: 5000 }, fleet: {}, observe: { admin: 'x:1' } }", "presence.max_data"),
     ],
 )
-def test_a_wrong_setting_is_named(changes, place):
-    with pytest.raises(SettingsError, match=place):
-        check(changes)
+def test_an_invalid_setting_is_named_in_the_error(changes, message):
+    with pytest.raises(SettingsError, match=message):
+        convert_changed(changes)
 
 
-def test_classes_that_leave_a_method_or_a_window_out():
-    one = "{ classes: [{ name: 'r', methods: ['GET'], aim_ms: 1, deadline_ms: 2, effect: '%s' }] }"
+def test_classes_must_cover_every_method_and_keyed_ones_need_a_window():
+    only_get = "{ classes: [{ name: 'r', methods: ['GET'], aim_ms: 1, deadline_ms: 2, effect: '%s' }] }"
     with pytest.raises(SettingsError, match="COPY has no class"):
-        check(one % "repeatable")
-    keyed = one % "keyed"
+        convert_changed(only_get % "repeatable")
+    keyed = only_get % "keyed"
     with pytest.raises(SettingsError, match=r"classes\[0\].repeat_window_ms"):
-        check(keyed)
+        convert_changed(keyed)
 
 
-def test_jsonnet_that_cannot_be_evaluated_and_files_that_are_not_there(tmp_path):
+def test_invalid_jsonnet_and_missing_files_are_refused_and_variables_are_read(tmp_path):
     from cressrock.settings.load import load
 
     with pytest.raises(SettingsError, match="site.jsonnet"):
@@ -100,12 +102,12 @@
     with pytest.raises(SettingsError, match="cannot be read"):
         load(str(tmp_path / "none.jsonnet"))
     path = tmp_path / "s.jsonnet"
-    path.write_text(GOOD.replace("'127.0.0.1:9900'", "std.extVar('list')"))
+    path.write_text(VALID_SETTINGS.replace("'127.0.0.1:9900'", "std.extVar('list')"))
     assert load(str(path), {"list": "127.0.0.1:1"}).node_list.address == "127.0.0.1:1"
 
 
-def test_the_reference_page_names_every_setting():
-    """docs/settings.md is checked against the types."""
+def test_the_reference_page_matches_the_types():
+    """docs/settings.md is what `cressrock.settings.reference` generates."""
     from pathlib import Path
 
     from cressrock.settings.reference import reference
@@ -114,7 +116,7 @@
     assert page.read_text() == reference()
 
 
-def test_a_reload_takes_what_can_change_and_names_what_cannot():
+def test_a_reload_applies_changed_volumes_and_returns_settings_that_need_a_restart():
     from tests.rig import run
 
     async def program(rig):
