--- a/cressrock/errors/__init__.py
+++ b/cressrock/errors/__init__.py
@@ -1,7 +1,8 @@
-"""Errors with types of their own: what failed, and what an operator can do about it.
+"""Error types: each has a code and tells the operator what can be done.
 
-Each room's errors stand in the module of its name here; docs/errors.md lists them all
-(`python -m cressrock.errors` writes it, a test compares).  Nothing here imports anything of the program.
+Each package's errors are in a module of this package.  docs/errors.md lists them all; `python -m
+cressrock.errors` generates that page, and a test compares the two.  No module here imports other parts of the
+program.
 """
 
 from __future__ import annotations
@@ -10,34 +11,35 @@
 
 
 class CressrockError(Exception):
-    """The base of all: `code` names the error for good, `remedy` says what an operator can do.
+    """Base class of all error types.
 
-    Both are of the class; what failed this time is the text.  `str` gives text and remedy in one line.
+    The class attribute `code` identifies the type and never changes; `remedy` says what an operator can do.
+    The text of an instance describes the failure.  `str` returns text, code and remedy in one line.
     """
 
     code: ClassVar[str] = "error"
     remedy: ClassVar[str] = "look at the log lines before this one"
 
     def __init__(self, text: str) -> None:
-        """`text` says what failed, where, and with which value."""
+        """`text` says what failed, where and with which value."""
         super().__init__(text)
         self.text = text
 
     def __str__(self) -> str:
-        """Return what is printed and logged."""
+        """Return text, code and remedy, as printed and logged."""
         return f"{self.text} [{self.code}: {self.remedy}]"
 
     def fields(self) -> dict[str, str]:
-        """Return the fields of a log line."""
+        """Return code, text and remedy under the field names of a log line."""
         return {"error": self.code, "text": self.text, "remedy": self.remedy}
 
 
 def known() -> list[type[CressrockError]]:
-    """Return every error type that is loaded, by code."""
-    found: list[type[CressrockError]] = []
-    open_ = [CressrockError]
-    while open_:
-        for kind in open_.pop().__subclasses__():
-            found.append(kind)
-            open_.append(kind)
-    return sorted(found, key=lambda kind: kind.code)
+    """Return every error type whose module is imported, sorted by code."""
+    types: list[type[CressrockError]] = []
+    unvisited = [CressrockError]
+    while unvisited:
+        for kind in unvisited.pop().__subclasses__():
+            types.append(kind)
+            unvisited.append(kind)
+    return sorted(types, key=lambda kind: kind.code)
--- a/cressrock/errors/aggregation.py
+++ b/cressrock/errors/aggregation.py
@@ -1,4 +1,4 @@
-"""What fails between senders of reports and their collectors."""
+"""Errors between the senders of reports and their collectors."""
 
 from __future__ import annotations
 
@@ -8,21 +8,21 @@
 
 
 class AggregationError(CressrockError):
-    """Evidence could not be collected; the types below say why."""
+    """Evidence could not be collected; the subtypes say why."""
 
     code: ClassVar[str] = "collect"
     remedy: ClassVar[str] = "look at `collect` in the process's status; it goes on by its own view meanwhile"
 
 
 class MalformedAggregationMessageError(AggregationError):
-    """Bytes that should be a message of the collectors cannot be read; they count as none."""
+    """A message to or from a collector could not be decoded; it was ignored."""
 
     code: ClassVar[str] = "collect-malformed"
     remedy: ClassVar[str] = "find the process named as their sender: another program, or a damaged path"
 
 
 class UnsupportedAggregationVersionError(AggregationError):
-    """A message of the collectors is of a version that this program does not read; it counts as none."""
+    """A message to or from a collector has a version that this program cannot read; it was ignored."""
 
     code: ClassVar[str] = "collect-version"
     remedy: ClassVar[str] = (
@@ -32,7 +32,7 @@
 
 
 class ReportTooLargeError(AggregationError):
-    """An entry of evidence is larger than one datagram carries; it was not sent."""
+    """An evidence entry does not fit into one datagram; it was not sent."""
 
     code: ClassVar[str] = "collect-too-large"
     remedy: ClassVar[str] = "tell it in smaller pieces, as the spread would want too; the text names the key"
--- a/cressrock/errors/listening.py
+++ b/cressrock/errors/listening.py
@@ -1,4 +1,4 @@
-"""Errors of listeners: fronts, admin ports, links, the fleet's and the council's."""
+"""Errors of listening sockets: client and admin ports, links, membership and consensus."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class AddressUnavailableError(CressrockError):
-    """An address to listen at could not be bound; the text names the setting, the address and why."""
+    """A listen address could not be bound; the text names the setting, the address and the cause."""
 
     code: ClassVar[str] = "address-unavailable"
     remedy: ClassVar[str] = (
--- a/tests/test_errors.py
+++ b/tests/test_errors.py
@@ -1,4 +1,4 @@
-"""The list of errors is complete, and each says what an operator can do."""
+"""Error types: docs/errors.md lists each of them, with a unique code and a remedy for operators."""
 
 from pathlib import Path
 
@@ -6,14 +6,14 @@
 from cressrock.errors.__main__ import page
 
 
-def test_the_page_lists_every_error_type():
+def test_the_errors_page_lists_every_type_and_codes_are_unique():
     text = page()
     assert (Path(__file__).parent.parent / "docs" / "errors.md").read_text() == text
     codes = [kind.code for kind in known() if kind.__module__.startswith("cressrock.")]
     assert len(set(codes)) == len(codes)
 
 
-def test_each_error_type_has_a_code_a_text_and_a_remedy_of_its_own():
+def test_each_error_type_defines_its_own_code_remedy_and_docstring():
     page()
     for kind in known():
         assert "code" in vars(kind), kind
