--- a/cressrock/errors/__init__.py
+++ b/cressrock/errors/__init__.py
@@ -1,4 +1,4 @@
-"""Error types: each has a code and tells the operator what can be done.
+"""Error types: each has a code and a remedy for the operator.
 
 Each package's errors are in a module of this package.  docs/errors.md lists them all; `python -m
 cressrock.errors` generates that page, and a test compares the two.  No module here imports other parts of the
@@ -13,7 +13,7 @@
 class CressrockError(Exception):
     """Base class of all error types.
 
-    The class attribute `code` identifies the type and never changes; `remedy` says what an operator can do.
+    The class attribute `code` identifies the type and never changes; `remedy` is advice to operators.
     The text of an instance describes the failure.  `str` returns text, code and remedy in one line.
     """
 
@@ -21,7 +21,7 @@
     remedy: ClassVar[str] = "look at the log lines before this one"
 
     def __init__(self, text: str) -> None:
-        """`text` says what failed, where and with which value."""
+        """`text` names what failed, where and with which value."""
         super().__init__(text)
         self.text = text
 
--- a/cressrock/errors/consensus.py
+++ b/cressrock/errors/consensus.py
@@ -63,7 +63,7 @@
 
 
 class StoreError(ConsensusError):
-    """A replica's store cannot be used; the replica does not take part in the group."""
+    """A replica's store cannot be used; the replica does not run."""
 
     code = "council-store"
     remedy = "keep the file as it is, and look at the disk and at the log lines before this one"
@@ -155,7 +155,7 @@
     )
 
     def __init__(self, text: str, waited_ms: float = 0, outcome_unknown: bool = True) -> None:
-        """`waited_ms` is how long the caller waited; `outcome_unknown` tells that it may still be decided."""
+        """`waited_ms` is how long the caller waited; `outcome_unknown` is whether it may still be decided."""
         super().__init__(text)
         self.waited_ms = waited_ms
         self.outcome_unknown = outcome_unknown
--- a/cressrock/settings/types.py
+++ b/cressrock/settings/types.py
@@ -107,7 +107,7 @@
     budget_free: Milliseconds = 0.0
     budget_share: Milliseconds = 0.0
     budget_begins_spent: bool = False  # after a restart, count the free retries as already spent
-    limits_lent: bool = False  # the edges lend units of the limits; set by the programs themselves
+    limits_lent: bool = False  # edges lease limit units to planners; set by the programs themselves
     usual_units: Positive = 1.0
     meter_period_ms: Milliseconds = 0.0
 
@@ -332,7 +332,9 @@
                 f"{place}: all copies lie in one zone, {next(iter(volume.copies))!r}; add another zone"
             )
         if volume.shards not in volume.copies.values():
-            raise ValueError(f"{place}: no zone's list is `shards`, {volume.shards}; list the primary copies")
+            raise ValueError(
+                f"{place}: no zone's list is `shards`, {volume.shards}; the primary zone needs that list"
+            )
         if self.council is None or self.fleet is None:
             raise ValueError(
                 f"{place}: copies need `fleet` and `council`, which decide which copies are in sync"
@@ -378,7 +380,7 @@
             )
 
     def _check_presence(self) -> None:
-        """Check that presence has what it needs and its times fit.  Raises ValueError naming the setting."""
+        """Check the dependencies and the times of presence.  Raises ValueError naming the setting."""
         presence = self.presence
         if presence is None:
             return
