--- a/cressrock/errors/consensus.py
+++ b/cressrock/errors/consensus.py
@@ -63,7 +63,7 @@
 
 
 class StoreError(ConsensusError):
-    """A replica's store cannot be used; the replica does not run."""
+    """A replica's store cannot be used; the replica does not participate."""
 
     code = "council-store"
     remedy = "keep the file as it is, and look at the disk and at the log lines before this one"
--- a/cressrock/settings/types.py
+++ b/cressrock/settings/types.py
@@ -162,7 +162,7 @@
 class Pair(Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
     """Edge and planner as separate programs; without planners, each dispatcher schedules by itself."""
 
-    planners: Annotated[list[Address], Meta(max_length=64)] = []  # for an edge, by preference
+    planners: Annotated[list[Address], Meta(max_length=64)] = []  # for an edge, in order of preference
     listen: Address = "127.0.0.1:7400"  # for a planner: the address that edges connect to
     epoch_file: str | None = None  # file that keeps a planner's epoch across restarts
     grant_ms: Positive = 400.0  # validity of a grant, counted from its edge's newest event
@@ -198,7 +198,7 @@
 class CouncilSettings(Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
     """The consensus group (council): its seats, and the seat of this process if it has one."""
 
-    seats: Annotated[dict[Name, Address], Meta(min_length=1, max_length=5)]  # addresses seen from here
+    seats: Annotated[dict[Name, Address], Meta(min_length=1, max_length=5)]  # address of each, seen from here
     listen: Address = "127.0.0.1:7420"  # for a seat: the address that other seats connect to
     store: str | None = None  # for a seat: file of its log and vote; unset: this process has no seat
     start: Literal["found", "join", "expect"] = "found"
@@ -221,7 +221,7 @@
     linger_ms: Positive = 60000.0  # a room is followed for this long after the last request for it
     sync_ms: Positive = 1000.0  # the first response about a room waits this long for other gateways
     longest_wait_ms: Positive = 60000.0  # upper limit for `wait_ms`
-    hold_ms: Annotated[float, Meta(ge=100, le=3600000)] = 10000.0  # validity of an unrenewed name
+    hold_ms: Annotated[float, Meta(ge=100, le=3600000)] = 10000.0  # validity of an unrenewed agreed name
     carries_ms: Positive = 60000.0  # a gateway carries a volume for this long after the last request for it
     max_members: Count = 200000  # at this gateway; about 1 KiB each
     max_room: Count = 20000  # members of one room
@@ -242,7 +242,7 @@
     keep_file: str | None = None  # keeps the last good rules and the starts under a candidate across restarts
     look_ms: Annotated[float, Meta(ge=20, le=60000)] = 1000.0  # how often the leader checks evidence
     tell_ms: Annotated[float, Meta(ge=20, le=60000)] = 2000.0  # how often a process reports counters
-    starts: Annotated[int, Meta(ge=1, le=16)] = 3  # unclean starts after which a process reverts
+    starts: Annotated[int, Meta(ge=1, le=16)] = 3  # unclean starts until a process reverts alone
     starts_within_ms: Milliseconds = 600000.0
 
 
