--- a/cressrock/rollout/__init__.py
+++ b/cressrock/rollout/__init__.py
@@ -1,1 +1,1 @@
-"""Rules rolled out in stages that halt themselves (`docs/rollout.md`)."""
+"""Staged rollout of rules, halted automatically when the candidate causes more faults (`docs/rollout.md`)."""
--- a/cressrock/rollout/counts.py
+++ b/cressrock/rollout/counts.py
@@ -1,4 +1,4 @@
-"""Counts of trials under one candidate: a process's own, and those of all processes, merged.  Pure."""
+"""Counts of trials under one candidate: those of one process, and those merged from all processes.  Pure."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
     """This process's own counts under one candidate."""
 
     def __init__(self, digest: str) -> None:
-        """Start with nothing counted."""
+        """`digest` is the candidate's, in hexadecimal."""
         self.digest = digest
         self.counts: dict[ClassStage, OutcomeCounts] = {}
         self._changed: dict[ClassStage, None] = {}
@@ -36,29 +36,33 @@
         self,
         request_class: int,
         stage: int,
-        candidate: bool,
+        by_candidate: bool,
         outcome: RequestOutcome,
-        ms: float,
-        aim_ms: float,
+        duration_ms: float,
+        objective_ms: float,
     ) -> None:
-        """Count a trial's end: `ms` from its coming to its answer, `aim_ms` the good version's objective."""
+        """Count a finished trial.
+
+        `duration_ms` is the time from the request's arrival to its answer; `objective_ms` is the good
+        version's latency objective.
+        """
         counts = self.counts.setdefault((request_class, stage), OutcomeCounts.empty())
-        side = 0 if candidate else 1
+        side = 0 if by_candidate else 1
         counts.trials[side] += 1
         served = outcome is RequestOutcome.SERVED
         faults = (
             outcome is RequestOutcome.REJECTED,
             outcome is RequestOutcome.FAILED,
             outcome is RequestOutcome.CLIENT_LEFT,
-            served and ms > aim_ms,
-            served and ms > SLOW_FRACTION * aim_ms,
+            served and duration_ms > objective_ms,
+            served and duration_ms > SLOW_FRACTION * objective_ms,
         )
         for count, occurred in zip(counts.faults, faults, strict=True):
             count[side] += occurred
         self._changed[request_class, stage] = None
 
     def drain_changes(self) -> list[Entry]:
-        """Return the entries that changed since the last call, to be published."""
+        """Return the entries to publish: those that changed since the last call."""
         changed, self._changed = list(self._changed), {}
         digest = bytes.fromhex(self.digest)
         return [
@@ -71,27 +75,27 @@
         return totals_by_class(self.counts)
 
     def keys(self) -> list[str]:
-        """Return all keys of these counts, to be withdrawn once they are of no use."""
+        """Return the keys of all counts, for removing published entries."""
         return [counts_key(*class_stage) for class_stage in self.counts]
 
 
 class FleetCounts:
-    """What all processes counted under one candidate.
+    """All processes' counts under one candidate.
 
-    What an incarnation that is gone has reported is kept: it was seen.  Bounded by `MAX_ORIGINS`
-    incarnations; of further ones nothing is merged, which can only delay a verdict.
+    Counts of an incarnation that has ended are kept.  At most `MAX_ORIGINS` incarnations are stored; the
+    counts of any more are ignored, which can only delay a verdict.
     """
 
     def __init__(self, digest: str) -> None:
-        """Start with nothing received."""
+        """`digest` is the candidate's, in hexadecimal."""
         self.digest = digest
         self._digest_bytes = bytes.fromhex(digest)
         self.by_origin: dict[Origin, dict[ClassStage, OutcomeCounts]] = {}
         self.totals: dict[ClassStage, OutcomeCounts] = {}  # over all origins
-        self.rollback_reasons: dict[str, str] = {}  # by process, whatever its incarnation
+        self.rollback_reasons: dict[str, str] = {}  # by process, over all its incarnations
 
     def merge(self, origin: Origin, key: str, value: bytes) -> bool:
-        """Merge a published entry; return whether it was new.
+        """Merge a published entry; return whether it changed anything.
 
         Raises InvalidRulesError, UnknownRulesVersionError.
         """
@@ -119,7 +123,7 @@
         return is_new
 
     def candidate_trials(self, stage: int) -> int:
-        """Return the trials under the candidate in a stage."""
+        """Return the number of the candidate's trials in a stage."""
         return sum(counts.trials[0] for (_, at_stage), counts in self.totals.items() if at_stage == stage)
 
     def totals_by_class(self) -> dict[int, OutcomeCounts]:
@@ -127,15 +131,15 @@
         return totals_by_class(self.totals)
 
     def rollback_count(self) -> int:
-        """Return how many processes rolled back by themselves."""
+        """Return how many processes rolled back locally."""
         return len(self.rollback_reasons)
 
     def process_count(self) -> int:
-        """Return of how many processes something was received."""
+        """Return how many processes have reported counts."""
         return len({process for process, _ in self.by_origin})
 
     def totals_by_group(self, group_of: Callable[[str], str]) -> dict[str, dict[int, OutcomeCounts]]:
-        """Return the sums by class of groups of processes: by zone, say."""
+        """Return the sums by class of each group; `group_of` maps a process to its group, such as a zone."""
         groups: dict[str, dict[int, OutcomeCounts]] = {}
         for (process, _), counts in self.by_origin.items():
             totals = groups.setdefault(group_of(process), {})
--- a/cressrock/rollout/crash_record.py
+++ b/cressrock/rollout/crash_record.py
@@ -1,6 +1,6 @@
-"""How often a process was started under a candidate without an orderly end before.  Pure.
+"""Counts unclean restarts of a process under a candidate.  Pure.
 
-A candidate that kills the process at once is thereby found by the process itself, without any evidence.
+This lets a process roll back from a candidate that crashes it before it can publish any counts.
 """
 
 from __future__ import annotations
@@ -14,12 +14,13 @@
 
 
 class CrashRecord(Struct, frozen=True, forbid_unknown_fields=False):
-    """What a process keeps on disk of a candidate.  The names in the file are the first release's."""
+    """What a process stores on disk about a candidate.  The file keeps release 1's field names."""
 
     version: int = FORMAT_VERSION
     digest: str = ""
-    running: bool = field(default=False, name="open")  # the last run under it has not ended in order
-    # When starts found a run without an orderly end, wall clock.
+    # Whether the last run under the candidate is still in progress or has not shut down cleanly.
+    running: bool = field(default=False, name="open")
+    # Wall clock times of starts after a run that did not shut down cleanly.
     restarted_at_ms: Annotated[list[float], Meta(max_length=MAX_TIMES)] = field(
         default_factory=list, name="times"
     )
@@ -29,16 +30,19 @@
 def record_start(
     record: CrashRecord, digest: str, wall_ms: float, *, max_starts: int, window_ms: float
 ) -> CrashRecord:
-    """Return the record as a run begins under a candidate, with a reason to roll back after many crashes.
+    """Return the record for a run that begins under a candidate.
 
-    To be on disk *before* the candidate decides anything: what it kills at once would else never be counted.
+    It has a reason to roll back after `max_starts` unclean restarts within `window_ms`.  Write it to disk
+    *before* the candidate is used: otherwise an immediate crash would never be counted.
     """
     if record.digest != digest:
         return CrashRecord(digest=digest, running=True)
-    times = [at_ms for at_ms in record.restarted_at_ms if wall_ms - window_ms <= at_ms <= wall_ms]
+    restarts_at_ms = [at_ms for at_ms in record.restarted_at_ms if wall_ms - window_ms <= at_ms <= wall_ms]
     if record.running:
-        times = [*times, wall_ms][-MAX_TIMES:]
+        restarts_at_ms = [*restarts_at_ms, wall_ms][-MAX_TIMES:]
     reason = record.rollback_reason
-    if not reason and len(times) >= max_starts:
-        reason = f"stopped {len(times)} times under it"
-    return CrashRecord(digest=digest, running=not reason, restarted_at_ms=times, rollback_reason=reason)
+    if not reason and len(restarts_at_ms) >= max_starts:
+        reason = f"stopped {len(restarts_at_ms)} times under it"
+    return CrashRecord(
+        digest=digest, running=not reason, restarted_at_ms=restarts_at_ms, rollback_reason=reason
+    )
--- a/cressrock/rollout/evidence.py
+++ b/cressrock/rollout/evidence.py
@@ -1,18 +1,18 @@
-"""What processes publish of a candidate's answers: the entries, their keys and their encoding.  Pure.
+"""Evidence that processes publish about a candidate: the entries, their keys and their encoding.  Pure.
 
-Counts are of *trials*: requests of a stage's volumes for which a coin chose between candidate and good
-version as they came (`plan.Stage.control_fraction`).  Nothing else is counted.  So every trial is a stratum
-of its own: the same process, zone, volume and moment gave it either version by the coin alone, whatever fails
-beside it (`verdict`).
+Only *trials* are counted: requests for a stage's volumes that were randomly assigned to the candidate or the
+good version on arrival (`plan.Stage.control_fraction`).  So every trial is its own stratum: for the same
+process, zone, volume and time, only the random assignment determines the version, whatever else fails at the
+same time (`verdict`).
 
 A client's request is one trial, however many storage operations it takes, and has at most one fault of each
-kind.  What "late" and "slow" mean is measured by the *good* version's latency objective for both, or a
-candidate could pass by promising less.
+kind.  "late" and "slow" are relative to the *good* version's latency objective on both sides; otherwise a
+candidate could pass by relaxing its objective.
 
-Counts travel as one entry for each class and stage, of at most 640 bytes, and only grow within one
-incarnation of a process.  Merging takes the greater of each count: order, loss and repetition change nothing.
-Those of many processes go to the zone's collector, which sends on a `ZoneSummary` for each class: sums, and
-beside them what the test leaves out, the greatest factors of single processes.
+Counts are published as one entry per class and stage, of at most 640 bytes, and only grow within one
+incarnation of a process.  Merging takes the maximum of each count, so reordering, loss and duplication are
+harmless.  In large fleets counts go to the zone's collector, which forwards a `ZoneSummary` for each class:
+the sums, and the largest factors of single processes, which the test leaves out.
 """
 
 from __future__ import annotations
@@ -31,23 +31,23 @@
 COUNTS_KEY_PREFIX, ROLLBACK_KEY = (
     "rollout/seen/",
     "rollout/back",
-)  # of processes; counts: prefix + "CLASS/STAGE"
+)  # published by processes; counts have the key prefix + "CLASS/STAGE"
 SUMMARY_KEY_PREFIX, ZONE_ROLLBACKS_KEY = (
     "rollout/sum/",
     "rollout/gone",
-)  # of zones; summaries: prefix + "CLASS"
-FAULT_KINDS = ("refused", "failed", "left", "late", "slow")  # each is tested by itself
-MAX_FAULT_KINDS = 16  # that an entry may have; a later release may count more kinds
-SLOW_FRACTION = 0.5  # of the latency objective: half of it is where a rise shows before clients feel it
-MAX_TOP_FACTORS, MAX_REASONS = 4, 4  # published of one zone
+)  # published by collectors for zones; summaries have the key prefix + "CLASS"
+FAULT_KINDS = ("refused", "failed", "left", "late", "slow")  # each is tested separately
+MAX_FAULT_KINDS = 16  # accepted in an entry; a later release may count more kinds
+SLOW_FRACTION = 0.5  # of the latency objective; at half of it an increase shows before clients notice
+MAX_TOP_FACTORS, MAX_REASONS = 4, 4  # published per zone
 MAX_REASON_CHARS = 200
 MAX_CLASSES = 64
-MAX_ORIGINS = 16384  # incarnations: three of each of 4,806 processes in one rollout, and some; 1.2 KB each
-CANDIDATE, CONTROL = 0, 1  # the two sides of each count: trials by the candidate, and by the good version
+MAX_ORIGINS = 16384  # incarnations, 1.2 KB each; over three for each of 4,806 processes in one rollout
+CANDIDATE, CONTROL = 0, 1  # indexes into each count: the candidate's trials, and the good version's
 
 Origin = tuple[str, int]  # a process's name and incarnation
-ClassStage = tuple[int, int]  # class and stage that counts are of
-Entry = tuple[str, bytes]  # a key and its value
+ClassStage = tuple[int, int]  # request class and stage
+Entry = tuple[str, bytes]  # key and value
 _T = TypeVar("_T")
 Count = Annotated[int, Meta(ge=0, le=2**53)]
 Digest = Annotated[bytes, Meta(min_length=DIGEST_BYTES, max_length=DIGEST_BYTES)]
@@ -63,7 +63,7 @@
 
 
 class OutcomeCounts(Struct, array_like=True):
-    """Counts of one class in one stage, [candidate, control] each: of trials, and of faults by kind."""
+    """Counts of one class in one stage: trials, and faults by kind; each is [candidate, control]."""
 
     trials: Annotated[list[Count], Meta(min_length=2, max_length=2)]
     faults: Annotated[
@@ -73,18 +73,18 @@
 
     @classmethod
     def empty(cls) -> OutcomeCounts:
-        """Return counts of nothing."""
+        """Return counts that are all zero."""
         return cls([0, 0], [[0, 0] for _ in FAULT_KINDS])
 
     def add(self, other: OutcomeCounts) -> None:
-        """Add another's counts."""
+        """Add other counts in place."""
         for side in (CANDIDATE, CONTROL):
             self.trials[side] += other.trials[side]
             for count, added in zip(self.faults, other.faults, strict=False):
                 count[side] += added[side]
 
     def raise_to(self, other: OutcomeCounts, total: OutcomeCounts) -> bool:
-        """Take the greater of each count, add what it grew by to a total; return whether any grew."""
+        """Take the maximum of each count and add its growth to `total`; return whether any count grew."""
         grown = False
         rows = zip(
             [self.trials, *self.faults],
@@ -108,17 +108,17 @@
 
 
 class LocalRollback(Struct, frozen=True, array_like=True, tag=FORMAT_VERSION):
-    """A process's report that it rolled back from a candidate by itself."""
+    """A process's report that it rolled back from a candidate locally."""
 
     digest: Digest
     reason: Annotated[str, Meta(max_length=MAX_REASON_CHARS)]
 
 
 class ZoneSummary(Struct, frozen=True, array_like=True, tag=FORMAT_VERSION):
-    """What the processes of one zone counted of one class.
+    """The counts of one class, summed over the processes of one zone.
 
-    `top_factors`: for each kind of fault and each of the test's odds ratios, the greatest logs of single
-    processes' wealth, as little-endian 32-bit floats, at most `MAX_TOP_FACTORS` of each, greatest first.
+    `top_factors` has, for each kind of fault and each of the test's odds ratios, the largest logs of single
+    processes' wealth as little-endian 32-bit floats: at most `MAX_TOP_FACTORS` of each, largest first.
     """
 
     digest: Digest
@@ -129,7 +129,7 @@
 
 
 class ZoneRollbacks(Struct, frozen=True, array_like=True, tag=FORMAT_VERSION):
-    """How many processes of one zone report, how many of them rolled back by themselves, and why some did."""
+    """How many processes of one zone report, how many rolled back locally, and the reasons of some."""
 
     digest: Digest
     processes: Count
@@ -144,49 +144,49 @@
 
 
 def encode(entry: CountsEntry | LocalRollback | ZoneSummary | ZoneRollbacks) -> bytes:
-    """Return an entry's value."""
+    """Encode an entry as MessagePack, beginning with its format version."""
     return msgspec.msgpack.encode(entry)
 
 
 def decode_counts(value: bytes) -> CountsEntry:
-    """Read counts.  Raises InvalidRulesError, UnknownRulesVersionError."""
-    return _decode(_counts_decoder, value, "counts")
+    """Decode a process's counts.  Raises InvalidRulesError, UnknownRulesVersionError."""
+    return _decode(_counts_decoder, value, "counts entry")
 
 
 def decode_rollback(value: bytes) -> LocalRollback:
-    """Read a report.  Raises InvalidRulesError, UnknownRulesVersionError."""
-    return _decode(_rollback_decoder, value, "a report")
+    """Decode a report of a local rollback.  Raises InvalidRulesError, UnknownRulesVersionError."""
+    return _decode(_rollback_decoder, value, "rollback report")
 
 
 def decode_summary(value: bytes) -> ZoneSummary:
-    """Read a class's sums.  Raises InvalidRulesError, UnknownRulesVersionError."""
-    return _decode(_summary_decoder, value, "sums of counts")
+    """Decode a zone's sums for one class.  Raises InvalidRulesError, UnknownRulesVersionError."""
+    return _decode(_summary_decoder, value, "zone summary")
 
 
 def decode_zone_rollbacks(value: bytes) -> ZoneRollbacks:
-    """Read how many rolled back.  Raises InvalidRulesError, UnknownRulesVersionError."""
-    return _decode(_zone_rollbacks_decoder, value, "a sum of reports")
+    """Decode a zone's summary of local rollbacks.  Raises InvalidRulesError, UnknownRulesVersionError."""
+    return _decode(_zone_rollbacks_decoder, value, "zone rollback summary")
 
 
 def _decode(decoder: msgspec.msgpack.Decoder[_T], value: bytes, subject: str) -> _T:
     try:
         return decoder.decode(value)
     except (msgspec.DecodeError, RecursionError) as error:
-        # All entries begin with their format's version, a small positive integer.
+        # An entry is an array whose first element is its format version, a small positive integer.
         if len(value) > 1 and value[0] & 0xF0 == 0x90 and FORMAT_VERSION < value[1] < 128:
             raise UnknownRulesVersionError(
-                f"{subject} of version {value[1]}; version {FORMAT_VERSION} is known"
+                f"{subject} has format version {value[1]}; this release reads version {FORMAT_VERSION}"
             ) from None
-        raise InvalidRulesError(f"{subject} that cannot be read: {str(error)[:200]}") from None
+        raise InvalidRulesError(f"{subject} cannot be decoded: {str(error)[:200]}") from None
 
 
 def counts_key(request_class: int, stage: int) -> str:
-    """Return the key of a class's counts in a stage."""
+    """Return the key under which a process publishes a class's counts in a stage."""
     return f"{COUNTS_KEY_PREFIX}{request_class}/{stage}"
 
 
 def parse_counts_key(key: str) -> ClassStage | None:
-    """Return class and stage of a key of counts; None for any other key."""
+    """Return the class and stage of a counts key; None for any other key."""
     if not key.startswith(COUNTS_KEY_PREFIX):
         return None
     request_class, _, stage = key[len(COUNTS_KEY_PREFIX) :].partition("/")
@@ -197,18 +197,18 @@
 
 
 def is_evidence_key(key: str) -> bool:
-    """Whether a key is one under which a process publishes evidence of a rollout."""
+    """Whether processes publish rollout evidence under this key."""
     return key.startswith(COUNTS_KEY_PREFIX) or key == ROLLBACK_KEY
 
 
 def parse_summary_key(key: str) -> int | None:
-    """Return the class of a zone summary's key; None for any other key."""
+    """Return the class of a zone summary key; None for any other key."""
     suffix = key[len(SUMMARY_KEY_PREFIX) :]
     return int(suffix) if key.startswith(SUMMARY_KEY_PREFIX) and suffix.isdecimal() else None
 
 
 def totals_by_class(counts: Mapping[ClassStage, OutcomeCounts]) -> dict[int, OutcomeCounts]:
-    """Return the sums over stages."""
+    """Return the sums over all stages, by class."""
     totals: dict[int, OutcomeCounts] = {}
     for (request_class, _), stage_counts in counts.items():
         totals.setdefault(request_class, OutcomeCounts.empty()).add(stage_counts)
--- a/cressrock/rollout/evidence_exchange.py
+++ b/cressrock/rollout/evidence_exchange.py
@@ -20,20 +20,20 @@
 
 
 class EvidenceExchange:
-    """Between one process's participation in a rollout and the cluster's gossip and evidence channel."""
+    """Connects one process's participation in a rollout to gossip and the evidence channel."""
 
     def __init__(self, runtime: ClusterRuntime, class_count: int, log: Any) -> None:
-        """`class_count`: so many classes have the settings."""
+        """`class_count` is the number of classes in the settings."""
         self._runtime, self._class_count, self._log = runtime, class_count, log
-        self.rejected = 0  # entries of others that could not be read
+        self.rejected = 0  # entries that could not be decoded
 
     def publish_counts(self, participation: Participation) -> None:
-        """Publish the counts that changed."""
+        """Publish the counts that changed since the last call."""
         for key, value in participation.local.drain_changes():
             self._publish(participation, key, value)
 
     def publish_rollback(self, participation: Participation) -> None:
-        """Publish that this process rolled back by itself."""
+        """Publish that this process rolled back locally."""
         report = LocalRollback(bytes.fromhex(participation.digest), participation.rollback_reason)
         self._publish(participation, ROLLBACK_KEY, encode(report))
 
@@ -42,13 +42,13 @@
         self._merge(participation, self._runtime.gossip.local, key, value)
 
     def withdraw(self, participation: Participation | None) -> None:
-        """Remove what was published for a former candidate."""
+        """Remove the entries published for a former candidate; None: only a rollback report."""
         for key in participation.local.keys() if participation is not None else ():
             self._runtime.evidence.publish(key, None)
         self._runtime.evidence.publish(ROLLBACK_KEY, None)
 
     def on_gossip_change(self, participation: Participation | None, origin: Origin, key: str) -> None:
-        """Merge an entry that changed; `key` "" means that too much changed to say what."""
+        """Merge an entry that changed in gossip; with an empty `key`, merge all entries again."""
         if participation is None or participation.fleet is None:
             return
         if not key:
@@ -61,7 +61,7 @@
             self._merge(participation, origin, key, value)
 
     def merge_all(self, participation: Participation) -> None:
-        """Merge all counts and rollbacks that gossip holds."""
+        """Merge all counts and rollback reports in the gossip store."""
         class_stages = product(range(self._class_count), range(MAX_STAGES))
         for key in [ROLLBACK_KEY, *(counts_key(*class_stage) for class_stage in class_stages)]:
             for origin, value in self._runtime.gossip.values(key).items():
@@ -74,7 +74,7 @@
         try:
             participation.fleet.merge(origin, key, value)
         except RolloutError as error:
-            # Of another release, or broken: without it a verdict can only come later.
+            # Corrupt, or written by another release.  Ignoring it can only delay a verdict.
             self.rejected += 1
             if self.rejected == 1:
                 self._log.warning("rollout.entry_rejected", origin=origin[0], **error.fields())
--- a/cressrock/rollout/interfaces.py
+++ b/cressrock/rollout/interfaces.py
@@ -1,4 +1,4 @@
-"""What a rollout needs of its surroundings: the cluster's runtime, the tables of rules, the admin port."""
+"""Interfaces that a rollout depends on: the cluster runtime, the rule tables and the admin port."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from cressrock.http.channel import Headers
 from cressrock.rollout.plan import RolloutPlan
 
-V = TypeVar("V")  # a version of the rules, in the form of whoever decides by it
+V = TypeVar("V")  # a version of the rules, in the form that the deciding process uses
 
 
 class RequestHead(Protocol):
@@ -29,10 +29,10 @@
 
     @property
     def head(self) -> RequestHead:
-        """What was asked for."""
+        """The request line."""
 
     async def read(self) -> bytes:
-        """Return some bytes of the body, b"" at its end."""
+        """Return the next bytes of the body, b"" at its end."""
 
     async def respond(self, status: int, headers: Headers, body: bytes = b"") -> None:
         """Send the answer."""
@@ -54,24 +54,27 @@
 
 
 class VersionTables(Protocol[V]):
-    """The versions of the rules that this process holds (`settings.rules.Tables`)."""
+    """The versions of the rules that this process has loaded (`settings.rules.Tables`)."""
 
     own: V
 
     def get(self, digest: str) -> V | None:
-        """Return a version; "" is the settings' own."""
+        """Return a loaded version, or None; "" is the settings' own."""
 
     def check(self, data: bytes, good: str) -> tuple[bytes, RolloutPlan]:
-        """Return canonical bytes and plan of a new document.  Raises RolloutError."""
+        """Return the canonical bytes and the plan of a new document.  Raises RolloutError."""
 
     def course(self, data: bytes) -> RolloutPlan:
         """Return a document's plan.  Raises RolloutError."""
 
     def aim_ms(self, version: V, cls: int) -> float:
-        """Return a class's latency objective."""
+        """Return a class's latency objective in milliseconds."""
 
     def hold(self, now: float, documents: dict[str, bytes], good: str) -> list[str]:
-        """Hold these documents' versions; return why some are not."""
+        """Load exactly these documents' versions; return a message for each that could not be loaded.
+
+        `now` is in milliseconds; `good` is the digest of the good version.
+        """
 
     def held(self) -> tuple[str, ...]:
-        """Return the digests that are held beside the settings' own."""
+        """Return the digests of the loaded versions, without the settings' own."""
--- a/cressrock/rollout/leader.py
+++ b/cressrock/rollout/leader.py
@@ -1,4 +1,4 @@
-"""The leader's part: looks at all counts, and proposes the decision that should follow."""
+"""The consensus leader's role: evaluates all processes' counts and proposes the next decision."""
 
 from __future__ import annotations
 
@@ -28,21 +28,21 @@
         clock: Callable[[], float],
         log: Any,
     ) -> None:
-        """`lease_ms` is that of the decisions."""
+        """`lease_ms` is the lease given to the decisions it proposes."""
         self._runtime, self._class_names, self._lease_ms = runtime, class_names, lease_ms
         self._clock, self._log = clock, log
         self._pacer = StagePacer()
 
     def forget(self) -> None:
-        """Forget what was seen of a former candidate."""
+        """Reset the stage's timer, for example when the candidate changes."""
         self._pacer.forget()
 
     async def step(
         self, version: int, state: RolloutState | None, participation: Participation | None
     ) -> None:
-        """Propose the next step, if there is one; `version` is that of the decision with this state."""
+        """Propose the next step, if one is due; `version` is that of the decision holding `state`."""
         runtime = self._runtime
-        # Also without the lead, so that the fullest summaries are known from the first look on.
+        # Also done by followers, so that a new leader already has the most complete summaries.
         view = participation.view(runtime.evidence.collector, self._clock()) if participation else None
         if not runtime.is_leader or runtime.consensus is None:
             self._pacer.forget()
@@ -50,30 +50,30 @@
         is_current = isinstance(runtime.decision_cache.get(ROLLOUT_TOPIC), Decision)
         if not is_current or state is None or view is None or participation is None or not state.running:
             return
-        judged = self._accusations(view, participation)
-        if judged is None:
+        current_accusations = self._accusations(view, participation)
+        if current_accusations is None:
             return
-        participation.accusations = judged
+        participation.accusations = current_accusations
         findings = LeaderFindings(
             view.candidate_trials(state.stage),
-            judged[0].describe(self._class_names) if judged else "",
+            current_accusations[0].describe(self._class_names) if current_accusations else "",
             view.rollback_count(),
             fleet_statistics(view),
         )
-        following = self._pacer.next_state(self._clock(), version, state, participation.plan, findings)
-        if following is not None:
-            await self._propose(version, following)
+        proposed_state = self._pacer.next_state(self._clock(), version, state, participation.plan, findings)
+        if proposed_state is not None:
+            await self._propose(version, proposed_state)
 
     def _accusations(
         self, view: FleetCounts | FleetSummary, participation: Participation
     ) -> list[Accusation] | None:
-        """Return what the candidate is accused of; None where the test may not be looked at now."""
+        """Return the candidate's regressions; None if the test must not be evaluated now."""
         classes = len(self._class_names)
         if isinstance(view, FleetCounts):
             return accusations_from_counts(view, participation.plan, classes)
         collector = self._runtime.evidence.collector
         if collector is None or collector.incomplete_zones(self._clock()):
-            return None  # a zone's counts are not here yet: the test is not looked at without them
+            return None  # a zone's counts are missing; the test needs all zones
         return accusations(view, participation.plan, classes)
 
     async def _propose(self, version: int, state: RolloutState) -> None:
@@ -82,7 +82,7 @@
         try:
             await consensus.decide(ROLLOUT_TOPIC, encode(state), self._lease_ms, if_version=version)
         except ConsensusError as error:
-            # Without a quorum nothing moves; after another leader's step the next look sees that one.
+            # No quorum, or another leader was first.  The next poll sees the newer decision and tries again.
             self._log.info("rollout.step_not_decided", **error.fields())
             return
         self._log.info(
--- a/cressrock/rollout/lifecycle.py
+++ b/cressrock/rollout/lifecycle.py
@@ -1,10 +1,10 @@
-"""The replicated decision that says where a rollout stands, and the steps from one to the next.  Pure.
+"""The replicated decision that holds a rollout's state, and its transitions.  Pure.
 
-One decision, topic `rollout`, is the only truth.  It names the candidate and the last good version by digest,
-and in which of two topics (`rollout/doc/0`, `rollout/doc/1`) each one's document lies; so the end of a
-rollout, good or bad, is one compare-and-set, and no moment lies between "done" and "the new one is the good
-one".  Each step is proposed with the version of the decision it follows (`if_version`): two leaders, a leader
-that wakes late, a request that arrives twice cannot repeat a stage or skip one.
+One decision, topic `rollout`, is the single source of truth.  It names the candidate and the last good
+version by digest, and which of two topics (`rollout/doc/0`, `rollout/doc/1`) holds each document.  So a
+rollout ends with one compare-and-set: becoming "done" and replacing the good version is atomic.  Each step is
+proposed with the version of the decision it follows (`if_version`), so that two leaders, a delayed leader or
+a duplicate request cannot repeat or skip a stage.
 """
 
 from __future__ import annotations
@@ -27,13 +27,13 @@
 FORMAT_VERSION = 1
 ROLLOUT_TOPIC = "rollout"
 DOCUMENT_TOPICS = ("rollout/doc/0", "rollout/doc/1")
-MAX_ENDED_DIGESTS = 8  # documents that ended badly and are remembered
-ENDED_DIGEST_CHARS = 12  # of a digest's hexadecimal form, its first half: all that is remembered of them
+MAX_ENDED_DIGESTS = 8  # of unsuccessful rollouts, which cannot be started again unchanged
+ENDED_DIGEST_CHARS = 12  # stored of each: the first half of its hexadecimal digits
 MAX_REASON_CHARS = 120
 
 
 class RolloutStatus(StrEnum):
-    """How far a rollout is, or how it ended."""
+    """Whether a rollout is running, or how it ended."""
 
     RUNNING = "running"
     HALTED = "halted"
@@ -45,9 +45,9 @@
 class RolloutState(Struct, frozen=True, array_like=True, tag=FORMAT_VERSION):
     """The decision's value.  Later formats may add fields at the end."""
 
-    rollout_number: Annotated[int, Meta(ge=0)]  # one more for each rollout that was started
+    rollout_number: Annotated[int, Meta(ge=0)]  # incremented for each rollout that is started
     status: RolloutStatus
-    digest: str  # the candidate's, of this or the last rollout
+    digest: str  # the candidate's, of the current or last rollout
     document_slot: Annotated[int, Meta(ge=0, le=1)]  # which of DOCUMENT_TOPICS holds its document
     stage: Annotated[int, Meta(ge=0, le=MAX_STAGES)]
     good_digest: str = ""  # the last good version's; "": the settings' own rules
@@ -58,7 +58,7 @@
 
     @property
     def running(self) -> bool:
-        """Whether the candidate may decide anything at all."""
+        """Whether requests may be assigned to the candidate."""
         return self.status == RolloutStatus.RUNNING
 
 
@@ -67,14 +67,14 @@
 
 
 def encode(state: RolloutState) -> bytes:
-    """Return a decision's value."""
+    """Encode the state as a decision's value."""
     return msgspec.msgpack.encode(state)
 
 
 def decode(value: bytes) -> RolloutState:
-    """Read a decision's value.
+    """Decode a decision's value.
 
-    Raises UnknownRulesVersionError for another format, InvalidRulesError for what is no such value.
+    Raises UnknownRulesVersionError for another format version, InvalidRulesError for an invalid value.
     """
     try:
         return _decoder.decode(value)
@@ -85,29 +85,29 @@
             head = None
         if isinstance(head, list) and head and isinstance(head[0], int) and head[0] != FORMAT_VERSION:
             raise UnknownRulesVersionError(
-                f"decree {ROLLOUT_TOPIC!r}: version {head[0]}; version {FORMAT_VERSION} is known"
+                f"decision {ROLLOUT_TOPIC!r} has format {head[0]}; this release reads format {FORMAT_VERSION}"
             ) from None
-        raise InvalidRulesError(f"decree {ROLLOUT_TOPIC!r}: {str(error)[:200]}") from None
+        raise InvalidRulesError(f"decision {ROLLOUT_TOPIC!r} cannot be decoded: {str(error)[:200]}") from None
 
 
 def start_rollout(old: RolloutState | None, document: bytes) -> RolloutState:
-    """Return the decision that starts a document.
+    """Return the state that starts the rollout of a document.
 
     Raises RolloutInProgressError, RolloutAlreadyEndedError.
     """
     old = old or NO_ROLLOUT
     digest = document_digest(document)
     if old.running:
-        raise RolloutInProgressError(f"{old.digest} is in stage {old.stage}")
+        raise RolloutInProgressError(f"the rollout of {old.digest} is in progress, in stage {old.stage}")
     if digest[:ENDED_DIGEST_CHARS] in old.ended_digests:
-        raise RolloutAlreadyEndedError(f"{digest} ended before without getting through")
+        raise RolloutAlreadyEndedError(f"an earlier rollout of {digest} ended without success")
     if digest == old.good_digest:
-        raise RolloutAlreadyEndedError(f"{digest} is the good version already")
+        raise RolloutAlreadyEndedError(f"{digest} is already the good version")
     return RolloutState(
         old.rollout_number + 1,
         RolloutStatus.RUNNING,
         digest,
-        1 - old.good_slot if old.good_digest else 0,  # never over the good version's document
+        1 - old.good_slot if old.good_digest else 0,  # never overwrites the good version's document
         0,
         old.good_digest,
         old.good_slot,
@@ -118,12 +118,14 @@
 def end_rollout(
     old: RolloutState, status: RolloutStatus, reason: str, statistics: dict[str, float]
 ) -> RolloutState:
-    """Return the decision that ends a rollout without success; its document is remembered.
+    """Return the state that ends a rollout without success; its digest is stored.
 
-    Raises RolloutNotFoundError where nothing runs.
+    Raises RolloutNotFoundError if no rollout is running.
     """
     if not old.running:
-        raise RolloutNotFoundError(f"nothing runs; the last one, {old.digest or 'none'}, is {old.status}")
+        raise RolloutNotFoundError(
+            f"no rollout is running; the last one, {old.digest or 'none'}, is {old.status}"
+        )
     ended = [*old.ended_digests, old.digest[:ENDED_DIGEST_CHARS]][-MAX_ENDED_DIGESTS:]
     return msgspec.structs.replace(
         old, status=status, reason=reason[:MAX_REASON_CHARS], statistics=statistics, ended_digests=ended
@@ -131,7 +133,7 @@
 
 
 def advance(old: RolloutState, plan: RolloutPlan, statistics: dict[str, float]) -> RolloutState:
-    """Return the decision after a stage that is over: the next stage, or done."""
+    """Return the state after a finished stage: the next stage, or done."""
     if old.stage + 1 < len(plan.stages):
         return msgspec.structs.replace(old, stage=old.stage + 1, statistics=statistics)
     return msgspec.structs.replace(
--- a/cressrock/rollout/loaded_versions.py
+++ b/cressrock/rollout/loaded_versions.py
@@ -1,4 +1,4 @@
-"""Has the versions of the rules held that a rollout's decision names, as far as their documents are here."""
+"""Loads the versions of the rules that a rollout's decision names, if their documents are available."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 class LoadedVersions(Generic[V]):
-    """Documents by digest, and the tables that hold their versions."""
+    """Finds documents by digest and loads their versions into the rule tables."""
 
     def __init__(
         self,
@@ -31,16 +31,16 @@
         log: Any,
         on_changed: Callable[[tuple[str, ...]], None],
     ) -> None:
-        """`on_changed` is called with the live digests when the tables changed."""
+        """`on_changed` is called with the live digests after the set of documents changed."""
         self._cache, self._tables, self._persisted, self._log = cache, tables, persisted, log
         self._on_changed = on_changed
         self._requested: list[str] = []
         self._digests: dict[str, _KnownDigest] = {}  # by topic
-        self.live: tuple[str, ...] = ()  # digests that are held and in use
-        self.problems: list[str] = []  # why something is not held, or could not be read
+        self.live: tuple[str, ...] = ()  # digests that are requested and loaded
+        self.problems: list[str] = []  # why versions were not loaded or a document could not be read
 
     def document(self, slot: int, digest: str) -> bytes | None:
-        """Return a document that a decision holds, or the good one on disk; None if it is not here."""
+        """Return a document from its decision, or the good one from disk; None if it is not available."""
         cached = self._cache.get(DOCUMENT_TOPICS[slot])
         decision = cached.decision if isinstance(cached, Expired) else cached
         if decision is not None:
@@ -54,7 +54,7 @@
         return persisted.good_document if persisted.good_digest == digest else None
 
     def hold(self, documents: dict[str, bytes], good: str, now_ms: float) -> None:
-        """Have these documents' versions held, by digest, if they are others than before."""
+        """Load these documents' versions, by digest, if the set differs from that of the last call."""
         if sorted(documents) == self._requested:
             return
         self._requested = sorted(documents)
--- a/cressrock/rollout/pacing.py
+++ b/cressrock/rollout/pacing.py
@@ -1,7 +1,7 @@
-"""When a leader takes the next step: by time, answers, accusations and rollbacks.  Pure.
+"""When the leader takes the next step, by time, answers, regressions and local rollbacks.  Pure.
 
-Times are the leader's own.  A stage's minimum duration counts from when *this* leader first saw the stage's
-decision, so a new leader begins it anew: a stage may last longer for that, never shorter.
+Times are on the leader's clock.  A stage's minimum duration counts from when *this* leader first saw the
+stage's decision.  A new leader restarts it, so a stage may last longer than configured but never shorter.
 """
 
 from __future__ import annotations
@@ -14,33 +14,33 @@
 
 @dataclass(frozen=True, slots=True)
 class LeaderFindings:
-    """What a leader knows of the present stage."""
+    """What the leader knows about the current stage."""
 
-    candidate_trials: int  # answered under the candidate, in the present stage
-    accusation: str = ""  # why the candidate is to be halted; "" while nothing accuses it
-    rollback_count: int = 0  # processes that rolled back by themselves
+    candidate_trials: int  # answered under the candidate in the current stage
+    accusation: str = ""  # why the candidate must be halted; "" if no regression was found
+    rollback_count: int = 0  # processes that rolled back locally
     statistics: dict[str, float] | None = None
 
 
 class StagePacer:
-    """The leader's memory of time: which decision it saw, and since when.
+    """Tracks which decision the leader saw last, and since when.
 
-    A leader that loses its lead calls `forget`.
+    A leader that loses leadership calls `forget`.
     """
 
     def __init__(self) -> None:
-        """Start with nothing seen."""
+        """Start without a decision seen."""
         self._version: int | None = None  # of the decision
         self._seen_at_ms = 0.0
 
     def forget(self) -> None:
-        """Forget what was seen: the stage's time begins anew with the next call."""
+        """Reset the stage's timer: it restarts at the next call of `next_state`."""
         self._version = None
 
     def next_state(
         self, now_ms: float, version: int, state: RolloutState, plan: RolloutPlan, findings: LeaderFindings
     ) -> RolloutState | None:
-        """Return the value that should follow the decision of this version, or None: it stands."""
+        """Return the state to propose after the decision of this version; None if nothing is to change."""
         if not state.running:
             self.forget()
             return None
--- a/cressrock/rollout/participation.py
+++ b/cressrock/rollout/participation.py
@@ -1,4 +1,4 @@
-"""One process's part in one candidate's rollout.  Pure."""
+"""One process's participation in one candidate's rollout.  Pure."""
 
 from __future__ import annotations
 
@@ -13,37 +13,40 @@
 
 
 class Collector(Protocol):
-    """What other collectors have summed up (`aggregation.collector.ReportCollector`)."""
+    """The collectors' summaries (`aggregation.collector.ReportCollector`)."""
 
     @property
     def summaries(self) -> Summaries:
-        """All collectors' summaries, merged."""
+        """The summaries received from all collectors."""
 
     def is_active(self) -> bool:
-        """Whether anybody sends reports to collectors: then sums are the whole evidence."""
+        """Whether any process reports to collectors; then the sums are the complete evidence."""
 
 
 class Summaries(Protocol):
     """All collectors' summaries, merged."""
 
     def sums(self, now_ms: float) -> Mapping[str, Mapping[str, bytes]]:
-        """Return the sums that are current, by zone and key."""
+        """Return the sums that have not expired, by zone and key."""
 
 
 @dataclass(slots=True)
 class Participation:
-    """From the moment a candidate's document is here until another candidate is decided on."""
+    """Exists from when a candidate's document is available until a decision names another candidate."""
 
     digest: str
     plan: RolloutPlan
     local: LocalCounts
-    fleet: FleetCounts | None  # as processes publish them; None where this process may not lead
-    rollback_reason: str = ""  # why this process rolled back by itself; "" while it has not
-    accusations: list[Accusation] = field(default_factory=list)  # by the leader's last look
-    zone_entries: dict[str, ZoneEntries] = field(default_factory=dict)  # the fullest of each zone's summaries
+    fleet: FleetCounts | None  # merged from gossip; None if this process cannot become leader
+    rollback_reason: str = ""  # why this process rolled back locally; "" while it has not
+    accusations: list[Accusation] = field(default_factory=list)  # of the leader's last evaluation
+    zone_entries: dict[str, ZoneEntries] = field(default_factory=dict)  # each zone's most complete summaries
 
     def view(self, collector: Collector | None, now_ms: float) -> FleetCounts | FleetSummary | None:
-        """Return all counts: collectors' sums where anybody reports to collectors, else as published."""
+        """Return all processes' counts: the collectors' sums if collectors are in use, else from gossip.
+
+        None if this process cannot become leader and collectors are not in use.
+        """
         if collector is None or not collector.is_active():
             return self.fleet
         keep_fullest(self.zone_entries, collector.summaries.sums(now_ms), self.digest)
--- a/cressrock/rollout/persisted_state.py
+++ b/cressrock/rollout/persisted_state.py
@@ -1,4 +1,4 @@
-"""What a process keeps of rollouts over restarts: one small file that is replaced as a whole."""
+"""Rollout state that a process keeps across restarts, in one small file that is replaced atomically."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class PersistedState(Struct, frozen=True):
-    """Starts under a candidate, and the last good document; the file has the first release's names."""
+    """Starts under a candidate, and the last good document.  The file keeps release 1's field names."""
 
     crash_record: CrashRecord = field(default=CrashRecord(), name="starts")
     good_digest: str = field(default="", name="good")
@@ -21,10 +21,10 @@
 
 
 class PersistedStateFile:
-    """The state in memory and on disk; without a path it is lost with the process."""
+    """The state in memory and on disk; without a path it does not survive the process."""
 
     def __init__(self, path: str | None, log: Any) -> None:
-        """Read the file, if there is one."""
+        """Read the file; if it is missing or unreadable, start with an empty state."""
         self._path = Path(path) if path is not None else None
         self._log = log
         self.state = self._read()
@@ -37,26 +37,26 @@
         except FileNotFoundError:
             return PersistedState()
         except (OSError, msgspec.DecodeError) as error:
-            # The settings' own rules serve, and a count of starts that begins anew only tries longer.
+            # Fall back to the settings' own rules.  Restarting the crash count only delays a local rollback.
             self._log.warning("rollout.kept_state_unreadable", path=str(self._path), error=str(error))
             return PersistedState()
 
     def set_good(self, digest: str, document: bytes) -> None:
-        """Keep the last good document."""
+        """Store the last good document."""
         self._write(msgspec.structs.replace(self.state, good_digest=digest, good_document=document))
 
     def set_crash_record(self, record: CrashRecord) -> None:
-        """Keep the record of starts."""
+        """Store the record of starts."""
         self._write(msgspec.structs.replace(self.state, crash_record=record))
 
     def set_running(self, running: bool) -> None:
-        """Keep whether a run under the candidate is under way."""
+        """Store whether a run under the candidate is in progress."""
         record = self.state.crash_record
         if record.running != running:
             self.set_crash_record(msgspec.structs.replace(record, running=running))
 
     def set_rollback(self, reason: str) -> None:
-        """Keep why this process rolled back; its run under the candidate is over."""
+        """Store why this process rolled back, and that its run under the candidate has ended."""
         record = self.state.crash_record
         if record.rollback_reason != reason:
             self.set_crash_record(msgspec.structs.replace(record, rollback_reason=reason, running=False))
@@ -73,5 +73,5 @@
                 os.fsync(file.fileno())
             os.replace(temporary, self._path)
         except OSError as error:
-            # In memory the new state counts; after a restart the older one does.
+            # The new state applies until a restart, which reads the older one.
             self._log.error("rollout.kept_state_not_written", path=str(self._path), error=str(error))
--- a/cressrock/rollout/plan.py
+++ b/cressrock/rollout/plan.py
@@ -10,21 +10,21 @@
 
 from msgspec import Meta, Struct, field
 
-DIGEST_BYTES = 12  # names a document for operators and machines; by chance never the same twice
+DIGEST_BYTES = 12  # identifies a document; long enough that accidental collisions do not occur
 MAX_STAGES = 8
-MAX_DOCUMENT_BYTES = 48 * 1024  # what one decision takes
+MAX_DOCUMENT_BYTES = 48 * 1024  # what fits into one decision
 
 Name = Annotated[str, Meta(max_length=64)]
 Milliseconds = Annotated[float, Meta(ge=0, le=1e9)]
 
 
 class Stage(Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
-    """Where the candidate may decide, and what has to be seen before the next stage."""
+    """Which requests are eligible for the candidate, and what is required before the next stage."""
 
-    # Of the volumes, selected by a hash.
+    # Fraction of the volumes, selected by a hash.
     volume_fraction: Annotated[float, Meta(gt=0, le=1)] = field(default=1.0, name="part")
-    zones: Annotated[list[Name], Meta(max_length=64)] | None = None  # unset: all
-    # Of the selected requests, those that still go by the good version, as a control group.
+    zones: Annotated[list[Name], Meta(max_length=64)] | None = None  # None: all zones
+    # Fraction of the eligible requests that use the good version, as a control group.
     control_fraction: Annotated[float, Meta(ge=0.02, le=0.95)] = field(default=0.5, name="beside")
     min_duration_ms: Milliseconds = field(default=60000.0, name="least_ms")  # on the leader's clock
     # Requests answered under the candidate in this stage.
@@ -32,19 +32,19 @@
 
 
 class Thresholds(Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
-    """How much error is accepted, and who may halt a rollout."""
+    """Error levels of the test, and the conditions that halt a rollout."""
 
-    # Of ever halting a candidate that changes nothing, over all classes and looks together.
+    # Probability of ever halting a candidate that changes nothing, over all classes and evaluations.
     false_halt_probability: Annotated[float, Meta(gt=0, le=0.5)] = field(default=0.01, name="error")
-    # Odds of a bad answer, candidate to good version, for which nobody would halt a rollout.
+    # Odds ratio of a bad answer, candidate to good version, that is too small to halt a rollout.
     tolerated_odds_ratio: Annotated[float, Meta(ge=1, le=100)] = field(default=1.1, name="tolerate")
-    # Odds beyond which a process rolls back by itself.
+    # Odds ratio beyond which a process rolls back locally.
     rollback_odds_ratio: Annotated[float, Meta(ge=1, le=1000)] = field(default=2.0, name="far")
-    # Fewer processes than this cannot halt a rollout by their answers.
+    # The faults of fewer processes than this cannot halt a rollout.
     min_accusers: Annotated[int, Meta(ge=1, le=1024)] = field(default=2, name="accusers")
-    # Processes that rolled back by themselves, which halt a rollout.
+    # This many local rollbacks halt a rollout.
     rollbacks_to_halt: Annotated[int, Meta(ge=1, le=1024)] = field(default=2, name="reports")
-    # A stage that is not over by then ends the rollout; on one leader's clock.
+    # A stage that takes longer ends the rollout; measured on one leader's clock.
     stage_timeout_ms: Milliseconds = field(default=3600000.0, name="expire_ms")
 
 
@@ -55,22 +55,25 @@
     thresholds: Thresholds = field(default=Thresholds(), name="levels")
 
     def __post_init__(self) -> None:
-        """Check what no single field can tell.  Raises ValueError naming the place."""
+        """Check constraints between stages.  Raises ValueError naming the field."""
         fraction = 0.0
         for index, stage in enumerate(self.stages):
             if stage.volume_fraction < fraction:
                 raise ValueError(
-                    f"stages[{index}].part: {stage.volume_fraction:g} is less than the stage before has"
+                    f"stages[{index}].part: {stage.volume_fraction:g} is less than in the previous stage"
                 )
             fraction = stage.volume_fraction
         last = self.stages[-1]
         if last.volume_fraction < 1 or last.zones is not None:
-            raise ValueError(f"stages[{len(self.stages) - 1}]: the last one has to be all volumes, all zones")
+            raise ValueError(
+                f"stages[{len(self.stages) - 1}]: the last stage must cover all volumes and zones"
+            )
 
 
 def document_digest(document: bytes) -> str:
-    """Return a document's name: BLAKE2b of its bytes, so that all processes name the same thing alike.
+    """Return a document's digest, BLAKE2b of its bytes in hexadecimal, the same in all processes.
 
-    A fast checksum (xxhash) would do against damage; a name that operators compare must also not be forged.
+    A fast checksum (xxhash) would detect corruption, but operators compare digests, so they must also resist
+    forgery.
     """
     return hashlib.blake2b(document, digest_size=DIGEST_BYTES).hexdigest()
--- a/cressrock/rollout/selection.py
+++ b/cressrock/rollout/selection.py
@@ -1,4 +1,4 @@
-"""Which requests may come to a candidate: by volume, zone and stage.  Pure."""
+"""Selects the requests that are eligible for a candidate, by volume, zone and stage.  Pure."""
 
 from __future__ import annotations
 
@@ -9,9 +9,9 @@
 
 
 def selects_volume(digest: str, volume: str, fraction: float) -> bool:
-    """Whether a volume is in a fraction of all.
+    """Whether a volume is in a fraction of all volumes.
 
-    A document's fractions grow by adding volumes; another document draws its volumes anew.
+    A larger fraction of the same document contains the smaller ones; another document selects independently.
     """
     if fraction >= 1:
         return True
@@ -22,7 +22,7 @@
 def eligible_stage(
     state: RolloutState | None, plan: RolloutPlan | None, volume: str, zone: str
 ) -> Stage | None:
-    """Return the stage under which a request of a volume may come to the candidate here, or None."""
+    """Return the stage that makes a volume's requests eligible for the candidate in this zone, or None."""
     if state is None or plan is None or not state.running or state.stage >= len(plan.stages):
         return None
     stage = plan.stages[state.stage]
--- a/cressrock/rollout/service.py
+++ b/cressrock/rollout/service.py
@@ -1,6 +1,6 @@
-"""A process's part in rollouts: follows the decision, chooses versions, publishes counts, and leads.
+"""A process's participation in rollouts: applies decisions, chooses versions, publishes counts, and leads.
 
-This module awaits and composes; what is chosen is for `selection`, `pacing` and `verdict` to say.
+This module does the I/O and composition; the policy is in `selection`, `pacing` and `verdict`.
 """
 
 from __future__ import annotations
@@ -42,7 +42,7 @@
 
     process_name: str
     zone: str
-    classes: list[str]  # their names
+    classes: list[str]  # class names
     lease_ms: float  # of the decisions
     keep_file: str | None = None
     poll_interval_ms: float = 1000.0
@@ -53,9 +53,10 @@
 
 @dataclass(frozen=True, slots=True)
 class VersionChoice(Generic[V]):
-    """By which version a request is decided, and the good one, by whose classes and objectives it is counted.
+    """The version that decides a request, and the good one, whose classes and objectives count it.
 
-    `on_complete` is to be called once at the request's end, with its class in `good` and its duration in ms.
+    If `on_complete` is set, the request is a trial: call it once when the request ends, with its class in
+    `good`, its outcome and its duration in ms.
     """
 
     version: V
@@ -64,7 +65,7 @@
 
 
 class RolloutService(Generic[V]):
-    """`run` it in a task group; `choose` a version for each request as it comes."""
+    """Call `run` in a task group, and `choose` for each request when it arrives."""
 
     def __init__(
         self,
@@ -81,10 +82,10 @@
         may_lead: bool = False,
         zone_of: Callable[[str], str] = lambda name: "",
     ) -> None:
-        """`on_versions_changed(live digests)` is called when the tables changed.
+        """`on_versions_changed(live digests)` is called after the set of loaded versions changed.
 
-        `planner_has_version(digest)` says whether whoever decides for this process has a version; `may_lead`:
-        this process has a consensus replica; `zone_of` gives a process's zone.
+        `planner_has_version(digest)` returns whether the planner that decides for this process has a version;
+        `may_lead` is whether this process has a consensus replica; `zone_of` maps a process to its zone.
         """
         self._runtime, self._tables, self._settings = runtime, tables, settings
         self._clock, self._wall_ms, self._rng, self._log = clock, wall_ms, rng, log
@@ -97,20 +98,20 @@
         self._leader = RolloutLeader(runtime, settings.classes, settings.lease_ms, clock, log)
         self._admin = AdminEndpoint(
             runtime, settings.lease_ms, tables.check,
-            follow=self._follow, status=self.status, statistics=self._statistics,
+            apply_decision=self._apply_decision, status=self.status, statistics=self._statistics,
         )  # fmt: skip
-        self._state: RolloutState | None = None  # the newest received, whether it is current or not
-        self._version = 0  # of its decision
-        self._decoded_version = -1  # of the newest decision that was looked at
-        self._good_digest = self._persisted.state.good_digest  # as far as is known here
+        self._state: RolloutState | None = None  # the newest received, even if expired
+        self._version = 0  # of that state's decision
+        self._decoded_version = -1  # of the newest decision that was decoded, or failed to decode
+        self._good_digest = self._persisted.state.good_digest  # last known to this process
         self._participation: Participation | None = None
-        self._candidate_requests = 0  # requests that came to the candidate, since this process started
+        self._candidate_requests = 0  # decided by the candidate since this process started
         self._read_lease = ReadLease()
         self._decision_changed = anyio.Event()
         self._published_at_ms = 0.0
         self._summarizer = ZoneSummarizer() if may_lead else None
         self._subscribe()
-        self._follow()
+        self._apply_decision()
 
     def _subscribe(self) -> None:
         runtime = self._runtime
@@ -121,14 +122,14 @@
         runtime.on_leaving.append(self._on_leaving)
 
     def choose(self, volume: str) -> VersionChoice[V]:
-        """Return by which version a request that comes now is decided, to its answer."""
+        """Return the version that decides a request arriving now, until it is answered."""
         state, tables, participation = self._state, self._tables, self._participation
         good = tables.own
         if self._good_digest and self._planner_has_version(self._good_digest):
             good = tables.get(self._good_digest) or tables.own
         if state is None or not state.running or participation is None or participation.rollback_reason:
             return VersionChoice(good, good)
-        # The lease is looked at here, not where decisions come in: one that is over ends without any message.
+        # Check the lease for each request: it expires without any event.
         if not self._is_current() or not self._planner_has_version(state.digest):
             return VersionChoice(good, good)
         stage = eligible_stage(state, participation.plan, volume, self._settings.zone)
@@ -145,25 +146,25 @@
         return VersionChoice(candidate if by_candidate else good, good, on_complete)
 
     def _is_current(self) -> bool:
-        """Whether the decision counts here, by its lease and by what this process has read itself."""
+        """Whether both the decision's lease and this process's read lease are valid."""
         is_leased = isinstance(self._runtime.decision_cache.get(ROLLOUT_TOPIC), Decision)
         return is_leased and self._read_lease.is_valid(self._version, self._clock())
 
-    # --- following the decision
+    # --- applying the decision
 
     def _on_decision(self, decision: Decision) -> None:
         if decision.topic == ROLLOUT_TOPIC or decision.topic in DOCUMENT_TOPICS:
-            self._follow()
+            self._apply_decision()
 
     def _on_gossip_change(self, origin: Origin, key: str) -> None:
         self._evidence.on_gossip_change(self._participation, origin, key)
 
     def _on_leaving(self) -> None:
-        """Enter an orderly end."""
+        """Record a clean shutdown."""
         self._persisted.set_running(False)
 
-    def _follow(self) -> None:
-        """Apply what was decided: what is to be held, and whether this process takes part."""
+    def _apply_decision(self) -> None:
+        """Apply the newest decision: load its versions and update this process's participation."""
         cached = self._runtime.decision_cache.get(ROLLOUT_TOPIC)
         decision = cached.decision if isinstance(cached, Expired) else cached
         if decision is not None and decision.version != self._decoded_version:
@@ -172,15 +173,15 @@
             try:
                 self._state, self._version = decode(decision.value), decision.version
             except CressrockError as error:
-                # Not understood: as if nothing ran.  The last good version stays.
+                # Act as if no rollout were running; the last good version stays in use.
                 if self._state is not None:
                     self._state = msgspec.structs.replace(self._state, status=RolloutStatus.EXPIRED)
                 self._log.warning("rollout.decision_unreadable", **error.fields())
         state = self._state
-        self._hold_versions(running=isinstance(cached, Decision) and state is not None and state.running)
+        self._load_versions(running=isinstance(cached, Decision) and state is not None and state.running)
 
-    def _hold_versions(self, *, running: bool) -> None:
-        """Have the good version and the candidate held, as far as their documents are here."""
+    def _load_versions(self, *, running: bool) -> None:
+        """Load the good version and the candidate, if their documents are available."""
         state, persisted = self._state, self._persisted
         documents: dict[str, bytes] = {}
         good = self._good_digest = state.good_digest if state is not None else persisted.state.good_digest
@@ -197,12 +198,13 @@
             if data is not None and self._participate(state.digest, data):
                 documents[state.digest] = data
         elif self._participation is not None:
-            # Danger: before the decision is received again, what a former run left open is not to be closed.
+            # Only with a participation: after a crash, the record of the open run must not be cleared before
+            # the decision is received again, or the crash would not be counted.
             persisted.set_running(False)
         self._versions.hold(documents, good, self._clock())
 
     def _participate(self, digest: str, data: bytes) -> bool:
-        """Take part in a candidate's rollout from now on; False: this process does not."""
+        """Participate in a candidate's rollout; return whether this process may use the candidate."""
         participation = self._participation
         if participation is None:
             participation = self._begin_participation(digest, data)
@@ -217,7 +219,7 @@
         except RolloutError as error:
             self._versions.problems = [f"{digest}: {error.text}"]
             return None
-        # On disk before the candidate decides anything: what it kills at once would else never be counted.
+        # Write to disk before the candidate is used: otherwise an immediate crash would never be counted.
         record = record_start(
             self._persisted.state.crash_record, digest, self._wall_ms(),
             max_starts=settings.max_starts, window_ms=settings.starts_window_ms,
@@ -234,7 +236,7 @@
         return participation
 
     def _forget_candidate(self) -> None:
-        """Forget a former candidate's counts, here and in what was published."""
+        """Drop a former candidate's counts, locally and in the published entries."""
         self._evidence.withdraw(self._participation)
         if self._summarizer is not None:
             self._summarizer.follow("", None, 0)
@@ -242,7 +244,7 @@
         self._leader.forget()
 
     def _roll_back(self, participation: Participation, reason: str) -> None:
-        """Serve by the good version alone from now on, and publish that."""
+        """Use only the good version from now on, and publish a report of the local rollback."""
         participation.rollback_reason = reason[:MAX_REASON_CHARS]
         self._log.warning("rollout.rolled_back", digest=participation.digest, reason=reason)
         self._persisted.set_rollback(participation.rollback_reason)
@@ -251,21 +253,21 @@
     # --- tasks
 
     async def run(self) -> None:
-        """Follow, publish and, where this process leads, propose the next step; until cancelled."""
+        """Apply decisions, publish counts and, as leader, propose the next step; until cancelled."""
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(self._poll)
             tasks.start_soon(self._renew_read_lease)
 
     async def _poll(self) -> None:
         while True:
-            self._follow()
+            self._apply_decision()
             self._publish()
             if self._may_lead:
                 await self._leader.step(self._version, self._state, self._participation)
             await anyio.sleep(self._settings.poll_interval_ms / 1000)
 
     def _publish(self) -> None:
-        """Publish what was counted, and look whether this process alone fares far worse."""
+        """Publish counts at the report interval, and roll back if this process's own counts require it."""
         participation = self._participation
         interval_ms = max(self._settings.report_interval_ms, self._runtime.evidence.min_interval_ms())
         if participation is None or self._clock() < self._published_at_ms + interval_ms:
@@ -278,15 +280,15 @@
         accusation = local_accusation(participation.local, participation.plan, len(classes))
         if accusation is not None:
             self._roll_back(participation, accusation.describe(classes))
-            self._follow()
+            self._apply_decision()
 
     async def _renew_read_lease(self) -> None:
-        """Read the decision while it runs, a few times within a lease: see `ReadLease`."""
+        """Read the decision several times per lease while a rollout is running; see `ReadLease`."""
         settings, consensus = self._settings, self._runtime.consensus
         while consensus is not None:
             rolled_back = self._participation is not None and self._participation.rollback_reason
             if self._state is not None and self._state.running and not rolled_back:
-                # Not all processes in one moment after each step.
+                # Jitter, so that processes do not all read at once after each step.
                 await anyio.sleep(self._rng.random() * settings.poll_interval_ms / 1000)
                 began_ms = self._clock()
                 try:
@@ -294,7 +296,7 @@
                     if decision is not None:
                         self._read_lease.record_read(decision.version, began_ms, decision.lease_ms)
                 except ConsensusError:
-                    pass  # the lease runs on, and out
+                    pass  # the lease is not renewed and will expire
             if self._decision_changed.is_set():
                 self._decision_changed = anyio.Event()
             else:
@@ -308,7 +310,7 @@
         await self._admin.serve(exchange)
 
     def _view(self) -> FleetCounts | FleetSummary | None:
-        """Return all processes' counts, as far as they are known here."""
+        """Return all processes' counts, if this process has them."""
         if self._participation is None:
             return None
         return self._participation.view(self._runtime.evidence.collector, self._clock())
@@ -318,7 +320,7 @@
         return fleet_statistics(view) if view is not None else {}
 
     def status(self) -> StatusReport:
-        """Return what stands, in plain values and words."""
+        """Return the rollout's status for the admin port."""
         state, participation, names = self._state, self._participation, self._settings.classes
         is_current = self._is_current() if state is not None and state.running else state is not None
         plan = participation.plan if participation is not None else None
--- a/cressrock/rollout/status.py
+++ b/cressrock/rollout/status.py
@@ -1,4 +1,4 @@
-"""What stands, as the admin port reports it: plain values and one sentence.  Pure."""
+"""A rollout's status as the admin port reports it: plain values and one sentence.  Pure."""
 
 from __future__ import annotations
 
@@ -16,11 +16,11 @@
 
 
 class StatusReport(Struct):
-    """The answer of `GET /v1/rollout`."""
+    """The response to `GET /v1/rollout`."""
 
     sentence: str = field(name="words")
     status: str = field(name="state")
-    is_current: bool = field(name="counts")  # whether the decision counts here
+    is_current: bool = field(name="counts")  # whether this process applies the decision
     version: int = field(name="number")  # of the decision
     digest: str
     good_digest: str = field(name="good")
@@ -42,7 +42,7 @@
 
 
 def class_reports(names: Sequence[str], counts: Mapping[int, OutcomeCounts]) -> dict[str, ClassReport]:
-    """Return counts by the classes' names; classes that are not known here are left out."""
+    """Return counts by class name; classes that this process does not know are left out."""
     return {
         names[request_class]: {"trials": one.trials} | dict(zip(FAULT_KINDS, one.faults, strict=False))
         for request_class, one in sorted(counts.items())
@@ -51,7 +51,10 @@
 
 
 def fleet_statistics(view: FleetCounts | FleetSummary) -> dict[str, float]:
-    """Return the sums over all classes, for the decision."""
+    """Return the sums over all classes by fault kind, to be stored in the decision.
+
+    Keys with the suffix " b", and "beside", count the control group.
+    """
     total = OutcomeCounts.empty()
     for counts in view.totals_by_class().values():
         total.add(counts)
@@ -64,7 +67,7 @@
 def status_sentence(
     state: RolloutState | None, plan: RolloutPlan | None, is_current: bool, rollback_reason: str
 ) -> str:
-    """Say in plain words what stands."""
+    """Return one sentence for operators that describes the rollout's status."""
     if state is None or not state.rollout_number:
         return "no rollout is known here; the settings' own rules decide"
     good = f"the good rules {state.good_digest}" if state.good_digest else "the settings' own rules"
--- a/cressrock/rollout/summaries.py
+++ b/cressrock/rollout/summaries.py
@@ -1,4 +1,4 @@
-"""A zone's counts as its collector sums them up, and the leader's view of all zones' sums.  Pure."""
+"""A zone's counts summed by its collector, and the leader's view of all zones' sums.  Pure."""
 
 from __future__ import annotations
 
@@ -30,26 +30,26 @@
 from cressrock.rollout.verdict import ClassFault, TopFactors, counts_by_process, top_factors
 
 ZoneEntries = dict[str, bytes]  # a zone's summaries by key
-Fullness = tuple[int, int]  # how many trials, or processes and rollbacks, a summary is of
+Completeness = tuple[int, int]  # (trials, 0) of a class summary, (processes, rollbacks) of a rollback summary
 
 
 class ZoneSummarizer:
-    """A collector's sums of counts; what an incarnation that is gone has reported is kept.
+    """A collector's sums of counts; those of incarnations that have ended are kept.
 
-    One of the `aggregation` summarizers, which gives it all entries of the collector's zones.
+    An `aggregation` summarizer: it receives all entries of the collector's zones.
     """
 
     def __init__(self) -> None:
-        """Follow no candidate yet; what is received already is kept for when one is."""
+        """Start without a candidate; entries received before `follow` are stored and merged then."""
         self.fleet: FleetCounts | None = None
         self.plan: RolloutPlan | None = None
         self.classes = 0
-        self.rejected = 0  # entries that could not be read
+        self.rejected = 0  # entries that could not be decoded
         self._entries: dict[Origin, dict[str, bytes]] = {}
         self._zone_of: dict[str, str] = {}
 
     def follow(self, digest: str, plan: RolloutPlan | None, classes: int) -> None:
-        """Count for this candidate from now on; "" for none."""
+        """Start counting for this candidate; an empty digest stops counting."""
         if (self.fleet.digest if self.fleet is not None else "") == digest:
             return
         self.fleet = FleetCounts(digest) if digest else None
@@ -65,12 +65,12 @@
         try:
             return self.fleet.merge(origin, key, value)
         except RolloutError:
-            # Of another release, or broken: it is counted, and the other entries serve.
+            # Corrupt, or written by another release: the other entries are still used.
             self.rejected += 1
             return False
 
     def receive(self, origin: Origin, key: str, value: bytes | None, at_ms: float) -> bool:
-        """Receive an entry, or its removal; return whether it was new.  Others' keys are passed over."""
+        """Receive an entry, or its removal; return whether anything changed.  Other keys are ignored."""
         if not is_evidence_key(key):
             return False
         entries = self._entries.setdefault(origin, {})
@@ -80,11 +80,11 @@
         return self._merge(origin, key, value)
 
     def forget(self, origin: Origin) -> None:
-        """Forget what an incarnation publishes now; what it has reported counts on."""
+        """Drop an incarnation's stored entries; counts already merged are kept."""
         self._entries.pop(origin, None)
 
     def summarize(self, zone: str, origins: Collection[Origin], now_ms: float) -> dict[str, bytes]:
-        """Return a zone's sums by key."""
+        """Return a zone's sums by key; empty without a candidate, or without entries from the zone."""
         fleet, plan = self.fleet, self.plan
         if fleet is None or plan is None:
             return {}
@@ -104,8 +104,8 @@
             return {}
         digest = bytes.fromhex(fleet.digest)
         processes = len({process for process, _ in by_origin})
-        shown = dict(list(reasons.items())[:MAX_REASONS])
-        rollbacks = ZoneRollbacks(digest, processes, len(reasons), shown)
+        sample = dict(list(reasons.items())[:MAX_REASONS])
+        rollbacks = ZoneRollbacks(digest, processes, len(reasons), sample)
         return {ZONE_ROLLBACKS_KEY: encode(rollbacks), **self._class_summaries(digest, by_origin, plan)}
 
     def _class_summaries(
@@ -132,7 +132,7 @@
         return result
 
     def broadcast(self, parts: Mapping[str, Mapping[str, bytes]], now_ms: float) -> tuple[bool, bytes]:
-        """Return that nothing is asked of anybody."""
+        """Return no broadcast: rollouts send nothing from collectors to processes."""
         return False, b""
 
 
@@ -145,26 +145,29 @@
 
 
 def keep_fullest(
-    fullest: dict[str, ZoneEntries], received: Mapping[str, Mapping[str, bytes]], digest: str
+    kept: dict[str, ZoneEntries], received: Mapping[str, Mapping[str, bytes]], digest: str
 ) -> None:
-    """Keep of each zone's summaries the fullest received: counts only grow, so that is the newest.
+    """Keep each zone's most complete summaries; counts only grow, so these are the newest.
 
-    Danger: with a collector's death a zone's summaries are away for a moment, or are fewer after.  Looked at
-    again and again over now these zones and now those, the test would have more chances than it reckons with.
+    When a collector fails, its zone's summaries are missing for a while, or have smaller counts afterwards.
+    Evaluating the test over changing subsets of zones would raise the probability of a false halt above the
+    configured level.
     """
     digest_bytes = bytes.fromhex(digest)
     for zone, entries in sorted(received.items()):
-        zone_entries = fullest.setdefault(zone, {})
+        zone_entries = kept.setdefault(zone, {})
         for key, value in sorted(entries.items()):
-            size = _fullness(key, value, digest_bytes)
+            size = _completeness(key, value, digest_bytes)
             if size is None:
                 continue
-            if key not in zone_entries or size >= (_fullness(key, zone_entries[key], digest_bytes) or (0, 0)):
+            if key not in zone_entries or size >= (
+                _completeness(key, zone_entries[key], digest_bytes) or (0, 0)
+            ):
                 zone_entries[key] = value
 
 
-def _fullness(key: str, value: bytes, digest: bytes) -> Fullness | None:
-    """Return how full a summary of this candidate is; None for any other."""
+def _completeness(key: str, value: bytes, digest: bytes) -> Completeness | None:
+    """Return how complete a summary of this candidate is; None for any other entry."""
     try:
         if key == ZONE_ROLLBACKS_KEY:
             rollbacks = decode_zone_rollbacks(value)
@@ -173,30 +176,30 @@
             return None
         summary = decode_summary(value)
     except RolloutError:
-        # Of another release, or broken: the fullest that could be read stays.
+        # Corrupt, or written by another release: the most complete readable summary is kept.
         return None
     trials = sum(sum(counts.trials) for _, counts in summary.stages)
     return (trials, 0) if summary.digest == digest else None
 
 
 class FleetSummary:
-    """The view of a leader that has collectors' sums; those of other candidates do not count."""
+    """A leader's view of the collectors' sums; those of other candidates are ignored."""
 
     def __init__(self, digest: str, by_zone: Mapping[str, Mapping[str, bytes]]) -> None:
-        """`by_zone`: the zones' summaries by key."""
+        """`by_zone` has each zone's summaries by key."""
         self._digest = bytes.fromhex(digest)
         self.totals: dict[ClassStage, OutcomeCounts] = {}
         self.zones: dict[str, dict[int, OutcomeCounts]] = {}
-        self.rollback_reasons: dict[str, str] = {}  # of some processes that rolled back
-        self.rejected = 0  # summaries that could not be read
+        self.rollback_reasons: dict[str, str] = {}  # by process, for some that rolled back
+        self.rejected = 0  # summaries that could not be decoded
         self._rollbacks = self._processes = 0
-        self._factors: dict[ClassFault, list[list[list[float]]]] = {}  # by odds ratio, of each zone
+        self._factors: dict[ClassFault, list[list[list[float]]]] = {}  # by odds ratio, then by zone
         for zone, entries in sorted(by_zone.items()):
             for key, value in sorted(entries.items()):
                 try:
                     self._add(zone, key, value)
                 except RolloutError:
-                    # Of another release, or broken: it is counted, and the other zones' sums serve.
+                    # Corrupt, or written by another release: the other summaries are still used.
                     self.rejected += 1
 
     def _add(self, zone: str, key: str, value: bytes) -> None:
@@ -226,22 +229,22 @@
         return totals_by_class(self.totals)
 
     def candidate_trials(self, stage: int) -> int:
-        """Return the trials under the candidate in a stage."""
+        """Return the number of the candidate's trials in a stage."""
         return sum(counts.trials[0] for (_, at_stage), counts in self.totals.items() if at_stage == stage)
 
     def rollback_count(self) -> int:
-        """Return how many processes rolled back by themselves."""
+        """Return how many processes rolled back locally."""
         return self._rollbacks
 
     def process_count(self) -> int:
-        """Return how many processes these sums are of."""
+        """Return how many processes these sums include."""
         return self._processes
 
     def top_factors(self, plan: RolloutPlan, classes: int, count: int) -> TopFactors:
-        """Return the greatest logs of single processes, of all zones together.
+        """Return the largest logs of single processes' wealth over all zones.
 
-        Where a zone has published as many as a summary holds, further ones may be as great as the smallest of
-        these: so many are assumed, which can only leave less of the wealth.
+        If a zone's summary is full, the logs that did not fit may be as large as its smallest one.  They are
+        assumed to be, up to `count`, which can only lower the remaining wealth.
         """
         result: TopFactors = {}
         for class_fault, by_ratio in self._factors.items():
--- a/cressrock/rollout/verdict.py
+++ b/cressrock/rollout/verdict.py
@@ -1,10 +1,11 @@
-"""What a candidate is accused of, by all processes' counts or by one process's own.  Pure.
-
-The test is `betting`'s: a class's wealth is the product over all processes.  The greatest factors, one fewer
-than the accusers that are wanted, are left out, for each bet by itself.  Without them the wealth is never
-more than the product over all, nor more than that over all but any given few, so the error level holds
-whatever befalls these.  One process that fares badly under the candidate, for a reason of its own, halts
-nothing: it rolls back by itself (`local_accusation`).
+"""Finds a candidate's regressions, from all processes' counts or from one process's own.  Pure.
+
+An accusation is a class with significantly more faults of one kind under the candidate.  The test is that of
+`betting`; a class's wealth is the product of all processes' factors.  For each bet the `min_accusers` - 1
+largest factors are left out.  The remaining wealth is at most the product over all processes, and at most
+that over all but any given `min_accusers` - 1, so the error level holds whatever happens to those.  A single
+process with a problem of its own under the candidate does not halt the rollout; it rolls back locally
+(`local_accusation`).
 """
 
 from __future__ import annotations
@@ -27,14 +28,14 @@
 )
 from cressrock.rollout.plan import RolloutPlan
 
-ClassFault = tuple[int, int]  # class and kind of fault that a test is of
-LogWealths = dict[ClassFault, list[float]]  # for each of ODDS_RATIOS
-TopFactors = dict[ClassFault, list[list[float]]]  # greatest logs of single processes, for each of ODDS_RATIOS
+ClassFault = tuple[int, int]  # request class and index into FAULT_KINDS; each pair is tested separately
+LogWealths = dict[ClassFault, list[float]]  # one for each of ODDS_RATIOS
+TopFactors = dict[ClassFault, list[list[float]]]  # largest logs of single processes, for each of ODDS_RATIOS
 ProcessCounts = Sequence[tuple[ClassStage, OutcomeCounts]]  # of one process, over all its incarnations
 
 
 class FaultRate(NamedTuple):
-    """Faults among trials."""
+    """The number of faults of one kind among a number of trials."""
 
     faults: int
     trials: int
@@ -42,7 +43,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Accusation:
-    """A class whose answers are worse by one kind of fault, and how surely."""
+    """A class with more faults of one kind under the candidate; `log_wealth` measures the evidence."""
 
     request_class: int
     fault_kind: str
@@ -51,7 +52,7 @@
     good: FaultRate
 
     def describe(self, class_names: Sequence[str]) -> str:
-        """Say it in plain words."""
+        """Return one line for operators with the class, the kind of fault and both rates."""
         return (
             f"class {class_names[self.request_class]}: {self.fault_kind} "
             f"{self.candidate.faults} of {self.candidate.trials} under the candidate, "
@@ -60,7 +61,7 @@
 
 
 class CountsView(Protocol):
-    """What the test asks of all processes' counts."""
+    """The counts of all processes, as the test needs them."""
 
     totals: dict[ClassStage, OutcomeCounts]
 
@@ -68,31 +69,31 @@
         """Return the sums by class."""
 
     def top_factors(self, plan: RolloutPlan, classes: int, count: int) -> TopFactors:
-        """Return the greatest logs of single processes' wealth, at least `count` of each."""
+        """Return the largest logs of single processes' wealth, at least `count` of each if available."""
 
 
-class _ReceivedCounts:
-    """The view of a process that receives all counts itself."""
+class _FleetCountsView:
+    """The view of a process that merges all counts itself, without collectors."""
 
     def __init__(self, counts: FleetCounts) -> None:
         self._counts = counts
         self.totals, self.totals_by_class = counts.totals, counts.totals_by_class
 
     def top_factors(self, plan: RolloutPlan, classes: int, count: int) -> TopFactors:
-        """Return the greatest logs of single processes."""
+        """Return the largest logs of single processes' wealth."""
         return top_factors(counts_by_process(self._counts.by_origin), plan, classes, count)
 
 
 def accusations_from_counts(counts: FleetCounts, plan: RolloutPlan, classes: int) -> list[Accusation]:
-    """Return what the candidate is accused of by all processes' counts; see `accusations`."""
-    return accusations(_ReceivedCounts(counts), plan, classes)
+    """Return the candidate's regressions by all processes' counts; see `accusations`."""
+    return accusations(_FleetCountsView(counts), plan, classes)
 
 
 def accusations(view: CountsView, plan: RolloutPlan, classes: int) -> list[Accusation]:
-    """Return what the candidate is accused of, the surest first; empty: nothing."""
+    """Return the candidate's regressions, the one with the strongest evidence first."""
     thresholds = plan.thresholds
     threshold = accusation_threshold(thresholds, classes)
-    # With factors left out it is never more: where all of it is too little no process has to be looked at.
+    # Leaving out factors only lowers the wealth.  If none reaches the threshold, skip the per-process work.
     wealths = _log_wealths(view.totals.items(), plan, classes, thresholds.tolerated_odds_ratio)
     if all(log_mean(logs) < threshold for logs in wealths.values()):
         return []
@@ -103,14 +104,17 @@
     for class_fault, logs in wealths.items():
         request_class, kind = class_fault
         tops = factors.get(class_fault) or [[] for _ in ODDS_RATIOS]
-        value = log_mean(log - _sum_of_greatest(top, left_out) for log, top in zip(logs, tops, strict=True))
+        value = log_mean(log - _sum_of_largest(top, left_out) for log, top in zip(logs, tops, strict=True))
         if value >= threshold:
             result.append(_accusation(request_class, kind, value, totals[request_class]))
     return sorted(result, key=lambda one: (-one.log_wealth, one.request_class, one.fault_kind))
 
 
 def local_accusation(local: LocalCounts, plan: RolloutPlan, classes: int) -> Accusation | None:
-    """Return why this process alone rolls back: the same test, of its own answers, beyond greater odds."""
+    """Return why this process should roll back locally, or None.
+
+    The same test over this process's own counts, with the larger of the two odds ratios as the null.
+    """
     thresholds = plan.thresholds
     odds = max(thresholds.rollback_odds_ratio, thresholds.tolerated_odds_ratio)
     wealths = _log_wealths(local.counts.items(), plan, None, odds)
@@ -124,7 +128,7 @@
 def counts_by_process(
     by_origin: Mapping[Origin, Mapping[ClassStage, OutcomeCounts]],
 ) -> Iterable[ProcessCounts]:
-    """Return each process's counts, its incarnations together: one that restarts is one witness still."""
+    """Return each process's counts over all its incarnations, so that a restart does not add an accuser."""
     result: dict[str, list[tuple[ClassStage, OutcomeCounts]]] = {}
     for (process, _), counts in by_origin.items():
         result.setdefault(process, []).extend(counts.items())
@@ -134,7 +138,7 @@
 def top_factors(
     processes: Iterable[ProcessCounts], plan: RolloutPlan, classes: int, count: int
 ) -> TopFactors:
-    """Return the `count` greatest logs of single processes, each given by all that it counted."""
+    """Return the `count` largest positive logs of single processes' wealth, given each process's counts."""
     result: TopFactors = {}
     if count < 1:
         return result
@@ -156,7 +160,10 @@
     classes: int | None,
     tolerated_odds: float,
 ) -> LogWealths:
-    """Return the logs of all bets' wealth; stages and classes that are not known here are left out."""
+    """Return the logs of all bets' wealth; unknown stages and classes are left out.
+
+    With `classes` None, all classes are included.
+    """
     result: LogWealths = {}
     for (request_class, stage), stage_counts in counts:
         if stage >= len(plan.stages) or (classes is not None and request_class >= classes):
@@ -172,8 +179,8 @@
     return result
 
 
-def _sum_of_greatest(logs: Sequence[float], count: int) -> float:
-    """Return what the greatest `count` of those that accuse come to."""
+def _sum_of_largest(logs: Sequence[float], count: int) -> float:
+    """Return the sum of the `count` largest positive logs."""
     return sum(sorted((log for log in logs if log > 0), reverse=True)[:count])
 
 
