--- a/tests/compatibility/record_rollout.py
+++ b/tests/compatibility/record_rollout.py
@@ -1,4 +1,4 @@
-"""Record what rollouts write and decide; run once, on the version whose behaviour is to be kept."""
+"""Records the fixtures of rollouts: encodings and decisions of the release whose behaviour is kept."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 def main() -> None:
-    """Write the fixtures of rollouts; refuses to overwrite any."""
+    """Write the fixtures of rollouts; fails if one exists already."""
     save(
         "rollout_wire",
         {
@@ -24,13 +24,13 @@
     )
     reopened = {}
     with tempfile.TemporaryDirectory() as directory:
-        for name in cases.KEPT:
+        for name in cases.KEEP_FILE_CASES:
             path = Path(directory) / "keep"
-            cases.run_simulated(0, lambda n=name, p=path: cases.write_kept(n, p))
+            cases.run_simulated(0, lambda n=name, p=path: cases.write_keep_file(n, p))
             data = path.read_bytes()
             with (FIXTURES / f"rollout_keep_{name}.bin").open("xb") as file:
                 file.write(data)
-            reopened[name] = cases.run_simulated(0, lambda p=path: cases.read_kept(p))
+            reopened[name] = cases.run_simulated(0, lambda p=path: cases.read_keep_file(p))
             path.unlink()
         save("rollout_kept", reopened)
         save(
--- a/tests/compatibility/rollout_cases.py
+++ b/tests/compatibility/rollout_cases.py
@@ -1,4 +1,4 @@
-"""Examples and seeded streams of rollouts: what goes over the wire, what is kept on disk, what is decided."""
+"""Examples and seeded event streams for rollouts: wire encodings, state files and decisions."""
 
 from __future__ import annotations
 
@@ -45,7 +45,7 @@
 
 @dataclass(frozen=True)
 class WireCase:
-    """A value, and how it is written and read."""
+    """A value with its encoder and decoder."""
 
     name: str
     value: Any
@@ -55,7 +55,7 @@
 
 @dataclass(frozen=True)
 class ReadCase:
-    """Bytes that only other versions write: fields left out or appended, or nothing that can be read."""
+    """Bytes that only other releases write, with fields missing or added, or invalid bytes."""
 
     name: str
     data: bytes
@@ -63,11 +63,11 @@
 
 
 ONE, TWO, THREE = "0102030405060708090a0b0c", "ab" * 12, "f0" * 12
-FULL_TALLY = evidence.OutcomeCounts([7, 2**53], [[1, 2], [3, 4], [5, 6], [7, 8], [9, 2**40]])
+SAMPLE_COUNTS = evidence.OutcomeCounts([7, 2**53], [[1, 2], [3, 4], [5, 6], [7, 8], [9, 2**40]])
 
 
 def wire_cases() -> list[WireCase]:
-    """Return a value of every kind of entry and decree, some with their optional fields unset."""
+    """Return values of every kind of entry and decision, some without their optional fields."""
     state = lifecycle.RolloutState
     states = [
         ("started", state(1, "running", ONE, 0, 0)),
@@ -81,15 +81,15 @@
         ("done", state(4, "done", ONE, 0, 1, ONE, 0, "all stages over", {"refused": 0.0})),
         ("empty", lifecycle.NO_ROLLOUT),
     ]
-    pieces = [
+    count_entries = [
         ("empty counts", evidence.CountsEntry(bytes(12), evidence.OutcomeCounts.empty())),
-        ("counts", evidence.CountsEntry(bytes.fromhex(ONE), FULL_TALLY)),
+        ("counts", evidence.CountsEntry(bytes.fromhex(ONE), SAMPLE_COUNTS)),
         (
             "counts of more kinds",
             evidence.CountsEntry(bytes(12), evidence.OutcomeCounts([1, 2], [[0, 1]] * 7)),
         ),
     ]
-    backs = [
+    rollback_reports = [
         ("report", evidence.LocalRollback(bytes.fromhex(TWO), "stopped 3 times under it")),
         ("report without a reason", evidence.LocalRollback(bytes(12), "")),
         ("report in other letters", evidence.LocalRollback(bytes(12), "größer → " + "x" * 190)),
@@ -99,7 +99,7 @@
         (
             "sums",
             evidence.ZoneSummary(
-                bytes.fromhex(ONE), [(0, FULL_TALLY), (7, evidence.OutcomeCounts.empty())], tops
+                bytes.fromhex(ONE), [(0, SAMPLE_COUNTS), (7, evidence.OutcomeCounts.empty())], tops
             ),
         ),
         ("empty sums", evidence.ZoneSummary(bytes(12), [], [])),
@@ -118,22 +118,25 @@
     keep_decoder = msgspec.msgpack.Decoder(persisted_state.PersistedState)
     return [
         *(WireCase(f"decree {name}", value, lifecycle.encode, lifecycle.decode) for name, value in states),
-        *(WireCase(name, value, evidence.encode, evidence.decode_counts) for name, value in pieces),
-        *(WireCase(name, value, evidence.encode, evidence.decode_rollback) for name, value in backs),
+        *(WireCase(name, value, evidence.encode, evidence.decode_counts) for name, value in count_entries),
+        *(
+            WireCase(name, value, evidence.encode, evidence.decode_rollback)
+            for name, value in rollback_reports
+        ),
         *(WireCase(name, value, evidence.encode, evidence.decode_summary) for name, value in rows),
         *(WireCase(name, value, evidence.encode, evidence.decode_zone_rollbacks) for name, value in gone),
         *(WireCase(name, value, msgspec.msgpack.encode, keep_decoder.decode) for name, value in kept),
-        *(WireCase(name, value, msgspec.json.encode, read_course) for name, value in courses()),
+        *(WireCase(name, value, msgspec.json.encode, read_plan) for name, value in plans()),
     ]
 
 
-def read_course(data: bytes) -> plan.RolloutPlan:
-    """Read a plan as a document holds it."""
+def read_plan(data: bytes) -> plan.RolloutPlan:
+    """Decode a plan from a document's JSON."""
     return msgspec.json.decode(data, type=plan.RolloutPlan)
 
 
-def courses() -> list[tuple[str, plan.RolloutPlan]]:
-    """Return plans as documents hold them."""
+def plans() -> list[tuple[str, plan.RolloutPlan]]:
+    """Return named plans."""
     levels = plan.Thresholds(
         false_halt_probability=0.05,
         tolerated_odds_ratio=1.5,
@@ -160,9 +163,9 @@
 
 
 def read_cases() -> list[ReadCase]:
-    """Return bytes of older, newer and broken entries."""
+    """Return bytes of older, newer and corrupt entries."""
     pack, plain = msgspec.msgpack.encode, msgspec.json.encode
-    tally = [[1, 2], [[0, 1]] * 5]
+    sample_counts = [[1, 2], [[0, 1]] * 5]
     counts_, rollback = evidence.decode_counts, evidence.decode_rollback
     summary, zone_rollbacks = evidence.decode_summary, evidence.decode_zone_rollbacks
     readers = [
@@ -193,14 +196,14 @@
         ),
         ReadCase("decree of an unknown state", pack([1, 1, "paused", ONE, 0, 0]), lifecycle.decode),
         ReadCase("decree of a later stage", pack([1, 1, "running", ONE, 0, 9]), lifecycle.decode),
-        ReadCase("counts with a further field", pack([1, bytes(12), [*tally, 1], "new"]), counts_),
+        ReadCase("counts with a further field", pack([1, bytes(12), [*sample_counts, 1], "new"]), counts_),
         ReadCase("counts of too few kinds", pack([1, bytes(12), [[1, 2], [[0, 1]] * 4]]), counts_),
         ReadCase("counts below zero", pack([1, bytes(12), [[-1, 2], [[0, 1]] * 5]]), counts_),
-        ReadCase("counts of a short digest", pack([1, bytes(11), tally]), counts_),
+        ReadCase("counts of a short digest", pack([1, bytes(11), sample_counts]), counts_),
         ReadCase("report with a further field", pack([1, bytes(12), "why", 1]), rollback),
         ReadCase("report that is too long", pack([1, bytes(12), "w" * 201]), rollback),
-        ReadCase("sums of a ninth stage", pack([1, bytes(12), [[8, tally]], []]), summary),
-        ReadCase("sums with a further field", pack([1, bytes(12), [[7, tally]], [], 0]), summary),
+        ReadCase("sums of a ninth stage", pack([1, bytes(12), [[8, sample_counts]], []]), summary),
+        ReadCase("sums with a further field", pack([1, bytes(12), [[7, sample_counts]], [], 0]), summary),
         ReadCase(
             "too many reasons",
             pack([1, bytes(12), 9, 9, dict.fromkeys("abcde", "")]),
@@ -209,16 +212,16 @@
         ReadCase("reports with a further field", pack([1, bytes(12), 9, 9, {}, 1]), zone_rollbacks),
         ReadCase("kept, of an older program", pack({"good": ONE}), _read_keep),
         ReadCase("kept, of a newer program", pack({"starts": {"version": 2, "more": 1}, "x": 2}), _read_keep),
-        ReadCase("plan, shortest", plain({"stages": [{}]}), read_course),
-        ReadCase("plan with an unknown field", plain({"stages": [{}], "x": 1}), read_course),
-        ReadCase("plan with an unknown field in a stage", plain({"stages": [{"x": 1}]}), read_course),
-        ReadCase("plan that shrinks", plain({"stages": [{"part": 0.5}, {"part": 0.4}, {}]}), read_course),
-        ReadCase("plan that does not end with all", plain({"stages": [{"part": 0.5}]}), read_course),
-        ReadCase("plan that ends in a zone", plain({"stages": [{"zones": ["a"]}]}), read_course),
-        ReadCase("plan without stages", plain({"stages": []}), read_course),
-        ReadCase("plan of nine stages", plain({"stages": [{}] * 9}), read_course),
-        ReadCase("plan with a level", plain({"stages": [{}], "levels": {"accusers": 5}}), read_course),
-        ReadCase("plan with a wrong level", plain({"stages": [{}], "levels": {"error": 0.6}}), read_course),
+        ReadCase("plan, shortest", plain({"stages": [{}]}), read_plan),
+        ReadCase("plan with an unknown field", plain({"stages": [{}], "x": 1}), read_plan),
+        ReadCase("plan with an unknown field in a stage", plain({"stages": [{"x": 1}]}), read_plan),
+        ReadCase("plan that shrinks", plain({"stages": [{"part": 0.5}, {"part": 0.4}, {}]}), read_plan),
+        ReadCase("plan that does not end with all", plain({"stages": [{"part": 0.5}]}), read_plan),
+        ReadCase("plan that ends in a zone", plain({"stages": [{"zones": ["a"]}]}), read_plan),
+        ReadCase("plan without stages", plain({"stages": []}), read_plan),
+        ReadCase("plan of nine stages", plain({"stages": [{}] * 9}), read_plan),
+        ReadCase("plan with a level", plain({"stages": [{}], "levels": {"accusers": 5}}), read_plan),
+        ReadCase("plan with a wrong level", plain({"stages": [{}], "levels": {"error": 0.6}}), read_plan),
     ]
     for index, data in enumerate(broken):
         cases += [
@@ -232,7 +235,7 @@
 
 
 def outcome(call: Callable[..., Any], *args: Any) -> Any:
-    """Return what a call returned in canonical form, or the code of its error."""
+    """Return a call's result in canonical form, or its error code."""
     try:
         return canonical(call(*args))
     except CressrockError as error:
@@ -242,7 +245,7 @@
 
 
 def names() -> dict[str, Any]:
-    """Return the names under which rollouts are found by others."""
+    """Return the topics, keys, fault kinds and digests that other releases rely on."""
     places = [(0, 0), (3, 7), (63, 0)]
     keys = [evidence.counts_key(*place) for place in places]
     odd = [
@@ -274,81 +277,81 @@
 
 
 def labelled(value: Any, label: str) -> Any:
-    """Return a state of the decree, or None, behind a label."""
+    """Return a label and a rollout's state in canonical form, or None."""
     return None if value is None else [label, canonical(value)]
 
 
-def draw_course(draw: random.Random) -> plan.RolloutPlan:
-    """Draw a plan."""
-    count = draw.randrange(1, 6)
-    parts = sorted(draw.choice((0.05, 0.2, 0.5, 0.9, 1.0)) for _ in range(count - 1))
+def random_plan(rng: random.Random) -> plan.RolloutPlan:
+    """Return a random plan."""
+    count = rng.randrange(1, 6)
+    parts = sorted(rng.choice((0.05, 0.2, 0.5, 0.9, 1.0)) for _ in range(count - 1))
     steps = [
         plan.Stage(
             volume_fraction=part,
-            zones=draw.choice((None, ["z0"], ["z0", "z1"])),
-            control_fraction=draw.choice((0.02, 0.1, 0.5, 0.95)),
-            min_duration_ms=draw.choice((0.0, 100.0, 400.0)),
-            min_answers=draw.choice((0, 5, 50)),
+            zones=rng.choice((None, ["z0"], ["z0", "z1"])),
+            control_fraction=rng.choice((0.02, 0.1, 0.5, 0.95)),
+            min_duration_ms=rng.choice((0.0, 100.0, 400.0)),
+            min_answers=rng.choice((0, 5, 50)),
         )
         for part in parts
     ]
     last = plan.Stage(
-        control_fraction=draw.choice((0.1, 0.5)), min_duration_ms=100.0, min_answers=draw.choice((0, 20))
+        control_fraction=rng.choice((0.1, 0.5)), min_duration_ms=100.0, min_answers=rng.choice((0, 20))
     )
     levels = plan.Thresholds(
-        false_halt_probability=draw.choice((0.01, 0.2)),
-        tolerated_odds_ratio=draw.choice((1.0, 1.1, 2.0)),
-        rollback_odds_ratio=draw.choice((1.0, 2.0, 4.0)),
-        min_accusers=draw.choice((1, 2, 3, 7)),
-        rollbacks_to_halt=draw.choice((1, 2, 3)),
-        stage_timeout_ms=draw.choice((1000.0, 3000.0)),
+        false_halt_probability=rng.choice((0.01, 0.2)),
+        tolerated_odds_ratio=rng.choice((1.0, 1.1, 2.0)),
+        rollback_odds_ratio=rng.choice((1.0, 2.0, 4.0)),
+        min_accusers=rng.choice((1, 2, 3, 7)),
+        rollbacks_to_halt=rng.choice((1, 2, 3)),
+        stage_timeout_ms=rng.choice((1000.0, 3000.0)),
     )
     return plan.RolloutPlan(stages=[*steps, last], thresholds=levels)
 
 
 def stages_digest(seed: int) -> str:
-    """Drive a leader's steps and operators' orders over several rollouts."""
-    draw, digest = random.Random(f"stages/{seed}"), Digest()
-    course, state, pace = draw_course(draw), None, pacing.StagePacer()
-    sure, now, number = read_lease.ReadLease(), 0.0, 5
+    """Return the digest of a leader's steps and operators' commands over several rollouts."""
+    rng, digest = random.Random(f"stages/{seed}"), Digest()
+    rollout_plan, state, pacer = random_plan(rng), None, pacing.StagePacer()
+    lease, now, number = read_lease.ReadLease(), 0.0, 5
     for _ in range(300):
-        now += draw.choice((0.0, 10.0, 50.0, 150.0, 700.0))
-        act = draw.random()
-        if state is None or act < 0.1 or (not state.running and act < 0.6):
-            document = b"document %d" % draw.randrange(12)
+        now += rng.choice((0.0, 10.0, 50.0, 150.0, 700.0))
+        event_draw = rng.random()
+        if state is None or event_draw < 0.1 or (not state.running and event_draw < 0.6):
+            document = b"document %d" % rng.randrange(12)
             result = outcome_of(lifecycle.start_rollout, state, document)
-            course = draw_course(draw) if isinstance(result, lifecycle.RolloutState) else course
-        elif act < 0.13:
-            how, why = draw.choice(("halted", "withdrawn", "expired")), "w" * draw.choice((0, 9, 130))
+            rollout_plan = random_plan(rng) if isinstance(result, lifecycle.RolloutState) else rollout_plan
+        elif event_draw < 0.13:
+            how, why = rng.choice(("halted", "withdrawn", "expired")), "w" * rng.choice((0, 9, 130))
             result = outcome_of(lifecycle.end_rollout, state, how, why, {"a": 1.0})
-        elif act < 0.16:
-            pace.forget()
+        elif event_draw < 0.16:
+            pacer.forget()
             result = None
-        elif act < 0.2:
-            sure.record_read(number - draw.choice((0, 0, 1)), now - draw.choice((0.0, 90.0)), 500.0)
+        elif event_draw < 0.2:
+            lease.record_read(number - rng.choice((0, 0, 1)), now - rng.choice((0.0, 90.0)), 500.0)
             result = None
         else:
             findings = pacing.LeaderFindings(
-                draw.choice((0, 4, 5, 60)),
-                "class a: late" if draw.random() < 0.01 else "",
-                draw.choice((0, 0, 0, 0, 0, 1, 2)),
-                draw.choice((None, {"trials": 3.0})),
+                rng.choice((0, 4, 5, 60)),
+                "class a: late" if rng.random() < 0.01 else "",
+                rng.choice((0, 0, 0, 0, 0, 1, 2)),
+                rng.choice((None, {"trials": 3.0})),
             )
-            result = outcome_of(pace.next_state, now, number, state, course, findings)
+            result = outcome_of(pacer.next_state, now, number, state, rollout_plan, findings)
         if isinstance(result, lifecycle.RolloutState):
-            state, number = result, number + draw.choice((1, 3))
+            state, number = result, number + rng.choice((1, 3))
         digest.add(canonical(result))
-        volume, zone = f"v{draw.randrange(40)}", draw.choice(("z0", "z1", "z2"))
-        digest.add(canonical(selection.eligible_stage(state, course, volume, zone)))
-        digest.add(selection.selects_volume(f"{seed:024x}", volume, draw.choice((0.01, 0.5, 0.99, 1.0))))
-        digest.add(sure.is_valid(number, now))
-    digest.add(canonical(selection.eligible_stage(None, course, "v", "z0")))
+        volume, zone = f"v{rng.randrange(40)}", rng.choice(("z0", "z1", "z2"))
+        digest.add(canonical(selection.eligible_stage(state, rollout_plan, volume, zone)))
+        digest.add(selection.selects_volume(f"{seed:024x}", volume, rng.choice((0.01, 0.5, 0.99, 1.0))))
+        digest.add(lease.is_valid(number, now))
+    digest.add(canonical(selection.eligible_stage(None, rollout_plan, "v", "z0")))
     digest.add(canonical(selection.eligible_stage(state, None, "v", "z0")))
     return digest.hex()
 
 
 def outcome_of(call: Callable[..., Any], *args: Any) -> Any:
-    """Return what a call returned, or the code of its error."""
+    """Return a call's result, or its error code."""
     try:
         return call(*args)
     except CressrockError as error:
@@ -356,17 +359,17 @@
 
 
 def starts_digest(seed: int) -> str:
-    """Drive what a process keeps of its starts under candidates."""
-    draw, digest = random.Random(f"starts/{seed}"), Digest()
+    """Return the digest of a process's crash records over a series of starts."""
+    rng, digest = random.Random(f"starts/{seed}"), Digest()
     kept, wall = crash_record.CrashRecord(), 1e12
     for _ in range(120):
-        wall += draw.choice((10.0, 1000.0, 40000.0, -500.0))
-        name = draw.choice((ONE, ONE, ONE, TWO)) if draw.random() < 0.3 else kept.digest or ONE
+        wall += rng.choice((10.0, 1000.0, 40000.0, -500.0))
+        name = rng.choice((ONE, ONE, ONE, TWO)) if rng.random() < 0.3 else kept.digest or ONE
         kept = crash_record.record_start(
-            kept, name, wall, max_starts=draw.choice((1, 3, 20)), window_ms=60000.0
+            kept, name, wall, max_starts=rng.choice((1, 3, 20)), window_ms=60000.0
         )
         digest.add(canonical(kept))
-        if draw.random() < 0.4:
+        if rng.random() < 0.4:
             kept = msgspec.structs.replace(kept, running=False)
     return digest.hex()
 
@@ -375,27 +378,27 @@
     """Return an accusation as plain values."""
     if found is None:
         return None
-    names_ = [f"class{n}" for n in range(8)]
+    class_names = [f"class{n}" for n in range(8)]
     return [
         found.request_class,
         found.fault_kind,
         found.log_wealth,
         list(found.candidate),
         list(found.good),
-        found.describe(names_),
+        found.describe(class_names),
     ]
 
 
-def tallies(counts: dict[Any, evidence.OutcomeCounts]) -> Any:
-    """Return counts as plain values, in the order of their places."""
+def counts_values(counts: dict[Any, evidence.OutcomeCounts]) -> Any:
+    """Return counts as plain values, in the order of their keys."""
     return [[canonical(place), canonical(counts[place])] for place in sorted(counts)]
 
 
 def view_values(view: Any) -> Any:
-    """Return what both kinds of view tell of all counts."""
+    """Return all results that both kinds of view provide."""
     return [
-        tallies(view.totals),
-        tallies(view.totals_by_class()),
+        counts_values(view.totals),
+        counts_values(view.totals_by_class()),
         [view.candidate_trials(stage) for stage in range(8)],
         view.rollback_count(),
         view.process_count(),
@@ -403,117 +406,125 @@
     ]
 
 
-def odds_of(tops: dict[Any, Any]) -> Any:
-    """Return the greatest factors as plain values."""
+def factor_values(tops: dict[Any, Any]) -> Any:
+    """Return the largest factors as plain values."""
     return [[canonical(place), [sorted(odds) for odds in tops[place]]] for place in sorted(tops)]
 
 
-def _trial(draw: random.Random, own: counts.LocalCounts, worse: float, classes: int) -> None:
-    candidate = draw.random() < 0.5
-    chance = 0.05 * (worse if candidate else 1.0)
+def _trial(rng: random.Random, own: counts.LocalCounts, fault_ratio: float, classes: int) -> None:
+    candidate = rng.random() < 0.5
+    trial_fault_probability = 0.05 * (fault_ratio if candidate else 1.0)
     ended = evidence.RequestOutcome.SERVED
-    if draw.random() < chance:
-        ended = draw.choice(
+    if rng.random() < trial_fault_probability:
+        ended = rng.choice(
             (
                 evidence.RequestOutcome.REJECTED,
                 evidence.RequestOutcome.FAILED,
                 evidence.RequestOutcome.CLIENT_LEFT,
             )
         )
-    ms = draw.choice((10.0, 50.0, 60.0, 120.0)) * (worse if candidate and draw.random() < chance else 1.0)
-    own.record(draw.randrange(classes), draw.randrange(2), candidate, ended, ms, 100.0)
+    ms = rng.choice((10.0, 50.0, 60.0, 120.0)) * (
+        fault_ratio if candidate and rng.random() < trial_fault_probability else 1.0
+    )
+    own.record(rng.randrange(classes), rng.randrange(2), candidate, ended, ms, 100.0)
 
 
 def evidence_digest(seed: int) -> str:
-    """Drive counts of several processes, their merging in any order, the test over them, and sums by zone."""
-    draw, digest = random.Random(f"evidence/{seed}"), Digest()
-    classes, course = draw.randrange(1, 4), draw_course(draw)
-    worse = draw.choice((1.0, 1.0, 3.0, 8.0))
-    sick = draw.choice((0, 0, 1))  # processes that alone fare badly
-    lives = [(f"p{n % 6}", 1 + n // 6) for n in range(8)]
-    owns = {origin: counts.LocalCounts(ONE) for origin in lives}
-    heard, sums, late = counts.FleetCounts(ONE), summaries.ZoneSummarizer(), summaries.ZoneSummarizer()
-    sums.follow(ONE, course, classes)
+    """Return the digest of several processes' counts, merged in any order, of the test and of zone sums."""
+    rng, digest = random.Random(f"evidence/{seed}"), Digest()
+    classes, rollout_plan = rng.randrange(1, 4), random_plan(rng)
+    fault_ratio = rng.choice((1.0, 1.0, 3.0, 8.0))
+    unhealthy_count = rng.choice((0, 0, 1))  # processes that have many more faults than the others
+    incarnations = [(f"p{n % 6}", 1 + n // 6) for n in range(8)]
+    counts_by_incarnation = {origin: counts.LocalCounts(ONE) for origin in incarnations}
+    merged, sums, late = counts.FleetCounts(ONE), summaries.ZoneSummarizer(), summaries.ZoneSummarizer()
+    sums.follow(ONE, rollout_plan, classes)
     rows: dict[str, dict[str, bytes]] = {}
     entries: list[tuple[tuple[str, int], str, bytes]] = []
     for turn in range(12):
-        for index, (origin, own) in enumerate(owns.items()):
-            for _ in range(draw.randrange(30)):
-                _trial(draw, own, 20.0 if index < sick else worse, classes)
-            told = own.drain_changes()
-            digest.add([[key, value] for key, value in told])
-            entries += [(origin, key, value) for key, value in told]
-            if draw.random() < 0.02:
+        for index, (origin, own) in enumerate(counts_by_incarnation.items()):
+            for _ in range(rng.randrange(30)):
+                _trial(rng, own, 20.0 if index < unhealthy_count else fault_ratio, classes)
+            published_entries = own.drain_changes()
+            digest.add([[key, value] for key, value in published_entries])
+            entries += [(origin, key, value) for key, value in published_entries]
+            if rng.random() < 0.02:
                 value = evidence.encode(evidence.LocalRollback(bytes.fromhex(ONE), f"far worse {origin[0]}"))
                 entries.append((origin, evidence.ROLLBACK_KEY, value))
-            digest.add(accusation(verdict.local_accusation(own, course, classes)))
-        entries += [(lives[0], "zones/x", b"other"), (lives[1], evidence.counts_key(0, 0), _of_other())]
-        if draw.random() < 0.3:
-            entries.append((lives[2], evidence.counts_key(0, 1), b"broken"))
-        draw.shuffle(entries)
+            digest.add(accusation(verdict.local_accusation(own, rollout_plan, classes)))
+        entries += [
+            (incarnations[0], "zones/x", b"other"),
+            (incarnations[1], evidence.counts_key(0, 0), _foreign_entry()),
+        ]
+        if rng.random() < 0.3:
+            entries.append((incarnations[2], evidence.counts_key(0, 1), b"broken"))
+        rng.shuffle(entries)
         for origin, key, value in entries[: 1 + len(entries) * 3 // 4]:
-            digest.add(outcome(heard.merge, origin, key, value))
+            digest.add(outcome(merged.merge, origin, key, value))
             digest.add([sums.receive(origin, key, value, 0.0), late.receive(origin, key, value, 0.0)])
         entries = entries[len(entries) // 2 :]
         if turn == 5:
-            late.follow(ONE, course, classes)
-            late.follow(ONE, course, classes)
+            late.follow(ONE, rollout_plan, classes)
+            late.follow(ONE, rollout_plan, classes)
         if turn == 7:
-            gone = draw.choice(lives)
-            sums.forget(gone)
-            digest.add(sums.receive(gone, evidence.ROLLBACK_KEY, None, 0.0))
-            digest.add(sums.receive(lives[0], evidence.counts_key(0, 0), None, 0.0))
-        digest.add(view_values(heard))
-        digest.add([accusation(a) for a in verdict.accusations_from_counts(heard, course, classes)])
+            ended = rng.choice(incarnations)
+            sums.forget(ended)
+            digest.add(sums.receive(ended, evidence.ROLLBACK_KEY, None, 0.0))
+            digest.add(sums.receive(incarnations[0], evidence.counts_key(0, 0), None, 0.0))
+        digest.add(view_values(merged))
+        digest.add([accusation(a) for a in verdict.accusations_from_counts(merged, rollout_plan, classes)])
         digest.add(
-            [[zone, tallies(c)] for zone, c in sorted(heard.totals_by_group(lambda n: n[-1:]).items())]
+            [[zone, counts_values(c)] for zone, c in sorted(merged.totals_by_group(lambda n: n[-1:]).items())]
         )
-        digest.add(evidence_rows(draw, digest, sums, lives, rows, course, classes))
+        digest.add(evidence_rows(rng, digest, sums, incarnations, rows, rollout_plan, classes))
         digest.add([sums.rejected, late.rejected, canonical(sums.broadcast(rows, 0.0))])
     late.follow("", None, 0)
-    digest.add(sorted(late.summarize("z0", lives, 0.0).items()))
-    digest.add([own_key for origin in lives for own_key in owns[origin].keys()])
+    digest.add(sorted(late.summarize("z0", incarnations, 0.0).items()))
+    digest.add([entry_key for origin in incarnations for entry_key in counts_by_incarnation[origin].keys()])
     return digest.hex()
 
 
-def _of_other() -> bytes:
-    return evidence.encode(evidence.CountsEntry(bytes.fromhex(TWO), FULL_TALLY))
+def _foreign_entry() -> bytes:
+    return evidence.encode(evidence.CountsEntry(bytes.fromhex(TWO), SAMPLE_COUNTS))
 
 
 def evidence_rows(
-    draw: random.Random,
+    rng: random.Random,
     digest: Digest,
     sums: summaries.ZoneSummarizer,
-    lives: list[tuple[str, int]],
+    incarnations: list[tuple[str, int]],
     rows: dict[str, dict[str, bytes]],
-    course: plan.RolloutPlan,
+    rollout_plan: plan.RolloutPlan,
     classes: int,
 ) -> Any:
-    """Return what a leader makes of collectors' sums; `rows` are the fullest so far."""
-    split = draw.randrange(1, len(lives))
-    parts = {"z0": sums.summarize("z0", lives[:split], 0.0), "z1": sums.summarize("z1", lives[split:], 0.0)}
+    """Return a leader's results from collectors' sums; `rows` are the most complete sums so far."""
+    split = rng.randrange(1, len(incarnations))
+    parts = {
+        "z0": sums.summarize("z0", incarnations[:split], 0.0),
+        "z1": sums.summarize("z1", incarnations[split:], 0.0),
+    }
     for zone, part in sorted(parts.items()):
         digest.add([zone, list(part.items())])
-    if draw.random() < 0.2:
+    if rng.random() < 0.2:
         parts["z1"] = {}
-    if draw.random() < 0.2:
+    if rng.random() < 0.2:
         parts["z2"] = {"rollout/sum/0": b"broken", "rollout/gone": b"broken", "rollout/sum/x": b"", "y": b""}
     summaries.keep_fullest(rows, parts, ONE)
     summed = summaries.FleetSummary(ONE, {**rows, "broken": {"rollout/sum/0": b"broken"}})
     foreign = summaries.FleetSummary(TWO, rows)
-    tops = odds_of(summed.top_factors(course, classes, course.thresholds.min_accusers - 1))
+    tops = factor_values(summed.top_factors(rollout_plan, classes, rollout_plan.thresholds.min_accusers - 1))
     return [
         [[zone, list(kept.items())] for zone, kept in sorted(rows.items())],
         view_values(summed),
         view_values(foreign),
         summed.rejected,
         tops,
-        [[zone, tallies(counts)] for zone, counts in sorted(summed.zones.items())],
-        [accusation(a) for a in verdict.accusations(summed, course, classes)],
+        [[zone, counts_values(counts)] for zone, counts in sorted(summed.zones.items())],
+        [accusation(a) for a in verdict.accusations(summed, rollout_plan, classes)],
     ]
 
 
-# --- decisions: a process's part
+# --- decisions: a process
 
 
 class _Log:
@@ -521,42 +532,44 @@
         return lambda *_, **__: None
 
 
-class _Council:
-    """A register with compare-and-set: numbers grow; now and then nothing can be decided."""
+class _FakeConsensus:
+    """A fake consensus client with compare-and-set; `failing` simulates a lost quorum."""
 
     def __init__(self, kept: DecisionCache) -> None:
-        self.decision_cache, self.number, self.failing, self.asked = kept, 100, False, []
-        self.stands: dict[str, d.Decision] = {}
-        self.asked: list[Any] = []
+        self.decision_cache, self.number, self.failing, self.calls = kept, 100, False, []
+        self.decisions_by_topic: dict[str, d.Decision] = {}
+        self.calls: list[Any] = []
 
     async def decide(
-        self, topic: str, value: bytes, hold_ms: float, if_version: int | None = None, **_: Any
+        self, topic: str, value: bytes, lease_ms: float, if_version: int | None = None, **_: Any
     ) -> d.Decision:
-        self.asked.append([topic, value, hold_ms, if_version])
+        self.calls.append([topic, value, lease_ms, if_version])
         if self.failing:
             raise NoQuorumError("none")
-        stands = self.stands.get(topic)
-        if if_version is not None and if_version != (stands.version if stands is not None else 0):
+        current = self.decisions_by_topic.get(topic)
+        if if_version is not None and if_version != (current.version if current is not None else 0):
             raise DecisionConflictError("another stands")
         self.number += 1
-        decree = self.stands[topic] = d.Decision(topic, self.number, value, hold_ms, "", self.number)
-        self.decision_cache.receive(decree)
-        return decree
+        decision = self.decisions_by_topic[topic] = d.Decision(
+            topic, self.number, value, lease_ms, "", self.number
+        )
+        self.decision_cache.receive(decision)
+        return decision
 
     async def read(self, topic: str, *_: Any, **__: Any) -> d.Decision | None:
         if self.failing:
             raise NoQuorumError("none")
-        return self.stands.get(topic)
+        return self.decisions_by_topic.get(topic)
 
 
-class _Book:
-    """Versions of rules: a document is a plan in JSON; some, by their digest, are not held or not read."""
+class _FakeTables:
+    """Fake rule tables: a document is a plan in JSON; some digests cannot be loaded or decoded."""
 
     own = "own"
 
     def __init__(self) -> None:
         self.documents: dict[str, bytes] = {}
-        self.asked: list[Any] = []
+        self.calls: list[Any] = []
 
     def get(self, digest: str) -> str | None:
         return self.own if not digest else digest if digest in self.documents else None
@@ -579,7 +592,7 @@
         return 100.0 + cls
 
     def hold(self, now: float, documents: dict[str, bytes], good: str) -> list[str]:
-        self.asked.append([sorted(documents), good])
+        self.calls.append([sorted(documents), good])
         refused = {name for name in documents if name.startswith(("1", "9"))}
         self.documents = {name: data for name, data in documents.items() if name not in refused}
         return [f"{name}: refused" for name in sorted(refused)]
@@ -588,17 +601,17 @@
         return tuple(sorted(self.documents))
 
 
-class _Ground:
-    """A process's surroundings under a clock that the stream moves."""
+class _FakeRuntime:
+    """A fake cluster runtime with a clock that the stream advances."""
 
-    def __init__(self, clock: Callable[[], float], seed: str, collects: bool) -> None:
+    def __init__(self, clock: Callable[[], float], seed: str, is_collecting: bool) -> None:
         source = random.Random(seed)
         self.gossip = GossipStore("me", 1, GossipStoreSettings(), source)
         self.decision_cache = DecisionCache(None, clock)
-        self.consensus = _Council(self.decision_cache)
+        self.consensus = _FakeConsensus(self.decision_cache)
         self.evidence = EvidenceChannel(
             ("me", 1),
-            ChannelSettings("z0", is_collector=collects),
+            ChannelSettings("z0", is_collector=is_collecting),
             self.gossip,
             clock=clock,
             source=source,
@@ -609,8 +622,8 @@
         self.is_leader = False
 
 
-class _Merged(MergedSummaries):
-    """Sums that a stream sets."""
+class _FixedSummaries(MergedSummaries):
+    """Summaries that are set by the stream."""
 
     found: dict[str, dict[str, bytes]]
 
@@ -618,16 +631,16 @@
         return self.found
 
 
-class _Collect(ReportCollector):
-    """A collector that others tell; of which zones it heard nothing a stream sets."""
+class _FakeCollector(ReportCollector):
+    """A collector that other processes report to; the stream sets which zones are incomplete."""
 
-    silent: list[str]
+    missing_zones: list[str]
 
     def is_active(self) -> bool:
         return True
 
     def incomplete_zones(self, now_ms: float) -> list[str]:
-        return self.silent
+        return self.missing_zones
 
 
 class _Exchange:
@@ -643,41 +656,41 @@
 
     async def respond(self, status: int, headers: list[tuple[bytes, bytes]], body: bytes = b"") -> None:
         value = msgspec.json.decode(body)
-        # Texts of errors are for people; what stands must stay as it is.
+        # Error texts may change between releases; error codes and the status must not.
         self.answer = [status, canonical(headers), value.get("error") or body]
 
 
 class Process:
-    """One process with its part in rollouts, driven by a stream; `keep_file` outlives it."""
+    """One process that participates in rollouts, driven by a stream; `keep_file` survives restarts."""
 
-    def __init__(self, seed: int, keep_file: Path | None, *, judges: bool = True) -> None:
-        """Begin at time zero with nothing decided."""
-        self.draw = random.Random(f"process/{seed}")
+    def __init__(self, seed: int, keep_file: Path | None, *, can_lead: bool = True) -> None:
+        """Start at time zero, without any decision."""
+        self.rng = random.Random(f"process/{seed}")
         self.now, self.wall = 0.0, 1e12
-        self.keep_file, self.judges, self.collects = keep_file, judges, judges and seed % 4 == 2
-        self.told: list[tuple[tuple[str, int], str, bytes]] = []
+        self.keep_file, self.can_lead, self.is_collecting = keep_file, can_lead, can_lead and seed % 4 == 2
+        self.published_entries: list[tuple[tuple[str, int], str, bytes]] = []
         self.digest = Digest()
         self.open: list[Any] = []
         self.live: list[Any] = []
         self.ready = True
-        self.badness, self.requests = ((0.3, 12), (0.9, 60))[seed % 3 == 1]
-        self.ground, self.book, self.rollout = self.begin()
-
-    def begin(self) -> tuple[_Ground, _Book, service.RolloutService[str]]:
-        """Begin a life; what the council decided stands."""
-        ground, book = _Ground(lambda: self.now, f"{self.draw.random()}", self.judges), _Book()
-        if self.collects:
-            collect = ground.evidence.collector = _Collect(
-                ("me", 1), AggregationTimings(), ground.evidence.summarizers, 0.0
+        self.fault_probability, self.requests = ((0.3, 12), (0.9, 60))[seed % 3 == 1]
+        self.runtime, self.tables, self.rollout = self.start_service()
+
+    def start_service(self) -> tuple[_FakeRuntime, _FakeTables, service.RolloutService[str]]:
+        """Create the process's objects; decisions of an earlier run remain."""
+        runtime, tables = _FakeRuntime(lambda: self.now, f"{self.rng.random()}", self.can_lead), _FakeTables()
+        if self.is_collecting:
+            fake_collector = runtime.evidence.collector = _FakeCollector(
+                ("me", 1), AggregationTimings(), runtime.evidence.summarizers, 0.0
             )
-            collect.summaries, collect.silent = _Merged(AggregationTimings()), []
-            collect.summaries.found = {}
-        former = getattr(self, "ground", None)
+            fake_collector.summaries, fake_collector.missing_zones = _FixedSummaries(AggregationTimings()), []
+            fake_collector.summaries.found = {}
+        former = getattr(self, "runtime", None)
         if former is not None:
-            ground.consensus.stands = former.consensus.stands
-            ground.consensus.number = former.consensus.number
-            for decree in ground.consensus.stands.values():
-                ground.decision_cache.receive(decree)
+            runtime.consensus.decisions_by_topic = former.consensus.decisions_by_topic
+            runtime.consensus.number = former.consensus.number
+            for decision in runtime.consensus.decisions_by_topic.values():
+                runtime.decision_cache.receive(decision)
         settings = service.ProcessSettings(
             "me",
             "z0",
@@ -690,98 +703,104 @@
             starts_window_ms=600000.0,
         )
         rollout: service.RolloutService[str] = service.RolloutService(
-            ground,
-            book,
+            runtime,
+            tables,
             settings,
             clock=lambda: self.now,
             wall_ms=lambda: self.wall,  # type: ignore[arg-type]
-            rng=random.Random(self.draw.random()),
+            rng=random.Random(self.rng.random()),
             log=_Log(),
             on_versions_changed=self.live.append,
             planner_has_version=lambda digest: self.ready,
-            may_lead=self.judges,
+            may_lead=self.can_lead,
             zone_of=lambda name: f"z{name[-1:]}",
         )
-        return ground, book, rollout
+        return runtime, tables, rollout
 
     def restart(self, orderly: bool) -> None:
-        """End this life, and begin another."""
+        """Restart the process, after a clean shutdown if `orderly`."""
         if orderly:
-            for leaving in self.ground.on_leaving:
+            for leaving in self.runtime.on_leaving:
                 leaving()
         self.open = []
-        self.ground, self.book, self.rollout = self.begin()
+        self.runtime, self.tables, self.rollout = self.start_service()
 
     def document(self) -> bytes:
-        """Draw a document: a plan of short stages."""
-        course = draw_course(self.draw)
-        return msgspec.json.encode(course)
+        """Return a random document: a plan of short stages."""
+        rollout_plan = random_plan(self.rng)
+        return msgspec.json.encode(rollout_plan)
 
-    async def order(self, method: bytes, body: bytes) -> None:
+    async def send_admin_request(self, method: bytes, body: bytes) -> None:
         """Send a request to the admin port."""
         exchange = _Exchange(method, body)
         await self.rollout.serve(exchange)
         self.digest.add(exchange.answer)
 
     async def step(self) -> None:
-        """Do one thing that may happen to a process."""
-        draw, council = self.draw, self.ground.consensus
-        self.now += draw.choice((0.0, 1.0, 5.0, 30.0))
-        self.wall += draw.choice((0.0, 10.0, 3000.0))
-        act = draw.random()
+        """Apply one random event, and add the resulting state to the digest."""
+        rng, consensus_client = self.rng, self.runtime.consensus
+        self.now += rng.choice((0.0, 1.0, 5.0, 30.0))
+        self.wall += rng.choice((0.0, 10.0, 3000.0))
+        event_draw = rng.random()
         state = self.decided()
         if (
-            act < 0.04
-            or (state is None and act < 0.3)
-            or (state is not None and not state.running and act < 0.15)
+            event_draw < 0.04
+            or (state is None and event_draw < 0.3)
+            or (state is not None and not state.running and event_draw < 0.15)
         ):
-            document = self.document() if draw.random() < 0.95 else b'{"stages":[]}'
+            document = self.document() if rng.random() < 0.95 else b'{"stages":[]}'
             body = b'{"action":"start","document":' + document + b"}"
-            await self.order(b"POST", body)
-        elif act < 0.05 and state is not None:
-            name = draw.choice((state.digest, state.digest, "other"))
-            await self.order(b"POST", msgspec.json.encode({"action": "withdraw", "digest": name}))
-        elif act < 0.06:
-            await self.order(draw.choice((b"GET", b"HEAD", b"PUT", b"POST")), b"x" * draw.choice((1, 300000)))
-        elif act < 0.08:
-            council.failing = draw.random() < 0.2
-        elif act < 0.10:
-            self.ready = draw.random() < 0.8
-        elif act < 0.115:
-            self.restart(orderly=draw.random() < 0.6)
-        elif act < 0.13 and not council.failing:
-            self.hear_other()
-        elif act < 0.15:
-            self.ground.is_leader = draw.random() < 0.8
-        elif act < 0.6:
+            await self.send_admin_request(b"POST", body)
+        elif event_draw < 0.05 and state is not None:
+            name = rng.choice((state.digest, state.digest, "other"))
+            await self.send_admin_request(
+                b"POST", msgspec.json.encode({"action": "withdraw", "digest": name})
+            )
+        elif event_draw < 0.06:
+            await self.send_admin_request(
+                rng.choice((b"GET", b"HEAD", b"PUT", b"POST")), b"x" * rng.choice((1, 300000))
+            )
+        elif event_draw < 0.08:
+            consensus_client.failing = rng.random() < 0.2
+        elif event_draw < 0.10:
+            self.ready = rng.random() < 0.8
+        elif event_draw < 0.115:
+            self.restart(orderly=rng.random() < 0.6)
+        elif event_draw < 0.13 and not consensus_client.failing:
+            self.receive_other_decision()
+        elif event_draw < 0.15:
+            self.runtime.is_leader = rng.random() < 0.8
+        elif event_draw < 0.6:
             self.request()
-        elif act < 0.7:
-            self.tell()
+        elif event_draw < 0.7:
+            self.receive_peer_evidence()
         else:
-            await self.look()
-        self.digest.add([self.live, self.book.asked, council.asked])
+            await self.run_tasks()
+        self.digest.add([self.live, self.tables.calls, consensus_client.calls])
         self.live.clear()
-        self.book.asked.clear()
-        council.asked.clear()
+        self.tables.calls.clear()
+        consensus_client.calls.clear()
         self.digest.add(msgspec.json.encode(self.rollout.status()))
 
     def decided(self) -> lifecycle.RolloutState | None:
-        """Return what the council has decided."""
-        decree = self.ground.consensus.stands.get(lifecycle.ROLLOUT_TOPIC)
-        return lifecycle.decode(decree.value) if decree is not None else None
-
-    def hear_other(self) -> None:
-        """Hear a decree that another leader had decided: a step, an end, or one that cannot be read."""
-        draw, council = self.draw, self.ground.consensus
-        stands = council.stands.get(lifecycle.ROLLOUT_TOPIC)
-        if stands is None:
+        """Return the decided state, or None."""
+        decision = self.runtime.consensus.decisions_by_topic.get(lifecycle.ROLLOUT_TOPIC)
+        return lifecycle.decode(decision.value) if decision is not None else None
+
+    def receive_other_decision(self) -> None:
+        """Receive a decision of another leader: a step, an end, or an undecodable one."""
+        rng, consensus_client = self.rng, self.runtime.consensus
+        current = consensus_client.decisions_by_topic.get(lifecycle.ROLLOUT_TOPIC)
+        if current is None:
             return
-        state = lifecycle.decode(stands.value) if draw.random() < 0.95 else None
+        state = lifecycle.decode(current.value) if rng.random() < 0.95 else None
         value = b"broken"
         if state is not None and state.running:
-            plan = read_course(council.stands[lifecycle.DOCUMENT_TOPICS[state.document_slot]].value)
+            plan = read_plan(
+                consensus_client.decisions_by_topic[lifecycle.DOCUMENT_TOPICS[state.document_slot]].value
+            )
             value = lifecycle.encode(
-                draw.choice(
+                rng.choice(
                     (
                         msgspec.structs.replace(state, stage=min(state.stage + 1, len(plan.stages) - 1)),
                         lifecycle.end_rollout(state, lifecycle.RolloutStatus.HALTED, "by another", {}),
@@ -792,98 +811,109 @@
                 )
             )
         elif state is not None:
-            value = stands.value
-        council.number += 1
-        decree = d.Decision(lifecycle.ROLLOUT_TOPIC, council.number, value, 500.0, "", council.number)
+            value = current.value
+        consensus_client.number += 1
+        decision = d.Decision(
+            lifecycle.ROLLOUT_TOPIC, consensus_client.number, value, 500.0, "", consensus_client.number
+        )
         if state is not None:
-            council.stands[lifecycle.ROLLOUT_TOPIC] = decree
-        self.ground.decision_cache.receive(decree)
+            consensus_client.decisions_by_topic[lifecycle.ROLLOUT_TOPIC] = decision
+        self.runtime.decision_cache.receive(decision)
 
     def request(self) -> None:
-        """Let requests come and end."""
-        draw = self.draw
-        for _ in range(draw.randrange(self.requests)):
-            choice = self.rollout.choose(f"v{draw.randrange(20)}")
+        """Start and complete some requests."""
+        rng = self.rng
+        for _ in range(rng.randrange(self.requests)):
+            choice = self.rollout.choose(f"v{rng.randrange(20)}")
             self.digest.add([choice.version, choice.good, choice.on_complete is not None])
             if choice.on_complete is not None:
                 self.open.append((choice.on_complete, choice.version == choice.good))
-        while self.open and draw.random() < 0.9:
-            over, good = self.open.pop(draw.randrange(len(self.open)))
-            bad = draw.random() < (0.05 if good else self.badness)
+        while self.open and rng.random() < 0.9:
+            complete, good = self.open.pop(rng.randrange(len(self.open)))
+            bad = rng.random() < (0.05 if good else self.fault_probability)
             ended = evidence.RequestOutcome.FAILED if bad else evidence.RequestOutcome.SERVED
-            over(draw.randrange(2), ended, draw.choice((10.0, 60.0, 150.0)))
+            complete(rng.randrange(2), ended, rng.choice((10.0, 60.0, 150.0)))
 
-    def tell(self) -> None:
-        """Hear counts and reports of another process by the spread."""
-        draw, state = self.draw, self.decided()
+    def receive_peer_evidence(self) -> None:
+        """Receive another process's counts and rollback reports by gossip."""
+        rng, state = self.rng, self.decided()
         if state is None or not state.digest:
             return
-        origin = (f"p{draw.randrange(4)}", 1)
-        digest = bytes.fromhex(draw.choice((state.digest, state.digest, TWO)))
+        origin = (f"p{rng.randrange(4)}", 1)
+        digest = bytes.fromhex(rng.choice((state.digest, state.digest, TWO)))
         other = GossipStore(origin[0], origin[1], GossipStoreSettings(), random.Random(1))
-        if draw.random() < 0.05:
+        if rng.random() < 0.05:
             other.put(evidence.ROLLBACK_KEY, evidence.encode(evidence.LocalRollback(digest, "far worse")))
-        elif draw.random() < 0.05:
+        elif rng.random() < 0.05:
             other.put(evidence.counts_key(0, 0), b"broken")
         else:
-            trials = draw.randrange(1, 400)
-            marks = [[draw.randrange(1 + trials // 8), draw.randrange(1 + trials // 9)] for _ in range(5)]
-            tally = evidence.OutcomeCounts([trials, draw.randrange(1, 400)], marks)
-            key = evidence.counts_key(draw.randrange(2), draw.randrange(3))
-            other.put(key, evidence.encode(evidence.CountsEntry(digest, tally)))
-        self.told += [(origin, key, value) for key in _KEYS for value in other.values(key).values()]
-        self.ground.gossip.retain_origins([origin])
+            trials = rng.randrange(1, 400)
+            marks = [[rng.randrange(1 + trials // 8), rng.randrange(1 + trials // 9)] for _ in range(5)]
+            sample_counts = evidence.OutcomeCounts([trials, rng.randrange(1, 400)], marks)
+            key = evidence.counts_key(rng.randrange(2), rng.randrange(3))
+            other.put(key, evidence.encode(evidence.CountsEntry(digest, sample_counts)))
+        self.published_entries += [
+            (origin, key, value) for key in _EVIDENCE_KEYS for value in other.values(key).values()
+        ]
+        self.runtime.gossip.retain_origins([origin])
         data, _ = other.full_state(None, 1 << 20)
-        self.ground.gossip.merge(data)
-        for changed in self.ground.gossip.drain_changes():
-            for listener in self.ground.on_gossip_change:
+        self.runtime.gossip.merge(data)
+        for changed in self.runtime.gossip.drain_changes():
+            for listener in self.runtime.on_gossip_change:
                 listener(*changed)
-        if draw.random() < 0.05:
-            for listener in self.ground.on_gossip_change:
+        if rng.random() < 0.05:
+            for listener in self.runtime.on_gossip_change:
                 listener(origin, "")
 
-    async def look(self) -> None:
-        """Let the process's own tasks run for a moment; the decree may be renewed meanwhile."""
-        draw, council = self.draw, self.ground.consensus
-        stands = council.stands.get(lifecycle.ROLLOUT_TOPIC)
-        if stands is not None and draw.random() < 0.7:
-            council.number += 1
-            renewed = msgspec.structs.replace(stands, renewal=council.number)
-            self.ground.decision_cache.receive(renewed)
-        self.sum_up()
+    async def run_tasks(self) -> None:
+        """Run the process's own tasks briefly, after possibly renewing the decision."""
+        rng, consensus_client = self.rng, self.runtime.consensus
+        current = consensus_client.decisions_by_topic.get(lifecycle.ROLLOUT_TOPIC)
+        if current is not None and rng.random() < 0.7:
+            consensus_client.number += 1
+            renewed = msgspec.structs.replace(current, renewal=consensus_client.number)
+            self.runtime.decision_cache.receive(renewed)
+        self.update_collector()
         with anyio.move_on_after(0.012):
             await self.rollout.run()
 
-    def sum_up(self) -> None:
-        """Have a collector sum up what others told, where there is one."""
-        state, collect = self.decided(), self.ground.evidence.collector
-        if state is None or not isinstance(collect, _Collect) or not isinstance(collect.summaries, _Merged):
+    def update_collector(self) -> None:
+        """Update the collector's sums of other processes' entries, if there is a collector."""
+        state, fake_collector = self.decided(), self.runtime.evidence.collector
+        if (
+            state is None
+            or not isinstance(fake_collector, _FakeCollector)
+            or not isinstance(fake_collector.summaries, _FixedSummaries)
+        ):
             return
-        data = self.ground.consensus.stands[lifecycle.DOCUMENT_TOPICS[state.document_slot]].value
+        data = self.runtime.consensus.decisions_by_topic[lifecycle.DOCUMENT_TOPICS[state.document_slot]].value
         sums = summaries.ZoneSummarizer()
-        sums.follow(state.digest, read_course(data), 2)
-        for origin, key, value in self.told:
+        sums.follow(state.digest, read_plan(data), 2)
+        for origin, key, value in self.published_entries:
             sums.receive(origin, key, value, 0.0)
-        origins = sorted({origin for origin, _, _ in self.told})
+        origins = sorted({origin for origin, _, _ in self.published_entries})
         split = len(origins) // 2
-        collect.summaries.found = {
+        fake_collector.summaries.found = {
             "z0": sums.summarize("z0", origins[:split], 0.0),
             "z1": sums.summarize("z1", origins[split:], 0.0),
         }
-        collect.silent = ["z9"] if self.draw.random() < 0.1 else []
+        fake_collector.missing_zones = ["z9"] if self.rng.random() < 0.1 else []
 
 
-_KEYS = [evidence.ROLLBACK_KEY, *(evidence.counts_key(cls, stage) for cls in range(2) for stage in range(3))]
+_EVIDENCE_KEYS = [
+    evidence.ROLLBACK_KEY,
+    *(evidence.counts_key(cls, stage) for cls in range(2) for stage in range(3)),
+]
 
 
-async def _play(process: Process, steps: int) -> str:
+async def _run_steps(process: Process, steps: int) -> str:
     for _ in range(steps):
         await process.step()
     return process.digest.hex()
 
 
 def run_simulated(seed: int, main: Callable[[], Awaitable[str]]) -> str:
-    """Run under simulated time; the order of tasks that are runnable at once is drawn from the seed."""
+    """Run under simulated time; the seed determines the order of concurrently runnable tasks."""
     from trio._core import _run
 
     _run._ALLOW_DETERMINISTIC_SCHEDULING = True
@@ -892,14 +922,14 @@
 
 
 def process_digest(seed: int, directory: Path) -> str:
-    """Drive a process's part in rollouts, over restarts; the file it keeps is part of the digest."""
+    """Return the digest of a process's events over restarts, including its state file."""
     keep_file = directory / f"keep-{seed}"
     if seed == 0:
         keep_file.write_bytes(b"broken")
-    process = Process(seed, None if seed == 1 else keep_file, judges=seed % 4 != 3)
+    process = Process(seed, None if seed == 1 else keep_file, can_lead=seed % 4 != 3)
 
     async def main() -> str:
-        return await _play(process, 320)
+        return await _run_steps(process, 320)
 
     digest = run_simulated(seed, main)
     kept = keep_file.read_bytes() if keep_file.exists() else b""
@@ -909,7 +939,7 @@
 
 
 def stream_seeds() -> Iterator[tuple[str, Callable[[int, Path], str], range]]:
-    """Return every stream by name, with its seeds."""
+    """Return every stream's name, digest function and seeds."""
     yield "stages", lambda seed, _: stages_digest(seed), range(40)
     yield "starts", lambda seed, _: starts_digest(seed), range(10)
     yield "evidence", lambda seed, _: evidence_digest(seed), range(24)
@@ -918,36 +948,34 @@
 
 # --- stored data
 
-KEPT = ("running", "orderly", "stopped-often", "good", "good-and-running")
+KEEP_FILE_CASES = ("running", "orderly", "stopped-often", "good", "good-and-running")
 PLAN = b'{"stages":[{"part":0.5,"least_ms":0,"least":0},{"least_ms":0,"least":0}]}'
 OTHER_PLAN = b'{"stages":[{"least_ms":0,"least":0}]}'
 
 
 async def _start(process: Process, document: bytes) -> None:
-    await process.order(b"POST", b'{"action":"start","document":' + document + b"}")
+    await process.send_admin_request(b"POST", b'{"action":"start","document":' + document + b"}")
 
 
 def _finish(process: Process) -> None:
-    """Have the council decide that the candidate is the good version now."""
-    council, state = process.ground.consensus, process.decided()
+    """Decide that the candidate is the good version."""
+    consensus_client, state = process.runtime.consensus, process.decided()
     assert state is not None
-    value = lifecycle.encode(
-        lifecycle.advance(msgspec.structs.replace(state, stage=1), read_course(PLAN), {})
-    )
-    council.number += 1
-    decree = council.stands[lifecycle.ROLLOUT_TOPIC] = d.Decision(
-        lifecycle.ROLLOUT_TOPIC, council.number, value, 500.0
+    value = lifecycle.encode(lifecycle.advance(msgspec.structs.replace(state, stage=1), read_plan(PLAN), {}))
+    consensus_client.number += 1
+    decision = consensus_client.decisions_by_topic[lifecycle.ROLLOUT_TOPIC] = d.Decision(
+        lifecycle.ROLLOUT_TOPIC, consensus_client.number, value, 500.0
     )
-    process.ground.decision_cache.receive(decree)
+    process.runtime.decision_cache.receive(decision)
 
 
-async def write_kept(name: str, path: Path) -> None:
-    """Have a process write the file of this name."""
+async def write_keep_file(name: str, path: Path) -> None:
+    """Have a process write the state file of the case with this name."""
     process = Process(1, path)
     await _start(process, PLAN)
     process.wall += 1000.5
     if name == "orderly":
-        for leaving in process.ground.on_leaving:
+        for leaving in process.runtime.on_leaving:
             leaving()
     elif name == "stopped-often":
         for _ in range(3):
@@ -960,8 +988,8 @@
         await _start(process, OTHER_PLAN)
 
 
-async def read_kept(path: Path) -> list[Any]:
-    """Begin a process with a file that was kept, and let it live on; the file is written meanwhile."""
+async def read_keep_file(path: Path) -> list[Any]:
+    """Start a process with an existing state file, and run it while it updates the file."""
     process = Process(2, path)
     found = [msgspec.json.encode(process.rollout.status())]
     choice = process.rollout.choose("v")
--- a/tests/rollout/support.py
+++ b/tests/rollout/support.py
@@ -1,4 +1,4 @@
-"""Settings, a plan and documents for tests of rollouts."""
+"""Settings, a rollout plan and rule documents shared by the tests of rollouts."""
 
 import msgspec
 
@@ -54,10 +54,10 @@
 
 
 def changed_document(path, value, plan=PLAN):
-    """Return the settings' own rules with one place changed."""
-    found = msgspec.to_builtins(rules.of_settings(gateway_settings(), plan))
-    at = found
-    for step in path[:-1]:
-        at = at[step]
-    at[path[-1]] = value
-    return rules.read(msgspec.json.encode(found))
+    """Return a document of the settings' own rules, with the value at `path` replaced."""
+    document = msgspec.to_builtins(rules.of_settings(gateway_settings(), plan))
+    parent = document
+    for key in path[:-1]:
+        parent = parent[key]
+    parent[path[-1]] = value
+    return rules.read(msgspec.json.encode(document))
--- a/tests/rollout/test_drill.py
+++ b/tests/rollout/test_drill.py
@@ -1,4 +1,4 @@
-"""Rollouts by processes: three planners with seats, three edges, and candidates good and bad."""
+"""Rollouts of good and bad candidates with real processes: three planners with seats and three edges."""
 
 import json
 import sys
@@ -21,11 +21,11 @@
     {"zones": ["a"], "beside": 0.5, "least_ms": 400, "least": 8},
     {"beside": 0.2, "least_ms": 400, "least": 8},
 ]
-HOLD_MS = 4000.0
+LEASE_MS = 4000.0
 
 
-def more(drill, name, value):
-    """Turn rollouts on; a class of its own for the smallest saves, of which there are none at first."""
+def enable_rollouts(drill, name, value):
+    """Enable rollouts, and add a class for the smallest PUTs, which no request matches at first."""
     saves = next(c for c in value["classes"] if "PUT" in c["methods"])
     value["classes"].insert(0, saves | {"name": "minuta", "methods": ["PUT"], "max_bytes": 1})
     value["rollout"] = {
@@ -40,10 +40,10 @@
     zones = {n: ("a" if n in ("d0", "d1", "p0") else "b", "r") for n in ALL}
 
     def with_collectors(drill, name, value):
-        more(drill, name, value)
+        enable_rollouts(drill, name, value)
         value["fleet"]["collect_from"] = collect_from
 
-    common = Common(seats=PLANNERS, zones=zones, hold_ms=HOLD_MS, more=with_collectors)
+    common = Common(seats=PLANNERS, zones=zones, hold_ms=LEASE_MS, more=with_collectors)
     script = Script(
         seed=seed,
         dispatchers=3,
@@ -59,13 +59,13 @@
     report = rehearse(Told(script, (), story=story, extend=common.extend, programs=programs or {}))
     print("seed", seed, [(round(at), what) for at, what in report.marks])
     assert report.well, (report.findings, report.found.breaches[:3], report.marks)
-    # Clients of an edge that is killed see no answer; nobody else may go without.
+    # Only clients of a killed edge may get no answer.
     assert edges_die or report.found.figures["answered"] == report.found.figures["requests"] > 50
     return report
 
 
 def document(drill, changes, stages=STAGES, **levels):
-    """Return the settings' rules with some classes' figures changed, as an operator would write them."""
+    """Return the settings' rules with some classes' values changed, as an operator would write them."""
     value = json.loads((drill.kept / "d0.jsonnet").read_text())
     classes = [
         {k: c[k] for k in ("name", "methods", "max_bytes", "aim_ms", "deadline_ms") if k in c}
@@ -79,7 +79,7 @@
     }
 
 
-WRONG = (
+INVALID_COMMANDS = (
     ({"action": "start", "document": {"version": 9}}, "rollout-newer"),
     ({"action": "start", "document": {"rules": {}}}, "rollout-rules-wrong"),
     ({"action": "withdraw", "digest": "0" * 24}, "rollout-absent"),
@@ -87,9 +87,9 @@
 )
 
 
-async def ready(drill):
-    everybody = dict.fromkeys(ALL, "alive")
-    await drill.until("one view", lambda: drill.sees(everybody, by=ALL))
+async def wait_for_leader(drill):
+    all_alive = dict.fromkeys(ALL, "alive")
+    await drill.until("all processes alive", lambda: drill.sees(all_alive, by=ALL))
     await drill.until("a leader", drill.leader)
 
 
@@ -98,51 +98,51 @@
 
 
 async def start(drill, value, name="d2"):
-    found = await ask(drill, name, {"action": "start", "document": value})
-    assert found.get("state") == "running", found
-    return found["digest"]
+    status = await ask(drill, name, {"action": "start", "document": value})
+    assert status.get("state") == "running", status
+    return status["digest"]
 
 
-async def all_say(drill, names=ALL, **wanted):
+async def all_report(drill, names=ALL, **wanted):
     for name in names:
-        found = await ask(drill, name)
-        if any(found.get(k) != v for k, v in wanted.items()):
+        status = await ask(drill, name)
+        if any(status.get(k) != v for k, v in wanted.items()):
             return False
     return True
 
 
-async def tried(drill):
-    """Return how many requests each edge has given to the candidate."""
+async def candidate_requests(drill):
+    """Return how many requests each edge has assigned to the candidate."""
     return {name: (await ask(drill, name))["chosen"] for name in EDGES}
 
 
-async def gone_everywhere(drill, digest):
-    """Wait until nobody holds it, and see that nobody decides by it any more."""
-    await drill.until("halted is known", lambda: all_say(drill, state="halted", held=[]))
-    before = await tried(drill)
+async def wait_until_unloaded(drill, digest):
+    """Wait until no process has the candidate loaded, and check that none uses it and it cannot restart."""
+    await drill.until("halted is known", lambda: all_report(drill, state="halted", held=[]))
+    before = await candidate_requests(drill)
     await drill.answered(60)
-    assert await tried(drill) == before
+    assert await candidate_requests(drill) == before
     again = await ask(drill, "d1", {"action": "start", "document": drill.bad})
     assert again.get("error") == "rollout-spent", again
 
 
-@pytest.mark.parametrize("collect_from", [0, 1], ids=["by the spread", "by collectors, one killed"])
-def test_a_candidate_that_refuses_a_tenth_of_a_class_is_halted_and_gone_everywhere(collect_from):
+@pytest.mark.parametrize("collect_from", [0, 1], ids=["by gossip", "by collectors, one killed"])
+def test_a_candidate_that_rejects_a_tenth_of_a_class_is_halted_and_unloaded_everywhere(collect_from):
     async def evidence(name):
-        return ((await drill_of[0].ask(name)) or {}).get("fleet", {}).get("evidence", {})
+        return ((await started_drills[0].ask(name)) or {}).get("fleet", {}).get("evidence", {})
 
-    async def told():
-        found = [await evidence(name) for name in EDGES]
-        return all(one.get("collecting") and one.get("answered") for one in found)
+    async def all_report_to_collectors():
+        channels = [await evidence(name) for name in EDGES]
+        return all(one.get("collecting") and one.get("answered") for one in channels)
 
-    drill_of = []
+    started_drills = []
 
     async def story(drill):
-        drill_of.append(drill)
-        await ready(drill)
+        started_drills.append(drill)
+        await wait_for_leader(drill)
         if collect_from:
-            await drill.until("all tell collectors", told)
-        # A tenth of the saves would get no time at all.
+            await drill.until("all report to collectors", all_report_to_collectors)
+        # A tenth of the PUTs would get a deadline of 1 ms and be rejected.
         drill.bad = document(
             drill,
             {"minuta": {"max_bytes": 190, "aim_ms": 1, "deadline_ms": 1}},
@@ -152,9 +152,9 @@
         digest = await start(drill, drill.bad)
 
         async def held():
-            return await all_say(drill, held=[digest])
+            return await all_report(drill, held=[digest])
 
-        await drill.until("held by all", held)
+        await drill.until("loaded everywhere", held)
         if collect_from:
             await drill.answered(20)
             collector = (await evidence("d0"))["to"]
@@ -167,37 +167,37 @@
 
         await drill.until("halted", halted, 150000)
         if collect_from:
-            # By their collectors' sums: nothing of it is in the spread, so a seat has heard no edge there.
+            # The counts come from collectors' sums: edges that report to collectors do not gossip them.
             assert (await ask(drill, "p1"))["processes"] == 3
         assert "class scrittura: refused" in (await ask(drill, "p1"))["why"]
-        await gone_everywhere(drill, digest)
+        await wait_until_unloaded(drill, digest)
 
     saves = Traffic(methods={"GET": 0.2, "PUT": 0.8}, put_least_bytes=100, put_most_bytes=1000)
     play(story, site=msgspec.structs.replace(usual(), traffic=saves), collect_from=collect_from)
 
 
-def test_a_candidate_that_kills_its_process_is_halted_by_those_that_went_back_alone():
+def test_a_candidate_that_crashes_its_process_is_halted_by_local_rollbacks():
     broken = [sys.executable, "-m", "cressrock.lab.fragile"]
 
     async def story(drill):
-        await ready(drill)
+        await wait_for_leader(drill)
         drill.bad = document(
             drill, {"lettura": {"aim_ms": fragile.DEADLY_MS}}, [{"least_ms": 60000, "least": 10**6}]
         )
         over = anyio.Event()
 
         async def supervise(dispatcher):
-            """Start one again each time it ends, as a service manager does."""
-            alive = 0.0  # when it was last seen to live
+            """Restart a process each time it exits, as a service manager does."""
+            last_alive_ms = 0.0
             while not over.is_set():
                 life, now = drill.processes.lives[dispatcher.name][-1], drill.clock()
                 if life.code is None:
-                    alive = now
+                    last_alive_ms = now
                 elif not life.asked:
                     assert life.code == 9
                     life.asked = True
                     drill.processes.watch()
-                    dispatcher.killed += [alive, now]  # between the two, the drill saw no more
+                    dispatcher.killed += [last_alive_ms, now]  # it exited between these two times
                     drill.relays.gone(dispatcher.name)
                     dispatcher.client.drop()
                     try:
@@ -214,33 +214,33 @@
                 tasks.start_soon(supervise, dispatcher)
             digest = await start(drill, drill.bad)
             await drill.until("halted", halted, 150000)
-            found = await ask(drill, "p1")
-            assert "went back alone" in found["why"], found
-            assert set(found["backs"]) == {"d0", "d1"}
-            assert found["digest"] == digest
-            await drill.until("known", lambda: all_say(drill, state="halted", held=[]))
+            status = await ask(drill, "p1")
+            assert "went back alone" in status["why"], status
+            assert set(status["backs"]) == {"d0", "d1"}
+            assert status["digest"] == digest
+            await drill.until("known", lambda: all_report(drill, state="halted", held=[]))
             over.set()
-        await gone_everywhere(drill, digest)
+        await wait_until_unloaded(drill, digest)
         assert [len(drill.processes.lives[n]) for n in EDGES] == [4, 4, 1]
 
     play(story, programs={"d0": broken, "d1": broken}, edges_die=True)
 
 
-def test_a_harmless_one_gets_through_while_a_planner_is_killed_in_every_stage_and_a_zone_lost():
-    """A zone is lost for a while as well; and an edge that starts anew later finds the new version."""
+def test_a_harmless_rollout_completes_although_planners_are_killed_and_a_zone_is_lost():
+    """Planners are killed, a zone is lost for a while, and a restarted edge loads the new version."""
 
     async def story(drill):
-        await ready(drill)
+        await wait_for_leader(drill)
         good = document(drill, {"lettura": {"aim_ms": 310}, "stato": {"aim_ms": 490}})
         digest = await start(drill, good)
         seen = []
         for stage in range(len(STAGES)):
 
             async def in_stage(stage=stage):
-                found = await ask(drill, "d2")
-                if found.get("digest") == digest:
-                    seen.append(found["stage"])
-                return found.get("stage", -1) >= stage or found.get("state") == "done"
+                status = await ask(drill, "d2")
+                if status.get("digest") == digest:
+                    seen.append(status["stage"])
+                return status.get("stage", -1) >= stage or status.get("state") == "done"
 
             await drill.until(f"stage {stage}", in_stage)
             victim = (await drill.leader() or "p0") if stage != 1 else PLANNERS[stage]
@@ -248,46 +248,48 @@
             await drill.answered(10)
             await drill._do(steps.Restart(victim))
             if stage == 1:
-                # Zone a goes as well: two edges and a planner, for longer than the stage would take.
+                # Also partition zone a, two edges and a planner, for longer than the stage would take.
                 drill.relays.partition([{"d0", "d1", "p0"}, {"d2", "p1", "p2"}])
                 await drill.answered(60)
                 drill.relays.heal()
-        await drill.until("done", lambda: all_say(drill, state="done", good=digest, held=[digest]))
+        await drill.until("done", lambda: all_report(drill, state="done", good=digest, held=[digest]))
         assert seen == sorted(seen) and set(seen) == {0, 1, 2}, seen
         await drill.answered(30)
-        # It is the good version now, also of a process that starts anew.
+        # It is the good version now, also for a restarted process.
         await drill._do(steps.Kill("d0"))
         await drill._do(steps.Restart("d0"))
-        await drill.until("known again", lambda: all_say(drill, state="done", good=digest, held=[digest]))
+        await drill.until(
+            "known after the restart", lambda: all_report(drill, state="done", good=digest, held=[digest])
+        )
 
     play(story, edges_die=True)
 
 
-def test_a_process_cut_off_goes_back_to_the_good_version_when_the_hold_is_over():
+def test_a_partitioned_process_returns_to_the_good_version_when_the_lease_expires():
     async def story(drill):
-        await ready(drill)
+        await wait_for_leader(drill)
         value = document(drill, {"lettura": {"aim_ms": 310}}, [{"least_ms": 600000, "least": 10**6}])
         digest = await start(drill, value)
-        await drill.until("held by all", lambda: all_say(drill, held=[digest], counts=True))
+        await drill.until("loaded everywhere", lambda: all_report(drill, held=[digest], counts=True))
         drill.relays.partition([{"d0"}, set(ALL) - {"d0"}])
         cut = drill.clock()
 
         async def over():
             return not (await ask(drill, "d0")).get("counts", True)
 
-        for body, error in WRONG:
+        for body, error in INVALID_COMMANDS:
             assert (await ask(drill, "d1", body)).get("error") == error
-        await drill.until("over at the one cut off", over)
-        assert drill.clock() - cut > 0.5 * HOLD_MS
-        before = (await tried(drill))["d0"]
+        await drill.until("lease expired at the partitioned edge", over)
+        assert drill.clock() - cut > 0.5 * LEASE_MS
+        before = (await candidate_requests(drill))["d0"]
         await drill.answered(60)
-        assert (await tried(drill))["d0"] == before
-        # Withdrawn meanwhile: it hears of it when it is back, and never decides by it again.
-        found = await ask(drill, "p0", {"action": "withdraw", "digest": digest})
-        assert found.get("state") == "withdrawn", found
+        assert (await candidate_requests(drill))["d0"] == before
+        # Withdrawn during the partition: the process learns of it afterwards and never uses it again.
+        status = await ask(drill, "p0", {"action": "withdraw", "digest": digest})
+        assert status.get("state") == "withdrawn", status
         drill.relays.heal()
-        await drill.until("known", lambda: all_say(drill, state="withdrawn", held=[]))
+        await drill.until("known", lambda: all_report(drill, state="withdrawn", held=[]))
         await drill.answered(30)
-        assert (await tried(drill))["d0"] == before
+        assert (await candidate_requests(drill))["d0"] == before
 
     play(story)
--- a/tests/rollout/test_lifecycle.py
+++ b/tests/rollout/test_lifecycle.py
@@ -1,4 +1,4 @@
-"""The decision on a rollout: its encoding, and its steps from start to end."""
+"""The replicated state of a rollout: its encoding, and its transitions from start to end."""
 
 import msgspec
 import pytest
@@ -33,7 +33,7 @@
 from tests.rollout.support import PLAN
 
 
-def test_golden_samples():
+def test_encoded_entries_match_golden_bytes():
     state = RolloutState(3, "running", "ab" * 12, 1, 2, "cd" * 12, 0, "why", {"x": 1.0}, ["ef" * 12])
     assert lifecycle.encode(state).hex() == (
         "9b0103a772756e6e696e67b86162616261626162616261626162616261626162616261620102b8636463646364636463"
@@ -41,16 +41,16 @@
         "65666566656665666566"
     )
     assert lifecycle.decode(lifecycle.encode(state)) == state
-    piece = CountsEntry(bytes(12), OutcomeCounts([1, 2], [[0, 1]] * 5))
+    counts_entry = CountsEntry(bytes(12), OutcomeCounts([1, 2], [[0, 1]] * 5))
     assert (
-        evidence.encode(piece).hex()
+        evidence.encode(counts_entry).hex()
         == "9301c40c0000000000000000000000009292010295920001920001920001920001920001"
     )
-    back = LocalRollback(bytes(12), "w")
-    assert evidence.encode(back).hex() == "9301c40c000000000000000000000000a177"
-    # A later version's further fields are passed over; another version is told apart from damage.
-    wider = msgspec.msgpack.encode([*msgspec.msgpack.decode(lifecycle.encode(state)), "more"])
-    assert lifecycle.decode(wider) == state
+    rollback = LocalRollback(bytes(12), "w")
+    assert evidence.encode(rollback).hex() == "9301c40c000000000000000000000000a177"
+    # Additional fields of a later release are ignored; an unknown format version is a distinct error.
+    extended = msgspec.msgpack.encode([*msgspec.msgpack.decode(lifecycle.encode(state)), "more"])
+    assert lifecycle.decode(extended) == state
     with pytest.raises(UnknownRulesVersionError):
         lifecycle.decode(msgspec.msgpack.encode([2, "anything"]))
     with pytest.raises(UnknownRulesVersionError):
@@ -59,25 +59,27 @@
         len(evidence.encode(CountsEntry(bytes(12), OutcomeCounts([2**53, 2**53], [[2**53, 2**53]] * 5))))
         <= 640
     )
-    full = msgspec.structs.replace(
+    largest = msgspec.structs.replace(
         state,
         reason="w" * 120,
         statistics={f"marks {n:02}": 1e300 for n in range(12)},
         ended_digests=["0" * 12] * MAX_ENDED_DIGESTS,
     )
-    assert len(lifecycle.encode(full)) <= 600  # it goes by the spread itself, and needs no seat to be asked
+    assert (
+        len(lifecycle.encode(largest)) <= 600
+    )  # small enough to be gossiped in full, so that no seat has to be asked for it
 
 
 @given(st.binary(max_size=64))
-def test_whatever_bytes_come_are_read_or_refused_by_type(data):
-    for read in (lifecycle.decode, decode_counts, decode_rollback, rules.read):
+def test_arbitrary_bytes_are_decoded_or_rejected_with_a_typed_error(data):
+    for decode_bytes in (lifecycle.decode, decode_counts, decode_rollback, rules.decode_bytes):
         try:
-            read(data)
+            decode_bytes(data)
         except (InvalidRulesError, UnknownRulesVersionError):
             pass
 
 
-def test_a_rollout_goes_through_its_stages_and_never_begins_again_unchanged():
+def test_a_rollout_advances_through_its_stages_and_cannot_be_restarted_unchanged():
     state = start_rollout(None, b"one")
     with pytest.raises(RolloutInProgressError):
         start_rollout(state, b"two")
@@ -87,11 +89,11 @@
     state = advance(state, PLAN, {"answers": 5.0})
     assert (state.status, state.good_digest, state.good_slot) == ("done", document_digest(b"one"), 0)
     with pytest.raises(RolloutAlreadyEndedError):
-        start_rollout(state, b"one")  # it is the good one
+        start_rollout(state, b"one")  # it is already the good version
     with pytest.raises(RolloutNotFoundError):
         end_rollout(state, RolloutStatus.WITHDRAWN, "", {})
     state = start_rollout(state, b"two")
-    assert (state.document_slot, state.good_slot) == (1, 0)  # never over the good one's document
+    assert (state.document_slot, state.good_slot) == (1, 0)  # never overwrites the good version's document
     state = end_rollout(state, RolloutStatus.HALTED, "worse", {})
     assert (state.good_digest, state.running) == (document_digest(b"one"), False)
     with pytest.raises(RolloutAlreadyEndedError):
--- a/tests/rollout/test_verdict.py
+++ b/tests/rollout/test_verdict.py
@@ -1,4 +1,4 @@
-"""The sequential test: its bets, its accusers, and one process's own verdict."""
+"""The sequential test: its bets, the minimum number of accusers, and local rollbacks."""
 
 import math
 import random
@@ -20,53 +20,66 @@
 
 
 def fleet_counts_of(processes):
-    """Return counts as of processes' (candidate bad, candidate trials, good bad, good trials) refusals."""
+    """Return counts of rejections; a process is (candidate faults and trials, control faults and trials)."""
     fleet = FleetCounts("00" * 12)
-    for number, (bad, trials, other, others) in enumerate(processes):
-        tally = OutcomeCounts([trials, others], [[bad, other], *[[0, 0] for _ in FAULT_KINDS[1:]]])
-        fleet.merge((f"p{number}", 1), counts_key(0, 0), evidence.encode(CountsEntry(bytes(12), tally)))
+    for index, (candidate_faults, trials, control_faults, control_trials) in enumerate(processes):
+        entry_counts = OutcomeCounts(
+            [trials, control_trials], [[candidate_faults, control_faults], *[[0, 0] for _ in FAULT_KINDS[1:]]]
+        )
+        fleet.merge((f"p{index}", 1), counts_key(0, 0), evidence.encode(CountsEntry(bytes(12), entry_counts)))
     return fleet
 
 
-def test_wealth_is_a_fair_game_under_the_null_and_a_losing_one_below_it():
-    """The bets' mean over the coin is one at the edge of what is tolerated: Ville's inequality holds."""
-    for share in (0.1, 0.5, 0.9):
-        for tolerate in (1.0, 1.3):
-            null = tolerate * (1 - share) / (tolerate * (1 - share) + share)
-            bad = log_wealths(OutcomeCounts([0, 0], [[1, 0]] * 5), 0, share, tolerate)
-            good = log_wealths(OutcomeCounts([0, 0], [[0, 1]] * 5), 0, share, tolerate)
-            for one, other in zip(bad, good, strict=True):
-                won, lost = math.exp(one), math.exp(other)
-                assert null * won + (1 - null) * lost == pytest.approx(1.0)
-                assert (null - 0.05) * won + (1 - null + 0.05) * lost < 1
+def test_expected_wealth_is_constant_under_the_null_and_falls_below_it():
+    """At the tolerated odds ratio each bet's expected factor is one, as Ville's inequality requires."""
+    for control_fraction in (0.1, 0.5, 0.9):
+        for tolerated_odds in (1.0, 1.3):
+            null = (
+                tolerated_odds
+                * (1 - control_fraction)
+                / (tolerated_odds * (1 - control_fraction) + control_fraction)
+            )
+            candidate_logs = log_wealths(
+                OutcomeCounts([0, 0], [[1, 0]] * 5), 0, control_fraction, tolerated_odds
+            )
+            control_logs = log_wealths(
+                OutcomeCounts([0, 0], [[0, 1]] * 5), 0, control_fraction, tolerated_odds
+            )
+            for candidate_log, control_log in zip(candidate_logs, control_logs, strict=True):
+                gain, loss = math.exp(candidate_log), math.exp(control_log)
+                assert null * gain + (1 - null) * loss == pytest.approx(1.0)
+                assert (null - 0.05) * gain + (1 - null + 0.05) * loss < 1
 
 
-def test_many_processes_accuse_and_one_alone_does_not():
-    assert not accusations_from_counts(
-        fleet_counts_of([(300, 400, 5, 400)]), PLAN, 5
-    )  # one process, however sure
-    found = accusations_from_counts(fleet_counts_of([(40, 400, 10, 400)] * 4), PLAN, 5)
-    assert found and found[0].fault_kind == "refused" and found[0].candidate == (160, 1600)
-    assert "refused 160 of 1600" in found[0].describe(["reads", "x", "y", "z", "w"])
-    # What fails both alike accuses nothing, however much it is.
+def test_several_processes_can_halt_a_candidate_and_a_single_one_cannot():
+    # A single process, however strong its evidence.
+    assert not accusations_from_counts(fleet_counts_of([(300, 400, 5, 400)]), PLAN, 5)
+    accusations = accusations_from_counts(fleet_counts_of([(40, 400, 10, 400)] * 4), PLAN, 5)
+    assert accusations and accusations[0].fault_kind == "refused" and accusations[0].candidate == (160, 1600)
+    assert "refused 160 of 1600" in accusations[0].describe(["reads", "x", "y", "z", "w"])
+    # Faults that affect both versions equally are no evidence, however many there are.
     assert not accusations_from_counts(fleet_counts_of([(390, 400, 385, 400)] * 50), PLAN, 5)
     assert not accusations_from_counts(fleet_counts_of([(10, 400, 40, 400)] * 50), PLAN, 5)
 
 
-def test_a_process_far_worse_goes_back_alone():
-    own = LocalCounts("00" * 12)
-    draw = random.Random(1)
-    ends = {True: 0.5, False: 0.02}
+def test_a_process_with_many_more_faults_rolls_back_locally():
+    local = LocalCounts("00" * 12)
+    rng = random.Random(1)
+    fault_probability = {True: 0.5, False: 0.02}
     for _ in range(400):
-        candidate = draw.random() < 0.5
-        ended = RequestOutcome.FAILED if draw.random() < ends[candidate] else RequestOutcome.SERVED
-        own.record(1, 0, candidate, ended, 10.0, 200.0)
-    found = local_accusation(own, PLAN, 5)
-    assert found is not None and (found.request_class, found.fault_kind) == (1, "failed")
-    ends[True] = 0.04
-    own = LocalCounts("00" * 12)
+        candidate = rng.random() < 0.5
+        outcome = (
+            RequestOutcome.FAILED if rng.random() < fault_probability[candidate] else RequestOutcome.SERVED
+        )
+        local.record(1, 0, candidate, outcome, 10.0, 200.0)
+    accusation = local_accusation(local, PLAN, 5)
+    assert accusation is not None and (accusation.request_class, accusation.fault_kind) == (1, "failed")
+    fault_probability[True] = 0.04
+    local = LocalCounts("00" * 12)
     for _ in range(4000):
-        candidate = draw.random() < 0.5
-        ended = RequestOutcome.FAILED if draw.random() < ends[candidate] else RequestOutcome.SERVED
-        own.record(1, 0, candidate, ended, 10.0, 200.0)
-    assert local_accusation(own, PLAN, 5) is None  # worse, but that is for all to judge
+        candidate = rng.random() < 0.5
+        outcome = (
+            RequestOutcome.FAILED if rng.random() < fault_probability[candidate] else RequestOutcome.SERVED
+        )
+        local.record(1, 0, candidate, outcome, 10.0, 200.0)
+    assert local_accusation(local, PLAN, 5) is None  # more faults, but not enough for a local rollback
