--- a/cressrock/rollout/service.py
+++ b/cressrock/rollout/service.py
@@ -84,7 +84,7 @@
     ) -> None:
         """`on_versions_changed(live digests)` is called after the set of loaded versions changed.
 
-        `planner_has_version(digest)` returns whether the planner that decides for this process has a version;
+        `planner_has_version(digest)` is whether the planner or edge that decides for this process has it;
         `may_lead` is whether this process has a consensus replica; `zone_of` maps a process to its zone.
         """
         self._runtime, self._tables, self._settings = runtime, tables, settings
