--- a/cressrock/webdav/conditions.py
+++ b/cressrock/webdav/conditions.py
@@ -1,5 +1,5 @@
-"""Conditions and small header fields: If (RFC 4918 section 10.4), ETags and dates (RFC 9110 section 13),
-Range (section 14), Depth, Overwrite, Timeout, Lock-Token.  Pure.
+"""Parsers and evaluation of request headers, without I/O: If (RFC 4918 section 10.4), ETags and dates
+(RFC 9110 section 13), Range (section 14), Depth, Overwrite, Timeout, Lock-Token.
 """
 
 from __future__ import annotations
@@ -13,12 +13,12 @@
 
 
 class InvalidHeaderError(ValueError):
-    """A field that cannot be read; the text names it."""
+    """A header that cannot be parsed; the text names it."""
 
 
 @dataclass(frozen=True, slots=True)
 class Condition:
-    """One condition: a state token or an entity tag, perhaps negated."""
+    """One condition: a state token or an entity tag, optionally negated."""
 
     negated: bool
     token: str = ""
@@ -27,7 +27,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StateList:
-    """Conditions that must all hold, for the tagged resource; None: the request's own."""
+    """Conditions that must all hold for `resource`; None stands for the resource of the request."""
 
     resource: str | None
     conditions: tuple[Condition, ...]
@@ -35,7 +35,7 @@
 
 @dataclass(frozen=True, slots=True)
 class State:
-    """What a resource is at the moment: its strong ETag (empty if it does not exist) and its lock tokens."""
+    """A resource's current strong ETag (empty if it does not exist) and lock tokens."""
 
     etag: str
     tokens: frozenset[str]
@@ -49,7 +49,7 @@
 
 
 def parse_if(value: str, *, max_lists: int = 64, max_conditions: int = 256) -> tuple[StateList, ...]:
-    """Read an If field.  Raises BadHeader; both forms, tagged and untagged, but not mixed."""
+    """Parse an If header whose lists are all tagged or all untagged; else raises InvalidHeaderError."""
     lists: list[StateList] = []
     resource: str | None = None
     inside: list[Condition] | None = None
@@ -63,32 +63,32 @@
                 raise InvalidHeaderError(f"If: cannot be read at character {position}")
             break
         position = match.end()
-        kind = match.lastgroup
+        token_kind = match.lastgroup
         if inside is None:
-            if kind == "tag":
+            if token_kind == "tag":
                 if lists and not tagged:
                     raise InvalidHeaderError("If: tagged and untagged lists are mixed")
                 resource, tagged = match["tag"][1:-1], True
-            elif kind == "open":
+            elif token_kind == "open":
                 inside = []
             else:
                 raise InvalidHeaderError("If: a list was expected")
             continue
-        if kind == "close":
+        if token_kind == "close":
             if not inside or negated:
                 raise InvalidHeaderError("If: a list is empty or ends after Not")
             lists.append(StateList(resource, tuple(inside)))
             inside = None
             if len(lists) > max_lists:
                 raise InvalidHeaderError(f"If: more than {max_lists} lists")
-        elif kind == "not":
+        elif token_kind == "not":
             if negated:
                 raise InvalidHeaderError("If: Not is doubled")
             negated = True
-        elif kind == "tag":
+        elif token_kind == "tag":
             inside.append(Condition(negated, token=match["tag"][1:-1]))
             negated = False
-        elif kind == "etag":
+        elif token_kind == "etag":
             inside.append(Condition(negated, etag=match["etag"]))
             negated = False
         else:
@@ -102,7 +102,7 @@
 
 
 def holds(lists: tuple[StateList, ...], states: dict[str | None, State]) -> bool:
-    """Evaluate: some list holds as a whole.  `states` maps each list's resource to what it is now."""
+    """Whether all conditions of at least one list hold; `states` has the state of each list's resource."""
     return any(_list_holds(one, states[one.resource]) for one in lists)
 
 
@@ -118,12 +118,12 @@
 
 
 def submitted(lists: tuple[StateList, ...]) -> frozenset[str]:
-    """Return the lock tokens that a request submits, wherever they stand (RFC 4918 section 6.4)."""
+    """Return the lock tokens that a request submits in any of its lists (RFC 4918 section 6.4)."""
     return frozenset(c.token for one in lists for c in one.conditions if c.token and c.token != NO_LOCK)
 
 
-def always_true(tokens: frozenset[str]) -> str:
-    """Write an If field that submits tokens and holds in any state."""
+def always_true_if(tokens: frozenset[str]) -> str:
+    """Format an If header that submits the tokens and evaluates to true in any state."""
     return " ".join(f"(<{token}>)" for token in sorted(tokens)) + f" (Not <{NO_LOCK}>)"
 
 
@@ -131,7 +131,7 @@
 
 
 def etags(value: str) -> list[str]:
-    """Split an If-Match or If-None-Match field; ["*"] for the star."""
+    """Split an If-Match or If-None-Match header into entity tags; ["*"] for a wildcard."""
     if value.strip() == "*":
         return ["*"]
     found = re.findall(r'(?:W/)?"[^"]*"', value)
@@ -141,9 +141,9 @@
 
 
 def precondition(method: str, headers: dict[str, str], etag: str, modified: datetime | None) -> int | None:
-    """Evaluate RFC 9110 section 13.2.2 in its order: None to go on, else 304 or 412.
+    """Evaluate preconditions in the order of RFC 9110 section 13.2.2; returns 304, 412 or None to proceed.
 
-    `etag` is empty where the resource does not exist.
+    `etag` is empty if the resource does not exist.
     """
     if (match := headers.get("if-match")) is not None:
         tags = etags(match)
@@ -166,7 +166,7 @@
 
 
 def http_date(value: str) -> datetime | None:
-    """Read an HTTP date; None where it is none (the field is then ignored, RFC 9110 section 13.1.3)."""
+    """Parse an HTTP date; None if invalid, so that the header is ignored (RFC 9110 section 13.1.3)."""
     try:
         found = parsedate_to_datetime(value)
     except (TypeError, ValueError, OverflowError):
@@ -175,7 +175,7 @@
 
 
 def write_date(when: datetime) -> str:
-    """Write an HTTP date (IMF-fixdate)."""
+    """Format an HTTP date (IMF-fixdate)."""
     return format_datetime(when.astimezone(UTC).replace(microsecond=0), usegmt=True)
 
 
@@ -183,10 +183,10 @@
 
 
 def byte_range(value: str, size: int) -> tuple[int, int] | None:
-    """Read a single range as (first, one past the last).
+    """Parse a single byte range into (first, one past the last), for a payload of `size` bytes.
 
-    None where the field is to be ignored: another unit, several ranges, bad form.  Raises ValueError where
-    it cannot be satisfied (416).
+    None if the header is to be ignored: another unit, several ranges, or invalid syntax.  Raises ValueError
+    if the range cannot be satisfied (416).
     """
     match = _RANGE.match(value.strip())
     if match is None or match.group(0) == "bytes=-":
@@ -206,11 +206,11 @@
     return begin, min(end, size - 1) + 1
 
 
-# --- small fields
+# --- Depth, Overwrite, Timeout, Lock-Token, Prefer
 
 
 def depth(value: str | None, default: str) -> str:
-    """Read Depth: "0", "1" or "infinity".  Raises BadHeader."""
+    """Parse Depth into "0", "1" or "infinity"; raises InvalidHeaderError for other values."""
     found = default if value is None else value.strip().lower()
     if found not in ("0", "1", "infinity"):
         raise InvalidHeaderError(f"Depth: {value!r} is none of 0, 1, infinity")
@@ -218,7 +218,7 @@
 
 
 def overwrite(value: str | None) -> bool:
-    """Read Overwrite; absent means T.  Raises BadHeader."""
+    """Parse Overwrite, which defaults to T; raises InvalidHeaderError for values other than T and F."""
     found = "T" if value is None else value.strip().upper()
     if found not in ("T", "F"):
         raise InvalidHeaderError(f"Overwrite: {value!r} is neither T nor F")
@@ -226,7 +226,7 @@
 
 
 def lock_seconds(value: str | None, *, longest: int) -> int:
-    """Read Timeout (RFC 4918 section 10.7): the first form that is understood, at most `longest`."""
+    """Parse Timeout (RFC 4918 section 10.7): seconds of the first valid entry, at most `longest`."""
     for part in (value or "").split(","):
         part = part.strip()
         if part.lower() == "infinite":
@@ -237,7 +237,7 @@
 
 
 def coded_url(value: str, name: str) -> str:
-    """Read `<url>`.  Raises BadHeader."""
+    """Return the URL inside angle brackets; raises InvalidHeaderError, which names header `name`."""
     text = value.strip()
     if not (text.startswith("<") and text.endswith(">")) or len(text) < 3 or re.search(r"\s", text):
         raise InvalidHeaderError(f"{name}: <URL> was expected")
@@ -245,7 +245,7 @@
 
 
 def wait_seconds(value: str | None) -> float | None:
-    """Read `wait=` of a Prefer field (RFC 7240 section 4.3): seconds, None if absent or unreadable."""
+    """Parse `wait=` of a Prefer header (RFC 7240 section 4.3) into seconds; None if absent or invalid."""
     for part in (value or "").split(","):
         name, _, figure = part.strip().partition("=")
         figure = figure.split(";")[0].strip().strip('"')
--- a/cressrock/webdav/front.py
+++ b/cressrock/webdav/front.py
@@ -1,7 +1,7 @@
-"""The WebDAV front: a carrier from HTTP exchanges to compositions and back.
+"""The WebDAV front: serves HTTP exchanges by running compositions.
 
-It reads a request, lets the pure parts name the storage operations, has each performed by dispatch, and
-passes the one answer on.  It takes no choice about nodes, times or repeats.
+It parses a request, runs the composition that yields the storage operations, has dispatch perform each of
+them, and sends the answer.  Dispatch decides about nodes, timing and retries.
 """
 
 from __future__ import annotations
@@ -32,25 +32,25 @@
 from cressrock.settings.rules import Version
 from cressrock.settings.types import Gateway
 from cressrock.webdav import compose, xml
-from cressrock.webdav.compose import Answer, Call, Site, Volume
+from cressrock.webdav.compose import Answer, Call, CompositionContext, Volume
 from cressrock.webdav.paths import Path
 from cressrock.webdav.request import METHODS, InvalidRequestError, Request, read
 from cressrock.webdav.xml import D
 
-TEXT: Headers = [(b"content-type", b"text/plain; charset=utf-8")]
+TEXT_HEADERS: Headers = [(b"content-type", b"text/plain; charset=utf-8")]
 _XML_BODY = frozenset({"PROPFIND", "PROPPATCH", "LOCK"})
-_LABEL = re.compile(rb"[A-Za-z0-9._-]{1,64}\Z")
+_REQUEST_LABEL = re.compile(rb"[A-Za-z0-9._-]{1,64}\Z")
 
 
-def ended_of(answer: Answer) -> RequestOutcome:
-    """Return how a request ended, by what its client is shown."""
+def request_outcome(answer: Answer) -> RequestOutcome:
+    """Return the outcome of a request, derived from the answer that its client gets."""
     if answer.reason is None:
         return RequestOutcome.SERVED
     return RequestOutcome.REJECTED if answer.status in (429, 503) else RequestOutcome.FAILED
 
 
-def _size(request: Request) -> int | None:
-    """Return the size that a request's class goes by."""
+def _class_size_bytes(request: Request) -> int | None:
+    """Return the payload size in bytes that selects a request's class; None if unknown (chunked)."""
     body = request.body
     if isinstance(body, Spool) and body.is_complete:
         return body.size
@@ -58,7 +58,7 @@
 
 
 class Front:
-    """Serves WebDAV exchanges.  `random` makes lock tokens and keys; `new_id` is unique in this process."""
+    """Serves WebDAV exchanges.  `random` generates lock tokens and the prefix of idempotency keys."""
 
     def __init__(
         self,
@@ -70,7 +70,7 @@
         source: random.Random,
         clock: Callable[[], float],
     ) -> None:
-        """`clock` gives the driver's monotonic milliseconds."""
+        """`clock` returns the driver's monotonic time in milliseconds."""
         self.settings = settings
         self.driver = driver
         self.store = store
@@ -79,37 +79,37 @@
         self.random = source
         self.open = 0
         self.count = 0
-        self.served: Callable[[str], None] | None = None  # told of each request's volume
-        self.locked: Callable[[str, str, bool], None] | None = None  # session, lock token, taken or given up
-        self.copies: ReplicatedVolumes | None = None  # of the volumes that have some; set by the program
-        # Keys must differ between lives of a dispatcher: a rack would drop new work as a repeat.
-        self.life = f"{settings.name}-{source.getrandbits(48):012x}"
+        self.served: Callable[[str], None] | None = None  # called with the volume of each request
+        self.locked: Callable[[str, str, bool], None] | None = None  # session, lock token, whether locked
+        self.copies: ReplicatedVolumes | None = None  # replicated volumes, set by the program
+        # Keys must differ between runs of a dispatcher: a rack would drop a new operation as a duplicate.
+        self.run_id = f"{settings.name}-{source.getrandbits(48):012x}"
         self.choose: Callable[[str], VersionChoice[Version]] = lambda volume: (
-            self.alone
-        )  # by a request's volume
+            self.single_version_choice
+        )  # argument: the request's volume
         self.reload(settings)
 
     def reload(self, settings: Gateway) -> None:
-        """Serve by other settings from the next request on."""
+        """Use new settings, from the next request on."""
         self.settings = settings
-        self.alone = VersionChoice(Version(settings), Version(settings))
+        self.single_version_choice = VersionChoice(Version(settings), Version(settings))
         volumes = {name: Volume(name, tuple(v.shards)) for name, v in settings.volumes.items()}
-        self.site = Site(volumes, self._new_token, settings.front.longest_lock_s)
+        self.context = CompositionContext(volumes, self._new_token, settings.front.longest_lock_s)
         self.plans = {name: settings.plan_index(v.plan) for name, v in settings.volumes.items()}
 
     def _new_token(self) -> str:
-        """Make a lock token (RFC 4918 section 6.5: a UUID URN, here version 4)."""
+        """Generate a lock token (RFC 4918 section 6.5: a UUID URN, here version 4)."""
         bits = self.random.getrandbits(128) & ~(0xF << 76) & ~(0x3 << 62) | (4 << 76) | (2 << 62)
         text = f"{bits:032x}"
         return f"urn:uuid:{text[:8]}-{text[8:12]}-{text[12:16]}-{text[16:20]}-{text[20:]}"
 
     async def handle(self, exchange: Exchange) -> None:
-        """Serve one exchange; cancelled when its client has left."""
+        """Serve one exchange; cancelled when its client disconnects."""
         self.count += 1
         number = self.count
         given = header(exchange.headers, b"x-request-id")
-        label = given.decode() if given and _LABEL.match(given) else f"{self.life}-{number}"
-        began = self.clock()
+        label = given.decode() if given and _REQUEST_LABEL.match(given) else f"{self.run_id}-{number}"
+        started_ms = self.clock()
         status = 499
         try:
             status = await self._serve(exchange, f"{number}", label)
@@ -124,7 +124,7 @@
                     method=exchange.head.method.decode("latin-1"),
                     target=exchange.head.target.decode("latin-1")[:256],
                     status=status,
-                    ms=round(self.clock() - began, 2),
+                    ms=round(self.clock() - started_ms, 2),
                 )
 
     async def _serve(self, exchange: Exchange, name: str, label: str) -> int:
@@ -137,11 +137,11 @@
                 exchange.headers,
                 max_put_bytes=front.max_put_bytes,
             )
-            if request.path is not None and request.path.volume not in self.site.volumes:
+            if request.path is not None and request.path.volume not in self.context.volumes:
                 raise InvalidRequestError(404, f"there is no volume {request.path.volume!r}")
             if self.served is not None and request.path is not None:
                 self.served(request.path.volume)
-            if self.copies is not None and self._beyond_copies(request, self.copies):
+            if self.copies is not None and self._is_unsupported_on_replicas(request, self.copies):
                 raise InvalidRequestError(501, f"{request.method} is not offered on a volume with copies")
             if self.open >= front.max_requests:
                 return await self._answer(
@@ -150,28 +150,28 @@
                     label,
                 )
             if request.method in _XML_BODY:
-                request.content = await self._xml(exchange, request)
-        except InvalidRequestError as wrong:
-            exchange.close_after = exchange.close_after or wrong.status in (400, 413, 501)
-            return await self._answer(exchange, Answer(wrong.status, TEXT, f"{wrong}\n".encode()), label)
+                request.content = await self._read_xml(exchange, request)
+        except InvalidRequestError as exc:
+            exchange.close_after = exchange.close_after or exc.status in (400, 413, 501)
+            return await self._answer(exchange, Answer(exc.status, TEXT_HEADERS, f"{exc}\n".encode()), label)
         if request.method == "OPTIONS" or request.path is None:
-            return await self._answer(exchange, self._root(request), label)
+            return await self._answer(exchange, self._answer_without_node(request), label)
         self.open += 1
         spools: list[Spool] = []
         try:
             if request.method == "PUT":
-                return await self._with_body(exchange, request, name, label, spools)
+                return await self._serve_put(exchange, request, name, label, spools)
             answer = await self._compose(request, name, label, spools)
             if self.locked is not None and request.method in ("LOCK", "UNLOCK") and answer.status < 300:
-                self._tell_lock(exchange, request, answer)
+                self._report_lock(exchange, request, answer)
             return await self._answer(exchange, answer, label)
         finally:
             self.open -= 1
             for spool in spools:
                 spool.close()
 
-    def _tell_lock(self, exchange: Exchange, request: Request, answer: Answer) -> None:
-        """Say which presence session took or gave up a lock here, if the client names its session."""
+    def _report_lock(self, exchange: Exchange, request: Request, answer: Answer) -> None:
+        """Report a lock or unlock by a presence session, if the client names its session."""
         session = header(exchange.headers, b"presence-session")
         given = header(answer.headers, b"lock-token")
         lock = (given.decode("latin-1") if given else request.headers.get("lock-token", "")).strip("<> ")
@@ -179,14 +179,14 @@
             self.locked(session.decode("latin-1"), lock, request.method == "LOCK")
 
     @staticmethod
-    def _beyond_copies(request: Request, copies: ReplicatedVolumes) -> bool:
-        """Whether a request would write what copies do not take over: see docs/copies.md."""
+    def _is_unsupported_on_replicas(request: Request, copies: ReplicatedVolumes) -> bool:
+        """Whether a replicated volume does not support the method: see docs/copies.md."""
         paths = [p for p in (request.path, request.destination) if p is not None]
         known = any(copies.is_replicated(p.volume) for p in paths)
         return known and request.method not in READ_METHODS | WRITE_METHODS
 
-    async def _xml(self, exchange: Exchange, request: Request) -> bytes:
-        """Read an XML body and check it, before anything is asked of a node."""
+    async def _read_xml(self, exchange: Exchange, request: Request) -> bytes:
+        """Read and validate an XML body, before any storage operation starts."""
         front = self.settings.front
         parts: list[bytes] = []
         size = 0
@@ -204,40 +204,40 @@
                 xml.proppatch(content, **bounds)
             else:
                 xml.lockinfo(content, **bounds)
-        except xml.InvalidXMLError as wrong:
-            raise InvalidRequestError(400, str(wrong)) from None
+        except xml.InvalidXMLError as exc:
+            raise InvalidRequestError(400, str(exc)) from None
         return content
 
-    def _root(self, request: Request) -> Answer:
-        """Answer what needs no node: OPTIONS anywhere, and the server's root, which lists the volumes."""
+    def _answer_without_node(self, request: Request) -> Answer:
+        """Answer requests that need no node: OPTIONS, and the server's root, which lists the volumes."""
         if request.method == "OPTIONS":
             allow = ", ".join(METHODS).encode()
             return Answer(200, [(b"dav", b"1, 2, 3"), (b"allow", allow), (b"ms-author-via", b"DAV")])
         if request.method in ("GET", "HEAD"):
-            rows = "".join(f'<li><a href="/{v}/">{v}</a></li>' for v in sorted(self.site.volumes))
+            rows = "".join(f'<li><a href="/{v}/">{v}</a></li>' for v in sorted(self.context.volumes))
             text = f"<!doctype html><title>volumes</title><ul>{rows}</ul>".encode()
             return Answer(200, [(b"content-type", b"text/html; charset=utf-8")], text)
         if request.method != "PROPFIND":
             return Answer(405, [(b"allow", b"OPTIONS, GET, HEAD, PROPFIND")])
         if request.depth == "infinity":
             return Answer(403, [(b"content-type", xml.XML_TYPE)], xml.error(D + "propfind-finite-depth"))
-        asked = xml.propfind(request.content)
-        hrefs = ["/"] + ([f"/{v}/" for v in sorted(self.site.volumes)] if request.depth == "1" else [])
-        body = xml.write_multistatus(xml.plain_collection(href, asked) for href in hrefs)
+        requested = xml.propfind(request.content)
+        hrefs = ["/"] + ([f"/{v}/" for v in sorted(self.context.volumes)] if request.depth == "1" else [])
+        body = xml.write_multistatus(xml.virtual_collection_response(href, requested) for href in hrefs)
         return Answer(207, [(b"content-type", xml.XML_TYPE)], body)
 
     # --- payloads
 
-    async def _with_body(
+    async def _serve_put(
         self, exchange: Exchange, request: Request, name: str, label: str, spools: list[Spool]
     ) -> int:
-        """Take a PUT's payload: a small one is here in whole first, a large one streams on as it comes."""
+        """Serve a PUT: a payload of up to `gather_bytes` is read whole first, a larger one is streamed."""
         spool = Spool(self.store, request.length)
         spools.append(spool)
         request.body = spool
-        gather = self.settings.front.gather_bytes
-        if request.length is None or request.length <= gather:
-            while spool.size <= gather:
+        gather_limit_bytes = self.settings.front.gather_bytes
+        if request.length is None or request.length <= gather_limit_bytes:
+            while spool.size <= gather_limit_bytes:
                 data = await exchange.read()
                 if not data:
                     spool.finish()
@@ -249,12 +249,12 @@
             tasks.start_soon(self._receive, exchange, spool)
             answer = await self._compose(request, name, label, spools)
             tasks.cancel_scope.cancel()
-        # An answer before the end of the payload: the rest is not wanted, the connection not reusable.
+        # After an answer before the end of the payload, unread data makes the connection unusable.
         exchange.close_after = exchange.close_after or not exchange.read_all
         return await self._answer(exchange, answer, label)
 
     async def _receive(self, exchange: Exchange, spool: Spool) -> None:
-        """Follow a payload to its end; readers of a broken one see that it was cut."""
+        """Read a payload into the spool; if it breaks off or is too large, mark the spool as failed."""
         try:
             while data := await exchange.read():
                 if spool.size + len(data) > self.settings.front.max_put_bytes:
@@ -268,30 +268,30 @@
     # --- the composition
 
     async def _compose(self, request: Request, name: str, label: str, spools: list[Spool]) -> Answer:
-        """Have a request answered by one version of the rules, chosen here and now."""
+        """Choose a version of the rules, run the composition with it, and report the outcome if required."""
         assert request.path is not None
-        choice, since, ended = self.choose(request.path.volume), self.clock(), RequestOutcome.CLIENT_LEFT
+        choice, start_ms, outcome = self.choose(request.path.volume), self.clock(), RequestOutcome.CLIENT_LEFT
         if choice.on_complete is None:
-            return await self._by(choice.version, request, name, label, spools)
-        cls = choice.good.settings.class_of(request.method, _size(request))
+            return await self._compose_with_version(choice.version, request, name, label, spools)
+        cls = choice.good.settings.class_of(request.method, _class_size_bytes(request))
         try:
-            answer = await self._by(choice.version, request, name, label, spools)
-            ended = ended_of(answer)
+            answer = await self._compose_with_version(choice.version, request, name, label, spools)
+            outcome = request_outcome(answer)
             return answer
         finally:
-            choice.on_complete(cls, ended, self.clock() - since)
+            choice.on_complete(cls, outcome, self.clock() - start_ms)
 
-    async def _by(
+    async def _compose_with_version(
         self, version: Version, request: Request, name: str, label: str, spools: list[Spool]
     ) -> Answer:
         settings = version.settings
-        cls = settings.classes[settings.class_of(request.method, _size(request))]
-        patience = cls.deadline_ms
+        cls = settings.classes[settings.class_of(request.method, _class_size_bytes(request))]
+        timeout_ms = cls.deadline_ms
         if request.wait_s is not None:
-            patience = min(request.wait_s, self.settings.front.longest_wait_s) * 1000
-        since = self.clock()
-        deadline = since + max(0.0, patience - self.settings.front.answer_margin_ms)
-        steps = compose.compose(request, self.site)
+            timeout_ms = min(request.wait_s, self.settings.front.longest_wait_s) * 1000
+        start_ms = self.clock()
+        deadline_ms = start_ms + max(0.0, timeout_ms - self.settings.front.answer_margin_ms)
+        steps = compose.compose(request, self.context)
         results: list[Result] | None = None
         number = 0
         try:
@@ -303,13 +303,17 @@
                 ]
                 number += len(calls)
                 if len(operations) == 1:
-                    only = await self._perform(calls[0], name, *operations[0], deadline, since, label, spools)
-                    results = [only]
+                    single_result = await self._perform(
+                        calls[0], name, *operations[0], deadline_ms, start_ms, label, spools
+                    )
+                    results = [single_result]
                     continue
                 found: dict[int, Result] = {}
 
                 async def one(call: Call, index: int, op: Operation, into: dict[int, Result]) -> None:
-                    into[index] = await self._perform(call, name, index, op, deadline, since, label, spools)
+                    into[index] = await self._perform(
+                        call, name, index, op, deadline_ms, start_ms, label, spools
+                    )
 
                 async with anyio.create_task_group() as tasks:
                     for call, (index, op) in zip(calls, operations, strict=True):
@@ -325,31 +329,33 @@
         name: str,
         index: int,
         op: Operation,
-        deadline: float,
-        since: float,
+        deadline_ms: float,
+        start_ms: float,
         label: str,
         spools: list[Spool],
     ) -> Result:
         if self.copies is not None and self.copies.is_replicated(op.volume):
-            return await self._copied(self.copies, call, name, index, op, deadline, since, label, spools)
-        result = await self.driver.perform(name, index, op, deadline, label, since)
+            return await self._perform_replicated(
+                self.copies, call, name, index, op, deadline_ms, start_ms, label, spools
+            )
+        result = await self.driver.perform(name, index, op, deadline_ms, label, start_ms)
         if isinstance(result, Reply) and call.collect and result.stream is not None:
             return await self._collect(result, result.stream, spools)
         return result
 
-    async def _copied(
+    async def _perform_replicated(
         self,
         copies: ReplicatedVolumes,
         call: Call,
         name: str,
         index: int,
         op: Operation,
-        deadline: float,
-        since: float,
+        deadline_ms: float,
+        start_ms: float,
         label: str,
         spools: list[Spool],
     ) -> Result:
-        """Perform an operation on a volume with copies: several, each an ordinary one."""
+        """Perform an operation on a replicated volume, as several ordinary storage operations."""
         count = 0
 
         async def send(
@@ -368,7 +374,7 @@
             if method is None:
                 made = replace(call, shard=shard, headers=[*call.headers, *headers])
             else:
-                path = call.path if key is None else Path(*_split(key))
+                path = call.path if key is None else Path(*_split_key(key))
                 made = Call(method.decode(), path, shard, headers, body, collect=collect)
             one = replace(
                 op,
@@ -379,23 +385,23 @@
                 body=op.body if method is None else None,
             )
             if method is not None:
-                one = self._one_of_copies(op, made, one, number, spools)
+                one = self._replica_operation(op, made, one, number, spools)
             elif op.idempotency_key:
-                one = replace(one, idempotency_key=_key(f"{op.idempotency_key}#{shard}"))
-            result = await self.driver.perform(name, number, one, deadline, label, since)
+                one = replace(one, idempotency_key=_hash_key(f"{op.idempotency_key}#{shard}"))
+            result = await self.driver.perform(name, number, one, deadline, label, start_ms)
             if isinstance(result, Reply) and made.collect and result.stream is not None:
                 return await self._collect(result, result.stream, spools)
             return result
 
-        kind = next((v for k, v in call.headers if k == b"content-type"), b"")
+        content_type = next((v for k, v in call.headers if k == b"content-type"), b"")
         return await copies.perform(
-            op.volume, op.shard, op.key, call.method, op.units, op.body, kind, send, deadline
+            op.volume, op.shard, op.key, call.method, op.units, op.body, content_type, send, deadline_ms
         )
 
-    def _one_of_copies(
+    def _replica_operation(
         self, op: Operation, call: Call, one: Operation, number: int, spools: list[Spool]
     ) -> Operation:
-        """Return an operation that brings a copy up to another, or looks at it, in its own class."""
+        """Return an operation that reads or updates a replica, in the class of its own method and size."""
         body = call.body
         if isinstance(body, bytes):
             body = complete_spool(self.store, body)
@@ -404,7 +410,9 @@
         index = self.settings.class_of(call.method, size)
         key = ""
         if self.settings.classes[index].effect == "keyed":
-            key = _key(f"{op.idempotency_key or self.life + op.key}#{call.path.key}#{call.shard}#{number}")
+            key = _hash_key(
+                f"{op.idempotency_key or self.run_id + op.key}#{call.path.key}#{call.shard}#{number}"
+            )
         return replace(
             one,
             key=call.path.key,
@@ -416,7 +424,7 @@
         )
 
     async def _collect(self, reply: Reply, stream: IncomingPayload, spools: list[Spool]) -> Result:
-        """Keep an answer's payload, to be sent on to another shard."""
+        """Read a reply's payload into a spool, to be written to another shard."""
         length = header(reply.headers, b"content-length")
         spool = Spool(self.store, int(length) if length is not None else None)
         spools.append(spool)
@@ -443,10 +451,10 @@
         index = version.settings.class_of(call.method, size)
         key = ""
         if settings.classes[index].effect == "keyed":
-            # One for each storage operation: a client's own key, or one of this life, and the step.
-            base = f"{volume}/{request.key}" if request.key else f"{self.life}/{name}"
-            shape = f"{base}#{call.method}#{call.path.key}#{call.shard}#{number}"
-            key = _key(shape)
+            # One key per storage operation: the client's key, or one of this run, plus the step.
+            base = f"{volume}/{request.key}" if request.key else f"{self.run_id}/{name}"
+            key_source = f"{base}#{call.method}#{call.path.key}#{call.shard}#{number}"
+            key = _hash_key(key_source)
         return Operation(
             method=call.method.encode(),
             target=_target(call.path),
@@ -471,7 +479,7 @@
         if answer.reason is not None:
             headers.append((b"cressrock-reason", answer.reason.value.encode()))
             if not body and answer.status not in (204, 304):
-                headers.extend(TEXT)
+                headers.extend(TEXT_HEADERS)
                 body = f"{answer.reason.value}\n".encode()
         if answer.stream is None:
             await exchange.respond(answer.status, headers, body)
@@ -482,16 +490,16 @@
     async def _stream(
         self, exchange: Exchange, status: int, headers: Headers, stream: IncomingPayload
     ) -> None:
-        """Pass a payload on; where the node breaks off, the client's connection is cut too."""
+        """Stream a payload to the client; closes the connection if the node's answer is truncated."""
         try:
             await exchange.start(status, headers)
             while data := await stream.read_chunk():
                 await exchange.send(data)
             await exchange.finish()
         except PayloadTruncatedError as cut:
-            raise ConnectionLostError("the node broke off its answer") from cut
+            raise ConnectionLostError("the node's answer ended before its full length") from cut
         except h11.LocalProtocolError as short:
-            raise ConnectionLostError("the node's answer is shorter than it announced") from short
+            raise ConnectionLostError("the node's answer is shorter than its Content-Length") from short
         finally:
             stream.abandon()
 
@@ -500,11 +508,11 @@
     return (path.href + ("/" if not path.segments else "")).encode()
 
 
-def _key(shape: str) -> str:
-    return hashlib.blake2b(shape.encode(), digest_size=18).hexdigest()
+def _hash_key(key_source: str) -> str:
+    return hashlib.blake2b(key_source.encode(), digest_size=18).hexdigest()
 
 
-def _split(key: str) -> tuple[str, tuple[str, ...]]:
-    """Read a path's key back."""
+def _split_key(key: str) -> tuple[str, tuple[str, ...]]:
+    """Split a path's key into volume and segments."""
     _, volume, *segments = key.split("/")
     return volume, tuple(segments)
--- a/cressrock/webdav/paths.py
+++ b/cressrock/webdav/paths.py
@@ -1,6 +1,6 @@
-"""Request targets to paths and back (RFC 3986, RFC 9110 section 4).  Pure.
+"""Conversion between request targets and paths (RFC 3986, RFC 9110 section 4), without I/O.
 
-A path is kept decoded, as text: "/volume/a/b".  Comparing, hashing and locking see only this one form.
+A path is stored decoded, as text: "/volume/a/b".  Comparison, hashing and locking use only this form.
 """
 
 from __future__ import annotations
@@ -8,16 +8,16 @@
 from dataclasses import dataclass
 from urllib.parse import quote, unquote_to_bytes, urlsplit
 
-SAFE = "/!$&'()*+,;=:@-._~"
+SAFE_PATH_CHARACTERS = "/!$&'()*+,;=:@-._~"
 
 
 class InvalidPathError(ValueError):
-    """A target that names no resource here; the text says why."""
+    """A target that is not a valid resource path; the text gives the reason."""
 
 
 @dataclass(frozen=True, slots=True)
 class Path:
-    """A resource: its volume and the decoded segments below it.  `slash`: it was named as a collection."""
+    """A resource: its volume and the decoded segments below it.  `slash`: the target ended in a slash."""
 
     volume: str
     segments: tuple[str, ...]
@@ -25,35 +25,36 @@
 
     @property
     def key(self) -> str:
-        """The one text form, without a trailing slash."""
+        """The canonical text form, without a trailing slash."""
         return "/" + "/".join((self.volume, *self.segments))
 
     @property
     def href(self) -> str:
-        """The percent-encoded form, as it stands in a request line or a DAV:href."""
-        return quote(self.key, safe=SAFE)
+        """The percent-encoded form, as used in a request line or a DAV:href."""
+        return quote(self.key, safe=SAFE_PATH_CHARACTERS)
 
     @property
     def parent(self) -> Path:
-        """The collection that holds it.  Raises BadPath for a volume's root."""
+        """The parent collection; raises InvalidPathError for a volume's root."""
         if not self.segments:
             raise InvalidPathError("a volume's root has no parent")
         return Path(self.volume, self.segments[:-1], True)
 
     def under(self, other: Path) -> bool:
-        """Whether this is the other or lies below it."""
+        """Whether this path equals `other` or is below it."""
         return self.volume == other.volume and self.segments[: len(other.segments)] == other.segments
 
     def moved(self, source: Path, target: Path) -> Path:
-        """Return where this lies once `source`, which it is or lies below, has become `target`."""
+        """Return this path, which equals or is below `source`, with that prefix replaced by `target`."""
         return Path(target.volume, target.segments + self.segments[len(source.segments) :], self.slash)
 
 
 def parse(target: str, *, max_bytes: int = 4096, max_depth: int = 128) -> Path:
-    """Read an absolute path, percent-encoded.
+    """Parse an absolute, percent-encoded path.
 
-    Raises BadPath for dot segments in any spelling, encoded slashes, NUL and other control characters,
-    bytes that are not UTF-8, and anything over the bounds: what two servers could read differently.
+    Raises InvalidPathError for targets that two servers could interpret differently: dot segments in any
+    spelling, encoded slashes, NUL and other control characters, bytes that are not UTF-8, and paths over the
+    limits.
     """
     if not target.startswith("/"):
         raise InvalidPathError("the path is not absolute")
@@ -66,9 +67,9 @@
     segments: list[str] = []
     for raw in target.split("/"):
         if not raw:
-            continue  # doubled slashes are one
+            continue  # repeated slashes count as one
         data = unquote_to_bytes(raw) if "%" in raw else raw.encode("latin-1", "replace")
-        if "%" in raw and raw.count("%") != _escapes(raw):
+        if "%" in raw and raw.count("%") != _count_escapes(raw):
             raise InvalidPathError("a percent sign does not begin an escape")
         try:
             text = data.decode("utf-8")
@@ -88,15 +89,15 @@
     return Path(segments[0], tuple(segments[1:]), slash)
 
 
-def _escapes(raw: str) -> int:
+def _count_escapes(raw: str) -> int:
     parts = raw.split("%")[1:]
     return sum(len(p) >= 2 and all(c in "0123456789abcdefABCDEF" for c in p[:2]) for p in parts)
 
 
 def parse_url(url: str, host: str) -> Path | None:
-    """Read a Destination or a tagged resource: an absolute URL or an absolute path.
+    """Parse a Destination or a resource tag: an absolute URL or an absolute path.
 
-    None where it names another host.  Raises BadPath.
+    None if it names another host; raises InvalidPathError if it is invalid.
     """
     if url.startswith("/") and not url.startswith("//"):
         return parse(url)
--- a/cressrock/webdav/placement.py
+++ b/cressrock/webdav/placement.py
@@ -1,7 +1,7 @@
-"""Which shard holds a path: rendezvous hashing over the volume's shards.  Pure.
+"""Placement of paths on a volume's shards by rendezvous hashing (Thaler and Ravishankar, 1998), without I/O.
 
-Every dispatcher computes the same home from the settings alone, so none has to ask another; adding a
-shard moves only the part of the paths that the new one wins (Thaler and Ravishankar, 1998).
+Every dispatcher computes the same home shard from the settings alone, without coordination.  Adding a shard
+moves only the paths for which the new shard has the highest score.
 """
 
 from __future__ import annotations
@@ -10,7 +10,7 @@
 
 
 def home(key: str, shards: tuple[int, ...]) -> int:
-    """Return the shard of the highest score for a path's key."""
+    """Return the home shard of a path's key: the one with the highest score."""
     if len(shards) == 1:
         return shards[0]
     data = key.encode()
--- a/cressrock/webdav/request.py
+++ b/cressrock/webdav/request.py
@@ -1,4 +1,4 @@
-"""A WebDAV request as read from its head: everything checked before anything is asked of a node.  Pure."""
+"""Parsing and validation of a WebDAV request head, before any storage operation; without I/O."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
     "LOCK",
     "UNLOCK",
 )
-ONCE = frozenset(
+SINGLE_VALUE_HEADERS = frozenset(
     b"host content-length transfer-encoding if if-match if-none-match if-modified-since if-unmodified-since "
     b"range if-range overwrite destination timeout lock-token depth idempotency-key content-type".split()
 )
@@ -32,17 +32,17 @@
 
 
 class InvalidRequestError(ValueError):
-    """A request that gets its answer without any storage operation.  `status` is its code."""
+    """A request that is refused without any storage operation, with HTTP status `status`."""
 
     def __init__(self, status: int, text: str) -> None:
-        """`text` says what is wrong, for the client."""
+        """`text` is the explanation sent to the client."""
         super().__init__(text)
         self.status = status
 
 
 @dataclass(slots=True)
 class Request:
-    """A checked request.  `path` is None for the server's root."""
+    """A validated request.  `path` is None for the server's root."""
 
     method: str
     path: Path | None
@@ -56,12 +56,14 @@
     key: str = ""
     length: int | None = 0  # None: chunked
     body: Body | None = None
-    content: bytes = b""  # the body where it is XML
-    resources: dict[str | None, Path] = field(default_factory=dict)  # what the If field speaks of
+    content: bytes = b""  # the body, if it is XML
+    resources: dict[str | None, Path] = field(
+        default_factory=dict
+    )  # resources named in the If header, by tag
 
 
 def read(method: bytes, target: bytes, fields: Headers, *, max_put_bytes: int) -> Request:
-    """Check a request's head.  Raises BadRequest."""
+    """Parse and validate a request's head; raises InvalidRequestError."""
     name = method.decode("ascii", "replace")
     if name not in METHODS:
         raise InvalidRequestError(501, f"method {name[:32]} is not known")
@@ -69,7 +71,7 @@
     host = headers.get("host", "")
     length: int | None = 0
     if "transfer-encoding" in headers:
-        # Danger (smuggling): two framings, of which another server on the way may believe the other one.
+        # Request smuggling: with both headers, an intermediary may use the other framing.
         if "content-length" in headers:
             raise InvalidRequestError(400, "Content-Length and Transfer-Encoding together")
         length = None
@@ -86,8 +88,8 @@
             request.destination = _destination(request)
         if name == "UNLOCK":
             conditions.coded_url(headers.get("lock-token", ""), "Lock-Token")
-    except (InvalidPathError, conditions.InvalidHeaderError) as wrong:
-        raise InvalidRequestError(400, str(wrong)) from None
+    except (InvalidPathError, conditions.InvalidHeaderError) as exc:
+        raise InvalidRequestError(400, str(exc)) from None
     key = headers.get("idempotency-key", "").strip().strip('"')
     if key and not _KEY.match(key):
         raise InvalidRequestError(400, "Idempotency-Key: 1 to 255 visible characters were expected")
@@ -104,7 +106,7 @@
     for raw, value in fields:
         name = raw.decode("ascii")
         if name in headers:
-            if raw in ONCE:
+            if raw in SINGLE_VALUE_HEADERS:
                 raise InvalidRequestError(400, f"{name} is given twice")
             headers[name] += ", " + value.decode("latin-1")
         else:
@@ -128,8 +130,8 @@
 
 def _depth(request: Request) -> None:
     given = request.headers.get("depth")
-    # RFC 4918 section 9.1 would have a PROPFIND without Depth mean infinity, which is refused here; clients
-    # that leave it out want to see the resource and what stands in it.
+    # RFC 4918 section 9.1 treats a PROPFIND without Depth as infinity, which is refused here.  Clients that
+    # omit it expect the resource and its members.
     default = {"COPY": "infinity", "MOVE": "infinity", "DELETE": "infinity", "LOCK": "infinity"}.get(
         request.method, "1" if request.method == "PROPFIND" else "0"
     )
@@ -137,7 +139,7 @@
     if request.method in ("LOCK", "COPY") and request.depth == "1":
         raise conditions.InvalidHeaderError(f"Depth: 1 is not allowed with {request.method}")
     if request.method in ("MOVE", "DELETE") and request.depth != "infinity":
-        # Clients give 0 for plain resources, which means the same there; on a collection it is refused later.
+        # For a plain resource 0 is equivalent, and clients send it; on a collection it is refused later.
         if request.depth == "1":
             raise conditions.InvalidHeaderError(f"Depth: 1 is not allowed with {request.method}")
 
--- a/cressrock/webdav/xml.py
+++ b/cressrock/webdav/xml.py
@@ -1,4 +1,4 @@
-"""WebDAV's XML (RFC 4918 sections 9 and 14) through lxml, hardened: no DTD, no entities, bounded.  Pure."""
+"""WebDAV XML bodies (RFC 4918 sections 9 and 14) with lxml: no DTD, no entities, limited size and depth."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class InvalidXMLError(ValueError):
-    """A body that is not well-formed, too large or too deep, or not what the method asks for."""
+    """A body that is malformed, too large, nested too deeply, or not of the type that the method requires."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -26,7 +26,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PropPatch:
-    """One instruction: set (with the property's element as XML) or remove."""
+    """One PROPPATCH instruction: `xml` is the serialized element to set, or None to remove the property."""
 
     name: str
     xml: bytes | None
@@ -34,7 +34,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LockInfo:
-    """What a LOCK asks for; owner is an element as XML, or None."""
+    """The lock that a LOCK body requests; `owner` is a serialized element or None."""
 
     exclusive: bool
     owner: bytes | None
@@ -42,7 +42,7 @@
 
 @dataclass(slots=True)
 class Response:
-    """One DAV:response of a multistatus: properties by status, or a status of the whole."""
+    """One DAV:response of a multistatus: properties by status, or one status for the resource."""
 
     href: str
     propstats: dict[int, list[Any]]
@@ -51,9 +51,10 @@
 
 
 def parse(data: bytes, *, max_bytes: int = 262144, max_depth: int = 64) -> Any:
-    """Return the root element.  Raises BadXML.
+    """Parse a body and return its root element; raises InvalidXMLError.
 
-    Danger: entities that grow or read files, and depth that overflows: any DOCTYPE is refused.
+    Any DOCTYPE is refused, because entities can expand exponentially or read files.  The depth is limited,
+    because deep nesting can overflow the stack.
     """
     if len(data) > max_bytes:
         raise InvalidXMLError(f"the XML body is longer than {max_bytes} bytes")
@@ -67,21 +68,21 @@
     )
     try:
         root = etree.fromstring(data, parser)
-    except (etree.XMLSyntaxError, ValueError) as wrong:
-        raise InvalidXMLError(f"the XML body is not well-formed: {str(wrong)[:200]}") from None
+    except (etree.XMLSyntaxError, ValueError) as exc:
+        raise InvalidXMLError(f"the XML body is not well-formed: {str(exc)[:200]}") from None
     docinfo: Any = root.getroottree().docinfo
     if docinfo.doctype:
         raise InvalidXMLError("a DOCTYPE is not accepted")
-    deepest, todo = 0, [(root, 1)]
-    while todo:
-        element, level = todo.pop()
+    deepest, pending = 0, [(root, 1)]
+    while pending:
+        element, level = pending.pop()
         deepest = max(deepest, level)
         if deepest > max_depth:
             raise InvalidXMLError(f"the XML body is deeper than {max_depth}")
         for child in element:
             if not isinstance(child.tag, str):
                 raise InvalidXMLError("an entity reference is not accepted")
-            todo.append((child, level + 1))
+            pending.append((child, level + 1))
     for element in root.iter():
         if element.prefix and not etree.QName(element).namespace:
             raise InvalidXMLError("a namespace prefix has no name")
@@ -89,7 +90,7 @@
 
 
 def propfind(data: bytes, **bounds: int) -> PropFind:
-    """Read a PROPFIND body; an empty one means allprop."""
+    """Parse a PROPFIND body; an empty one means allprop."""
     if not data:
         return PropFind("allprop")
     root = parse(data, **bounds)
@@ -108,7 +109,7 @@
 
 
 def proppatch(data: bytes, **bounds: int) -> list[PropPatch]:
-    """Read a PROPPATCH body; instructions in document order."""
+    """Parse a PROPPATCH body into its instructions, in document order."""
     root = parse(data, **bounds)
     if root.tag != D + "propertyupdate":
         raise InvalidXMLError("DAV:propertyupdate was expected")
@@ -121,26 +122,26 @@
                 if instruction.tag == D + "remove":
                     found.append(PropPatch(element.tag, None))
                 else:
-                    found.append(PropPatch(element.tag, detached(element)))
+                    found.append(PropPatch(element.tag, serialize_detached(element)))
     if not found:
         raise InvalidXMLError("DAV:propertyupdate holds no property")
     return found
 
 
-def detached(element: Any) -> bytes:
-    """Return an element alone, with the namespaces and the xml:lang that it stood under."""
+def serialize_detached(element: Any) -> bytes:
+    """Serialize an element on its own, with the namespaces and the xml:lang that it inherits."""
     lang = "{http://www.w3.org/XML/1998/namespace}lang"
-    for above in element.iterancestors():
+    for ancestor in element.iterancestors():
         if lang in element.attrib:
             break
-        if lang in above.attrib:
-            element.set(lang, above.get(lang))
+        if lang in ancestor.attrib:
+            element.set(lang, ancestor.get(lang))
     element.tail = None
     return bytes(etree.tostring(element))
 
 
 def lockinfo(data: bytes, **bounds: int) -> LockInfo | None:
-    """Read a LOCK body; None for an empty one, which refreshes."""
+    """Parse a LOCK body; None for an empty one, which refreshes a lock."""
     if not data:
         return None
     root = parse(data, **bounds)
@@ -152,11 +153,11 @@
     if not exclusive and root.find(f"{D}lockscope/{D}shared") is None:
         raise InvalidXMLError("DAV:lockscope holds neither exclusive nor shared")
     owner = root.find(D + "owner")
-    return LockInfo(exclusive, detached(owner) if owner is not None else None)
+    return LockInfo(exclusive, serialize_detached(owner) if owner is not None else None)
 
 
 def read_multistatus(data: bytes, *, max_bytes: int = 16777216) -> list[Response]:
-    """Read a 207 body of a node.  Raises BadXML."""
+    """Parse the body of a 207 reply from a node; raises InvalidXMLError."""
     root = parse(data, max_bytes=max_bytes)
     if root.tag != D + "multistatus":
         raise InvalidXMLError("DAV:multistatus was expected")
@@ -184,7 +185,7 @@
     return int(parts[1])
 
 
-_PHRASES = {
+_REASON_PHRASES = {
     200: "OK",
     201: "Created",
     204: "No Content",
@@ -203,12 +204,12 @@
 
 
 def status_line(code: int) -> str:
-    """Write a status as DAV:status holds it."""
-    return f"HTTP/1.1 {code} {_PHRASES.get(code, 'Status')}"
+    """Format a status code as the text of a DAV:status element."""
+    return f"HTTP/1.1 {code} {_REASON_PHRASES.get(code, 'Status')}"
 
 
 def write_multistatus(responses: Iterable[Response]) -> bytes:
-    """Write a 207 body."""
+    """Serialize responses into the body of a 207 answer."""
     root = etree.Element(D + "multistatus", nsmap={"D": "DAV:"})
     for response in responses:
         element = etree.SubElement(root, D + "response")
@@ -226,23 +227,23 @@
     return bytes(etree.tostring(root, xml_declaration=True, encoding="utf-8"))
 
 
-def plain_collection(href: str, asked: PropFind) -> Response:
-    """Describe a collection that stands on no node: it has a resourcetype and nothing else."""
-    kind = etree.Element(D + "resourcetype")
-    etree.SubElement(kind, D + "collection")
-    if asked.kind == "propname":
+def virtual_collection_response(href: str, requested: PropFind) -> Response:
+    """Return the response for a collection that no node stores: its only property is resourcetype."""
+    resource_type = etree.Element(D + "resourcetype")
+    etree.SubElement(resource_type, D + "collection")
+    if requested.kind == "propname":
         return Response(href, {200: [etree.Element(D + "resourcetype")]})
-    missing = [etree.Element(n) for n in dict.fromkeys(asked.names) if n != D + "resourcetype"]
-    stats: dict[int, list[Any]] = {}
-    if asked.kind == "allprop" or D + "resourcetype" in asked.names:
-        stats[200] = [kind]
+    missing = [etree.Element(n) for n in dict.fromkeys(requested.names) if n != D + "resourcetype"]
+    propstats: dict[int, list[Any]] = {}
+    if requested.kind == "allprop" or D + "resourcetype" in requested.names:
+        propstats[200] = [resource_type]
     if missing:
-        stats[404] = missing
-    return Response(href, stats)
+        propstats[404] = missing
+    return Response(href, propstats)
 
 
 def write_propfind(names: Iterable[str]) -> bytes:
-    """Write a PROPFIND body that asks for named properties; none: allprop."""
+    """Serialize a PROPFIND body that requests the named properties, or allprop if there are none."""
     root = etree.Element(D + "propfind", nsmap={"D": "DAV:"})
     names = tuple(names)
     if not names:
@@ -255,7 +256,7 @@
 
 
 def write_proppatch(elements: Iterable[Any], removed: Iterable[str]) -> bytes:
-    """Write a PROPPATCH body that sets elements and removes names."""
+    """Serialize a PROPPATCH body that sets `elements` and removes the properties `removed`."""
     root = etree.Element(D + "propertyupdate", nsmap={"D": "DAV:"})
     for name in removed:
         prop = etree.SubElement(etree.SubElement(root, D + "remove"), D + "prop")
@@ -267,7 +268,7 @@
 
 
 def error(name: str, href: str | None = None) -> bytes:
-    """Write a DAV:error body that names a precondition (RFC 4918 section 16)."""
+    """Serialize a DAV:error body that names a precondition (RFC 4918 section 16)."""
     root = etree.Element(D + "error", nsmap={"D": "DAV:"})
     condition = etree.SubElement(root, name)
     if href is not None:
--- a/tests/test_compose.py
+++ b/tests/test_compose.py
@@ -1,4 +1,4 @@
-"""Compositions as playbooks, and under any results: one answer, no false success, no lost source."""
+"""Compositions run against scripted and generated node results: one answer, no false success or data loss."""
 
 import pytest
 from hypothesis import given, settings
@@ -9,12 +9,12 @@
 from cressrock.dispatch.reasons import Reason
 from cressrock.dispatch.transport import Denial
 from cressrock.webdav import xml
-from cressrock.webdav.compose import Answer, Site, Volume, compose
+from cressrock.webdav.compose import Answer, CompositionContext, Volume, compose
 from cressrock.webdav.paths import parse
 from cressrock.webdav.request import read
 from cressrock.webdav.xml import D
 
-SITE = Site({"v": Volume("v", (0, 1, 2)), "one": Volume("one", (7,))}, lambda: "urn:uuid:1")
+CONTEXT = CompositionContext({"v": Volume("v", (0, 1, 2)), "one": Volume("one", (7,))}, lambda: "urn:uuid:1")
 REFUSED = Denial(Verdict.REJECTED, Reason.SCHEDULER, 1000)
 FAILED = Denial(Verdict.FAILED, Reason.DEADLINE)
 
@@ -26,8 +26,8 @@
 
 
 def on(shard, start="/v/a"):
-    """A path whose home is a shard."""
-    return next(f"{start}{i}" for i in range(99) if SITE.home(parse(f"{start}{i}")) == shard)
+    """Return a path whose home shard is `shard`."""
+    return next(f"{start}{i}" for i in range(99) if CONTEXT.home(parse(f"{start}{i}")) == shard)
 
 
 def stat(path, *, collection=False, tokens=(), etag='"e1"', dead=True):
@@ -51,15 +51,15 @@
 
 
 def play(found, script):
-    """Run a composition against a function from call to result; returns the answer and the calls."""
-    calls, steps, results = [], compose(found, SITE), None
+    """Run a composition with `script`, which maps a call to its result; returns the answer and the calls."""
+    calls, steps, results = [], compose(found, CONTEXT), None
     while True:
         try:
             batch = next(steps) if results is None else steps.send(results)
         except StopIteration as stop:
             assert isinstance(stop.value, Answer)
             return stop.value, calls
-        assert batch, "a composition asked for nothing"
+        assert batch, "a composition yielded an empty batch of calls"
         calls.extend(batch)
         results = [script(call) for call in batch]
 
@@ -73,7 +73,7 @@
 
 
 def world(source, **changes):
-    """Nodes on which everything goes well, but for what is given by method."""
+    """Return a script in which every call succeeds, except the methods given in `changes`."""
 
     def script(call):
         if call.method in changes:
@@ -98,7 +98,7 @@
     answer, calls = play(found, world(source))
     assert answer.status == 201
     assert [c.method for c in calls][2:] == ["GET", "PUT", "PROPPATCH", "DELETE"]
-    assert (b"if-match", b'"e1"') in calls[-1].headers  # never a newer version
+    assert (b"if-match", b'"e1"') in calls[-1].headers  # deletes only the version that was copied
     assert calls[3].body == b"payload"
 
 
@@ -243,7 +243,7 @@
     st.lists(st.one_of(RESULTS, st.just("stat"), st.just("col")), max_size=60),
 )
 def test_any_results_end_in_one_answer_and_a_source_outlives_its_copy(method, collection, condition, results):
-    """Whatever the nodes say, in any order: an end, a known status, no deletion before the copy stands."""
+    """For any results in any order the composition ends with a valid status and deletes only after a copy."""
     source, target = on(0), on(1, "/v/b")
     fields = [
         (b"destination", target.encode()),
@@ -263,7 +263,7 @@
             result = stat(call.path.key, collection=collection or result == "col")
         plain = (b"depth", b"0") in call.headers
         if method == "MOVE" and call.method == "DELETE" and call.path.key == source and plain:
-            assert copied, "the source was deleted before its copy stood"
+            assert copied, "the source was deleted before it was copied"
         if (
             call.method in ("PUT", "COPY", "MOVE")
             and isinstance(result, Reply)
@@ -276,5 +276,5 @@
     assert 200 <= answer.status < 600 and len(calls) < 200
     if answer.status == 503:
         assert any(k == b"retry-after" for k, _ in answer.headers)
-    if not results:  # everything was refused
+    if not results:  # every call was rejected
         assert answer.status in (503, 400, 403, 405, 415)
--- a/tests/test_webdav_parts.py
+++ b/tests/test_webdav_parts.py
@@ -1,4 +1,4 @@
-"""Paths, conditions, XML and request heads: what clients may write, and what must be turned away."""
+"""Paths, conditions, XML and request heads: valid input is parsed, invalid or ambiguous input is refused."""
 
 from datetime import UTC, datetime
 
@@ -11,7 +11,7 @@
 from cressrock.webdav.placement import home
 from cressrock.webdav.request import InvalidRequestError, read
 
-TRAVERSALS = [
+REFUSED_TARGETS = [
     "/v/../w",
     "/v/%2e%2e/w",
     "/v/.%2E/w",
@@ -34,8 +34,8 @@
 ]
 
 
-@pytest.mark.parametrize("target", TRAVERSALS)
-def test_targets_that_two_servers_could_read_differently_are_refused(target):
+@pytest.mark.parametrize("target", REFUSED_TARGETS)
+def test_ambiguous_and_invalid_targets_are_refused(target):
     with pytest.raises(InvalidPathError):
         parse(target)
 
@@ -45,7 +45,7 @@
         st.text(st.characters(codec="utf-8", exclude_categories=["Cc"]), min_size=1), min_size=1, max_size=6
     )
 )
-def test_paths_survive_the_way_there_and_back(segments):
+def test_path_round_trip(segments):
     if any(s in (".", "..") or "/" in s or "\\" in s or "\x7f" in s for s in segments):
         return
     path = Path(segments[0], tuple(segments[1:]))
@@ -53,7 +53,7 @@
         assert parse(path.href).key == path.key
 
 
-def test_other_hosts_and_broken_urls():
+def test_urls_of_other_hosts_and_invalid_urls():
     assert parse_url("http://one/v/a", "ONE").key == "/v/a"
     assert parse_url("http://two/v/a", "one") is None
     assert parse_url("http://user@one/v/a", "one") is None
@@ -62,7 +62,7 @@
             parse_url(bad, "one")
 
 
-def test_a_shard_more_moves_only_what_it_wins():
+def test_adding_a_shard_moves_paths_only_to_that_shard():
     keys = [f"/v/{i}" for i in range(4000)]
     before = [home(key, (0, 1, 2)) for key in keys]
     after = [home(key, (0, 1, 2, 3)) for key in keys]
@@ -72,7 +72,7 @@
 
 
 @pytest.mark.parametrize(
-    ("value", "true"),
+    ("value", "expected"),
     [
         ("(<urn:a>)", True),
         ("(<urn:b>)", False),
@@ -84,13 +84,13 @@
         ("<http://h/v/other> (<urn:a>)", False),
     ],
 )
-def test_if(value, true):
+def test_if_header_evaluation(value, expected):
     lists = conditions.parse_if(value)
     own = conditions.State('"1"', frozenset({"urn:a"}))
     states = {
         one.resource: own if one.resource is None else conditions.State("", frozenset()) for one in lists
     }
-    assert conditions.holds(lists, states) is true
+    assert conditions.holds(lists, states) is expected
 
 
 @pytest.mark.parametrize(
@@ -110,35 +110,35 @@
         "(<a>)" * 65,
     ],
 )
-def test_if_that_cannot_be_read(value):
+def test_invalid_if_header_is_refused(value):
     with pytest.raises(conditions.InvalidHeaderError):
         conditions.parse_if(value)
 
 
-def test_submitted_tokens_go_on_in_a_form_that_always_holds():
+def test_submitted_tokens_are_forwarded_in_a_header_that_always_holds():
     lists = conditions.parse_if('(<urn:a> ["x"]) (<urn:b>)')
     assert conditions.submitted(lists) == {"urn:a", "urn:b"}
-    again = conditions.parse_if(conditions.always_true(conditions.submitted(lists)))
-    assert conditions.holds(again, {None: conditions.State("", frozenset())})
-    assert conditions.submitted(again) == {"urn:a", "urn:b"}
+    reparsed = conditions.parse_if(conditions.always_true_if(conditions.submitted(lists)))
+    assert conditions.holds(reparsed, {None: conditions.State("", frozenset())})
+    assert conditions.submitted(reparsed) == {"urn:a", "urn:b"}
 
 
-def test_preconditions_in_the_order_of_the_rfc():
-    then = datetime(2026, 1, 1, tzinfo=UTC)
-    later, date = "Fri, 02 Jan 2026 00:00:00 GMT", conditions.write_date(then)
+def test_preconditions_are_evaluated_in_rfc_order():
+    modified = datetime(2026, 1, 1, tzinfo=UTC)
+    later, date = "Fri, 02 Jan 2026 00:00:00 GMT", conditions.write_date(modified)
     check = conditions.precondition
-    assert check("GET", {"if-none-match": '"1"'}, '"1"', then) == 304
-    assert check("PUT", {"if-none-match": "*"}, '"1"', then) == 412
+    assert check("GET", {"if-none-match": '"1"'}, '"1"', modified) == 304
+    assert check("PUT", {"if-none-match": "*"}, '"1"', modified) == 412
     assert check("PUT", {"if-none-match": "*"}, "", None) is None
     assert check("PUT", {"if-match": "*"}, "", None) == 412
-    assert check("PUT", {"if-match": '"0", "1"'}, '"1"', then) is None
-    assert check("GET", {"if-modified-since": date}, '"1"', then) == 304
-    assert check("GET", {"if-modified-since": later, "if-none-match": '"2"'}, '"1"', then) is None
-    assert check("GET", {"if-modified-since": "nonsense"}, '"1"', then) is None
-    assert check("PUT", {"if-unmodified-since": "Wed, 31 Dec 2025 00:00:00 GMT"}, '"1"', then) == 412
+    assert check("PUT", {"if-match": '"0", "1"'}, '"1"', modified) is None
+    assert check("GET", {"if-modified-since": date}, '"1"', modified) == 304
+    assert check("GET", {"if-modified-since": later, "if-none-match": '"2"'}, '"1"', modified) is None
+    assert check("GET", {"if-modified-since": "nonsense"}, '"1"', modified) is None
+    assert check("PUT", {"if-unmodified-since": "Wed, 31 Dec 2025 00:00:00 GMT"}, '"1"', modified) == 412
 
 
-def test_ranges():
+def test_byte_ranges():
     assert conditions.byte_range("bytes=0-4", 10) == (0, 5)
     assert conditions.byte_range("bytes=8-99", 10) == (8, 10)
     assert conditions.byte_range("bytes=-3", 10) == (7, 10)
@@ -150,7 +150,7 @@
             conditions.byte_range(bad, 10)
 
 
-BOMB = (
+ENTITY_EXPANSION = (
     b'<!DOCTYPE x [<!ENTITY a "aaaa"><!ENTITY b "&a;&a;">]><propfind xmlns="DAV:"><prop>&b;</prop></propfind>'
 )
 
@@ -158,7 +158,7 @@
 @pytest.mark.parametrize(
     "body",
     [
-        BOMB,
+        ENTITY_EXPANSION,
         b'<!DOCTYPE x SYSTEM "file:///etc/passwd"><propfind xmlns="DAV:"><allprop/></propfind>',
         b'<propfind xmlns="DAV:">' + b"<a>" * 100 + b"</a>" * 100 + b"</propfind>",
         b'<propfind xmlns="DAV:"><prop><a/></propfind>',
@@ -168,12 +168,12 @@
         b'<propfind xmlns="DAV:"><prop>' + b"<a/>" * 70000 + b"</prop></propfind>",
     ],
 )
-def test_xml_bombs_and_nonsense_are_refused(body):
+def test_entity_expansion_and_invalid_xml_are_refused(body):
     with pytest.raises(xml.InvalidXMLError):
         xml.propfind(body)
 
 
-def test_multistatus_there_and_back():
+def test_multistatus_round_trip():
     source = xml.Response("/v/a", {404: []})
     data = xml.write_multistatus([source, xml.Response("/v/b", {}, 423, "{DAV:}lock-token-submitted")])
     first, second = xml.read_multistatus(data)
@@ -181,7 +181,7 @@
     assert second.error == "{DAV:}lock-token-submitted"
 
 
-def head(method=b"GET", target=b"/v/a", *fields):
+def read_head(method=b"GET", target=b"/v/a", *fields):
     return read(method, target, [(b"host", b"h"), *fields], max_put_bytes=1000)
 
 
@@ -205,15 +205,15 @@
         (421, (b"GET", b"http://elsewhere/v/a")),
     ],
 )
-def test_heads_that_are_answered_without_any_storage_operation(status, args):
+def test_invalid_heads_are_refused_with_status(status, args):
     with pytest.raises(InvalidRequestError) as found:
-        head(*args)
+        read_head(*args)
     assert found.value.status == status
 
 
-def test_a_heads_small_fields():
-    request = head(b"PUT", b"/v/a", (b"prefer", b"respond-async, wait=7"), (b"idempotency-key", b'"k1"'))
+def test_optional_headers_are_parsed():
+    request = read_head(b"PUT", b"/v/a", (b"prefer", b"respond-async, wait=7"), (b"idempotency-key", b'"k1"'))
     assert (request.wait_s, request.key, request.length) == (7.0, "k1", 0)
-    assert head(b"OPTIONS", b"*").path is None
+    assert read_head(b"OPTIONS", b"*").path is None
     assert conditions.lock_seconds("Infinite, Second-4100000000", longest=600) == 600
     assert conditions.lock_seconds("Second-5", longest=600) == 5
