--- a/cressrock/webdav/compose.py
+++ b/cressrock/webdav/compose.py
@@ -28,7 +28,7 @@
 from cressrock.webdav.request import Request
 from cressrock.webdav.xml import D, Response
 
-LIVE_PROPERTIES = frozenset(
+LIVE_PROPERTY_NAMES = frozenset(
     D + name
     for name in (
         "creationdate",
@@ -130,8 +130,8 @@
     """Run the composition for the method of a request whose volume exists; returns its answer."""
     try:
         answer: Answer = yield from _METHODS[request.method](request, context)
-    except CompositionFinishedError as stop:
-        return stop.answer
+    except CompositionFinishedError as early_end:
+        return early_end.answer
     return answer
 
 
@@ -275,7 +275,7 @@
     return answer
 
 
-def _index_page(path: Path, listing: list[Response], head: bool) -> Answer:
+def _index_page(path: Path, listing: list[Response], is_head: bool) -> Answer:
     """Return an HTML page that lists the members of a collection."""
     rows = []
     for response in listing[1:]:
@@ -283,7 +283,7 @@
         rows.append(f'<li><a href="{escape(response.href)}">{name}</a></li>')
     text = f"<!doctype html><title>{escape(path.key)}</title><ul>{''.join(rows)}</ul>".encode()
     fields: Headers = [(b"content-type", b"text/html; charset=utf-8")]
-    if head:
+    if is_head:
         return Answer(200, [*fields, (b"content-length", str(len(text)).encode())])
     return Answer(200, fields, text)
 
@@ -459,7 +459,7 @@
         return Answer(403)
     if source.key == target.key:
         return Answer(403)
-    move = request.method == "MOVE"
+    is_move = request.method == "MOVE"
     shard = context.home(source)
     if shard == context.home(target) and source.volume == target.volume:
         fields = yield from _resolve_if_header(request, context, shard)
@@ -476,18 +476,18 @@
     status = _failed_precondition(request, replies[0])
     if status is not None:
         return Answer(status)
-    exists = replies[1].status == 207
-    if move and _lacks_lock_token(request, replies[0]):
+    target_exists = replies[1].status == 207
+    if is_move and _lacks_lock_token(request, replies[0]):
         return _lock_token_missing(source.href)
-    if exists and _lacks_lock_token(request, replies[1]):
+    if target_exists and _lacks_lock_token(request, replies[1]):
         return _lock_token_missing(target.href)
-    if exists and not request.overwrite:
+    if target_exists and not request.overwrite:
         return Answer(412)
     if _is_collection(replies[0]):
-        return (yield from _copy_tree(request, context, tokens, replies, move))
+        return (yield from _copy_tree(request, context, tokens, replies, is_move))
     if source.under(target):
         return Answer(409)  # deleting the target would delete the source too
-    return (yield from _copy_file(request, context, tokens, replies, move))
+    return (yield from _copy_file(request, context, tokens, replies, is_move))
 
 
 def _lacks_lock_token(request: Request, stat: Reply) -> bool:
@@ -520,7 +520,7 @@
 
 
 def _copy_file(
-    request: Request, context: CompositionContext, tokens: Headers, stats: list[Reply], move: bool
+    request: Request, context: CompositionContext, tokens: Headers, stats: list[Reply], is_move: bool
 ) -> AnswerSteps:
     """Copy one resource between shards; a MOVE then deletes the source.
 
@@ -529,22 +529,24 @@
     """
     source, target = _path(request), request.destination
     assert target is not None
-    exists = stats[1].status == 207
-    if exists and _is_collection(stats[1]):
-        cleared = yield from _delete_tree(target, context, tokens)
-        if cleared.status not in (204, 404):
-            return cleared
-    failure = yield from _transfer(source, target, context, tokens, stats, changed=False)
+    target_exists = stats[1].status == 207
+    if target_exists and _is_collection(stats[1]):
+        target_deletion = yield from _delete_tree(target, context, tokens)
+        if target_deletion.status not in (204, 404):
+            return target_deletion
+    failure = yield from _transfer(source, target, context, tokens, stats, target_changed=False)
     if failure is not None:
         return failure
-    if move:
+    if is_move:
         fields = [(b"depth", b"0"), (b"if-match", _state(stats[0]).etag.encode("latin-1")), *tokens]
-        deleted = yield from _call_one(Call("DELETE", source, context.home(source), fields), harmless=False)
-        if deleted.status == 412:
+        source_deletion = yield from _call_one(
+            Call("DELETE", source, context.home(source), fields), harmless=False
+        )
+        if source_deletion.status == 412:
             return Answer(409, reason=Reason.HALF_DONE)
-        if deleted.status not in (204, 404):
-            return replace(forward_reply(deleted), reason=Reason.HALF_DONE)
-    return Answer(204 if exists else 201)
+        if source_deletion.status not in (204, 404):
+            return replace(forward_reply(source_deletion), reason=Reason.HALF_DONE)
+    return Answer(204 if target_exists else 201)
 
 
 def _transfer(
@@ -554,24 +556,24 @@
     tokens: Headers,
     stats: list[Reply],
     *,
-    changed: bool,
+    target_changed: bool,
 ) -> AttemptSteps:
     """Copy payload and dead properties to another shard; returns an answer on failure, else None."""
-    got = yield from _call_one(
+    get_reply = yield from _call_one(
         Call("GET", source, context.home(source), _if_match_header(stats[0]), collect=True),
-        harmless=not changed,
+        harmless=not target_changed,
     )
-    if got.status != 200:
-        return forward_reply(got) if got.status != 412 else Answer(409, reason=Reason.HALF_DONE)
+    if get_reply.status != 200:
+        return forward_reply(get_reply) if get_reply.status != 412 else Answer(409, reason=Reason.HALF_DONE)
     fields = list(tokens)
-    content_type = header(got.headers, b"content-type")
+    content_type = header(get_reply.headers, b"content-type")
     if content_type is not None:
         fields.append((b"content-type", content_type))
-    payload: Body | bytes = got.payload if got.payload is not None else got.body
+    payload: Body | bytes = get_reply.payload if get_reply.payload is not None else get_reply.body
     shard = context.home(target)
-    put = yield from _call_one(Call("PUT", target, shard, fields, payload), harmless=not changed)
-    if put.status not in (201, 204):
-        return forward_reply(put)
+    put_reply = yield from _call_one(Call("PUT", target, shard, fields, payload), harmless=not target_changed)
+    if put_reply.status not in (201, 204):
+        return forward_reply(put_reply)
     failure = yield from _copy_properties(target, shard, tokens, stats)
     return failure
 
@@ -582,7 +584,7 @@
 
 
 def _dead_properties(stat: Reply) -> list[Any]:
-    return [p for p in _responses(stat)[0].propstats.get(200, []) if p.tag not in LIVE_PROPERTIES]
+    return [p for p in _responses(stat)[0].propstats.get(200, []) if p.tag not in LIVE_PROPERTY_NAMES]
 
 
 def _copy_properties(target: Path, shard: int, tokens: Headers, stats: list[Reply]) -> AttemptSteps:
@@ -599,7 +601,7 @@
 
 
 def _copy_tree(
-    request: Request, context: CompositionContext, tokens: Headers, stats: list[Reply], move: bool
+    request: Request, context: CompositionContext, tokens: Headers, stats: list[Reply], is_move: bool
 ) -> AnswerSteps:
     """Copy a collection with its members; a MOVE deletes the source only if every member was copied.
 
@@ -609,27 +611,29 @@
     assert target is not None
     if target.under(source) or source.under(target):
         return Answer(403 if target.under(source) else 409)
-    exists = stats[1].status == 207
+    target_exists = stats[1].status == 207
     members: list[tuple[Path, Reply]] = []
-    if request.depth == "infinity" or move:
-        members = yield from _list_descendants(source, context, changed=False)
-    if move:
+    if request.depth == "infinity" or is_move:
+        members = yield from _list_descendants(source, context, target_changed=False)
+    if is_move:
         locked_hrefs = [member.href for member, stat in members if _lacks_lock_token(request, stat)]
         if locked_hrefs:
             return _lock_token_missing(source.href, *locked_hrefs)
-    if exists:
+    if target_exists:
         if _is_collection(stats[1]):
-            cleared = yield from _delete_tree(target, context, tokens)
+            target_deletion = yield from _delete_tree(target, context, tokens)
         else:
             fields: Headers = [(b"depth", b"0"), *tokens]
-            cleared = forward_reply(
+            target_deletion = forward_reply(
                 (yield from _call_one(Call("DELETE", target, context.home(target), fields)))
             )
-        if cleared.status not in (204, 404):
-            return cleared
-    made = yield from _make_target_collection(target, context, tokens, stats[0], changed=exists)
-    if made is not None:
-        return made
+        if target_deletion.status not in (204, 404):
+            return target_deletion
+    creation_reply = yield from _make_target_collection(
+        target, context, tokens, stats[0], target_changed=target_exists
+    )
+    if creation_reply is not None:
+        return creation_reply
     failed: dict[str, Response] = {}
     failed_members: list[Path] = []
     for member, stat in members:
@@ -639,31 +643,31 @@
         try:
             if _is_collection(stat):
                 failure = yield from _make_target_collection(
-                    target_member, context, tokens, stat, changed=True
+                    target_member, context, tokens, stat, target_changed=True
                 )
             else:
                 failure = yield from _copy_member(member, target_member, context, tokens, stat)
-        except CompositionFinishedError as stop:
-            failure = stop.answer
+        except CompositionFinishedError as early_end:
+            failure = early_end.answer
         if failure is not None:
             failed_members.append(member)
             failed[target_member.href] = Response(target_member.href, {}, status=failure.status)
-    if not failed and move:
-        deleted = yield from _delete_tree(source, context, tokens)
-        if deleted.status != 204:
-            return replace(deleted, reason=Reason.HALF_DONE)
+    if not failed and is_move:
+        source_deletion = yield from _delete_tree(source, context, tokens)
+        if source_deletion.status != 204:
+            return replace(source_deletion, reason=Reason.HALF_DONE)
     if failed:
         body = xml.write_multistatus(failed[href] for href in sorted(failed))
         return Answer(207, [(b"content-type", xml.XML_TYPE)], body, reason=Reason.HALF_DONE)
-    return Answer(204 if exists else 201)
+    return Answer(204 if target_exists else 201)
 
 
-def _list_descendants(path: Path, context: CompositionContext, *, changed: bool) -> MemberSteps:
+def _list_descendants(path: Path, context: CompositionContext, *, target_changed: bool) -> MemberSteps:
     """Return all descendants of a collection, parents first, each with a reply like that of a stat call."""
     shards = context.volumes[path.volume].shards
     body = xml.write_propfind(())
     calls = [Call("PROPFIND", path, shard, [(b"depth", b"infinity")], body) for shard in shards]
-    replies = yield from _call_all(calls, harmless=not changed)
+    replies = yield from _call_all(calls, harmless=not target_changed)
     found: list[tuple[Path, Reply]] = []
     for shard, reply in zip(shards, replies, strict=True):
         if reply.status != 207:
@@ -672,25 +676,25 @@
             member = _parse_href(response.href)
             if context.home(member) == shard:
                 location = member.href + ("/" if response.href.endswith("/") else "")
-                one = Reply(
+                member_stat = Reply(
                     207, [(b"content-location", location.encode())], xml.write_multistatus([response])
                 )
-                found.append((member, one))
+                found.append((member, member_stat))
     return sorted(found, key=lambda item: item[0].segments)
 
 
 def _make_target_collection(
-    path: Path, context: CompositionContext, tokens: Headers, stat: Reply, *, changed: bool
+    path: Path, context: CompositionContext, tokens: Headers, stat: Reply, *, target_changed: bool
 ) -> AttemptSteps:
     """Create a collection with its properties as part of a copy; returns an answer on failure, else None."""
     try:
-        made = yield from _make_collection(path, context, tokens)
-    except CompositionFinishedError as stop:
-        if changed and stop.answer.status == 503:
+        creation_reply = yield from _make_collection(path, context, tokens)
+    except CompositionFinishedError as early_end:
+        if target_changed and early_end.answer.status == 503:
             return Answer(502, reason=Reason.HALF_DONE)
-        return stop.answer
-    if made.status != 201:
-        return made
+        return early_end.answer
+    if creation_reply.status != 201:
+        return creation_reply
     return (yield from _copy_properties(path, context.home(path), tokens, [stat, Reply(404, [])]))
 
 
@@ -702,7 +706,9 @@
         fields = [*tokens, *_copy_headers(target, True)]
         reply = yield from _call_one(Call("COPY", source, shard, fields), harmless=False)
         return None if reply.status in (201, 204) else forward_reply(reply)
-    return (yield from _transfer(source, target, context, tokens, [stat, Reply(404, [])], changed=True))
+    return (
+        yield from _transfer(source, target, context, tokens, [stat, Reply(404, [])], target_changed=True)
+    )
 
 
 # --- locks
@@ -718,15 +724,15 @@
     shard = context.home(path)
     seconds = conditions.lock_seconds(request.headers.get("timeout"), longest=context.longest_lock_s)
     fields: Headers = [(b"timeout", f"Second-{seconds}".encode()), *_forwarded_headers(request)]
-    refresh = not request.content
-    if refresh and request.ifs is None:
+    is_refresh = not request.content
+    if is_refresh and request.ifs is None:
         return Answer(400)
     fields += (
         _submitted_tokens_header(request)
-        if refresh
+        if is_refresh
         else (yield from _resolve_if_header(request, context, shard))
     )
-    if not refresh:
+    if not is_refresh:
         fields.append((b"depth", request.depth.encode()))
         fields.append((b"lock-token", f"<{context.new_token()}>".encode()))
     body = request.content or None
@@ -737,17 +743,17 @@
     results: list[Result] = []
     if other_shards:
         results = yield [Call("LOCK", path, s, fields, body) for s in other_shards]
-    taken = [shard]
+    locked_shards = [shard]
     failure: Answer | None = None
     for s, result in zip(other_shards, results, strict=True):
         if isinstance(result, Reply) and result.status in (200, 201):
-            taken.append(s)
+            locked_shards.append(s)
         elif failure is None:
             failure = forward_reply(result) if isinstance(result, Reply) else denied(result)
-    if failure is None or refresh:
+    if failure is None or is_refresh:
         return forward_reply(first) if failure is None else failure
     token = header(first.headers, b"lock-token") or b""
-    yield [Call("UNLOCK", path, s, [(b"lock-token", token)]) for s in taken]
+    yield [Call("UNLOCK", path, s, [(b"lock-token", token)]) for s in locked_shards]
     return failure
 
 
--- a/cressrock/webdav/front.py
+++ b/cressrock/webdav/front.py
@@ -107,8 +107,12 @@
         """Serve one exchange; cancelled when its client disconnects."""
         self.count += 1
         number = self.count
-        given = header(exchange.headers, b"x-request-id")
-        label = given.decode() if given and _REQUEST_LABEL.match(given) else f"{self.run_id}-{number}"
+        client_label = header(exchange.headers, b"x-request-id")
+        label = (
+            client_label.decode()
+            if client_label and _REQUEST_LABEL.match(client_label)
+            else f"{self.run_id}-{number}"
+        )
         started_ms = self.clock()
         status = 499
         try:
@@ -127,7 +131,7 @@
                     ms=round(self.clock() - started_ms, 2),
                 )
 
-    async def _serve(self, exchange: Exchange, name: str, label: str) -> int:
+    async def _serve(self, exchange: Exchange, request_number: str, label: str) -> int:
         settings = self.settings
         front = settings.front
         try:
@@ -160,8 +164,8 @@
         spools: list[Spool] = []
         try:
             if request.method == "PUT":
-                return await self._serve_put(exchange, request, name, label, spools)
-            answer = await self._compose(request, name, label, spools)
+                return await self._serve_put(exchange, request, request_number, label, spools)
+            answer = await self._compose(request, request_number, label, spools)
             if self.locked is not None and request.method in ("LOCK", "UNLOCK") and answer.status < 300:
                 self._report_lock(exchange, request, answer)
             return await self._answer(exchange, answer, label)
@@ -173,8 +177,10 @@
     def _report_lock(self, exchange: Exchange, request: Request, answer: Answer) -> None:
         """Report a lock or unlock by a presence session, if the client names its session."""
         session = header(exchange.headers, b"presence-session")
-        given = header(answer.headers, b"lock-token")
-        lock = (given.decode("latin-1") if given else request.headers.get("lock-token", "")).strip("<> ")
+        lock_header = header(answer.headers, b"lock-token")
+        lock = (
+            lock_header.decode("latin-1") if lock_header else request.headers.get("lock-token", "")
+        ).strip("<> ")
         if session and lock and self.locked is not None:
             self.locked(session.decode("latin-1"), lock, request.method == "LOCK")
 
@@ -229,7 +235,7 @@
     # --- payloads
 
     async def _serve_put(
-        self, exchange: Exchange, request: Request, name: str, label: str, spools: list[Spool]
+        self, exchange: Exchange, request: Request, request_number: str, label: str, spools: list[Spool]
     ) -> int:
         """Serve a PUT: a payload of up to `gather_bytes` is read whole first, a larger one is streamed."""
         spool = Spool(self.store, request.length)
@@ -244,10 +250,12 @@
                     break
                 spool.append(data)
         if spool.is_complete:
-            return await self._answer(exchange, await self._compose(request, name, label, spools), label)
+            return await self._answer(
+                exchange, await self._compose(request, request_number, label, spools), label
+            )
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(self._receive, exchange, spool)
-            answer = await self._compose(request, name, label, spools)
+            answer = await self._compose(request, request_number, label, spools)
             tasks.cancel_scope.cancel()
         # After an answer before the end of the payload, unread data makes the connection unusable.
         exchange.close_after = exchange.close_after or not exchange.read_all
@@ -267,22 +275,24 @@
 
     # --- the composition
 
-    async def _compose(self, request: Request, name: str, label: str, spools: list[Spool]) -> Answer:
+    async def _compose(
+        self, request: Request, request_number: str, label: str, spools: list[Spool]
+    ) -> Answer:
         """Choose a version of the rules, run the composition with it, and report the outcome if required."""
         assert request.path is not None
         choice, start_ms, outcome = self.choose(request.path.volume), self.clock(), RequestOutcome.CLIENT_LEFT
         if choice.on_complete is None:
-            return await self._compose_with_version(choice.version, request, name, label, spools)
+            return await self._compose_with_version(choice.version, request, request_number, label, spools)
         cls = choice.good.settings.class_of(request.method, _class_size_bytes(request))
         try:
-            answer = await self._compose_with_version(choice.version, request, name, label, spools)
+            answer = await self._compose_with_version(choice.version, request, request_number, label, spools)
             outcome = request_outcome(answer)
             return answer
         finally:
             choice.on_complete(cls, outcome, self.clock() - start_ms)
 
     async def _compose_with_version(
-        self, version: Version, request: Request, name: str, label: str, spools: list[Spool]
+        self, version: Version, request: Request, request_number: str, label: str, spools: list[Spool]
     ) -> Answer:
         settings = version.settings
         cls = settings.classes[settings.class_of(request.method, _class_size_bytes(request))]
@@ -298,27 +308,29 @@
             while True:
                 calls = next(steps) if results is None else steps.send(results)
                 operations = [
-                    (number + i, self._operation(version, call, request, name, number + i, spools))
+                    (number + i, self._operation(version, call, request, request_number, number + i, spools))
                     for i, call in enumerate(calls)
                 ]
                 number += len(calls)
                 if len(operations) == 1:
                     single_result = await self._perform(
-                        calls[0], name, *operations[0], deadline_ms, start_ms, label, spools
+                        calls[0], request_number, *operations[0], deadline_ms, start_ms, label, spools
                     )
                     results = [single_result]
                     continue
-                found: dict[int, Result] = {}
+                results_by_index: dict[int, Result] = {}
 
-                async def one(call: Call, index: int, op: Operation, into: dict[int, Result]) -> None:
+                async def perform_into(
+                    call: Call, index: int, op: Operation, into: dict[int, Result]
+                ) -> None:
                     into[index] = await self._perform(
-                        call, name, index, op, deadline_ms, start_ms, label, spools
+                        call, request_number, index, op, deadline_ms, start_ms, label, spools
                     )
 
                 async with anyio.create_task_group() as tasks:
                     for call, (index, op) in zip(calls, operations, strict=True):
-                        tasks.start_soon(one, call, index, op, found)
-                results = [found[index] for index, _ in operations]
+                        tasks.start_soon(perform_into, call, index, op, results_by_index)
+                results = [results_by_index[index] for index, _ in operations]
         except StopIteration as stop:
             answer: Answer = stop.value
             return answer
@@ -326,7 +338,7 @@
     async def _perform(
         self,
         call: Call,
-        name: str,
+        request_number: str,
         index: int,
         op: Operation,
         deadline_ms: float,
@@ -336,9 +348,9 @@
     ) -> Result:
         if self.copies is not None and self.copies.is_replicated(op.volume):
             return await self._perform_replicated(
-                self.copies, call, name, index, op, deadline_ms, start_ms, label, spools
+                self.copies, call, request_number, index, op, deadline_ms, start_ms, label, spools
             )
-        result = await self.driver.perform(name, index, op, deadline_ms, label, start_ms)
+        result = await self.driver.perform(request_number, index, op, deadline_ms, label, start_ms)
         if isinstance(result, Reply) and call.collect and result.stream is not None:
             return await self._collect(result, result.stream, spools)
         return result
@@ -347,7 +359,7 @@
         self,
         copies: ReplicatedVolumes,
         call: Call,
-        name: str,
+        request_number: str,
         index: int,
         op: Operation,
         deadline_ms: float,
@@ -372,24 +384,24 @@
             count += 1
             number = (index + 1) * 1000 + count
             if method is None:
-                made = replace(call, shard=shard, headers=[*call.headers, *headers])
+                replica_call = replace(call, shard=shard, headers=[*call.headers, *headers])
             else:
                 path = call.path if key is None else Path(*_split_key(key))
-                made = Call(method.decode(), path, shard, headers, body, collect=collect)
-            one = replace(
+                replica_call = Call(method.decode(), path, shard, headers, body, collect=collect)
+            operation = replace(
                 op,
-                method=made.method.encode(),
-                target=_target(made.path),
+                method=replica_call.method.encode(),
+                target=_target(replica_call.path),
                 shard=shard,
-                headers=list(made.headers),
+                headers=list(replica_call.headers),
                 body=op.body if method is None else None,
             )
             if method is not None:
-                one = self._replica_operation(op, made, one, number, spools)
+                operation = self._replica_operation(op, replica_call, operation, number, spools)
             elif op.idempotency_key:
-                one = replace(one, idempotency_key=_hash_key(f"{op.idempotency_key}#{shard}"))
-            result = await self.driver.perform(name, number, one, deadline, label, start_ms)
-            if isinstance(result, Reply) and made.collect and result.stream is not None:
+                operation = replace(operation, idempotency_key=_hash_key(f"{op.idempotency_key}#{shard}"))
+            result = await self.driver.perform(request_number, number, operation, deadline, label, start_ms)
+            if isinstance(result, Reply) and replica_call.collect and result.stream is not None:
                 return await self._collect(result, result.stream, spools)
             return result
 
@@ -399,7 +411,7 @@
         )
 
     def _replica_operation(
-        self, op: Operation, call: Call, one: Operation, number: int, spools: list[Spool]
+        self, op: Operation, call: Call, operation: Operation, number: int, spools: list[Spool]
     ) -> Operation:
         """Return an operation that reads or updates a replica, in the class of its own method and size."""
         body = call.body
@@ -414,7 +426,7 @@
                 f"{op.idempotency_key or self.run_id + op.key}#{call.path.key}#{call.shard}#{number}"
             )
         return replace(
-            one,
+            operation,
             key=call.path.key,
             request_class=index,
             units=self.settings.units_of(size),
@@ -439,7 +451,13 @@
         return Reply(reply.status, reply.headers, payload=spool)
 
     def _operation(
-        self, version: Version, call: Call, request: Request, name: str, number: int, spools: list[Spool]
+        self,
+        version: Version,
+        call: Call,
+        request: Request,
+        request_number: str,
+        number: int,
+        spools: list[Spool],
     ) -> Operation:
         settings = self.settings
         body = call.body
@@ -452,7 +470,7 @@
         key = ""
         if settings.classes[index].effect == "keyed":
             # One key per storage operation: the client's key, or one of this run, plus the step.
-            base = f"{volume}/{request.key}" if request.key else f"{self.run_id}/{name}"
+            base = f"{volume}/{request.key}" if request.key else f"{self.run_id}/{request_number}"
             key_source = f"{base}#{call.method}#{call.path.key}#{call.shard}#{number}"
             key = _hash_key(key_source)
         return Operation(
