--- a/cressrock/webdav/compose.py
+++ b/cressrock/webdav/compose.py
@@ -106,8 +106,8 @@
 
     def other_shards(self, path: Path) -> list[int]:
         """Return the volume's shards other than the path's home shard."""
-        own = self.home(path)
-        return [shard for shard in self.volumes[path.volume].shards if shard != own]
+        home_shard = self.home(path)
+        return [shard for shard in self.volumes[path.volume].shards if shard != home_shard]
 
 
 Composition = Generator[list[Call], list[Result], Answer]
@@ -135,13 +135,14 @@
     return answer
 
 
-# --- converting results to answers
+# --- conversion of results to answers
 
 
 def denied(result: Denial, *, harmless: bool = True) -> Answer:
-    """Return the answer for a denial.
+    """Return the answer for a denial: 503 with Retry-After for a rejection, else 502 or 504.
 
-    A 503 guarantees that a retry is harmless; a 502 or 504 makes no such guarantee.
+    A 503 guarantees that a retry is harmless, and 502 and 504 do not.  With `harmless` False, because earlier
+    calls may have changed something, a rejection becomes a 502.
     """
     if result.verdict is Verdict.REJECTED and harmless:
         seconds = max(1, -(-int(result.retry_after_ms) // 1000))
@@ -317,12 +318,12 @@
     path = _path(request)
     yield from _resolve_if_header(request, context, None)  # evaluated here; a listing submits no token
     if request.depth == "infinity":
-        own = yield from _call_one(
+        own_reply = yield from _call_one(
             Call("PROPFIND", path, context.home(path), [(b"depth", b"0")], request.content)
         )
-        if own.status == 207 and _is_collection(own):
+        if own_reply.status == 207 and _is_collection(own_reply):
             return Answer(403, [(b"content-type", xml.XML_TYPE)], xml.error(D + "propfind-finite-depth"))
-        return forward_reply(own)
+        return forward_reply(own_reply)
     listing = yield from _listing(path, context, request.depth, request.content)
     return Answer(207, [(b"content-type", xml.XML_TYPE)], xml.write_multistatus(listing))
 
@@ -334,11 +335,11 @@
     a denial from any shard fails the whole listing.
     """
     fields: Headers = [(b"depth", depth.encode())]
-    own = yield from _call_one(Call("PROPFIND", path, context.home(path), fields, body))
-    if own.status != 207:
-        raise CompositionFinishedError(forward_reply(own))
-    first, *members = _responses(own)
-    if depth == "0" or not _is_collection(own):
+    own_reply = yield from _call_one(Call("PROPFIND", path, context.home(path), fields, body))
+    if own_reply.status != 207:
+        raise CompositionFinishedError(forward_reply(own_reply))
+    first, *members = _responses(own_reply)
+    if depth == "0" or not _is_collection(own_reply):
         return [first, *members]
     shards = context.other_shards(path)
     replies = yield from _call_all([Call("PROPFIND", path, s, fields, body) for s in shards], harmless=True)
@@ -629,11 +630,11 @@
             )
         if target_deletion.status not in (204, 404):
             return target_deletion
-    creation_reply = yield from _make_target_collection(
+    creation_failure = yield from _make_target_collection(
         target, context, tokens, stats[0], target_changed=target_exists
     )
-    if creation_reply is not None:
-        return creation_reply
+    if creation_failure is not None:
+        return creation_failure
     failed: dict[str, Response] = {}
     failed_members: list[Path] = []
     for member, stat in members:
@@ -688,13 +689,13 @@
 ) -> AttemptSteps:
     """Create a collection with its properties as part of a copy; returns an answer on failure, else None."""
     try:
-        creation_reply = yield from _make_collection(path, context, tokens)
+        creation_answer = yield from _make_collection(path, context, tokens)
     except CompositionFinishedError as early_end:
         if target_changed and early_end.answer.status == 503:
             return Answer(502, reason=Reason.HALF_DONE)
         return early_end.answer
-    if creation_reply.status != 201:
-        return creation_reply
+    if creation_answer.status != 201:
+        return creation_answer
     return (yield from _copy_properties(path, context.home(path), tokens, [stat, Reply(404, [])]))
 
 
--- a/cressrock/webdav/conditions.py
+++ b/cressrock/webdav/conditions.py
@@ -52,7 +52,7 @@
     """Parse an If header whose lists are all tagged or all untagged; else raises InvalidHeaderError."""
     lists: list[StateList] = []
     resource: str | None = None
-    inside: list[Condition] | None = None
+    open_list: list[Condition] | None = None
     negated = False
     total = position = 0
     tagged = False
@@ -64,21 +64,21 @@
             break
         position = match.end()
         token_kind = match.lastgroup
-        if inside is None:
+        if open_list is None:
             if token_kind == "tag":
                 if lists and not tagged:
                     raise InvalidHeaderError("If: tagged and untagged lists are mixed")
                 resource, tagged = match["tag"][1:-1], True
             elif token_kind == "open":
-                inside = []
+                open_list = []
             else:
                 raise InvalidHeaderError("If: a list was expected")
             continue
         if token_kind == "close":
-            if not inside or negated:
+            if not open_list or negated:
                 raise InvalidHeaderError("If: a list is empty or ends after Not")
-            lists.append(StateList(resource, tuple(inside)))
-            inside = None
+            lists.append(StateList(resource, tuple(open_list)))
+            open_list = None
             if len(lists) > max_lists:
                 raise InvalidHeaderError(f"If: more than {max_lists} lists")
         elif token_kind == "not":
@@ -86,28 +86,28 @@
                 raise InvalidHeaderError("If: Not is doubled")
             negated = True
         elif token_kind == "tag":
-            inside.append(Condition(negated, token=match["tag"][1:-1]))
+            open_list.append(Condition(negated, token=match["tag"][1:-1]))
             negated = False
         elif token_kind == "etag":
-            inside.append(Condition(negated, etag=match["etag"]))
+            open_list.append(Condition(negated, etag=match["etag"]))
             negated = False
         else:
             raise InvalidHeaderError("If: a list within a list")
         total += 1
         if total > max_conditions:
             raise InvalidHeaderError(f"If: more than {max_conditions} conditions")
-    if inside is not None or not lists:
+    if open_list is not None or not lists:
         raise InvalidHeaderError("If: a list is not closed or missing")
     return tuple(lists)
 
 
 def holds(lists: tuple[StateList, ...], states: dict[str | None, State]) -> bool:
     """Whether all conditions of at least one list hold; `states` has the state of each list's resource."""
-    return any(_list_holds(one, states[one.resource]) for one in lists)
+    return any(_list_holds(state_list, states[state_list.resource]) for state_list in lists)
 
 
-def _list_holds(one: StateList, state: State) -> bool:
-    for condition in one.conditions:
+def _list_holds(state_list: StateList, state: State) -> bool:
+    for condition in state_list.conditions:
         if condition.token:
             found = condition.token in state.tokens
         else:
@@ -119,7 +119,9 @@
 
 def submitted(lists: tuple[StateList, ...]) -> frozenset[str]:
     """Return the lock tokens that a request submits in any of its lists (RFC 4918 section 6.4)."""
-    return frozenset(c.token for one in lists for c in one.conditions if c.token and c.token != NO_LOCK)
+    return frozenset(
+        c.token for state_list in lists for c in state_list.conditions if c.token and c.token != NO_LOCK
+    )
 
 
 def always_true_if(tokens: frozenset[str]) -> str:
--- a/cressrock/webdav/front.py
+++ b/cressrock/webdav/front.py
@@ -78,7 +78,7 @@
         self.clock = clock
         self.random = source
         self.open = 0
-        self.count = 0
+        self.request_count = 0
         self.served: Callable[[str], None] | None = None  # called with the volume of each request
         self.locked: Callable[[str, str, bool], None] | None = None  # session, lock token, whether locked
         self.copies: ReplicatedVolumes | None = None  # replicated volumes, set by the program
@@ -105,8 +105,8 @@
 
     async def handle(self, exchange: Exchange) -> None:
         """Serve one exchange; cancelled when its client disconnects."""
-        self.count += 1
-        number = self.count
+        self.request_count += 1
+        number = self.request_count
         client_label = header(exchange.headers, b"x-request-id")
         label = (
             client_label.decode()
--- a/cressrock/webdav/request.py
+++ b/cressrock/webdav/request.py
@@ -152,17 +152,17 @@
     if value is None:
         return
     request.ifs = conditions.parse_if(value)
-    for one in request.ifs:
-        if one.resource in request.resources:
+    for state_list in request.ifs:
+        if state_list.resource in request.resources:
             continue
-        if one.resource is None:
+        if state_list.resource is None:
             if request.path is not None:
                 request.resources[None] = request.path
         else:
-            found = parse_url(one.resource, request.host)
+            found = parse_url(state_list.resource, request.host)
             if found is None:
                 raise conditions.InvalidHeaderError("If: a resource on another host")
-            request.resources[one.resource] = found
+            request.resources[state_list.resource] = found
     if len(request.resources) > 16:
         raise conditions.InvalidHeaderError("If: more than 16 resources")
 
