--- a/cressrock/consensus/recover.py
+++ b/cressrock/consensus/recover.py
@@ -23,7 +23,7 @@
 MIN_SKIPPED_VERSIONS = 1_000_000  # skipped even if the wall clock was set back
 
 RISKS = """\
-Risks:
+What this may cost:
 - decisions that the lost seats had acknowledged and this store does not have are gone;
 - decisions in this store that were never acknowledged take effect;
 - if any other seat of the old council still runs, or this is done at two seats, there are two councils.
